--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -10,248 +10,254 @@
 	"time"
 )
 
-// modelSeeds is how many plays of each load are made; many more are run by hand.
-var modelSeeds = flag.Int("quota.seeds", 1, "plays of each load; with more than one, of each fleet too")
+// simSeeds is the number of random seeds that each scenario is simulated with. Longer manual runs
+// set it higher.
+var simSeeds = flag.Int("quota.seeds", 1, "number of seeds for each scenario; with more than one, all fleet sizes are simulated")
 
 const (
-	modelStep   = 20 * time.Millisecond
-	modelLength = 60 * time.Second
-	// modelLead is how long before the first caller the daemons start.
-	modelLead  = 5 * time.Second
-	modelZones = 3
-	// handOverEvery is how often a follower calls its reader at most.
-	handOverEvery = 700 * time.Millisecond
-	// hot is the team that asks for many times its usual, and hotTimes how many.
-	hot      = 0
-	hotTimes = 9
+	simStep     = 20 * time.Millisecond
+	simDuration = 60 * time.Second
+	// simWarmUp is how long the daemons run before the first request.
+	simWarmUp   = 5 * time.Second
+	dataCentres = 3 // number of data centres
+	// handOverInterval is the least time between two calls of a follower to its reader.
+	handOverInterval = 700 * time.Millisecond
+	// hotTeam is the index of the team that requests hotTeamFactor times its usual rate.
+	hotTeam       = 0
+	hotTeamFactor = 9
 )
 
-var modelBounds = Bounds{Window: 8 * time.Second, Excess: 0.1, Slack: 190_000}
+var simBounds = Bounds{Window: 8 * time.Second, Excess: 0.1, Slack: 190_000}
 
-// modelDaemon is one place in the fleet; its life ends with a kill.
-type modelDaemon struct {
-	zone   int
-	ledger *Ledger
-	up     time.Time // when it serves again
-	began  time.Time
-	frozen time.Time // until when it stands still
-	joined bool
-	stamp  Stamp
-	got    time.Time
-	of     *modelDaemon // whose stamp it has
-	called time.Time
+// simDaemon is a simulated daemon. A restart replaces its ledger.
+type simDaemon struct {
+	dataCentre    int
+	ledger        *Ledger
+	upAt          time.Time // end of the downtime of a restart
+	startedAt     time.Time
+	frozenUntil   time.Time
+	joined        bool // whether it is a member of the fleet yet
+	stamp         Stamp
+	stampReceived time.Time
+	stampIssuer   *simDaemon // the daemon whose ledger issued stamp
+	lastCall      time.Time
 }
 
-// modelTeam is a team whose callers come by few daemons.
-type modelTeam struct {
-	name  string
-	limit Limit
-	usual float64 // units a second
-	ways  []int   // daemons to which its callers come
+// simTeam is a team whose requests arrive at a few daemons only.
+type simTeam struct {
+	name         string
+	limit        Limit
+	usualRate    float64 // units a second
+	entryDaemons []int   // indexes of the daemons that receive its requests
 }
 
-// spending is what ran at a moment.
-type spending struct {
+// admission records an admitted request.
+type admission struct {
 	at    time.Time
 	units float64
 }
 
-// modelFleet is a fleet in virtual time. It keeps what the users' rule counts.
-type modelFleet struct {
+// simFleet simulates a fleet in virtual time. It records all admitted requests, to check them
+// against the bounds.
+type simFleet struct {
 	rng     *rand.Rand
 	now     time.Time
-	daemons []*modelDaemon
-	teams   []*modelTeam
-	// cut is a zone that is apart; -1 for none.
-	cut int
-	// alone says that no daemon hands over or lends: equal parts.
-	alone            bool
-	boost            float64 // of the hot team
-	spent            map[string][]spending
-	exact            map[string]*exactBucket
-	calls, handovers int
+	daemons []*simDaemon
+	teams   []*simTeam
+	// partitioned is the data centre that is cut off from the others, -1 for none.
+	partitioned int
+	// noLending disables loans and hand-overs, so that each daemon has an equal share.
+	noLending bool
+	hotFactor float64 // multiplies the usual rate of the hot team
+	// admitted lists the requests that the fleet admitted, by team.
+	admitted             map[string][]admission
+	ideal                map[string]*idealBucket // by team
+	loanCalls, handovers int
 }
 
-// exactBucket holds a limit as one that sees everything would.
-type exactBucket struct {
-	left  float64
-	at    time.Time
-	spent []spending
+// idealBucket is a token bucket that sees the requests of all daemons.
+type idealBucket struct {
+	tokens    float64
+	updatedAt time.Time
+	admitted  []admission
 }
 
-func newModelFleet(seed uint64, daemons, teams int, alone bool) *modelFleet {
-	f := &modelFleet{
-		rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, cut: -1, alone: alone, boost: 1,
-		spent: map[string][]spending{}, exact: map[string]*exactBucket{},
+func newSimFleet(seed uint64, daemons, teams int, noLending bool) *simFleet {
+	f := &simFleet{
+		rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, partitioned: -1, noLending: noLending, hotFactor: 1,
+		admitted: map[string][]admission{}, ideal: map[string]*idealBucket{},
 	}
 	for i := range daemons {
-		d := &modelDaemon{zone: i % modelZones, joined: true}
+		d := &simDaemon{dataCentre: i % dataCentres, joined: true}
 		f.daemons = append(f.daemons, d)
-		f.start(d, 0, true)
+		f.restart(d, 0, true)
 	}
 	for i := range teams {
 		rate := 47_000.0
 		if i < 3 {
 			rate = 220_000 / float64(i+1)
 		}
-		team := &modelTeam{name: fmt.Sprint("t", i), limit: Limit{Rate: rate, Burst: rate}, usual: rate / 1.8}
+		team := &simTeam{name: fmt.Sprint("t", i), limit: Limit{Rate: rate, Burst: rate}, usualRate: rate / 1.8}
 		for range 5 {
-			team.ways = append(team.ways, f.rng.IntN(daemons))
+			team.entryDaemons = append(team.entryDaemons, f.rng.IntN(daemons))
 		}
 		f.teams = append(f.teams, team)
 	}
 	return f
 }
 
-// start begins a life after a pause.
-func (f *modelFleet) start(d *modelDaemon, after time.Duration, first bool) {
-	d.up, d.began, d.frozen, d.of = f.now.Add(after), f.now.Add(after), time.Time{}, nil
-	d.ledger = NewLedger(d.began, first)
+// restart replaces a daemon by one with an empty ledger that starts after the downtime.
+func (f *simFleet) restart(d *simDaemon, downtime time.Duration, newFleet bool) {
+	d.upAt, d.startedAt, d.frozenUntil, d.stampIssuer = f.now.Add(downtime), f.now.Add(downtime), time.Time{}, nil
+	d.ledger = NewLedger(d.startedAt, newFleet)
 }
 
-func (f *modelFleet) runs(d *modelDaemon) bool {
-	return d.joined && !f.now.Before(d.up) && !f.now.Before(d.frozen)
+func (f *simFleet) isRunning(d *simDaemon) bool {
+	return d.joined && !f.now.Before(d.upAt) && !f.now.Before(d.frozenUntil)
 }
 
-// hears says whether a message between two daemons arrives.
-func (f *modelFleet) hears(a, b *modelDaemon) bool {
-	return f.runs(a) && f.runs(b) && (f.cut < 0 || (a.zone == f.cut) == (b.zone == f.cut))
+// reachable reports whether a message between two daemons arrives.
+func (f *simFleet) reachable(a, b *simDaemon) bool {
+	return f.isRunning(a) && f.isRunning(b) && (f.partitioned < 0 || (a.dataCentre == f.partitioned) == (b.dataCentre == f.partitioned))
 }
 
-// reader returns the reader of a zone: the first of it that runs.
-func (f *modelFleet) reader(zone int) *modelDaemon {
+// reader returns the reader of a data centre: its first running daemon.
+func (f *simFleet) reader(dataCentre int) *simDaemon {
 	for _, d := range f.daemons {
-		if d.zone == zone && f.runs(d) {
+		if d.dataCentre == dataCentre && f.isRunning(d) {
 			return d
 		}
 	}
 	return nil
 }
 
-// part returns the part of a daemon: an equal one of its zone's, once it has heard of others.
-func (f *modelFleet) part(d *modelDaemon) float64 {
-	const heardAfter = 300 * time.Millisecond
-	if f.now.Sub(d.began) < heardAfter {
+// share returns a daemon's share of the rate: an equal part of its data centre's share, or 0
+// until it has discovered other daemons.
+func (f *simFleet) share(d *simDaemon) float64 {
+	const discoveryDelay = 300 * time.Millisecond
+	if f.now.Sub(d.startedAt) < discoveryDelay {
 		return 0
 	}
 	n := 0
 	for _, other := range f.daemons {
-		if other.zone == d.zone && other.joined {
+		if other.dataCentre == d.dataCentre && other.joined {
 			n++
 		}
 	}
-	return 1 / float64(modelZones*n)
+	return 1 / float64(dataCentres*n)
 }
 
-// step plays one short span.
-func (f *modelFleet) step() {
-	f.now = f.now.Add(modelStep)
+// step advances the simulation by simStep.
+func (f *simFleet) step() {
+	f.now = f.now.Add(simStep)
 	for _, d := range f.daemons {
-		if !f.runs(d) {
+		if !f.isRunning(d) {
 			continue
 		}
-		reader := f.reader(d.zone)
-		if f.now.Sub(t0)%TickEvery < modelStep {
-			d.ledger.Tick(f.now, f.part(d), f.alone || d == reader)
+		reader := f.reader(d.dataCentre)
+		if f.now.Sub(t0)%TickEvery < simStep {
+			d.ledger.Tick(f.now, f.share(d), f.noLending || d == reader)
 		}
-		if !f.alone && d != reader && f.now.Sub(d.called) >= handOverEvery {
+		if !f.noLending && d != reader && f.now.Sub(d.lastCall) >= handOverInterval {
 			f.handOver(d, reader)
 		}
 	}
-	if f.now.Sub(t0) < modelLead {
+	if f.now.Sub(t0) < simWarmUp {
 		return
 	}
 	for _, t := range f.teams {
-		f.load(t)
+		f.generateLoad(t)
 	}
 }
 
-// handOver lets a follower call its reader.
-func (f *modelFleet) handOver(d, reader *modelDaemon) {
-	d.called = f.now.Add(-time.Duration(f.rng.IntN(200)) * time.Millisecond)
+// handOver simulates a call of a follower to its reader; 2% of the spans are lost.
+func (f *simFleet) handOver(d, reader *simDaemon) {
+	d.lastCall = f.now.Add(-time.Duration(f.rng.IntN(200)) * time.Millisecond)
 	f.handovers++
-	if d.of == reader {
-		if span := d.ledger.HandOver(f.now, d.stamp, d.got, 1); f.rng.Float64() > 0.02 {
-			reader.ledger.Take(f.now, span, f.part(d))
+	if d.stampIssuer == reader {
+		if span := d.ledger.HandOver(f.now, d.stamp, d.stampReceived, 1); f.rng.Float64() > 0.02 {
+			reader.ledger.Take(f.now, span, f.share(d))
 		}
 	}
-	d.of, d.stamp, d.got = reader, reader.ledger.Stamp(f.now), f.now
+	d.stampIssuer, d.stamp, d.stampReceived = reader, reader.ledger.Stamp(f.now), f.now
 }
 
-// load lets a team's callers ask.
-func (f *modelFleet) load(t *modelTeam) {
-	const mean = 5200
-	rate := t.usual * (0.7 + 0.6*f.rng.Float64())
-	if t == f.teams[hot] {
-		rate *= f.boost
+// generateLoad sends the requests of a team for one step.
+func (f *simFleet) generateLoad(t *simTeam) {
+	const meanUnits = 5200
+	rate := t.usualRate * (0.7 + 0.6*f.rng.Float64())
+	if t == f.teams[hotTeam] {
+		rate *= f.hotFactor
 	}
-	for expected := rate / mean * modelStep.Seconds(); f.rng.Float64() < expected; expected-- {
+	for expected := rate / meanUnits * simStep.Seconds(); f.rng.Float64() < expected; expected-- {
 		units := 200 + 10_000*f.rng.Float64()
-		d := f.daemons[t.ways[f.rng.IntN(len(t.ways))]]
-		for try := 0; !f.runs(d); try++ {
+		d := f.daemons[t.entryDaemons[f.rng.IntN(len(t.entryDaemons))]]
+		for try := 0; !f.isRunning(d); try++ {
 			if d = f.daemons[f.rng.IntN(len(f.daemons))]; try == 50 {
 				return
 			}
 		}
-		f.ask(t, d, units)
+		f.request(t, d, units)
 	}
 }
 
-func (f *modelFleet) ask(t *modelTeam, d *modelDaemon, units float64) {
-	b := f.exact[t.name]
+// request submits one request to the fleet and, for comparison, to the ideal bucket.
+func (f *simFleet) request(t *simTeam, d *simDaemon, units float64) {
+	b := f.ideal[t.name]
 	if b == nil {
-		b = &exactBucket{left: t.limit.Burst, at: f.now}
-		f.exact[t.name] = b
+		b = &idealBucket{tokens: t.limit.Burst, updatedAt: f.now}
+		f.ideal[t.name] = b
 	}
-	b.left = min(t.limit.Burst, b.left+t.limit.Rate*f.now.Sub(b.at).Seconds())
-	b.at = f.now
-	if b.left >= units {
-		b.left -= units
-		b.spent = append(b.spent, spending{f.now, units})
+	b.tokens = min(t.limit.Burst, b.tokens+t.limit.Rate*f.now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = f.now
+	if b.tokens >= units {
+		b.tokens -= units
+		b.admitted = append(b.admitted, admission{f.now, units})
 	}
 	if f.admit(t, d, units) {
-		f.spent[t.name] = append(f.spent[t.name], spending{f.now, units})
+		f.admitted[t.name] = append(f.admitted[t.name], admission{f.now, units})
 	}
 }
 
-// lacking returns the part of what an exact bucket would have let run that was refused, team
-// by team and in spans of a few seconds: which of the requests of a team run is not asked.
-func (f *modelFleet) lacking() float64 {
+// refusedBelowLimit returns the fraction of the units admitted by the ideal buckets that the
+// fleet did not admit. It compares sums of each team over spans of a few seconds, since the two
+// may admit different requests.
+func (f *simFleet) refusedBelowLimit() float64 {
 	const span = 4 * time.Second
-	lacks, all := 0.0, 0.0
+	missed, all := 0.0, 0.0
 	for _, t := range f.teams {
 		sums := map[time.Duration]float64{}
-		for _, s := range f.exact[t.name].spent {
+		for _, s := range f.ideal[t.name].admitted {
 			sums[s.at.Sub(t0)/span] += s.units
 			all += s.units
 		}
-		for _, s := range f.spent[t.name] {
+		for _, s := range f.admitted[t.name] {
 			sums[s.at.Sub(t0)/span] -= s.units
 		}
-		for _, lack := range sums {
-			lacks += max(0, lack)
+		for _, shortfall := range sums {
+			missed += max(0, shortfall)
 		}
 	}
-	return lacks / all
+	return missed / all
 }
 
-// admit takes units from the daemon's own ledger, or from what others lend.
-func (f *modelFleet) admit(t *modelTeam, d *modelDaemon, units float64) bool {
-	account, terms := Account{Team: t.name}, modelBounds.Terms(t.limit)
+// admit spends units of the daemon's own ledger, after borrowing from readers if necessary.
+func (f *simFleet) admit(t *simTeam, d *simDaemon, units float64) bool {
+	account, terms := Account{Team: t.name}, simBounds.Terms(t.limit)
 	d.ledger.Asked(f.now, account, terms, units)
 	if _, ok := d.ledger.Spend(f.now, account, terms, units, 0); ok {
 		return true
 	}
-	if f.alone {
+	if f.noLending {
 		return false
 	}
 	needs := units - d.ledger.Left(f.now, account, terms)
-	for i := range modelZones {
-		lender := f.reader((d.zone + i) % modelZones)
-		if lender == nil || lender == d || !f.hears(d, lender) {
+	for i := range dataCentres {
+		lender := f.reader((d.dataCentre + i) % dataCentres)
+		if lender == nil || lender == d || !f.reachable(d, lender) {
 			continue
 		}
-		f.calls++
+		f.loanCalls++
 		loan := lender.ledger.Lend(f.now, account, terms, needs, needs+d.ledger.Demand(f.now, account)/2, 0, false)
 		d.ledger.Borrowed(f.now, account, terms, f.now, loan)
 		if loan.Units >= needs {
@@ -262,15 +268,15 @@
 	return false
 }
 
-// worst returns the largest part of its bound that a team spent in a window.
-func (f *modelFleet) worst() (worst float64) {
+// worstWindow returns the most that any team spent in any window, as a fraction of its bound.
+func (f *simFleet) worstWindow() (worst float64) {
 	for _, t := range f.teams {
-		allowed := (t.limit.Rate*modelBounds.Window.Seconds()+t.limit.Burst)*(1+modelBounds.Excess) + modelBounds.Slack
-		list := f.spent[t.name]
+		allowed := (t.limit.Rate*simBounds.Window.Seconds()+t.limit.Burst)*(1+simBounds.Excess) + simBounds.Slack
+		admissions := f.admitted[t.name]
 		sum, from := 0.0, 0
-		for _, s := range list {
-			for sum += s.units; s.at.Sub(list[from].at) > modelBounds.Window; from++ {
-				sum -= list[from].units
+		for _, s := range admissions {
+			for sum += s.units; s.at.Sub(admissions[from].at) > simBounds.Window; from++ {
+				sum -= admissions[from].units
 			}
 			worst = max(worst, sum/allowed)
 		}
@@ -278,43 +284,43 @@
 	return worst
 }
 
-// loads are what happens to the fleet, by the time of the play.
-var loads = map[string]func(f *modelFleet, second int){
-	"calm": func(*modelFleet, int) {},
-	"hot team": func(f *modelFleet, second int) {
-		f.boost = 1
+// scenarios change the load and the state of the fleet at the start of each simulated second.
+var scenarios = map[string]func(f *simFleet, second int){
+	"calm": func(*simFleet, int) {},
+	"hot team": func(f *simFleet, second int) {
+		f.hotFactor = 1
 		if second >= 20 && second < 45 {
-			f.boost = hotTimes
+			f.hotFactor = hotTeamFactor
 		}
 	},
-	"kill of all": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"kill of all": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second == 20 || second == 26 {
 			f.kill(1, time.Second)
 		}
 	},
-	"kill of half": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"kill of half": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second%9 == 8 {
 			f.kill(0.5, 800*time.Millisecond)
 		}
 	},
-	"rolling restart": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"rolling restart": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if n := len(f.daemons); second >= 10 {
 			for i := range max(1, n/20) {
-				f.start(f.daemons[(second*max(1, n/20)+i)%n], 900*time.Millisecond, false)
+				f.restart(f.daemons[(second*max(1, n/20)+i)%n], 900*time.Millisecond, false)
 			}
 		}
 	},
-	"readers killed": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"readers killed": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second%6 == 5 {
-			f.start(f.reader(second/6%modelZones), 700*time.Millisecond, false)
+			f.restart(f.reader(second/6%dataCentres), 700*time.Millisecond, false)
 		}
 	},
-	"joins": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"joins": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second == 0 {
 			for i, d := range f.daemons {
 				d.joined = i%2 == 0
@@ -324,81 +330,82 @@
 			for _, d := range f.daemons {
 				if !d.joined {
 					d.joined = true
-					f.start(d, 0, false)
+					f.restart(d, 0, false)
 				}
 			}
 		}
 	},
-	"freezes": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"freezes": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second%7 == 6 {
 			for _, d := range f.daemons {
 				if f.rng.Float64() < 0.3 {
-					d.frozen = f.now.Add(time.Duration(1+f.rng.IntN(3)) * time.Second)
+					d.frozenUntil = f.now.Add(time.Duration(1+f.rng.IntN(3)) * time.Second)
 				}
 			}
 		}
 	},
-	"cut zone": func(f *modelFleet, second int) {
-		f.boost, f.cut = hotTimes, -1
+	"cut zone": func(f *simFleet, second int) {
+		f.hotFactor, f.partitioned = hotTeamFactor, -1
 		if second >= 15 && second < 35 {
-			f.cut = second / 10 % modelZones
+			f.partitioned = second / 10 % dataCentres
 		}
 	},
-	"callers that move": func(f *modelFleet, second int) {
-		f.boost = hotTimes
+	"callers that move": func(f *simFleet, second int) {
+		f.hotFactor = hotTeamFactor
 		if second%5 == 4 {
 			for _, t := range f.teams {
-				for i := range t.ways {
-					t.ways[i] = f.rng.IntN(len(f.daemons))
+				for i := range t.entryDaemons {
+					t.entryDaemons[i] = f.rng.IntN(len(f.daemons))
 				}
 			}
 		}
 	},
 }
 
-// kill ends a share of the lives.
-func (f *modelFleet) kill(share float64, down time.Duration) {
+// kill restarts a random fraction of the daemons.
+func (f *simFleet) kill(fraction float64, down time.Duration) {
 	for _, d := range f.daemons {
-		if f.rng.Float64() < share {
-			f.start(d, down, false)
+		if f.rng.Float64() < fraction {
+			f.restart(d, down, false)
 		}
 	}
 }
 
-// play runs a load and returns the fleet after it.
-func play(seed uint64, daemons, teams int, alone bool, load func(*modelFleet, int)) *modelFleet {
-	f := newModelFleet(seed, daemons, teams, alone)
-	for last := -1; f.now.Sub(t0) < modelLength; f.step() {
+// simulate runs a scenario to its end and returns the fleet.
+func simulate(seed uint64, daemons, teams int, noLending bool, scenario func(*simFleet, int)) *simFleet {
+	f := newSimFleet(seed, daemons, teams, noLending)
+	for last := -1; f.now.Sub(t0) < simDuration; f.step() {
 		if second := int(f.now.Sub(t0).Seconds()); second != last {
-			load(f, second)
+			scenario(f, second)
 			last = second
 		}
 	}
 	return f
 }
 
-// fleetSizes are the fleets that each load is played with, the first ones always.
+// fleetSizes are the fleets that scenarios are simulated with.
 var fleetSizes = []struct{ daemons, teams int }{{7, 16}, {73, 16}, {73, 200}, {300, 16}}
 
-const fewFleets = 2
+// defaultFleetSizes is how many of fleetSizes are simulated with a single seed.
+const defaultFleetSizes = 2
 
-// Guards against a team that gets more than its limit from daemons that do not know of each
-// other, whatever happens to them.
+// Guards against a team that exceeds its limit because daemons admit its requests without a
+// call to each other, in all failure scenarios.
 func TestFleetStaysWithinTheLimit(t *testing.T) {
-	sizes := fleetSizes[:fewFleets]
-	if *modelSeeds > 1 {
+	sizes := fleetSizes[:defaultFleetSizes]
+	if *simSeeds > 1 {
 		sizes = fleetSizes
 	}
 	for _, size := range sizes {
-		for _, name := range slices.Sorted(maps.Keys(loads)) {
-			for seed := range uint64(*modelSeeds) {
+		for _, name := range slices.Sorted(maps.Keys(scenarios)) {
+			for seed := range uint64(*simSeeds) {
 				t.Run(fmt.Sprintf("%d/%d/%s/%d", size.daemons, size.teams, name, seed), func(t *testing.T) {
-					f := play(seed, size.daemons, size.teams, false, loads[name])
-					t.Logf("worst window %.3f, refused below the limit %.4f, %.1f loans and %.1f handovers a second",
-						f.worst(), f.lacking(), float64(f.calls)/modelLength.Seconds(), float64(f.handovers)/modelLength.Seconds())
-					if f.worst() > 1 {
-						t.Errorf("%.3f of what the bounds allow", f.worst())
+					f := simulate(seed, size.daemons, size.teams, false, scenarios[name])
+					t.Logf("worst window %.3f of the bound, refused below the limit %.4f, %.1f loans and %.1f hand-overs a second",
+						f.worstWindow(), f.refusedBelowLimit(), float64(f.loanCalls)/simDuration.Seconds(), float64(f.handovers)/simDuration.Seconds())
+					if f.worstWindow() > 1 {
+						t.Errorf("worst window is %.3f of what the bounds allow, want at most 1", f.worstWindow())
 					}
 				})
 			}
@@ -406,13 +413,13 @@
 	}
 }
 
-// Guards against callers refused below their limit because they come by few daemons: what
-// equal parts do to them, and what is to be lent.
+// Guards against requests refused below the limit because they arrive at a few daemons only,
+// which with equal shares and no lending hold too few units.
 func TestCalmFleetRefusesNobodyBelowTheLimit(t *testing.T) {
-	lent := play(0, 73, 16, false, loads["calm"]).lacking()
-	alone := play(0, 73, 16, true, loads["calm"]).lacking()
-	t.Logf("refused below the limit: %.4f, with equal parts %.4f", lent, alone)
-	if lent >= 0.01 || alone <= lent {
-		t.Errorf("%.4f refused below the limit, %.4f with equal parts", lent, alone)
+	withLending := simulate(0, 73, 16, false, scenarios["calm"]).refusedBelowLimit()
+	withoutLending := simulate(0, 73, 16, true, scenarios["calm"]).refusedBelowLimit()
+	t.Logf("refused below the limit: %.4f with lending, %.4f without", withLending, withoutLending)
+	if withLending >= 0.01 || withoutLending <= withLending {
+		t.Errorf("refused below the limit: %.4f with lending, %.4f without; want less than 0.01 and less than without", withLending, withoutLending)
 	}
 }
--- a/quota/handover.go
+++ b/quota/handover.go
@@ -2,50 +2,55 @@
 
 import "time"
 
-// Stamp is a moment of one ledger's life, by its own clock.
+// Stamp is a point in time on the clock of one incarnation of a ledger. It lets a daemon
+// describe a span of time to a ledger whose clock it does not share.
 type Stamp struct {
-	Life uint64        `msgpack:"l"`
-	At   time.Duration `msgpack:"a"`
+	// Life identifies the incarnation of the ledger that issued the stamp.
+	Life uint64 `msgpack:"l"`
+	// At is the time since that ledger was created.
+	At time.Duration `msgpack:"a"`
 }
 
-// Stamp returns the present moment, to be told to those who hand their time over.
+// Stamp returns the current time on the ledger's clock, for daemons that hand their time over
+// to this ledger.
 func (l *Ledger) Stamp(now time.Time) Stamp {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Stamp{Life: l.life, At: now.Sub(l.epoch)}
+	return Stamp{Life: l.incarnation, At: now.Sub(l.epoch)}
 }
 
-// Span is time that one daemon hands over to another, by a clock of the other's that is
-// never ahead of the truth.
+// Span is elapsed time that one daemon hands over to the ledger of another, which accrues it.
+// Its start is given on the receiver's clock and is never later than the true start.
 type Span struct {
 	From   Stamp         `msgpack:"f"`
 	Length time.Duration `msgpack:"n"`
-	// Near is how many daemons of its data centre the one that hands over knows.
+	// Near is the number of daemons that the sender has discovered in its data centre.
 	Near int `msgpack:"r"`
 }
 
-// HandOver returns the time that this daemon has not accrued for itself, to be sent to the
-// ledger of which it got a stamp at a moment. near is how many daemons of its data centre it
-// knows. What is returned is gone, whether it arrives or not.
-func (l *Ledger) HandOver(now time.Time, stamp Stamp, got time.Time, near int) Span {
+// HandOver returns the time that this daemon has neither accrued nor handed over yet, to be
+// sent to the ledger that issued stamp; stampReceived is when the stamp arrived here.
+// knownDaemons is the number of daemons discovered in this data centre. The time is removed
+// from this ledger even if the message is lost, so that it is never accrued twice.
+func (l *Ledger) HandOver(now time.Time, stamp Stamp, stampReceived time.Time, knownDaemons int) Span {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.run(now)
-	if l.since.IsZero() || stamp.Life == 0 {
+	l.resetAfterStall(now)
+	if l.settledUntil.IsZero() || stamp.Life == 0 {
 		return Span{}
 	}
-	s := Span{From: Stamp{Life: stamp.Life, At: stamp.At + l.since.Sub(got)}, Length: now.Sub(l.since), Near: near}
-	l.since = now
+	s := Span{From: Stamp{Life: stamp.Life, At: stamp.At + l.settledUntil.Sub(stampReceived)}, Length: now.Sub(l.settledUntil), Near: knownDaemons}
+	l.settledUntil = now
 	return s
 }
 
-// Take accrues time that another daemon hands over, of which part is the other's part of
-// the rate.
-func (l *Ledger) Take(now time.Time, s Span, part float64) {
+// Take accrues a span that another daemon handed over; share is that daemon's share of the
+// rate. A span that was stamped by an earlier incarnation of this ledger is dropped.
+func (l *Ledger) Take(now time.Time, s Span, share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.run(now)
-	if s.From.Life != l.life || s.Length <= 0 || s.Length > MostLife || part <= 0 {
+	l.resetAfterStall(now)
+	if s.From.Life != l.incarnation || s.Length <= 0 || s.Length > MostLife || share <= 0 {
 		return
 	}
 	from := l.epoch.Add(s.From.At)
@@ -53,5 +58,5 @@
 	if to.After(now) {
 		from, to = now.Add(-s.Length), now
 	}
-	l.accrue(from, to, part)
+	l.accrue(from, to, share)
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -9,187 +9,196 @@
 )
 
 const (
-	// slotLength is how exactly the time of an accrual is known.
+	// slotLength is the length of a slot, the interval by which accrued time and spent units
+	// are grouped. It is the resolution at which their age is tracked.
 	slotLength = 100 * time.Millisecond
-	// slots covers the longest life and what is accrued now.
+	// slots is the number of slots kept: the longest lifetime and the slot being filled.
 	slots = int64(MostLife/slotLength) + 2
-	// TickEvery is how often Tick is to be called.
+	// TickEvery is the interval at which Tick must be called.
 	TickEvery = slotLength
-	// stallGap is the time between two ticks from which on a process has stood still.
+	// stallGap is the time without a tick above which the process counts as stalled.
 	stallGap = 10 * TickEvery
-	// keepAfter is how long a daemon leaves its time to be handed over before it accrues it
-	// for itself: a few calls of a follower to its reader.
-	keepAfter = 1500 * time.Millisecond
-	// openAfter is how long after a life first knows its part it accrues for itself what it
-	// has accrued since. What it knows of others in its first moments is too little, and its
-	// part too large; those who hand over their time say what they know.
-	openAfter = time.Second
-	// forgetAfter is how long an account is kept after its last request.
-	forgetAfter = 2 * MostLife
+	// handOverTimeout is how long a daemon waits for a chance to hand its time over before it
+	// accrues that time itself. It spans a few calls of a follower to its reader.
+	handOverTimeout = 1500 * time.Millisecond
+	// startupDelay is how long a restarted daemon waits, once it has a share, before it accrues
+	// the time since then itself. Until it has discovered most other daemons, its share is too
+	// large. Hand-overs need no delay: a span carries the number of daemons that its sender
+	// has discovered.
+	startupDelay = time.Second
+	// accountIdleTimeout is how long an unused account is kept.
+	accountIdleTimeout = 2 * MostLife
 )
 
-// Ledger holds what this daemon has accrued, was handed and has borrowed, and what was
-// spent of it. It is safe for concurrent use.
+// Ledger holds the time that this daemon has accrued or received from others and, for each
+// account, the units spent, lent and borrowed. It is safe for concurrent use.
 type Ledger struct {
 	mu sync.Mutex
-	// first says that no daemon had a life before this one.
-	first  bool
-	epoch  time.Time
-	life   uint64
-	ticked time.Time
-	// known is when the part was first known, and since up to when this daemon's own time
-	// was accrued or handed over; both zero before.
-	known, since time.Time
-	accrued      ring // of the whole rate, in seconds, by when it was accrued
-	accounts     map[Account]*account
-	swept        time.Time
+	// newFleet is set if no daemon of the fleet ran before; startupDelay does not apply then.
+	newFleet bool
+	epoch    time.Time // start of slot 0
+	// incarnation changes whenever a restart or a stall empties the ledger. It invalidates stamps
+	// and tickets issued before.
+	incarnation uint64
+	lastTick    time.Time
+	// shareKnownAt is when this daemon's share became known, and settledUntil the time up to
+	// which its own time has been accrued or handed over. Both are zero while it has no share.
+	shareKnownAt, settledUntil time.Time
+	accrued                    ring // seconds at the full rate of the fleet, by the slot they were accrued in
+	accounts                   map[Account]*account
+	lastSweep                  time.Time
 }
 
-// account is what one limit has of the ledger.
+// account is the state of one limit in the ledger.
 type account struct {
-	worth worth
-	// used is what was spent of each slot's accrual, in units; less than 0 where units were
+	rates rateHistory
+	// used is the number of units spent or lent from each slot; it is negative where more were
 	// borrowed.
-	used   ring
-	demand Demand
-	at     time.Time // of the last request
-	// promised is what refused callers were told to come back for and that is still to be
-	// accrued, in units, as of a moment.
-	promised   float64
-	promisedAt time.Time
+	used       ring
+	demand     Demand
+	lastAccess time.Time
+	// backlog is the number of units, as of backlogAt, that refused callers were told to retry
+	// for and that the fleet has yet to accrue.
+	backlog   float64
+	backlogAt time.Time
 }
 
-// NewLedger returns a ledger of nothing, for a life that begins now. first says that no
-// daemon of the fleet has had a life before.
-func NewLedger(now time.Time, first bool) *Ledger {
-	return &Ledger{first: first, epoch: now, life: uint64(now.UnixNano()), ticked: now, accounts: map[Account]*account{}}
+// NewLedger returns an empty ledger for a daemon that starts now. newFleet says that no daemon
+// of the fleet ran before.
+func NewLedger(now time.Time, newFleet bool) *Ledger {
+	return &Ledger{newFleet: newFleet, epoch: now, incarnation: uint64(now.UnixNano()), lastTick: now, accounts: map[Account]*account{}}
 }
 
-// Tick tells that the process runs. part is this daemon's part of the rate, 0 while that is
-// not known; keeps says that it hands its time to nobody.
-func (l *Ledger) Tick(now time.Time, part float64, keeps bool) {
+// Tick accrues this daemon's own time where it is not handed over, and detects stalls. share
+// is this daemon's share of the rate, 0 while unknown; accruesLocally says that it hands its
+// time over to no other daemon.
+func (l *Ledger) Tick(now time.Time, share float64, accruesLocally bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.run(now)
-	l.ticked = now
-	l.sweep(now)
-	if part <= 0 {
-		l.known, l.since = time.Time{}, time.Time{}
+	l.resetAfterStall(now)
+	l.lastTick = now
+	l.evictIdleAccounts(now)
+	if share <= 0 {
+		l.shareKnownAt, l.settledUntil = time.Time{}, time.Time{}
 		return
 	}
-	if l.known.IsZero() {
-		l.known, l.since = now, now
+	if l.shareKnownAt.IsZero() {
+		l.shareKnownAt, l.settledUntil = now, now
 	}
-	if !l.first && now.Sub(l.known) < openAfter {
+	if !l.newFleet && now.Sub(l.shareKnownAt) < startupDelay {
 		return
 	}
-	if keeps || now.Sub(l.since) >= keepAfter {
-		l.accrue(l.since, now, part)
-		l.since = now
+	if accruesLocally || now.Sub(l.settledUntil) >= handOverTimeout {
+		l.accrue(l.settledUntil, now, share)
+		l.settledUntil = now
 	}
 }
 
-// run forgets everything where the process has stood still: the steady clock does not count
-// the time for which a machine was suspended, and what was accrued is older than it shows.
-func (l *Ledger) run(now time.Time) {
-	if clock.Elapsed(l.ticked, now) <= stallGap {
+// resetAfterStall clears the ledger if the process has stalled. The monotonic clock stops while
+// the machine is suspended, so accrued time may be older than its slots say.
+func (l *Ledger) resetAfterStall(now time.Time) {
+	if clock.Elapsed(l.lastTick, now) <= stallGap {
 		return
 	}
-	l.life++
+	l.incarnation++
 	l.accrued = ring{}
 	l.accounts = map[Account]*account{}
-	l.known, l.since, l.first = time.Time{}, time.Time{}, false
-	l.ticked = now
+	l.shareKnownAt, l.settledUntil, l.newFleet = time.Time{}, time.Time{}, false
+	l.lastTick = now
 }
 
-// sweep forgets accounts of which nothing is asked any more.
-func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < forgetAfter {
+// evictIdleAccounts removes accounts that were not used for accountIdleTimeout.
+func (l *Ledger) evictIdleAccounts(now time.Time) {
+	if now.Sub(l.lastSweep) < accountIdleTimeout {
 		return
 	}
-	l.swept = now
+	l.lastSweep = now
 	for name, a := range l.accounts {
-		if now.Sub(a.at) >= forgetAfter {
+		if now.Sub(a.lastAccess) >= accountIdleTimeout {
 			delete(l.accounts, name)
 		}
 	}
 }
 
-// accrue adds time from one moment to another, each part of it to its slot; l.mu is held.
-func (l *Ledger) accrue(from, to time.Time, part float64) {
+// accrue adds the time between from and to, weighted by share, to the slots that it covers.
+// The caller holds l.mu.
+func (l *Ledger) accrue(from, to time.Time, share float64) {
 	if oldest := to.Add(-MostLife); from.Before(oldest) {
 		from = oldest
 	}
-	l.accrued.advance(l.slot(to))
+	l.accrued.advance(l.slotOf(to))
 	for from.Before(to) {
-		slot := l.slot(from)
+		slot := l.slotOf(from)
 		end := l.epoch.Add(time.Duration(slot+1) * slotLength)
 		if end.After(to) {
 			end = to
 		}
-		l.accrued.add(slot, end.Sub(from).Seconds()*part)
+		l.accrued.add(slot, end.Sub(from).Seconds()*share)
 		from = end
 	}
 }
 
-func (l *Ledger) slot(at time.Time) int64 {
+// slotOf returns the number of the slot that contains a time.
+func (l *Ledger) slotOf(at time.Time) int64 {
 	return int64(math.Floor(float64(at.Sub(l.epoch)) / float64(slotLength)))
 }
 
-// portion is what was spent of one slot.
-type portion struct {
+// slotSpend is the number of units that a request spent from one slot.
+type slotSpend struct {
 	slot  int64
 	units float64
 }
 
-// Ticket is what one request has spent.
+// Ticket records the units that one request has spent, so that they can be returned.
 type Ticket struct {
-	account  Account
-	life     uint64
-	portions []portion
+	account     Account
+	incarnation uint64
+	spends      []slotSpend
 }
 
-// Spend takes units of an account, or says that not so many are left beside the reserve.
+// Spend takes units from an account, the oldest first. It returns false and takes nothing if
+// fewer than units and reserve together are available.
 func (l *Ledger) Spend(now time.Time, name Account, t Terms, units, reserve float64) (Ticket, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(now, name, t)
-	if l.left(now, a, t) < units+reserve {
+	if l.available(now, a, t) < units+reserve {
 		return Ticket{}, false
 	}
-	ticket := Ticket{account: name, life: l.life}
-	for slot := l.oldest(now, t); slot <= l.slot(now) && units > 0; slot++ {
-		if n := min(units, l.of(a, slot)); n > 0 {
+	ticket := Ticket{account: name, incarnation: l.incarnation}
+	for slot := l.oldestUsableSlot(now, t); slot <= l.slotOf(now) && units > 0; slot++ {
+		if n := min(units, l.availableIn(a, slot)); n > 0 {
 			a.used.add(slot, n)
 			units -= n
-			ticket.portions = append(ticket.portions, portion{slot, n})
+			ticket.spends = append(ticket.spends, slotSpend{slot, n})
 		}
 	}
 	return ticket, true
 }
 
-// Return gives back what a request has spent that did not run.
+// Return refunds the units of a request that did not run, to the slots they came from.
 func (l *Ledger) Return(now time.Time, t Ticket) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[t.account]
-	if a == nil || t.life != l.life {
+	if a == nil || t.incarnation != l.incarnation {
 		return
 	}
-	a.used.advance(l.slot(now))
-	for _, p := range t.portions {
-		a.used.add(p.slot, -p.units)
+	a.used.advance(l.slotOf(now))
+	for _, spend := range t.spends {
+		a.used.add(spend.slot, -spend.units)
 	}
 }
 
-// Asked notes that units of an account were asked for here.
+// Asked records units requested from an account at this daemon, as input to Demand.
 func (l *Ledger) Asked(now time.Time, name Account, t Terms, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.account(now, name, t).demand.Add(now, units)
 }
 
-// Demand returns what is asked for of an account here, in units a second.
+// Demand returns the rate at which units of an account are requested at this daemon, in units
+// a second.
 func (l *Ledger) Demand(now time.Time, name Account) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,61 +209,65 @@
 	return a.demand.Rate(now)
 }
 
-// Left returns what is left of an account here.
+// Left returns the units of an account that are available at this daemon.
 func (l *Ledger) Left(now time.Time, name Account, t Terms) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.left(now, l.account(now, name, t), t)
+	return l.available(now, l.account(now, name, t), t)
 }
 
-// mostWait bounds the time after which a refused caller is told to come back.
-const mostWait = 10 * time.Second
+// maxWait bounds the retry delay that refused callers are given.
+const maxWait = 10 * time.Second
 
-// Wait returns when a request that is refused here may come back: when all daemons have
-// accrued what it lacks, and what those need that were told so before it.
-func (l *Ledger) Wait(now time.Time, name Account, t Terms, lacks float64) time.Duration {
+// Wait returns the time after which a refused request may be retried: when the whole fleet will
+// have accrued its shortfall and that of the requests refused before it.
+func (l *Ledger) Wait(now time.Time, name Account, t Terms, shortfall float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.wait(now, l.account(now, name, t), t, lacks)
+	return l.retryDelay(now, l.account(now, name, t), t, shortfall)
 }
 
-func (l *Ledger) wait(now time.Time, a *account, t Terms, lacks float64) time.Duration {
-	a.promised = max(0, a.promised-t.Rate*now.Sub(a.promisedAt).Seconds())
-	a.promised = min(a.promised+max(0, lacks), t.Rate*mostWait.Seconds())
-	a.promisedAt = now
-	return time.Duration(a.promised / t.Rate * float64(time.Second))
+// retryDelay adds the shortfall to the account's backlog and returns the time that the fleet
+// needs to accrue the backlog. The caller holds l.mu.
+func (l *Ledger) retryDelay(now time.Time, a *account, t Terms, shortfall float64) time.Duration {
+	a.backlog = max(0, a.backlog-t.Rate*now.Sub(a.backlogAt).Seconds())
+	a.backlog = min(a.backlog+max(0, shortfall), t.Rate*maxWait.Seconds())
+	a.backlogAt = now
+	return time.Duration(a.backlog / t.Rate * float64(time.Second))
 }
 
-// account returns an account as of now, for which terms are in force; l.mu is held.
+// account returns an account, created if necessary, with its slots advanced to now and its
+// rate set to that of the terms. The caller holds l.mu.
 func (l *Ledger) account(now time.Time, name Account, t Terms) *account {
-	l.run(now)
-	slot := l.slot(now)
+	l.resetAfterStall(now)
+	slot := l.slotOf(now)
 	a := l.accounts[name]
 	if a == nil {
-		a = &account{worth: worth{now: t.Rate}}
+		a = &account{rates: rateHistory{current: t.Rate}}
 		l.accounts[name] = a
 	}
-	a.at = now
-	a.worth.set(slot, t.Rate)
+	a.lastAccess = now
+	a.rates.set(slot, t.Rate)
 	a.used.advance(slot)
 	l.accrued.advance(slot)
 	return a
 }
 
-// oldest returns the first slot whose whole accrual still lives.
-func (l *Ledger) oldest(now time.Time, t Terms) int64 {
-	return max(l.slot(now)-slots+1, int64(math.Ceil(float64(now.Add(-t.Life).Sub(l.epoch))/float64(slotLength))))
+// oldestUsableSlot returns the oldest slot of which no part has expired.
+func (l *Ledger) oldestUsableSlot(now time.Time, t Terms) int64 {
+	return max(l.slotOf(now)-slots+1, int64(math.Ceil(float64(now.Add(-t.Life).Sub(l.epoch))/float64(slotLength))))
 }
 
-// of returns what is left of a slot.
-func (l *Ledger) of(a *account, slot int64) float64 {
-	return max(0, l.accrued.at(slot)*a.worth.at(slot)-a.used.at(slot))
+// availableIn returns the unspent units of one slot.
+func (l *Ledger) availableIn(a *account, slot int64) float64 {
+	return max(0, l.accrued.at(slot)*a.rates.effective(slot)-a.used.at(slot))
 }
 
-func (l *Ledger) left(now time.Time, a *account, t Terms) float64 {
+// available returns the unspent units of all slots that have not expired.
+func (l *Ledger) available(now time.Time, a *account, t Terms) float64 {
 	sum := 0.0
-	for slot := l.oldest(now, t); slot <= l.slot(now); slot++ {
-		sum += l.of(a, slot)
+	for slot := l.oldestUsableSlot(now, t); slot <= l.slotOf(now); slot++ {
+		sum += l.availableIn(a, slot)
 	}
 	return sum
 }
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -5,45 +5,48 @@
 	"time"
 )
 
-// Loan is units of an account that one daemon lends to another.
+// Loan is the answer to a request for a loan: units of an account, lent by one daemon to
+// another.
 type Loan struct {
 	Units float64 `msgpack:"u"`
-	// Age is how long before the loan the oldest of them was accrued.
+	// Age is the age of the oldest of the units when they were lent.
 	Age time.Duration `msgpack:"a"`
-	// Left is what the lender has left.
+	// Left is the number of units that the lender can still lend, beside its reserve.
 	Left float64 `msgpack:"l"`
-	// Wait is after which time what is lacking will have been accrued; 0 where nothing is.
+	// Wait is the time until the fleet will have accrued the shortfall and those of requests
+	// refused before it; 0 if the lender had enough.
 	Wait time.Duration `msgpack:"w"`
 }
 
-// extraShare is the part of what is left that is lent beyond what a request needs, so that
-// one daemon does not keep from others what it may not spend.
-const extraShare = 0.25
+// extraFraction is the fraction of the remaining units that is lent beyond the immediate need.
+// It is below 1 so that one borrower does not withhold units from others that it may not spend.
+const extraFraction = 0.25
 
-// Lend gives up units of an account: what a request needs and some of what the borrower wants
-// besides; or, where less than that is left, all of it if whatever there is helps, else
-// nothing. A reserve is kept in any case.
-func (l *Ledger) Lend(now time.Time, name Account, t Terms, needs, wants, reserve float64, whatever bool) Loan {
+// Lend deducts units from an account for a borrower. It lends the units that the borrower needs
+// for its request plus up to extraFraction of the rest, but no more in total than it wants. If
+// fewer units than needed are available, it lends all of them if partial is set, else none. The
+// reserve is never lent.
+func (l *Ledger) Lend(now time.Time, name Account, t Terms, needs, wants, reserve float64, partial bool) Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(now, name, t)
-	left := max(0, l.left(now, a, t)-reserve)
-	if !(wants > needs) { // or no number: what is asked comes from another process
+	left := max(0, l.available(now, a, t)-reserve)
+	if !(wants > needs) { // also true for NaN, which another process may send
 		wants = needs
 	}
-	units := needs + max(0, min(wants-needs, extraShare*(left-needs)))
+	units := needs + max(0, min(wants-needs, extraFraction*(left-needs)))
 	if left < needs {
 		units = 0
-		if whatever {
+		if partial {
 			units = left
 		}
 	}
 	out := Loan{Units: units, Left: left - units}
 	if left < needs {
-		out.Wait = l.wait(now, a, t, needs-left)
+		out.Wait = l.retryDelay(now, a, t, needs-left)
 	}
-	for slot := range l.lent(now, t, reserve) {
-		if n := min(units, l.of(a, slot)); n > 0 {
+	for slot := range l.lendingOrder(now, t, reserve) {
+		if n := min(units, l.availableIn(a, slot)); n > 0 {
 			a.used.add(slot, n)
 			units -= n
 			out.Age = max(out.Age, now.Sub(l.epoch.Add(time.Duration(slot)*slotLength)))
@@ -52,22 +55,22 @@
 	return out
 }
 
-// expiring is how many of the oldest slots may be over before what is lent of them is spent.
-const expiring = 2
+// expiringSlots is the number of the oldest slots that may expire before a loan of their units
+// is spent.
+const expiringSlots = 2
 
-// lent returns the slots in the order in which their units are lent: the youngest first, which
-// are of use for longest to the borrower, or the oldest first where a reserve is to last here.
-//
-// What goes wrong with the youngest first beside a reserve: it is always what is about to
-// expire, and a large part of the limit is used by nobody.
-func (l *Ledger) lent(now time.Time, t Terms, reserve float64) iter.Seq[int64] {
-	newest, oldest := l.slot(now), l.oldest(now, t)
+// lendingOrder returns the slots in the order in which their units are lent. Without a reserve
+// the newest come first, since they are usable longest by the borrower. With a reserve the
+// oldest come first, except that those about to expire come last: lending the newest would
+// leave a reserve that is always about to expire, and much of the limit would go unused.
+func (l *Ledger) lendingOrder(now time.Time, t Terms, reserve float64) iter.Seq[int64] {
+	newest, oldest := l.slotOf(now), l.oldestUsableSlot(now, t)
 	n := newest - oldest + 1
 	return func(yield func(int64) bool) {
 		for i := range n {
 			slot := newest - i
 			if reserve > 0 {
-				slot = oldest + (i+expiring)%n
+				slot = oldest + (i+expiringSlots)%n
 			}
 			if !yield(slot) {
 				return
@@ -76,16 +79,17 @@
 	}
 }
 
-// Borrowed takes a loan that was asked for at a moment.
-func (l *Ledger) Borrowed(now time.Time, name Account, t Terms, asked time.Time, loan Loan) {
+// Borrowed credits a loan to an account. All its units count as accrued loan.Age before the
+// loan was requested, so that none is used after it would have expired at the lender.
+func (l *Ledger) Borrowed(now time.Time, name Account, t Terms, requestedAt time.Time, loan Loan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(now, name, t)
-	if asked.Before(l.epoch) || loan.Age < 0 || !(loan.Units > 0) {
+	if requestedAt.Before(l.epoch) || loan.Age < 0 || !(loan.Units > 0) {
 		return
 	}
-	slot := l.slot(asked.Add(-loan.Age))
-	if l.slot(now)-slot < slots {
+	slot := l.slotOf(requestedAt.Add(-loan.Age))
+	if l.slotOf(now)-slot < slots {
 		a.used.add(slot, -loan.Units)
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,69 +1,73 @@
-// Package quota holds limits over all daemons, without a call for each request: those of
-// teams, and those that upstreams name (see package ratelimit). Nothing here reads a clock or
-// sends anything.
+// Package quota enforces rate limits across all daemons without a remote call for each
+// request: the limits of teams, and those that upstreams report (see package ratelimit). It
+// reads no clock and does no I/O.
 //
-// Load pattern: a team's callers come by few connections, so that a few of hundreds of
-// daemons get all of its requests, each many times its equal part of the limit; now and
-// then a team asks for many times its limit, or an upstream takes less than a request a
-// second; and meanwhile daemons are killed, join, stand still, are cut off and get each
-// other's callers.
+// Load pattern: a team's callers use few connections, so a few of hundreds of daemons receive
+// all of its requests, each many times its equal share of the limit. At times a team requests
+// many times its limit, or an upstream accepts less than one request a second. Meanwhile
+// daemons are killed, join, stall or are partitioned, and callers move from one daemon to
+// another.
 //
-// A limit is accrued rather than counted: each daemon accrues its part of the rate
-// as its time passes, and what is accrued may be spent by whoever holds it, within a life
-// that the bounds leave. Followers hand their time over to the reader of their data
-// centre; a daemon that needs more than it holds borrows from readers.
+// Each daemon accrues its share of the rate as time passes. Accrued units may be spent by the
+// daemon that holds them until they expire. In each data centre one daemon, the reader, reads
+// the state store for the others, its followers. Followers hand their time over to their
+// reader, which accrues it, and a daemon that needs more units than it holds borrows from
+// readers.
 //
-// Why no window is over its bound: what is spent in a window was accrued in that window or
-// at most a life before it. All daemons together accrue the rate once, since their parts
-// sum to at most one, each hands its time over once, and what is handed over, lent or given
-// back keeps the time at which it was accrued. So any window sees at most rate x (window +
-// life), which is what the bounds allow (see Terms). This needs no memory that
-// outlives a process: what a life had accrued ends with it, and the next begins with nothing.
+// No window exceeds its bound: units spent in a window were accrued in that window or at most
+// one lifetime before it. The fleet accrues the rate only once, since the shares sum to at most
+// one, each daemon hands its time over once, and units that are handed over, lent or returned
+// keep the time at which they were accrued. So at most rate x (window + lifetime) is spent in
+// any window, which is what the bounds allow (see Terms). No state has to outlive a process: a
+// restarted daemon begins with an empty ledger.
 package quota
 
 import "time"
 
-// Account names one limit: that of a team, or that of one life of an upstream.
+// Account identifies one limit: that of a team, or that of one incarnation of an upstream.
 type Account struct {
-	Team     string
+	Team string // set for the limit of a team
+	// Upstream and Life, its incarnation, are set for the limit of an upstream.
 	Upstream string
 	Life     int64
 }
 
-// Limit is what a team may use, over all daemons.
+// Limit is the rate limit of a team across all daemons.
 type Limit struct {
-	// Rate is in units a second; 0 means that there is no limit. Burst is in units.
+	// Rate is in units a second, 0 for no limit. Burst is in units.
 	Rate, Burst float64
 }
 
-// Bounds are how exactly limits are held: in any span of Window, requests of at most
-// (Rate x Window + Burst) x (1 + Excess) + Slack units run.
+// Bounds define how far a limit may be exceeded: in any Window, at most
+// (Rate x Window + Burst) x (1 + Excess) + Slack units are spent.
 type Bounds struct {
 	Window time.Duration
 	Excess float64
 	Slack  float64
 }
 
-// Terms are how a limit is accrued: in any window, Rate x (window + Life) units at most are
-// spent.
+// Terms are the rate at which a limit is accrued and the time after which accrued units expire.
+// In any window, at most Rate x (window + lifetime) units are spent.
 type Terms struct {
-	// Rate is in units a second, over all daemons.
+	// Rate is in units a second across all daemons.
 	Rate float64
-	// Life is how long what was accrued may be spent; MostLife at most.
+	// Life is the lifetime of accrued units, at most MostLife.
 	Life time.Duration
 }
 
 const (
-	// lifeShare is the life in windows. A longer one saves up more for a burst, and leaves a
-	// lower rate; a shorter one is over before time was handed over and lent again.
-	lifeShare = 0.25
-	// MostLife bounds what is remembered.
+	// lifetimeFraction is the lifetime as a fraction of the window. A longer lifetime allows
+	// larger bursts but a lower rate; with a shorter one, units expire before they have been
+	// handed over and lent.
+	lifetimeFraction = 0.25
+	// MostLife bounds the lifetime, and so the number of slots that a ledger keeps.
 	MostLife = 16 * time.Second
 )
 
-// Terms returns the terms of a limit: rate x (window + life) is what the bounds allow.
+// Terms returns the terms for a limit, chosen so that rate x (window + lifetime) is exactly what
+// the bounds allow.
 func (b Bounds) Terms(l Limit) Terms {
-	life := min(time.Duration(lifeShare*float64(b.Window)), MostLife)
+	life := min(time.Duration(lifetimeFraction*float64(b.Window)), MostLife)
 	allowed := (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Excess) + b.Slack
 	return Terms{Rate: allowed / (b.Window + life).Seconds(), Life: life}
 }
--- a/quota/rest.go
+++ b/quota/rest.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// leastRest is the least time for which nobody is asked again.
-const leastRest = 100 * time.Millisecond
+// minBackoff is the shortest pause between requests for a loan.
+const minBackoff = 100 * time.Millisecond
 
-// Rest is for how long nobody is asked again for units of an account of which all that were
-// asked had too little. Its zero value is no rest.
+// Rest is a backoff after a failed attempt to borrow units of an account: until it ends, no
+// daemon is asked again for as many units or more. Its zero value is no backoff.
 //
-// Load pattern: dozens of requests a second that nobody can lend for, and now and then one
-// that goes before them.
+// Load pattern: dozens of requests a second for which no daemon has units to lend, and among
+// them an occasional request of a more urgent rank.
 type Rest struct {
 	until time.Time
 	units float64
 	rank  int
 }
 
-// Set begins a rest after a request for units was lent nothing. rank is lower for what goes
-// first; wait is when those that were asked will have more, and most bounds the rest.
-func (r *Rest) Set(now time.Time, units float64, rank int, wait, most time.Duration) {
-	*r = Rest{until: now.Add(max(leastRest, min(wait, most))), units: units, rank: rank}
+// Set starts a backoff after no units could be borrowed for a request. A lower rank is more
+// urgent. wait is the time until the lenders expect to have enough; maxBackoff bounds the
+// backoff.
+func (r *Rest) Set(now time.Time, units float64, rank int, wait, maxBackoff time.Duration) {
+	*r = Rest{until: now.Add(max(minBackoff, min(wait, maxBackoff))), units: units, rank: rank}
 }
 
-// Holds says whether asking for a request is of no use now.
-//
-// What goes wrong without the rank: a less urgent request, which is lent nothing of what is
-// left for more urgent ones, keeps those from asking too, and they are refused beside it.
+// Holds reports whether the backoff applies to a request, so that it should not ask for a loan.
+// A more urgent request than the one that failed may still ask: lenders keep a reserve for it
+// that the failed one could not get.
 func (r *Rest) Holds(now time.Time, units float64, rank int) bool {
 	return now.Before(r.until) && units >= r.units && rank >= r.rank
 }
--- a/quota/ring.go
+++ b/quota/ring.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// ring holds a sum for each of the last slots, which are numbered from any number on.
+// ring is a circular buffer of one sum for each of the most recent slots. Slot numbers may be
+// negative.
 type ring struct {
-	sums [slots]float64
-	// newest is the last slot that is held; begun says that there is any.
-	newest int64
-	begun  bool
+	sums   [slots]float64
+	newest int64 // number of the newest slot
+	// initialized is set once newest is valid.
+	initialized bool
 }
 
-// advance makes a slot the newest, and forgets those that are too old then.
+// advance makes slot the newest one and drops those that no longer fit. An older slot changes
+// nothing.
 func (r *ring) advance(slot int64) {
-	if !r.begun {
-		r.newest, r.begun = slot, true
+	if !r.initialized {
+		r.newest, r.initialized = slot, true
 		return
 	}
 	if slot-r.newest >= slots {
@@ -25,47 +27,51 @@
 	}
 	for r.newest < slot {
 		r.newest++
-		r.sums[index(r.newest)] = 0
+		r.sums[ringIndex(r.newest)] = 0
 	}
 }
 
-func index(slot int64) int64 { return (slot%slots + slots) % slots }
+// ringIndex returns the position of a slot in the buffer.
+func ringIndex(slot int64) int64 { return (slot%slots + slots) % slots }
 
-func (r *ring) holds(slot int64) bool { return slot <= r.newest && r.newest-slot < slots }
+// contains reports whether the ring covers a slot.
+func (r *ring) contains(slot int64) bool { return slot <= r.newest && r.newest-slot < slots }
 
-// add adds to a slot; one that is not held is left out.
+// add adds n to the sum of a slot, or does nothing if the ring does not contain the slot.
 func (r *ring) add(slot int64, n float64) {
-	if r.holds(slot) {
-		r.sums[index(slot)] += n
+	if r.contains(slot) {
+		r.sums[ringIndex(slot)] += n
 	}
 }
 
+// at returns the sum of a slot, 0 if the ring does not contain it.
 func (r *ring) at(slot int64) float64 {
-	if !r.holds(slot) {
+	if !r.contains(slot) {
 		return 0
 	}
-	return r.sums[index(slot)]
+	return r.sums[ringIndex(slot)]
 }
 
-// demandTime is over how long demand is told.
-const demandTime = time.Second
+// demandTimeConstant is the time in which past demand decays to 1/e.
+const demandTimeConstant = time.Second
 
-// Demand is a rate that is forgotten exponentially. Its zero value is a rate of nothing.
+// Demand is an exponentially decaying average of the rate at which units are requested. Its
+// zero value is a rate of 0.
 type Demand struct {
-	sum float64
-	at  time.Time
+	sum       float64
+	updatedAt time.Time
 }
 
-// Add notes units that were asked for.
+// Add records requested units.
 func (d *Demand) Add(now time.Time, units float64) {
-	d.sum = d.Rate(now)*demandTime.Seconds() + units
-	d.at = now
+	d.sum = d.Rate(now)*demandTimeConstant.Seconds() + units
+	d.updatedAt = now
 }
 
-// Rate returns what is asked for, in units a second.
+// Rate returns the average as of now, in units a second.
 func (d *Demand) Rate(now time.Time) float64 {
-	if d.at.IsZero() {
+	if d.updatedAt.IsZero() {
 		return 0
 	}
-	return d.sum * math.Exp(-max(0, now.Sub(d.at).Seconds())/demandTime.Seconds()) / demandTime.Seconds()
+	return d.sum * math.Exp(-max(0, now.Sub(d.updatedAt).Seconds())/demandTimeConstant.Seconds()) / demandTimeConstant.Seconds()
 }
--- a/quota/worth.go
+++ b/quota/worth.go
@@ -1,50 +1,53 @@
 package quota
 
-// worth is at which rate slots of an account are worth units. A slot is worth what the limit
-// was when it was accrued, or what it is now, where that is less.
+// rateHistory records the rates of a limit, which convert the accrued time of a slot to units.
+// A slot counts at the rate in force when it was accrued or at the current rate, whichever is
+// lower.
 //
-// What goes wrong otherwise: a limit that rises makes what was saved up under the lower one
-// worth a burst that neither allows, and one that falls lets what was saved up under the
-// higher one be spent under the lower one.
-type worth struct {
-	now float64
-	// steps are the rates before, the newest last; there are none while the limit stays.
-	steps []rateStep
+// Otherwise, raising a limit would turn time saved up under the lower rate into a burst that
+// neither limit allows, and after lowering it, time saved up under the higher rate could still
+// be spent at that rate.
+type rateHistory struct {
+	current float64 // units a second
+	// previous holds the earlier rates, the newest last. It is empty while the limit never changes.
+	previous []rateStep
 }
 
-// rateStep is a rate that was in force until before a slot.
+// rateStep is a rate that was in force before the slot end.
 type rateStep struct {
 	rate float64
 	end  int64
 }
 
-// maxSteps bounds the steps that are kept; older ones count as the least of them.
-const maxSteps = 16
+// maxRateSteps bounds the earlier rates that are kept. Beyond it, the two oldest are merged into
+// the lower of them.
+const maxRateSteps = 16
 
-// set takes the rate that is in force from a slot on.
-func (w *worth) set(slot int64, now float64) {
-	if now == w.now {
+// set makes rate the current one from a slot on.
+func (h *rateHistory) set(slot int64, rate float64) {
+	if rate == h.current {
 		return
 	}
-	for len(w.steps) > 0 && slot-w.steps[0].end >= slots {
-		w.steps = w.steps[1:]
+	for len(h.previous) > 0 && slot-h.previous[0].end >= slots {
+		h.previous = h.previous[1:]
 	}
-	if n := len(w.steps); n > 0 && w.steps[n-1].end == slot {
-		w.now = min(w.now, w.steps[n-1].rate)
-		w.steps = w.steps[:n-1]
+	if n := len(h.previous); n > 0 && h.previous[n-1].end == slot {
+		h.current = min(h.current, h.previous[n-1].rate)
+		h.previous = h.previous[:n-1]
 	}
-	if len(w.steps) == maxSteps {
-		w.steps[1].rate = min(w.steps[0].rate, w.steps[1].rate)
-		w.steps = w.steps[1:]
+	if len(h.previous) == maxRateSteps {
+		h.previous[1].rate = min(h.previous[0].rate, h.previous[1].rate)
+		h.previous = h.previous[1:]
 	}
-	w.steps = append(w.steps, rateStep{w.now, slot})
-	w.now = now
+	h.previous = append(h.previous, rateStep{h.current, slot})
+	h.current = rate
 }
 
-func (w *worth) at(slot int64) float64 {
-	rate := w.now
-	for i := len(w.steps) - 1; i >= 0 && slot < w.steps[i].end; i-- {
-		rate = w.steps[i].rate
+// effective returns the rate at which a slot counts.
+func (h *rateHistory) effective(slot int64) float64 {
+	rate := h.current
+	for i := len(h.previous) - 1; i >= 0 && slot < h.previous[i].end; i-- {
+		rate = h.previous[i].rate
 	}
-	return min(rate, w.now)
+	return min(rate, h.current)
 }
