--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// BenchmarkMay measures one look at an upstream with a limit, as each request makes for each
+// BenchmarkMay measures the check of one upstream with a limit, which each request makes for each
 // such upstream of its pool.
 func BenchmarkMay(b *testing.B) {
 	for _, n := range []int{1, 100} {
@@ -29,12 +29,12 @@
 	}
 }
 
-// BenchmarkNoLimit measures what a request pays while no upstream has a limit.
+// BenchmarkNoLimit measures the cost for each request while no upstream has a limit.
 func BenchmarkNoLimit(b *testing.B) {
 	book := NewBook()
 	for range b.N {
 		if len(book.Limited()) > 0 {
-			b.Fatal("a limit out of nothing")
+			b.Fatal("an empty book has limits")
 		}
 	}
 }
--- a/ratelimit/book.go
+++ b/ratelimit/book.go
@@ -1,9 +1,9 @@
-// Package ratelimit knows the rate limits that upstreams name in their answers, and how all
-// daemons together hold them. Nothing here reads a clock or sends anything.
+// Package ratelimit tracks the rate limits that upstreams report in their responses and enforces
+// them across all daemons (see package quota). It reads no clock and does no I/O.
 //
-// Load pattern: an upstream in need takes a few requests a second for a while. Hundreds of
-// daemons have callers for it; most of them hear of the limit from others, some of them not
-// yet; answers overtake each other; and the limit changes, or is over, without a sign.
+// Load pattern: an overloaded upstream accepts a few requests a second for a while. Hundreds of
+// daemons have requests for it. Most of them learn of the limit from other daemons, some only
+// after a delay. Responses arrive out of order, and the limit changes or ends without notice.
 package ratelimit
 
 import (
@@ -12,144 +12,146 @@
 	"time"
 )
 
-// Upstream is one life of an upstream. One that is started again under its name has no limit
-// until it names one.
+// Upstream identifies one incarnation of an upstream. After a restart under the same name, an
+// upstream has no limit until it reports one.
 type Upstream struct {
 	Name string
-	// Life tells the lives apart; 0 where the platform does not.
+	// Life is the incarnation, 0 where the platform reports none.
 	Life int64
 }
 
-// Word is what is known of the limit of an upstream from one answer.
+// Word is what one response says about the limit of its upstream.
 type Word struct {
 	Upstream Upstream
-	// Named says that the answer named a limit: Limit requests a second, from all daemons.
+	// Named is set if the response reports a limit: Limit requests a second from all daemons.
 	Named bool
 	Limit float64
-	// At is a moment by which the answer was certainly written, where it names a limit, and
-	// one before which it certainly was not, where it names none: when it came, and when its
-	// request was sent.
-	//
-	// What goes wrong with one moment for both: an answer that names no limit, begun before
-	// the first one that does and ended after it, lifts a limit that is in force.
+	// At orders responses. If the response reports a limit, At is its time of arrival, the
+	// latest time at which it can have been written. If not, At is the time at which the
+	// request was sent, the earliest such time. If both used the time of arrival, a long
+	// response that began before the limit was set would clear the limit when it ends.
 	At time.Time
 }
 
-// Change is what a word has changed.
+// Change describes how a response changed the limit of an upstream.
 type Change struct {
 	Upstream Upstream
-	// Was and Is are the limits before and after; None is none.
+	// Was and Is are the limits before and after, in requests a second, or None.
 	Was, Is float64
-	// Sent is how many requests this daemon sent there in the Window before.
+	// Sent is the number of requests that this daemon sent to the upstream in the last Window.
 	Sent int
 }
 
-// None stands for no limit in a Change.
+// None is the value of Was or Is in a Change for no limit.
 const None = -1
 
 const (
-	// Window is the span in which users count what an upstream with a limit gets.
+	// Window is the span over which users count the requests that a limited upstream receives.
 	Window = 4 * time.Second
-	// freeLife and limitLife are how long an upstream without and with a limit is remembered
-	// after its last word. No limit ends with the latter: an upstream of which nothing is
-	// heard for so long is gone.
-	freeLife  = time.Minute
-	limitLife = 10 * time.Minute
-	// sweepEvery is how often those are looked for.
-	sweepEvery = 10 * time.Second
+	// noLimitTTL and limitTTL are how long the state of an upstream without and with a limit is
+	// kept after its last update. limitTTL is so long that an upstream without any update in
+	// that time no longer exists; it ends no limit of a running one.
+	noLimitTTL = time.Minute
+	limitTTL   = 10 * time.Minute
+	// sweepInterval is the least time between two evictions of expired state.
+	sweepInterval = 10 * time.Second
 )
 
-// Book holds the limits that are in force. It is safe for concurrent use.
+// Book is the table of the limits in force, by upstream. It is safe for concurrent use.
 type Book struct {
-	mu    sync.Mutex
-	by    map[Upstream]*entry
-	swept time.Time
-	// limited are the upstreams with a limit; it is replaced, never changed.
+	mu        sync.Mutex
+	entries   map[Upstream]*entry
+	lastSweep time.Time
+	// limited lists the upstreams with a limit. The slice is replaced, never modified, so that
+	// it can be read without the lock.
 	limited atomic.Pointer[[]Upstream]
 }
 
-// entry is what is known of one upstream.
+// entry is the state of one upstream.
 type entry struct {
 	inForce bool
-	limit   float64
-	// named is when the newest answer that names the limit had been written, and free when the
-	// newest one that names none had not been.
-	named, free time.Time
-	heard       time.Time
-	// changed is when the last change was, or a word came that contradicts what is known.
-	changed time.Time
-	sends   sends
+	limit   float64 // requests a second
+	// limitAsOf and noLimitAsOf are the newest times At of the applied responses that reported a
+	// limit, and of those that reported none.
+	limitAsOf, noLimitAsOf time.Time
+	lastUpdate             time.Time
+	// lastChange is the time of the last change, or of the last outdated update that
+	// contradicted the entry. After either, the entry is sent to other daemons.
+	lastChange time.Time
+	sends      sendCounter
 }
 
-// NewBook returns a book of no limit.
-func NewBook() *Book { return &Book{by: map[Upstream]*entry{}} }
+// NewBook returns a book without limits.
+func NewBook() *Book { return &Book{entries: map[Upstream]*entry{}} }
 
-// Hear takes a word, and returns what it has changed.
-func (b *Book) Hear(now time.Time, w Word) (c Change, changed bool) {
+// Hear updates the limit of an upstream from a response and returns what changed. Responses may
+// arrive in any order.
+func (b *Book) Hear(now time.Time, o Word) (c Change, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sweep(now)
-	e := b.by[w.Upstream]
+	b.evictStale(now)
+	e := b.entries[o.Upstream]
 	if e == nil {
-		if !w.Named {
+		if !o.Named {
 			return c, false
 		}
 		e = &entry{}
-		b.by[w.Upstream] = e
+		b.entries[o.Upstream] = e
 	}
-	c = Change{Upstream: w.Upstream, Was: e.told(), Sent: e.sends.count(now)}
-	e.heard = now
-	e.take(w)
-	if c.Is = e.told(); (c.Is == None) != (c.Was == None) {
-		b.list()
+	c = Change{Upstream: o.Upstream, Was: e.limitOrNone(), Sent: e.sends.count(now)}
+	e.lastUpdate = now
+	e.apply(o)
+	if c.Is = e.limitOrNone(); (c.Is == None) != (c.Was == None) {
+		b.rebuildLimited()
 	}
-	if c.Is != c.Was || w.Named != e.inForce {
-		e.changed = now
+	if c.Is != c.Was || o.Named != e.inForce {
+		e.lastChange = now
 	}
 	return c, c.Is != c.Was
 }
 
-// take changes the entry, unless what it knows is newer.
-func (e *entry) take(w Word) {
+// apply updates the entry unless the entry is newer.
+func (e *entry) apply(o Word) {
 	switch {
-	case w.Named && w.At.Before(e.named), w.Named && w.At.Before(e.free):
-	case w.Named:
-		e.inForce, e.limit, e.named = true, w.Limit, w.At
-	case w.At.Before(e.named), w.At.Before(e.free):
+	case o.Named && o.At.Before(e.limitAsOf), o.Named && o.At.Before(e.noLimitAsOf):
+	case o.Named:
+		e.inForce, e.limit, e.limitAsOf = true, o.Limit, o.At
+	case o.At.Before(e.limitAsOf), o.At.Before(e.noLimitAsOf):
 	default:
-		e.inForce, e.free = false, w.At
+		e.inForce, e.noLimitAsOf = false, o.At
 	}
 }
 
-func (e *entry) told() float64 {
+// limitOrNone returns the limit in force, or None.
+func (e *entry) limitOrNone() float64 {
 	if !e.inForce {
 		return None
 	}
 	return e.limit
 }
 
-// sweep forgets upstreams of which nothing was heard for long; b.mu is held.
-func (b *Book) sweep(now time.Time) {
-	if now.Sub(b.swept) < sweepEvery {
+// evictStale removes upstreams that had no update within their TTL. The caller holds b.mu.
+func (b *Book) evictStale(now time.Time) {
+	if now.Sub(b.lastSweep) < sweepInterval {
 		return
 	}
-	b.swept = now
-	for u, e := range b.by {
-		life := freeLife
+	b.lastSweep = now
+	for u, e := range b.entries {
+		ttl := noLimitTTL
 		if e.inForce {
-			life = limitLife
+			ttl = limitTTL
 		}
-		if now.Sub(e.heard) >= life {
-			delete(b.by, u)
+		if now.Sub(e.lastUpdate) >= ttl {
+			delete(b.entries, u)
 		}
 	}
-	b.list()
+	b.rebuildLimited()
 }
 
-// list makes the list of upstreams with a limit anew; b.mu is held.
-func (b *Book) list() {
+// rebuildLimited replaces the list of upstreams with a limit. The caller holds b.mu.
+func (b *Book) rebuildLimited() {
 	var out []Upstream
-	for u, e := range b.by {
+	for u, e := range b.entries {
 		if e.inForce {
 			out = append(out, u)
 		}
@@ -157,7 +159,8 @@
 	b.limited.Store(&out)
 }
 
-// Limited returns the upstreams with a limit, in no order. Callers must not change it.
+// Limited returns the upstreams with a limit, in no particular order. Callers must not modify the
+// slice.
 func (b *Book) Limited() []Upstream {
 	if list := b.limited.Load(); list != nil {
 		return *list
@@ -169,35 +172,36 @@
 func (b *Book) Limit(u Upstream) (limit float64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.by[u]
+	e := b.entries[u]
 	if e == nil || !e.inForce {
 		return 0, false
 	}
 	return e.limit, true
 }
 
-// Sent notes that this daemon sends a request to an upstream.
+// Sent records that this daemon sends a request to an upstream.
 func (b *Book) Sent(now time.Time, u Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if e := b.by[u]; e != nil {
+	if e := b.entries[u]; e != nil {
 		e.sends.add(now)
 	}
 }
 
-// Held is what this daemon sent to an upstream with a limit in the Window before.
+// Held is the limit of an upstream, in requests a second, and the number of requests that this
+// daemon sent to it in the last Window.
 type Held struct {
 	Upstream Upstream
 	Limit    float64
 	Sent     int
 }
 
-// InForce returns the upstreams with a limit, in no order.
+// InForce returns all limits in force, in no particular order.
 func (b *Book) InForce(now time.Time) []Held {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Held
-	for u, e := range b.by {
+	for u, e := range b.entries {
 		if e.inForce {
 			out = append(out, Held{Upstream: u, Limit: e.limit, Sent: e.sends.count(now)})
 		}
--- a/ratelimit/book_test.go
+++ b/ratelimit/book_test.go
@@ -8,19 +8,20 @@
 )
 
 var (
-	t0  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	one = Upstream{Name: "i-1", Life: 7}
+	t0        = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	upstream1 = Upstream{Name: "i-1", Life: 7}
 )
 
+// at returns the time ms milliseconds after t0, the start of each test.
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// Guards against a limit that is lifted by an answer which was written before it, or kept
-// although the upstream takes everything again.
+// Guards against a limit that is cleared by a response written before it was set, or kept after
+// the upstream has ended it.
 func TestBookTellsOldWordsFromNewOnes(t *testing.T) {
 	named := func(limit float64, ms int) Word {
-		return Word{Upstream: one, Named: true, Limit: limit, At: at(ms)}
+		return Word{Upstream: upstream1, Named: true, Limit: limit, At: at(ms)}
 	}
-	free := func(ms int) Word { return Word{Upstream: one, At: at(ms)} }
+	free := func(ms int) Word { return Word{Upstream: upstream1, At: at(ms)} }
 	for name, c := range map[string]struct {
 		words []Word
 		want  float64
@@ -42,57 +43,57 @@
 		for _, w := range c.words {
 			b.Hear(at(100), w)
 		}
-		got, ok := b.Limit(one)
+		got, ok := b.Limit(upstream1)
 		if !ok {
 			got = None
 		}
 		if got != c.want {
-			t.Errorf("%s: %g, want %g", name, got, c.want)
+			t.Errorf("%s: limit %g, want %g", name, got, c.want)
 		}
 	}
 }
 
-// Guards against a limit that sticks to the next life at the same name.
+// Guards against a limit that also applies to the next incarnation of an upstream.
 func TestBookKeepsLivesApart(t *testing.T) {
 	b := NewBook()
-	b.Hear(at(0), Word{Upstream: one, Named: true, Limit: 5, At: at(0)})
-	if _, ok := b.Limit(Upstream{Name: one.Name, Life: 8}); ok {
-		t.Error("the next life has the limit of the one before")
+	b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
+	if _, ok := b.Limit(Upstream{Name: upstream1.Name, Life: 8}); ok {
+		t.Error("the next incarnation has the limit of the previous one")
 	}
 }
 
 func TestBookTellsWhatChangedAndWhatWasSent(t *testing.T) {
 	b := NewBook()
-	b.Sent(at(0), one)
-	c, changed := b.Hear(at(0), Word{Upstream: one, Named: true, Limit: 5, At: at(0)})
-	if d := cmp.Diff(Change{Upstream: one, Was: None, Is: 5}, c); d != "" || !changed {
+	b.Sent(at(0), upstream1)
+	c, changed := b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
+	if d := cmp.Diff(Change{Upstream: upstream1, Was: None, Is: 5}, c); d != "" || !changed {
 		t.Error(d)
 	}
-	if _, changed := b.Hear(at(20), Word{Upstream: one, Named: true, Limit: 5, At: at(20)}); changed {
-		t.Error("the same limit is no change")
+	if _, changed := b.Hear(at(20), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(20)}); changed {
+		t.Error("the same limit is reported as a change")
 	}
 	for ms := 0; ms < 5000; ms += 500 {
-		b.Sent(at(ms), one)
+		b.Sent(at(ms), upstream1)
 	}
-	if d := cmp.Diff([]Held{{one, 5, 8}}, b.InForce(at(4900))); d != "" {
+	if d := cmp.Diff([]Held{{upstream1, 5, 8}}, b.InForce(at(4900))); d != "" {
 		t.Error(d)
 	}
-	b.Hear(at(6000), Word{Upstream: one, At: at(5900)})
+	b.Hear(at(6000), Word{Upstream: upstream1, At: at(5900)})
 	if got := b.InForce(at(6000)); got != nil {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v in force after the limit ended", got)
 	}
 }
 
 func TestBookForgets(t *testing.T) {
 	b := NewBook()
-	b.Hear(at(0), Word{Upstream: one, Named: true, Limit: 5, At: at(0)})
+	b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
 	other := Upstream{Name: "i-2"}
-	b.Hear(t0.Add(limitLife-time.Second), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitLife - time.Second)})
+	b.Hear(t0.Add(limitTTL-time.Second), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitTTL - time.Second)})
 	if len(b.InForce(t0)) != 2 {
-		t.Error("forgot too early")
+		t.Error("evicted before its TTL")
 	}
-	b.Hear(t0.Add(limitLife+sweepEvery), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitLife)})
+	b.Hear(t0.Add(limitTTL+sweepInterval), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitTTL)})
 	if len(b.InForce(t0)) != 1 {
-		t.Error("an upstream that is gone is kept")
+		t.Error("an upstream without updates was not evicted")
 	}
 }
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -13,243 +13,258 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// modelSeeds is how many plays of each load are made; many more are run by hand.
-var modelSeeds = flag.Int("ratelimit.seeds", 1, "plays of each load; with more than one, of each fleet and limit too")
+// simSeeds is the number of random seeds that each scenario is simulated with. Longer manual runs
+// set it higher.
+var simSeeds = flag.Int("ratelimit.seeds", 1, "number of seeds for each scenario; with more than one, all fleet sizes and limits are simulated")
 
 const (
-	modelStep   = 10 * time.Millisecond
-	modelLength = 40 * time.Second
-	// modelLead is how long before the first caller the daemons start.
-	modelLead  = 5 * time.Second
-	modelZones = 3
-	// callEvery is how often a follower calls its reader at most, and readers each other.
-	callEvery = 700 * time.Millisecond
-	// answerTime is from a request to its answer, either way.
-	answerTime = 20 * time.Millisecond
-	// namesAfter and contact are when upstreams begin to name limits, and from when on after
-	// that the users count.
-	namesAfter = 5 * time.Second
-	contact    = 3 * time.Second
-	toldBefore = 500 * time.Millisecond
+	simStep     = 10 * time.Millisecond
+	simDuration = 40 * time.Second
+	// simWarmUp is how long the daemons run before the first request.
+	simWarmUp   = 5 * time.Second
+	dataCentres = 3 // number of data centres
+	// callInterval is the least time between two calls of a follower to its reader, and of a
+	// reader to the other readers.
+	callInterval = 700 * time.Millisecond
+	// responseDelay is the time from a request to its response.
+	responseDelay = 20 * time.Millisecond
+	// limitsStart is when upstreams begin to report limits. The users' bound applies to an
+	// upstream from countingDelay after its first response with a limit, and only to requests
+	// of daemons that received one at least noticeDelay before.
+	limitsStart   = 5 * time.Second
+	countingDelay = 3 * time.Second
+	noticeDelay   = 500 * time.Millisecond
 )
 
-// way is how daemons hold the limits.
-type way int
+// strategy is a way for the daemons to enforce limits. All but accrual serve for comparison.
+type strategy int
 
 const (
-	accrual way = iota // accrued, handed over and lent: package quota
-	equal              // an equal part each
-	few                // a few senders for each upstream, by rendezvous
-	alone              // each daemon takes the limit as its own
+	accrual     strategy = iota // accrues, hands over and lends units: package quota
+	equalShares                 // each daemon has an equal share of the limit
+	fewSenders                  // a few daemons share the limit, selected by rendezvous hashing
+	independent                 // each daemon applies the whole limit to its own requests
 )
 
-var wayNames = map[way]string{accrual: "accrual", equal: "equal parts", few: "few senders", alone: "each alone"}
-
-// modelDaemon is one place in the fleet; its life ends with a kill.
-type modelDaemon struct {
-	index, zone int
-	ledger      *quota.Ledger
-	book        *Book
-	gate        *Gate
-	up, began   time.Time
-	serves      bool      // it has its first view
-	frozen      time.Time // until when it stands still
-	stamp       quota.Stamp
-	got         time.Time
-	of          *modelDaemon
-	called      time.Time
-	rests       map[string]*quota.Rest // by upstream
-	buckets     map[string]*bucket
-}
-
-// bucket is what a daemon may send by the ways that do not lend.
+var strategyNames = map[strategy]string{accrual: "accrual", equalShares: "equal shares", fewSenders: "few senders", independent: "whole limit each"}
+
+// simDaemon is a simulated daemon. A restart replaces its ledger and book.
+type simDaemon struct {
+	index, dataCentre int
+	ledger            *quota.Ledger
+	book              *Book
+	gate              *Gate
+	upAt, startedAt   time.Time
+	hasView           bool // it has received the limits in force once
+	frozenUntil       time.Time
+	stamp             quota.Stamp
+	stampReceived     time.Time
+	stampIssuer       *simDaemon
+	lastCall          time.Time
+	backoffs          map[string]*quota.Rest // by upstream
+	buckets           map[string]*bucket
+}
+
+// bucket is the token bucket of a daemon with a strategy that does not lend.
 type bucket struct {
-	left float64
-	at   time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// modelUpstream takes requests and, while it is in need, names a limit.
-type modelUpstream struct {
-	name  string
-	limit func(at time.Duration) float64 // None while it names none
-	first time.Time                      // when it first named one
-	named []time.Time                    // when each daemon first got an answer that does
-	sent  []arrival
+// simUpstream is a simulated upstream, which reports a limit while it is overloaded.
+type simUpstream struct {
+	name         string
+	limit        func(at time.Duration) float64 // by time since the start; None while it reports none
+	firstLimited time.Time                      // when the first response with a limit arrived
+	limitKnownAt []time.Time                    // by daemon, when its first response with a limit arrived
+	sent         []arrival
 }
 
-// arrival is one request; counted says that its daemon had been told.
+// arrival is one request received by an upstream. counted is set if its daemon had received a
+// limit from the upstream at least noticeDelay before.
 type arrival struct {
 	at      time.Time
 	counted bool
-	limit   float64
+	limit   float64 // as reported in the response
 }
 
-// answer is an answer on its way.
-type answer struct {
+// response is a response in transit, which arrives at the time at.
+type response struct {
 	at, sent time.Time
-	d        *modelDaemon
-	u        *modelUpstream
+	daemon   *simDaemon
+	upstream *simUpstream
 	limit    float64
 }
 
-type modelFleet struct {
-	rng       *rand.Rand
-	way       way
-	now       time.Time
-	daemons   []*modelDaemon
-	upstreams []*modelUpstream
-	answers   []answer
-	weights   []float64 // of callers, by daemon
-	perSecond float64
-	urgent    float64 // the share of the requests that go before the others
-	cut       int     // a zone that is apart; -1 for none
-	calls     int
-	// what came of the requests since the limits were named
+// simFleet simulates daemons and upstreams in virtual time.
+type simFleet struct {
+	rng            *rand.Rand
+	strategy       strategy
+	now            time.Time
+	daemons        []*simDaemon
+	upstreams      []*simUpstream
+	responses      []response
+	weights        []float64 // relative request rates, by daemon
+	requestRate    float64   // requests a second of the whole fleet
+	urgentFraction float64   // fraction of the requests that are urgent
+	partitioned    int       // the data centre that is cut off from the others, -1 for none
+	loanCalls      int
+	// numbers of requests, and of refused ones, from countingDelay after limitsStart
 	asked, refused map[Seeker]int
 }
 
-// The requests: the usual ones, and those that go before them.
+// The two kinds of requests. Urgent ones take precedence.
 var (
-	usual  = Seeker{Pool: "p", Rank: 5}
-	urgent = Seeker{Pool: "p", Rank: 1}
+	normalRequest = Seeker{Pool: "p", Rank: 5}
+	urgentRequest = Seeker{Pool: "p", Rank: 1}
 )
 
-// seeker draws what kind the next request is.
-func (f *modelFleet) seeker() Seeker {
-	if f.urgent > 0 && f.rng.Float64() < f.urgent {
-		return urgent
+// nextRequest returns a random kind for the next request.
+func (f *simFleet) nextRequest() Seeker {
+	if f.urgentFraction > 0 && f.rng.Float64() < f.urgentFraction {
+		return urgentRequest
 	}
-	return usual
+	return normalRequest
 }
 
-func newModelFleet(seed uint64, w way, daemons int, upstreams []*modelUpstream, perSecond float64) *modelFleet {
-	f := &modelFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), way: w, now: t0, upstreams: upstreams, perSecond: perSecond, cut: -1, asked: map[Seeker]int{}, refused: map[Seeker]int{}}
+func newSimFleet(seed uint64, st strategy, daemons int, upstreams []*simUpstream, requestRate float64) *simFleet {
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), strategy: st, now: t0, upstreams: upstreams, requestRate: requestRate, partitioned: -1, asked: map[Seeker]int{}, refused: map[Seeker]int{}}
 	for i := range daemons {
-		d := &modelDaemon{index: i, zone: i % modelZones}
+		d := &simDaemon{index: i, dataCentre: i % dataCentres}
 		f.daemons = append(f.daemons, d)
-		f.start(d, 0, true)
+		f.restart(d, 0, true)
 		f.weights = append(f.weights, 0.2+f.rng.Float64()*f.rng.Float64()*5)
 	}
 	for _, u := range upstreams {
-		u.named = make([]time.Time, daemons)
+		u.limitKnownAt = make([]time.Time, daemons)
 	}
 	return f
 }
 
-func (f *modelFleet) start(d *modelDaemon, after time.Duration, first bool) {
-	d.up, d.began, d.frozen, d.of, d.serves = f.now.Add(after), f.now.Add(after), time.Time{}, nil, false
-	d.ledger, d.book = quota.NewLedger(d.began, first), NewBook()
+// restart replaces a daemon by one without state that starts after the downtime.
+func (f *simFleet) restart(d *simDaemon, downtime time.Duration, newFleet bool) {
+	d.upAt, d.startedAt, d.frozenUntil, d.stampIssuer, d.hasView = f.now.Add(downtime), f.now.Add(downtime), time.Time{}, nil, false
+	d.ledger, d.book = quota.NewLedger(d.startedAt, newFleet), NewBook()
 	d.gate = NewGate(d.book, d.ledger)
-	d.rests, d.buckets = map[string]*quota.Rest{}, map[string]*bucket{}
+	d.backoffs, d.buckets = map[string]*quota.Rest{}, map[string]*bucket{}
 	for _, u := range f.upstreams {
-		d.rests[u.name] = &quota.Rest{}
-		if u.named != nil {
-			u.named[d.index] = time.Time{}
+		d.backoffs[u.name] = &quota.Rest{}
+		if u.limitKnownAt != nil {
+			u.limitKnownAt[d.index] = time.Time{}
 		}
 	}
 }
 
-func (f *modelFleet) runs(d *modelDaemon) bool { return !f.now.Before(d.up) && !f.now.Before(d.frozen) }
+func (f *simFleet) isRunning(d *simDaemon) bool {
+	return !f.now.Before(d.upAt) && !f.now.Before(d.frozenUntil)
+}
 
-func (f *modelFleet) hears(a, b *modelDaemon) bool {
-	return f.runs(a) && f.runs(b) && (f.cut < 0 || (a.zone == f.cut) == (b.zone == f.cut))
+// reachable reports whether a message between two daemons arrives.
+func (f *simFleet) reachable(a, b *simDaemon) bool {
+	return f.isRunning(a) && f.isRunning(b) && (f.partitioned < 0 || (a.dataCentre == f.partitioned) == (b.dataCentre == f.partitioned))
 }
 
-func (f *modelFleet) reader(zone int) *modelDaemon {
+// reader returns the reader of a data centre: its first running daemon.
+func (f *simFleet) reader(dataCentre int) *simDaemon {
 	for _, d := range f.daemons {
-		if d.zone == zone && f.runs(d) {
+		if d.dataCentre == dataCentre && f.isRunning(d) {
 			return d
 		}
 	}
 	return nil
 }
 
-func (f *modelFleet) part(d *modelDaemon) float64 {
-	if f.now.Sub(d.began) < 300*time.Millisecond {
+// share returns a daemon's share of the rate: an equal part of its data centre's share, or 0
+// until it has discovered other daemons.
+func (f *simFleet) share(d *simDaemon) float64 {
+	if f.now.Sub(d.startedAt) < 300*time.Millisecond {
 		return 0
 	}
 	n := 0
 	for _, other := range f.daemons {
-		if other.zone == d.zone {
+		if other.dataCentre == d.dataCentre {
 			n++
 		}
 	}
-	return 1 / float64(modelZones*n)
+	return 1 / float64(dataCentres*n)
 }
 
-func (f *modelFleet) step() {
-	f.now = f.now.Add(modelStep)
-	f.deliver()
+// step advances the simulation by simStep.
+func (f *simFleet) step() {
+	f.now = f.now.Add(simStep)
+	f.deliverResponses()
 	for _, d := range f.daemons {
-		if !f.runs(d) {
+		if !f.isRunning(d) {
 			continue
 		}
-		reader := f.reader(d.zone)
-		if !d.serves && reader != d && f.hears(d, reader) {
-			f.told(d, reader.book.News(f.now, true)) // with its first view
+		reader := f.reader(d.dataCentre)
+		if !d.hasView && reader != d && f.reachable(d, reader) {
+			f.applyRecords(d, reader.book.News(f.now, true))
 		}
-		d.serves = true
-		if f.now.Sub(t0)%quota.TickEvery < modelStep {
-			d.ledger.Tick(f.now, f.part(d), d == reader)
+		d.hasView = true
+		if f.now.Sub(t0)%quota.TickEvery < simStep {
+			d.ledger.Tick(f.now, f.share(d), d == reader)
 		}
-		if f.now.Sub(d.called) >= callEvery {
-			f.call(d, reader)
+		if f.now.Sub(d.lastCall) >= callInterval {
+			f.exchange(d, reader)
 		}
 	}
-	if f.now.Sub(t0) < modelLead {
+	if f.now.Sub(t0) < simWarmUp {
 		return
 	}
-	for expected := f.perSecond * modelStep.Seconds(); f.rng.Float64() < expected; expected-- {
-		f.ask(f.caller(), f.seeker())
+	for expected := f.requestRate * simStep.Seconds(); f.rng.Float64() < expected; expected-- {
+		f.request(f.pickDaemon(), f.nextRequest())
 	}
 }
 
-// call lets a follower call its reader, or a reader the others: time and news go along.
-func (f *modelFleet) call(d, reader *modelDaemon) {
-	d.called = f.now.Add(-time.Duration(f.rng.IntN(200)) * time.Millisecond)
-	others := []*modelDaemon{reader}
+// exchange simulates a call of a follower to its reader, or of a reader to the other readers.
+// Both sides exchange recent limits, and a follower hands its time over.
+func (f *simFleet) exchange(d, reader *simDaemon) {
+	d.lastCall = f.now.Add(-time.Duration(f.rng.IntN(200)) * time.Millisecond)
+	others := []*simDaemon{reader}
 	if d == reader {
 		others = nil
-		for zone := range modelZones {
-			if r := f.reader(zone); r != nil && r != d {
-				others = append(others, r)
+		for dataCentre := range dataCentres {
+			if otherReader := f.reader(dataCentre); otherReader != nil && otherReader != d {
+				others = append(others, otherReader)
 			}
 		}
 	}
 	for _, other := range others {
-		if !f.hears(d, other) {
+		if !f.reachable(d, other) {
 			continue
 		}
-		f.told(other, d.book.News(f.now, false))
-		f.told(d, other.book.News(f.now, false))
+		f.applyRecords(other, d.book.News(f.now, false))
+		f.applyRecords(d, other.book.News(f.now, false))
 	}
 	if d == reader {
 		return
 	}
-	if d.of == reader {
-		span := d.ledger.HandOver(f.now, d.stamp, d.got, 1)
-		reader.ledger.Take(f.now, span, f.part(d))
+	if d.stampIssuer == reader {
+		span := d.ledger.HandOver(f.now, d.stamp, d.stampReceived, 1)
+		reader.ledger.Take(f.now, span, f.share(d))
 	}
-	d.of, d.stamp, d.got = reader, reader.ledger.Stamp(f.now), f.now
+	d.stampIssuer, d.stamp, d.stampReceived = reader, reader.ledger.Stamp(f.now), f.now
 }
 
-func (f *modelFleet) told(d *modelDaemon, list []Record) {
+// applyRecords updates the book of a daemon with records from another one.
+func (f *simFleet) applyRecords(d *simDaemon, list []Record) {
 	for _, r := range list {
 		d.book.Hear(f.now, r.Word(f.now))
 	}
 }
 
-// caller returns the daemon at which the next caller asks.
-func (f *modelFleet) caller() *modelDaemon {
+// pickDaemon returns a random running daemon for the next request, by weight.
+func (f *simFleet) pickDaemon() *simDaemon {
 	sum := 0.0
 	for i, d := range f.daemons {
-		if f.runs(d) {
+		if f.isRunning(d) {
 			sum += f.weights[i]
 		}
 	}
 	at := f.rng.Float64() * sum
 	for i, d := range f.daemons {
-		if !f.runs(d) {
+		if !f.isRunning(d) {
 			continue
 		}
 		if at -= f.weights[i]; at < 0 {
@@ -259,86 +274,89 @@
 	return nil
 }
 
-// ask sends one request to an upstream that may have it, in a random order.
-func (f *modelFleet) ask(d *modelDaemon, s Seeker) {
+// request submits one request at a daemon. It tries the upstreams in random order, first without
+// and then with borrowing.
+func (f *simFleet) request(d *simDaemon, s Seeker) {
 	if d == nil {
 		return
 	}
-	counts := f.now.Sub(t0) >= namesAfter+contact
-	if counts {
+	counted := f.now.Sub(t0) >= limitsStart+countingDelay
+	if counted {
 		f.asked[s]++
 	}
 	d.gate.Asked(f.now, s)
 	order := f.rng.Perm(len(f.upstreams))
 	for n, i := range order {
-		if !f.may(d, f.upstreams[i], s) {
+		if !f.admit(d, f.upstreams[i], s) {
 			continue
 		}
 		f.send(d, f.upstreams[i])
-		for _, out := range order[:n] {
-			f.borrow(d, f.upstreams[out], s) // for the next one
+		for _, refusing := range order[:n] {
+			f.borrow(d, f.upstreams[refusing], s) // for later requests
 		}
 		return
 	}
 	for _, i := range order {
-		if f.borrow(d, f.upstreams[i], s) && f.may(d, f.upstreams[i], s) {
+		if f.borrow(d, f.upstreams[i], s) && f.admit(d, f.upstreams[i], s) {
 			f.send(d, f.upstreams[i])
 			return
 		}
 	}
-	if counts {
+	if counted {
 		f.refused[s]++
 	}
 }
 
-func (u *modelUpstream) id() Upstream { return Upstream{Name: u.name} }
+func (u *simUpstream) id() Upstream { return Upstream{Name: u.name} }
 
-// may takes what is left here.
-func (f *modelFleet) may(d *modelDaemon, u *modelUpstream, s Seeker) bool {
+// admit reports whether a daemon may send a request to an upstream without borrowing, and spends
+// the unit or token for it.
+func (f *simFleet) admit(d *simDaemon, u *simUpstream, s Seeker) bool {
 	limit, limited := d.book.Limit(u.id())
 	if !limited {
 		return true
 	}
-	switch f.way {
+	switch f.strategy {
 	case accrual:
 		_, _, ok := d.gate.Take(f.now, u.id(), s)
 		return ok
-	case equal:
-		return f.take(d, u, limit*f.part(d))
-	case few:
-		return f.take(d, u, f.senderRate(d, u, limit))
+	case equalShares:
+		return f.takeToken(d, u, limit*f.share(d))
+	case fewSenders:
+		return f.takeToken(d, u, f.senderRate(d, u, limit))
 	default:
-		return f.take(d, u, limit)
+		return f.takeToken(d, u, limit)
 	}
 }
 
-// take takes one request from a bucket that holds one.
-func (f *modelFleet) take(d *modelDaemon, u *modelUpstream, rate float64) bool {
+// takeToken takes one token from a daemon's bucket, which holds at most one.
+func (f *simFleet) takeToken(d *simDaemon, u *simUpstream, rate float64) bool {
 	b := d.buckets[u.name]
 	if b == nil {
-		b = &bucket{at: f.now}
+		b = &bucket{updatedAt: f.now}
 		d.buckets[u.name] = b
 	}
-	b.left = min(1, b.left+rate*f.now.Sub(b.at).Seconds())
-	b.at = f.now
-	if b.left < 1 {
+	b.tokens = min(1, b.tokens+rate*f.now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = f.now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// senderRate is an equal part of the limit for the few daemons that come first for an upstream
-// among those that run: one for each two requests a second, one at least.
-func (f *modelFleet) senderRate(d *modelDaemon, u *modelUpstream, limit float64) float64 {
-	k := max(1, int(limit/2))
+// senderRate returns the share of a limit for a daemon with the strategy fewSenders. The running
+// daemons with the lowest hashes for the upstream share the limit equally: one daemon for each
+// two requests a second, at least one. Other daemons have no share.
+func (f *simFleet) senderRate(d *simDaemon, u *simUpstream, limit float64) float64 {
+	senders := max(1, int(limit/2))
 	type ranked struct {
-		d *modelDaemon
+		d *simDaemon
 		h uint64
 	}
 	var all []ranked
 	for _, other := range f.daemons {
-		if f.runs(other) && (f.cut < 0 || (other.zone == f.cut) == (d.zone == f.cut)) {
+		if f.isRunning(other) && (f.partitioned < 0 || (other.dataCentre == f.partitioned) == (d.dataCentre == f.partitioned)) {
 			h := fnv.New64a()
 			fmt.Fprint(h, u.name, other.index)
 			all = append(all, ranked{other, h.Sum64()})
@@ -350,99 +368,102 @@
 		}
 		return 1
 	})
-	for _, r := range all[:min(k, len(all))] {
+	for _, r := range all[:min(senders, len(all))] {
 		if r.d == d {
-			return limit / float64(min(k, len(all)))
+			return limit / float64(min(senders, len(all)))
 		}
 	}
 	return 0
 }
 
-// mostRest bounds how long nobody is asked for a loan after all had too little.
-const mostRest = time.Second
+// maxBackoff bounds the backoff after a failed attempt to borrow.
+const maxBackoff = time.Second
 
-// borrow borrows from readers, unless that was of no use a moment ago.
-func (f *modelFleet) borrow(d *modelDaemon, u *modelUpstream, s Seeker) bool {
-	if f.way != accrual || d.rests[u.name].Holds(f.now, 1, s.Rank) {
+// borrow borrows one unit from readers, unless a backoff applies. It reports whether the daemon
+// then has enough.
+func (f *simFleet) borrow(d *simDaemon, u *simUpstream, s Seeker) bool {
+	if f.strategy != accrual || d.backoffs[u.name].Holds(f.now, 1, s.Rank) {
 		return false
 	}
 	lack, ok := d.gate.Lack(f.now, u.id(), s)
 	if !ok {
 		return true
 	}
-	needs, left, wait := 1+lack.Reserve-d.ledger.Left(f.now, u.id().Account(), lack.Terms), 0.0, mostRest
-	for _, whatever := range []bool{false, true} {
-		if whatever && left < needs {
+	needs, remaining, wait := 1+lack.Reserve-d.ledger.Left(f.now, u.id().Account(), lack.Terms), 0.0, maxBackoff
+	for _, partial := range []bool{false, true} {
+		if partial && remaining < needs {
 			break
 		}
-		for i := range modelZones {
-			lender := f.reader((d.zone + i) % modelZones)
-			if lender == nil || lender == d || !f.hears(d, lender) {
+		for i := range dataCentres {
+			lender := f.reader((d.dataCentre + i) % dataCentres)
+			if lender == nil || lender == d || !f.reachable(d, lender) {
 				continue
 			}
-			f.calls++
+			f.loanCalls++
 			if r, ok := d.book.Record(f.now, u.id()); ok {
-				f.told(lender, []Record{r})
+				f.applyRecords(lender, []Record{r})
 			}
-			loan := lender.gate.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, whatever)
+			loan := lender.gate.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, partial)
 			d.ledger.Borrowed(f.now, u.id().Account(), lack.Terms, f.now, loan)
-			needs, left, wait = needs-loan.Units, left+loan.Left, min(wait, loan.Wait)
+			needs, remaining, wait = needs-loan.Units, remaining+loan.Left, min(wait, loan.Wait)
 			if d.gate.May(f.now, u.id(), s) {
 				return true
 			}
 		}
 	}
-	d.rests[u.name].Set(f.now, 1, s.Rank, wait, mostRest)
+	d.backoffs[u.name].Set(f.now, 1, s.Rank, wait, maxBackoff)
 	return false
 }
 
-func (f *modelFleet) send(d *modelDaemon, u *modelUpstream) {
+// send sends a request to an upstream and schedules the response.
+func (f *simFleet) send(d *simDaemon, u *simUpstream) {
 	limit := u.limit(f.now.Sub(t0))
-	told := u.named[d.index]
-	u.sent = append(u.sent, arrival{f.now, !told.IsZero() && f.now.Sub(told) >= toldBefore, limit})
-	f.answers = append(f.answers, answer{f.now.Add(answerTime), f.now, d, u, limit})
+	knownAt := u.limitKnownAt[d.index]
+	u.sent = append(u.sent, arrival{f.now, !knownAt.IsZero() && f.now.Sub(knownAt) >= noticeDelay, limit})
+	f.responses = append(f.responses, response{f.now.Add(responseDelay), f.now, d, u, limit})
 }
 
-// deliver hands out the answers that are due.
-func (f *modelFleet) deliver() {
-	rest := f.answers[:0]
-	for _, a := range f.answers {
-		if f.now.Before(a.at) || !f.runs(a.d) && f.now.Before(a.d.frozen) {
-			rest = append(rest, a)
+// deliverResponses processes the responses that are due. Those to a stalled daemon wait.
+func (f *simFleet) deliverResponses() {
+	inTransit := f.responses[:0]
+	for _, r := range f.responses {
+		if f.now.Before(r.at) || !f.isRunning(r.daemon) && f.now.Before(r.daemon.frozenUntil) {
+			inTransit = append(inTransit, r)
 			continue
 		}
-		if a.sent.Before(a.d.began) {
-			continue // the daemon that asked is gone
+		if r.sent.Before(r.daemon.startedAt) {
+			continue // the daemon was restarted since
 		}
-		if a.limit == None {
-			a.d.book.Hear(f.now, Word{Upstream: a.u.id(), At: a.sent})
+		if r.limit == None {
+			r.daemon.book.Hear(f.now, Word{Upstream: r.upstream.id(), At: r.sent})
 			continue
 		}
-		a.d.book.Hear(f.now, Word{Upstream: a.u.id(), Named: true, Limit: a.limit, At: f.now})
-		if a.u.first.IsZero() {
-			a.u.first = f.now
+		r.daemon.book.Hear(f.now, Word{Upstream: r.upstream.id(), Named: true, Limit: r.limit, At: f.now})
+		if r.upstream.firstLimited.IsZero() {
+			r.upstream.firstLimited = f.now
 		}
-		if a.u.named[a.d.index].IsZero() {
-			a.u.named[a.d.index] = f.now
+		if r.upstream.limitKnownAt[r.daemon.index].IsZero() {
+			r.upstream.limitKnownAt[r.daemon.index] = f.now
 		}
 	}
-	f.answers = rest
+	f.responses = inTransit
 }
 
-// worst returns the largest part of what is allowed that any upstream got in a window, from
-// those that the users count and from all, where it named a limit all the while. It counts from
-// contact after the upstream first named one, and after it named one again.
-func (f *modelFleet) worst() (counted, all float64) {
+// worstWindow returns the most requests that any upstream received in a window, as a fraction of
+// the number allowed: first of the counted requests, then of all. It considers windows in which
+// the upstream reported a limit throughout, from countingDelay after it first did or last began
+// to do so again.
+func (f *simFleet) worstWindow() (counted, all float64) {
 	for _, u := range f.upstreams {
-		since := u.first
+		since := u.firstLimited
 		for i, from := range u.sent {
-			if from.limit == None && !u.first.IsZero() {
+			if from.limit == None && !u.firstLimited.IsZero() {
 				since = from.at
 			}
-			if u.first.IsZero() || from.at.Before(since.Add(contact)) {
+			if u.firstLimited.IsZero() || from.at.Before(since.Add(countingDelay)) {
 				continue
 			}
-			n, m, highest := 0, 0, from.limit
+			countedRequests, requests, highest := 0, 0, from.limit
 			for _, a := range u.sent[i:] {
 				if a.at.Sub(from.at) >= Window {
 					break
@@ -452,40 +473,41 @@
 					break
 				}
 				highest = max(highest, a.limit)
-				if m++; a.counted {
-					n++
+				if requests++; a.counted {
+					countedRequests++
 				}
 			}
 			if highest == None {
 				continue
 			}
 			allowed := allowedExcess*highest*Window.Seconds() + allowedSlack
-			counted, all = max(counted, float64(n)/allowed), max(all, float64(m)/allowed)
+			counted, all = max(counted, float64(countedRequests)/allowed), max(all, float64(requests)/allowed)
 		}
 	}
 	return counted, all
 }
 
-// used returns the part of the limits that was used since the users count.
-func (f *modelFleet) used() float64 {
-	got, had := 0.0, 0.0
+// utilization returns the fraction of the limits that was used, from countingDelay after
+// limitsStart.
+func (f *simFleet) utilization() float64 {
+	sent, allowed := 0.0, 0.0
 	for _, u := range f.upstreams {
-		for at := namesAfter + contact; at < modelLength; at += time.Second {
+		for at := limitsStart + countingDelay; at < simDuration; at += time.Second {
 			if limit := u.limit(at); limit != None {
-				had += limit
+				allowed += limit
 			}
 		}
 		for _, a := range u.sent {
-			if a.limit != None && a.at.Sub(t0) >= namesAfter+contact {
-				got++
+			if a.limit != None && a.at.Sub(t0) >= limitsStart+countingDelay {
+				sent++
 			}
 		}
 	}
-	return got / had
+	return sent / allowed
 }
 
-// limits are what upstreams in need name, by the time since the start.
-var limits = map[string]func(at time.Duration) float64{
+// limitScenarios are the limits that overloaded upstreams report, by the time since the start.
+var limitScenarios = map[string]func(at time.Duration) float64{
 	"0":       func(time.Duration) float64 { return 0 },
 	"0.5":     func(time.Duration) float64 { return 0.5 },
 	"5.4":     func(time.Duration) float64 { return 5.4 },
@@ -499,14 +521,15 @@
 	},
 }
 
-// upstreamsOf returns three upstreams, of which n come to name a limit.
-func upstreamsOf(n int, limit func(time.Duration) float64) []*modelUpstream {
-	var out []*modelUpstream
+// newSimUpstreams returns three upstreams, of which the first limited ones report a limit from
+// limitsStart on.
+func newSimUpstreams(limited int, limit func(time.Duration) float64) []*simUpstream {
+	var out []*simUpstream
 	for i := range 3 {
-		u := &modelUpstream{name: fmt.Sprint("u", i), limit: func(time.Duration) float64 { return None }}
-		if i < n {
+		u := &simUpstream{name: fmt.Sprint("u", i), limit: func(time.Duration) float64 { return None }}
+		if i < limited {
 			u.limit = func(at time.Duration) float64 {
-				if at < namesAfter {
+				if at < limitsStart {
 					return None
 				}
 				return limit(at)
@@ -517,85 +540,86 @@
 	return out
 }
 
-// loads are what happens to the fleet, by the second.
-var loads = map[string]func(f *modelFleet, second int){
-	"calm": func(*modelFleet, int) {},
-	"kill of all": func(f *modelFleet, second int) {
+// scenarios change the state of the fleet at the start of each simulated second.
+var scenarios = map[string]func(f *simFleet, second int){
+	"calm": func(*simFleet, int) {},
+	"kill of all": func(f *simFleet, second int) {
 		if second == 16 || second == 22 {
 			for _, d := range f.daemons {
-				f.start(d, time.Second, false)
+				f.restart(d, time.Second, false)
 			}
 		}
 	},
-	"rolling restart": func(f *modelFleet, second int) {
+	"rolling restart": func(f *simFleet, second int) {
 		if n := len(f.daemons); second >= 10 {
 			for i := range max(1, n/20) {
-				f.start(f.daemons[(second*max(1, n/20)+i)%n], 900*time.Millisecond, false)
+				f.restart(f.daemons[(second*max(1, n/20)+i)%n], 900*time.Millisecond, false)
 			}
 		}
 	},
-	"readers killed": func(f *modelFleet, second int) {
+	"readers killed": func(f *simFleet, second int) {
 		if second%6 == 5 {
-			f.start(f.reader(second/6%modelZones), 700*time.Millisecond, false)
+			f.restart(f.reader(second/6%dataCentres), 700*time.Millisecond, false)
 		}
 	},
-	"freezes": func(f *modelFleet, second int) {
+	"freezes": func(f *simFleet, second int) {
 		if second%7 != 6 {
 			return
 		}
 		for _, d := range f.daemons {
 			if f.rng.Float64() < 0.3 {
-				d.frozen = f.now.Add(time.Duration(1+f.rng.IntN(3)) * time.Second)
+				d.frozenUntil = f.now.Add(time.Duration(1+f.rng.IntN(3)) * time.Second)
 			}
 		}
 	},
-	"cut zone": func(f *modelFleet, second int) {
-		f.cut = -1
+	"cut zone": func(f *simFleet, second int) {
+		f.partitioned = -1
 		if second >= 12 && second < 30 {
-			f.cut = second / 9 % modelZones
+			f.partitioned = second / 9 % dataCentres
 		}
 	},
-	"callers that move": func(f *modelFleet, second int) {
+	"callers that move": func(f *simFleet, second int) {
 		if second%5 == 4 {
 			f.rng.Shuffle(len(f.weights), func(i, j int) { f.weights[i], f.weights[j] = f.weights[j], f.weights[i] })
 		}
 	},
 }
 
-func play(seed uint64, w way, daemons, needy int, limit, load string) *modelFleet {
-	f := newModelFleet(seed, w, daemons, upstreamsOf(needy, limits[limit]), 60)
-	f.play(load)
+// simulate runs a scenario to its end and returns the fleet.
+func simulate(seed uint64, st strategy, daemons, limited int, limit, scenario string) *simFleet {
+	f := newSimFleet(seed, st, daemons, newSimUpstreams(limited, limitScenarios[limit]), 60)
+	f.run(scenario)
 	return f
 }
 
-func (f *modelFleet) play(load string) {
-	for last := -1; f.now.Sub(t0) < modelLength; f.step() {
+func (f *simFleet) run(scenario string) {
+	for last := -1; f.now.Sub(t0) < simDuration; f.step() {
 		if second := int(f.now.Sub(t0).Seconds()); second != last {
-			loads[load](f, second)
+			scenarios[scenario](f, second)
 			last = second
 		}
 	}
 }
 
-// Guards against an upstream that gets more than it takes from daemons which do not know of
-// each other's sends, whatever happens to them and to the limit.
+// Guards against an upstream that receives more than its limit allows because daemons send
+// requests without a call to each other, in all failure scenarios and while the limit changes.
 func TestFleetStaysWithinTheLimits(t *testing.T) {
 	sizes, named := []int{7, 73}, []string{"0.5", "5.4", "changes"}
-	if *modelSeeds > 1 {
-		sizes, named = []int{7, 73, 300}, slices.Sorted(maps.Keys(limits))
+	if *simSeeds > 1 {
+		sizes, named = []int{7, 73, 300}, slices.Sorted(maps.Keys(limitScenarios))
 	}
 	for _, size := range sizes {
 		for _, limit := range named {
-			for _, load := range slices.Sorted(maps.Keys(loads)) {
-				for seed := range uint64(*modelSeeds) {
-					needy := 1 + int(seed+uint64(len(load)))%3
-					t.Run(fmt.Sprintf("%d/%s/%s/%d/%d", size, limit, load, needy, seed), func(t *testing.T) {
-						f := play(seed, accrual, size, needy, limit, load)
-						counted, all := f.worst()
-						t.Logf("worst window %.2f, of all daemons %.2f; used %.2f of the limits, %d of %d refused, %.1f loans a second",
-							counted, all, f.used(), f.refused[usual], f.asked[usual], float64(f.calls)/modelLength.Seconds())
+			for _, scenario := range slices.Sorted(maps.Keys(scenarios)) {
+				for seed := range uint64(*simSeeds) {
+					limited := 1 + int(seed+uint64(len(scenario)))%3
+					t.Run(fmt.Sprintf("%d/%s/%s/%d/%d", size, limit, scenario, limited, seed), func(t *testing.T) {
+						f := simulate(seed, accrual, size, limited, limit, scenario)
+						counted, all := f.worstWindow()
+						t.Logf("worst window %.2f of the bound, with uncounted requests %.2f; used %.2f of the limits, %d of %d refused, %.1f loans a second",
+							counted, all, f.utilization(), f.refused[normalRequest], f.asked[normalRequest], float64(f.loanCalls)/simDuration.Seconds())
 						if counted > 1 {
-							t.Errorf("%.2f of what is allowed", counted)
+							t.Errorf("worst window is %.2f of what is allowed, want at most 1", counted)
 						}
 					})
 				}
@@ -604,43 +628,44 @@
 	}
 }
 
-// Guards against a model that breaks no rule whatever daemons do: a limit that each takes as
-// its own, and equal parts of which each saves one request up, are over it.
+// Guards against a simulation that never exceeds a limit, whatever the daemons do. Strategies
+// without coordination must exceed it: with the whole limit at each daemon, and with equal
+// shares, of which each daemon saves up one request.
 func TestModelTellsWaysApart(t *testing.T) {
 	for _, c := range []struct {
-		way     way
+		way     strategy
 		daemons int
 		limit   string
 		over    bool
 	}{
-		{alone, 7, "5.4", true}, {alone, 73, "0.5", true}, {equal, 73, "5.4", true},
-		{few, 73, "5.4", false}, {accrual, 73, "0.5", false}, {accrual, 73, "5.4", false},
+		{independent, 7, "5.4", true}, {independent, 73, "0.5", true}, {equalShares, 73, "5.4", true},
+		{fewSenders, 73, "5.4", false}, {accrual, 73, "0.5", false}, {accrual, 73, "5.4", false},
 	} {
-		f := play(1, c.way, c.daemons, 3, c.limit, "calm")
-		counted, all := f.worst()
-		t.Logf("%d daemons, %s a second, %s: worst window %.2f, of all daemons %.2f; used %.2f of the limits, %d of %d refused, %.1f loans a second",
-			c.daemons, c.limit, wayNames[c.way], counted, all, f.used(), f.refused[usual], f.asked[usual], float64(f.calls)/modelLength.Seconds())
+		f := simulate(1, c.way, c.daemons, 3, c.limit, "calm")
+		counted, all := f.worstWindow()
+		t.Logf("%d daemons, %s a second, %s: worst window %.2f of the bound, with uncounted requests %.2f; used %.2f of the limits, %d of %d refused, %.1f loans a second",
+			c.daemons, c.limit, strategyNames[c.way], counted, all, f.utilization(), f.refused[normalRequest], f.asked[normalRequest], float64(f.loanCalls)/simDuration.Seconds())
 		if (all > 1) != c.over {
-			t.Errorf("%s with %d daemons and %s a second: %.2f of what is allowed", wayNames[c.way], c.daemons, c.limit, all)
+			t.Errorf("%s with %d daemons and a limit of %s a second: worst window with all requests is %.2f of what is allowed", strategyNames[c.way], c.daemons, c.limit, all)
 		}
 	}
 }
 
-// Guards against urgent requests that are refused beside less urgent ones that are served,
-// where all upstreams are in need.
+// Guards against urgent requests that are refused while less urgent ones are served, if all
+// upstreams have limits.
 func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	const urgentShare = 1.0 / 12
 	for _, size := range []int{7, 73, 300} {
-		for seed := range uint64(*modelSeeds) {
-			f := newModelFleet(seed, accrual, size, upstreamsOf(3, limits["5.4"]), 60)
-			f.urgent = urgentShare
-			f.play("calm")
-			refused := float64(f.refused[urgent]) / float64(f.asked[urgent])
-			counted, _ := f.worst()
-			t.Logf("%d daemons: %d of %d urgent and %d of %d others refused; worst window %.2f, used %.2f of the limits, %.1f loans a second",
-				size, f.refused[urgent], f.asked[urgent], f.refused[usual], f.asked[usual], counted, f.used(), float64(f.calls)/modelLength.Seconds())
+		for seed := range uint64(*simSeeds) {
+			f := newSimFleet(seed, accrual, size, newSimUpstreams(3, limitScenarios["5.4"]), 60)
+			f.urgentFraction = urgentShare
+			f.run("calm")
+			refused := float64(f.refused[urgentRequest]) / float64(f.asked[urgentRequest])
+			counted, _ := f.worstWindow()
+			t.Logf("%d daemons: %d of %d urgent and %d of %d others refused; worst window %.2f of the bound, used %.2f of the limits, %.1f loans a second",
+				size, f.refused[urgentRequest], f.asked[urgentRequest], f.refused[normalRequest], f.asked[normalRequest], counted, f.utilization(), float64(f.loanCalls)/simDuration.Seconds())
 			if refused > 0.1 || counted > 1 {
-				t.Errorf("%d daemons: %.2f of the urgent requests refused, %.2f of what is allowed", size, refused, counted)
+				t.Errorf("%d daemons: %.2f of the urgent requests refused, want at most 0.1; worst window %.2f of what is allowed, want at most 1", size, refused, counted)
 			}
 		}
 	}
--- a/ratelimit/gate.go
+++ b/ratelimit/gate.go
@@ -7,116 +7,121 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// What the users allow an upstream that names a limit to get in any Window: allowedExcess
-// times what the limit is for that time, and allowedSlack requests besides.
+// In any Window, users allow an upstream with a limit to receive allowedExcess times limit x
+// Window requests, and allowedSlack more.
 const (
 	allowedExcess = 1.5
 	allowedSlack  = 5.0
-	// kept is the part of it that is used: requests that were sent apart may arrive together.
-	kept = 0.9
-	// lookRate is the least that is sent to an upstream, in requests a second, all daemons
-	// together: one that takes nothing is looked at now and then, since nobody else says that
-	// it has recovered.
-	lookRate = 0.25
-	// mostRate bounds a limit that is none in effect, in requests a second.
-	mostRate = 1e6
+	// safetyFactor is the fraction of that bound that is used, since requests sent in different
+	// windows may arrive in the same one.
+	safetyFactor = 0.9
+	// probeRate is the least rate accrued for an upstream, in requests a second from all
+	// daemons. Even one that accepts no requests is probed at this rate, since only its own
+	// responses show that it has recovered.
+	probeRate = 0.25
+	// maxRate caps the accrued rate, in requests a second. A limit this high is no limit in
+	// practice.
+	maxRate = 1e6
 )
 
-// Terms returns how a limit is accrued by all daemons: no faster than it is named, and kept
-// for as long as any window holds. Long lives matter for limits under a few requests a
-// second: no daemon's part is a whole request for seconds.
+// Terms returns the terms on which the fleet accrues a limit: at the reported rate (or at
+// probeRate if that is higher), with the longest lifetime that keeps every window within its
+// bound. Limits of less than a few requests a second need a long lifetime, since a daemon's
+// share takes seconds to add up to a whole request.
 func Terms(limit float64) quota.Terms {
-	rate := min(max(limit, lookRate), mostRate)
-	life := kept*(allowedExcess*Window.Seconds()+allowedSlack/rate) - Window.Seconds()
+	rate := min(max(limit, probeRate), maxRate)
+	life := safetyFactor*(allowedExcess*Window.Seconds()+allowedSlack/rate) - Window.Seconds()
 	return quota.Terms{Rate: rate, Life: min(time.Duration(life*float64(time.Second)), quota.MostLife)}
 }
 
-// Account returns the account under which an upstream's limit is held.
+// Account returns the quota account for the limit of an upstream.
 func (u Upstream) Account() quota.Account {
 	return quota.Account{Upstream: u.Name, Life: u.Life}
 }
 
-// mostReserve is the most requests that are left for those that go first. Parts are small: a
-// larger reserve would leave nothing for others in fleets of dozens.
-const mostReserve = 1.0
+// maxReserve bounds the number of requests that a daemon reserves for more urgent ones. Shares
+// are small: in fleets of dozens of daemons a larger reserve would leave nothing for the rest.
+const maxReserve = 1.0
 
-// Gate says which upstreams with a limit may be sent another request. It is safe for
-// concurrent use.
+// Gate is the rate limiter of this daemon: it decides which upstreams with a limit may receive
+// another request. It is safe for concurrent use.
 //
-// Grounds: what a daemon may send was accrued, handed over or lent in a quota.Ledger, whose
-// sums hold over all daemons, whoever knows of the limit first. A request that goes after
-// others leaves one for them, where any came in the last second.
+// Each request spends a unit that this daemon accrued, was handed over or borrowed in its
+// quota.Ledger. The units spent by all daemons stay within the bound, no matter which daemon
+// learns of the limit first. A request leaves up to one unit for more urgent ones if any arrived
+// within about the last second.
 type Gate struct {
 	book   *Book
 	ledger *quota.Ledger
 
 	mu    sync.Mutex
-	pools map[string]*pool
+	pools map[string]*poolState
 }
 
-// pool is what is known of the requests for one pool in which upstreams have limits.
-type pool struct {
-	// asked is what callers asked for, by rank.
-	asked    map[int]*quota.Demand
-	promised promises
+// poolState tracks the requests for one pool in which upstreams have limits.
+type poolState struct {
+	// demand is the rate of requests, by rank.
+	demand map[int]*quota.Demand
+	// backlog holds the refused requests that were told when to retry.
+	backlog backlog
 }
 
-// NewGate returns a gate by the limits of a book and the shares of a ledger.
+// NewGate returns a gate that takes limits from a book and spends units of a ledger.
 func NewGate(book *Book, ledger *quota.Ledger) *Gate {
-	return &Gate{book: book, ledger: ledger, pools: map[string]*pool{}}
+	return &Gate{book: book, ledger: ledger, pools: map[string]*poolState{}}
 }
 
-// Seeker is a request that looks for an upstream.
+// Seeker describes a request for which an upstream is being selected.
 type Seeker struct {
 	Pool string
-	// Rank is lower for what goes first.
+	// Rank is the priority of the request; a lower rank is more urgent.
 	Rank int
 }
 
-// Asked notes a request that looks for an upstream of a pool in which any has a limit.
+// Asked records the demand of a request for a pool in which any upstream has a limit.
 func (g *Gate) Asked(now time.Time, s Seeker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.pool(s.Pool)
-	d := p.asked[s.Rank]
+	d := p.demand[s.Rank]
 	if d == nil {
 		d = &quota.Demand{}
-		p.asked[s.Rank] = d
+		p.demand[s.Rank] = d
 	}
 	d.Add(now, 1)
 }
 
-// pool returns what is known of a pool; g.mu is held.
-func (g *Gate) pool(name string) *pool {
+// pool returns the state of a pool, created if necessary. The caller holds g.mu.
+func (g *Gate) pool(name string) *poolState {
 	p := g.pools[name]
 	if p == nil {
-		p = &pool{asked: map[int]*quota.Demand{}}
+		p = &poolState{demand: map[int]*quota.Demand{}}
 		g.pools[name] = p
 	}
 	return p
 }
 
-// reserve returns what a request leaves for those that go first.
+// reserve returns the number of units that a request must leave for more urgent ones.
 func (g *Gate) reserve(now time.Time, s Seeker) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	first := 0.0
-	for rank, d := range g.pool(s.Pool).asked {
+	moreUrgent := 0.0
+	for rank, d := range g.pool(s.Pool).demand {
 		if rank < s.Rank {
-			first += d.Rate(now)
+			moreUrgent += d.Rate(now)
 		}
 	}
-	return min(first, mostReserve)
+	return min(moreUrgent, maxReserve)
 }
 
-// May says whether an upstream may be sent a request now.
+// May reports whether an upstream may receive a request now. It spends nothing.
 func (g *Gate) May(now time.Time, u Upstream, s Seeker) bool {
 	limit, ok := g.book.Limit(u)
 	return !ok || g.ledger.Left(now, u.Account(), Terms(limit)) >= 1+g.reserve(now, s)
 }
 
-// Take takes what one request to an upstream needs. An upstream without a limit needs
-// nothing: limited is false then, and there is nothing to return.
+// Take spends one unit for a request to an upstream; ok is false if too few are available. For
+// an upstream without a limit, limited is false, ok is true and the ticket is empty.
 func (g *Gate) Take(now time.Time, u Upstream, s Seeker) (ticket quota.Ticket, limited, ok bool) {
 	limit, limited := g.book.Limit(u)
 	if !limited {
@@ -130,18 +135,18 @@
 	return ticket, true, ok
 }
 
-// aheadTime is for how long a daemon borrows beyond the request that waits.
-const aheadTime = 500 * time.Millisecond
+// borrowAheadTime is how much expected demand a daemon borrows for beyond the waiting request.
+const borrowAheadTime = 500 * time.Millisecond
 
-// Lack is what a daemon needs of others for one more request to an upstream.
+// Lack describes the loan that a daemon needs for one more request to an upstream.
 type Lack struct {
 	Terms quota.Terms
-	// Reserve is to stay for requests that go first, and Ahead is wanted for what is likely to
-	// come.
+	// Reserve is the number of units to leave for more urgent requests. Ahead is the number
+	// wanted for requests expected soon.
 	Reserve, Ahead float64
 }
 
-// Lack returns what is to be borrowed for a request to an upstream; ok is false where it has no
+// Lack returns the loan needed for a request to an upstream; ok is false if the upstream has no
 // limit.
 func (g *Gate) Lack(now time.Time, u Upstream, s Seeker) (l Lack, ok bool) {
 	limit, ok := g.book.Limit(u)
@@ -151,44 +156,45 @@
 	return Lack{
 		Terms:   Terms(limit),
 		Reserve: g.reserve(now, s),
-		Ahead:   g.ledger.Demand(now, u.Account()) * aheadTime.Seconds(),
+		Ahead:   g.ledger.Demand(now, u.Account()) * borrowAheadTime.Seconds(),
 	}, true
 }
 
-// Lend gives up what another daemon lacks of an upstream's limit, but for what is left here for
-// requests that go before the other's: this daemon's own, and those for which others ask it.
-func (g *Gate) Lend(now time.Time, u Upstream, s Seeker, needs, wants float64, whatever bool) quota.Loan {
+// Lend lends units of an upstream's limit to another daemon for the request s. It keeps the
+// reserve for requests more urgent than s, both this daemon's own and those that other daemons
+// asked loans for. partial allows a loan of less than needs.
+func (g *Gate) Lend(now time.Time, u Upstream, s Seeker, needs, wants float64, partial bool) quota.Loan {
 	limit, ok := g.book.Limit(u)
 	if !ok || !(needs > 0) {
 		return quota.Loan{}
 	}
 	g.Asked(now, s)
-	return g.ledger.Lend(now, u.Account(), Terms(limit), needs, wants, g.reserve(now, s), whatever)
+	return g.ledger.Lend(now, u.Account(), Terms(limit), needs, wants, g.reserve(now, s), partial)
 }
 
-// The times after which a refused caller is told to come back lie between these.
+// minWait and maxWait bound the retry delay that refused callers are given.
 const (
-	leastWait = 200 * time.Millisecond
-	mostWait  = 10 * time.Second
+	minWait = 200 * time.Millisecond
+	maxWait = 10 * time.Second
 )
 
-// Wait returns when a request may come back that finds none of the upstreams of its pool: when
-// this daemon's part of their limits bears it, and those that were told so before it and go no
-// later.
-func (g *Gate) Wait(now time.Time, s Seeker, upstreams []Upstream, part float64) time.Duration {
+// Wait returns the time after which a request that no upstream of its pool could take may be
+// retried: when this daemon's share of their limits will have covered it and all earlier refused
+// requests that are at least as urgent.
+func (g *Gate) Wait(now time.Time, s Seeker, upstreams []Upstream, share float64) time.Duration {
 	rate := 0.0
 	for _, u := range upstreams {
 		if limit, ok := g.book.Limit(u); ok {
-			rate += Terms(limit).Rate * part
+			rate += Terms(limit).Rate * share
 		}
 	}
 	if rate <= 0 {
-		return mostWait
+		return maxWait
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.pool(s.Pool)
-	p.promised.keep(now, rate)
-	n := p.promised.add(s.Rank, rate*mostWait.Seconds())
-	return max(leastWait, time.Duration(n/rate*float64(time.Second)))
+	p.backlog.drain(now, rate)
+	position := p.backlog.add(s.Rank, rate*maxWait.Seconds())
+	return max(minWait, time.Duration(position/rate*float64(time.Second)))
 }
--- a/ratelimit/gate_test.go
+++ b/ratelimit/gate_test.go
@@ -7,127 +7,128 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// gateOf returns the gate of the one daemon of a fleet that has run for a while, and knows a
-// limit.
-func gateOf(limit float64) (*Gate, *quota.Ledger) {
+// newTestGate returns the gate and ledger of the only daemon of a fleet, which has accrued for 20 s
+// and has a limit for upstream1.
+func newTestGate(limit float64) (*Gate, *quota.Ledger) {
 	b, l := NewBook(), quota.NewLedger(t0, true)
 	tick(l, 0, 20_000)
-	b.Hear(at(20_000), Word{Upstream: one, Named: true, Limit: limit, At: at(20_000)})
+	b.Hear(at(20_000), Word{Upstream: upstream1, Named: true, Limit: limit, At: at(20_000)})
 	return NewGate(b, l), l
 }
 
+// tick calls Tick every 100 ms with the whole rate as the share.
 func tick(l *quota.Ledger, from, to int) {
 	for ms := from; ms <= to; ms += 100 {
 		l.Tick(at(ms), 1, true)
 	}
 }
 
-// Guards against terms by which a window may be over what users allow.
+// Guards against terms that allow more requests in a window than the users do.
 func TestTermsAreWithinWhatIsAllowed(t *testing.T) {
 	for _, limit := range []float64{0, 1e-9, 0.1, 0.5, 5.4, 200, 1e5, 1e300} {
 		terms := Terms(limit)
 		allowed := allowedExcess*limit*Window.Seconds() + allowedSlack
 		most := terms.Rate * (Window + terms.Life).Seconds()
 		if most > allowed || terms.Life < time.Second || terms.Life > quota.MostLife {
-			t.Errorf("%g a second: %g of %g, for %v", limit, most, allowed, terms.Life)
+			t.Errorf("limit %g a second: terms allow %g requests in a window of %g allowed, with a lifetime of %v", limit, most, allowed, terms.Life)
 		}
-		if limit > lookRate && limit < mostRate && terms.Rate != limit {
-			t.Errorf("%g a second is accrued at %g", limit, terms.Rate)
+		if limit > probeRate && limit < maxRate && terms.Rate != limit {
+			t.Errorf("limit %g a second is accrued at %g", limit, terms.Rate)
 		}
 	}
 }
 
-// Guards against an upstream that takes nothing and is never looked at again.
+// Guards against an upstream with a limit of 0 that is never probed again.
 func TestUpstreamThatTakesNothingIsLookedAt(t *testing.T) {
-	g, l := gateOf(0)
-	looks := 0
+	g, l := newTestGate(0)
+	probes := 0
 	for ms := 20_000; ms < 60_000; ms += 100 {
 		l.Tick(at(ms), 1, true)
-		if _, _, ok := g.Take(at(ms), one, Seeker{}); ok {
-			looks++
+		if _, _, ok := g.Take(at(ms), upstream1, Seeker{}); ok {
+			probes++
 		}
 	}
-	if looks < 10 || looks > 14 {
-		t.Errorf("%d looks in 40 s", looks)
+	if probes < 10 || probes > 14 {
+		t.Errorf("%d probes in 40 s, want 10 to 14", probes)
 	}
 }
 
-// Guards against requests of less value that take what the more urgent ones need, and against
-// urgent ones that keep what nobody asks for.
+// Guards against less urgent requests that use up the units more urgent ones need, and against a
+// reserve that is kept without any urgent requests.
 func TestLessUrgentRequestsLeaveOneForOthers(t *testing.T) {
 	urgent, other := Seeker{Pool: "p", Rank: 1}, Seeker{Pool: "p", Rank: 2}
 	count := func(g *Gate, now time.Time, s Seeker) (n int) {
-		for g.May(now, one, s) {
-			if _, _, ok := g.Take(now, one, s); !ok {
-				t.Fatal("less may be taken than there may be")
+		for g.May(now, upstream1, s) {
+			if _, _, ok := g.Take(now, upstream1, s); !ok {
+				t.Fatal("Take refused a request that May allowed")
 			}
 			n++
 		}
 		return n
 	}
-	g, _ := gateOf(2)
+	g, _ := newTestGate(2)
 	if n := count(g, at(20_000), other); n < 5 {
-		t.Errorf("%d where nobody else asks", n)
+		t.Errorf("%d requests allowed without urgent ones, want at least 5", n)
 	}
-	g, _ = gateOf(2)
+	g, _ = newTestGate(2)
 	for range 5 {
 		g.Asked(at(20_000), urgent)
 	}
 	count(g, at(20_000), other)
 	if n := count(g, at(20_000), urgent); n != 1 {
-		t.Errorf("%d are left for urgent requests", n)
+		t.Errorf("%d urgent requests allowed, want 1", n)
 	}
-	if loan := g.Lend(at(20_000), one, other, 0.5, 0.5, true); loan.Units > 0 {
-		t.Errorf("%+v lent of what is left for others", loan)
+	if loan := g.Lend(at(20_000), upstream1, other, 0.5, 0.5, true); loan.Units > 0 {
+		t.Errorf("loan %+v of the reserve", loan)
 	}
 }
 
-// Guards against refused callers who are told to come back at the same moment, or never.
+// Guards against refused callers that are all told to retry at the same time, or never.
 func TestWaitGrowsWithThoseThatWait(t *testing.T) {
-	g, _ := gateOf(5)
-	first := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{one}, 0.5)
-	second := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{one}, 0.5)
+	g, _ := newTestGate(5)
+	first := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{upstream1}, 0.5)
+	second := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{upstream1}, 0.5)
 	if first != 400*time.Millisecond || second != 2*first {
-		t.Errorf("%v, then %v", first, second)
+		t.Errorf("first wait %v, second %v, want 400ms and 800ms", first, second)
 	}
-	if got := g.Wait(at(20_000), Seeker{Pool: "q"}, []Upstream{one}, 0); got != mostWait {
-		t.Errorf("%v where this daemon has no part", got)
+	if got := g.Wait(at(20_000), Seeker{Pool: "q"}, []Upstream{upstream1}, 0); got != maxWait {
+		t.Errorf("wait %v for a daemon without a share", got)
 	}
 }
 
-// Guards against urgent callers who are told to come back when all less urgent ones have been
-// served, and against more promises than the limit bears.
+// Guards against urgent callers that are told to wait for less urgent ones, and against a backlog
+// larger than the limit can cover in the longest wait.
 func TestWaitOfUrgentCallersIsTheirOwn(t *testing.T) {
-	g, _ := gateOf(5)
+	g, _ := newTestGate(5)
 	urgent, other := Seeker{Pool: "p", Rank: 1}, Seeker{Pool: "p", Rank: 2}
-	wait := func(ms int, s Seeker) time.Duration { return g.Wait(at(ms), s, []Upstream{one}, 1) }
+	wait := func(ms int, s Seeker) time.Duration { return g.Wait(at(ms), s, []Upstream{upstream1}, 1) }
 	for range 100 {
 		wait(20_000, other)
 	}
-	if got := wait(20_000, other); got != mostWait {
-		t.Errorf("%v behind a hundred", got)
+	if got := wait(20_000, other); got != maxWait {
+		t.Errorf("wait %v behind a hundred requests", got)
 	}
-	if first, second := wait(20_000, urgent), wait(20_000, urgent); first != leastWait || second != 400*time.Millisecond {
-		t.Errorf("%v, then %v for urgent callers", first, second)
+	if first, second := wait(20_000, urgent), wait(20_000, urgent); first != minWait || second != 400*time.Millisecond {
+		t.Errorf("first wait of urgent callers %v, second %v", first, second)
 	}
-	// One second bears five: the two urgent ones, and three of the others.
-	if got := wait(21_000, urgent); got != leastWait {
-		t.Errorf("%v, after the urgent ones were borne", got)
+	// One second covers five requests: the two urgent ones and three of the others.
+	if got := wait(21_000, urgent); got != minWait {
+		t.Errorf("wait %v after the urgent requests were covered", got)
 	}
 	if got := wait(21_000, other); got != 9_800*time.Millisecond {
-		t.Errorf("%v behind those that are left", got)
+		t.Errorf("wait %v behind the remaining requests", got)
 	}
 }
 
-// Guards against loans of an upstream of which the lender knows no limit.
+// Guards against loans for an upstream without a limit at the lender.
 func TestNothingIsLentWithoutALimit(t *testing.T) {
-	g, _ := gateOf(5)
-	for _, u := range []Upstream{{Name: "other"}, {Name: one.Name, Life: one.Life + 1}} {
+	g, _ := newTestGate(5)
+	for _, u := range []Upstream{{Name: "other"}, {Name: upstream1.Name, Life: upstream1.Life + 1}} {
 		if loan := g.Lend(at(20_000), u, Seeker{}, 1, 1, true); loan.Units != 0 {
-			t.Errorf("%+v: %+v", u, loan)
+			t.Errorf("upstream %+v: loan %+v", u, loan)
 		}
 	}
 	if _, limited, ok := g.Take(at(20_000), Upstream{Name: "other"}, Seeker{}); limited || !ok {
-		t.Error("an upstream without a limit is refused")
+		t.Error("a request to an upstream without a limit is refused")
 	}
 }
--- a/ratelimit/news.go
+++ b/ratelimit/news.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Record is a word of a limit on its way from one daemon to another, without the names of its
-// fields.
+// Record is the limit of an upstream as one daemon sends it to another. It is encoded as an array,
+// without the names of its fields, to keep calls small.
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 
@@ -14,68 +14,71 @@
 	Life  int64
 	Named bool
 	Limit float64
-	// Age is how long ago the word's moment was.
+	// Age is the time from At of the underlying response to the sending of the record.
 	Age time.Duration
 }
 
 const (
-	// newsTime is how long a change is told: a few of the calls between daemons.
-	newsTime = 3 * time.Second
-	// mostRecords bounds the records of one call, about 40 bytes each.
-	mostRecords = 64
-	// wayTime is more than a record takes from one daemon to another. Without it the end of a
-	// limit seems to be younger than it is, and lifts one that was named since.
-	wayTime = 200 * time.Millisecond
+	// propagationTime is how long a change is included in calls to other daemons. It spans a few
+	// calls.
+	propagationTime = 3 * time.Second
+	// maxRecords bounds the number of records in one call. Each takes about 40 bytes.
+	maxRecords = 64
+	// transitMargin is above the time that a record takes from one daemon to another. Without
+	// it, the end of a limit would look newer than it is and clear a limit reported since.
+	transitMargin = 200 * time.Millisecond
 )
 
-// News returns what changed of late, or all that is in force, the newest first.
+// News returns the limits that changed within propagationTime and, if all is set, also all other
+// limits in force. The most recent changes come first; at most maxRecords are returned.
 func (b *Book) News(now time.Time, all bool) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var told []Upstream
-	for u, e := range b.by {
-		if now.Sub(e.changed) < newsTime || all && e.inForce {
-			told = append(told, u)
+	var upstreams []Upstream
+	for u, e := range b.entries {
+		if now.Sub(e.lastChange) < propagationTime || all && e.inForce {
+			upstreams = append(upstreams, u)
 		}
 	}
-	slices.SortFunc(told, func(u, v Upstream) int { return b.by[v].changed.Compare(b.by[u].changed) })
+	slices.SortFunc(upstreams, func(u, v Upstream) int { return b.entries[v].lastChange.Compare(b.entries[u].lastChange) })
 	var out []Record
-	for _, u := range told[:min(len(told), mostRecords)] {
-		out = append(out, b.by[u].record(now, u))
+	for _, u := range upstreams[:min(len(upstreams), maxRecords)] {
+		out = append(out, b.entries[u].record(now, u))
 	}
 	return out
 }
 
-// Record returns what is known of one upstream; ok is false where nothing is.
+// Record returns the record of one upstream; ok is false if the book has no entry for it.
 func (b *Book) Record(now time.Time, u Upstream) (r Record, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.by[u]
+	e := b.entries[u]
 	if e == nil {
 		return r, false
 	}
 	return e.record(now, u), true
 }
 
+// record returns the entry as a record.
 func (e *entry) record(now time.Time, u Upstream) Record {
-	at := e.free
+	at := e.noLimitAsOf
 	if e.inForce {
-		at = e.named
+		at = e.limitAsOf
 	}
 	return Record{Name: u.Name, Life: u.Life, Named: e.inForce, Limit: e.limit, Age: max(0, now.Sub(at))}
 }
 
-// Word returns the word of a record that came at a moment.
+// Word converts a record that arrived at now to the argument of Hear.
 func (r Record) Word(now time.Time) Word {
-	w := Word{Upstream: Upstream{Name: r.Name, Life: r.Life}, Named: r.Named, Limit: r.Limit, At: now.Add(-max(0, r.Age))}
+	o := Word{Upstream: Upstream{Name: r.Name, Life: r.Life}, Named: r.Named, Limit: r.Limit, At: now.Add(-max(0, r.Age))}
 	if !r.Named {
-		w.At = w.At.Add(-wayTime)
+		o.At = o.At.Add(-transitMargin)
 	}
-	return w
+	return o
 }
 
-// Valid says whether a record that came from another process makes sense.
+// Valid reports whether the fields of a record from another process are in range.
 func (r Record) Valid() bool { return r.Name != "" && r.Limit >= 0 && r.Limit <= maxLimit }
 
-// maxLimit is above any limit that means something, in requests a second.
+// maxLimit is above any meaningful limit, in requests a second.
 const maxLimit = 1e300
--- a/ratelimit/promises.go
+++ b/ratelimit/promises.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// promises are for how many requests refused callers were told to come back that are still to
-// be borne, by the rank of the requests. Its zero value is none.
-type promises struct {
-	by map[int]float64
-	at time.Time // as of when
+// backlog counts, by rank, the refused requests that were given a retry time and that the limits
+// have not covered yet. Its zero value is an empty backlog.
+type backlog struct {
+	byRank    map[int]float64
+	updatedAt time.Time
 }
 
-// keep takes off what was accrued since, at a rate in requests a second: what goes first is
-// borne first.
-func (p *promises) keep(now time.Time, rate float64) {
-	accrued := rate * now.Sub(p.at).Seconds()
-	p.at = now
-	for _, rank := range slices.Sorted(maps.Keys(p.by)) {
-		borne := min(accrued, p.by[rank])
-		accrued -= borne
-		if p.by[rank] -= borne; p.by[rank] <= 0 {
-			delete(p.by, rank)
+// drain removes the requests that the limits have covered since the last call, at a rate in
+// requests a second, the most urgent first.
+func (b *backlog) drain(now time.Time, rate float64) {
+	accrued := rate * now.Sub(b.updatedAt).Seconds()
+	b.updatedAt = now
+	for _, rank := range slices.Sorted(maps.Keys(b.byRank)) {
+		served := min(accrued, b.byRank[rank])
+		accrued -= served
+		if b.byRank[rank] -= served; b.byRank[rank] <= 0 {
+			delete(b.byRank, rank)
 		}
 	}
 }
 
-// add promises one more request, unless its rank and those before it have been promised most,
-// and returns how many go no later than it.
-func (p *promises) add(rank int, most float64) float64 {
-	sum := 0.0
-	for other, n := range p.by {
+// add adds one request, or the fraction of one that keeps its rank and more urgent ones within
+// capacity. It returns the number of requests that are at least as urgent, including this one.
+func (b *backlog) add(rank int, capacity float64) float64 {
+	ahead := 0.0
+	for other, n := range b.byRank {
 		if other <= rank {
-			sum += n
+			ahead += n
 		}
 	}
-	one := max(0, min(1, most-sum))
-	if p.by == nil {
-		p.by = map[int]float64{}
+	added := max(0, min(1, capacity-ahead))
+	if b.byRank == nil {
+		b.byRank = map[int]float64{}
 	}
-	p.by[rank] += one
-	return sum + one
+	b.byRank[rank] += added
+	return ahead + added
 }
--- a/ratelimit/sends.go
+++ b/ratelimit/sends.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// sendSlots is into how many slots a Window is divided to count what was sent in it.
+	// sendSlots is the number of slots that a Window is divided into to count requests.
 	sendSlots = 16
-	sendSlot  = Window / sendSlots
+	// sendSlot is the length of a slot.
+	sendSlot = Window / sendSlots
 )
 
-// sends counts the requests of the last Window.
-type sends struct {
+// sendCounter counts the requests sent in the last Window.
+type sendCounter struct {
 	counts [sendSlots]int
-	first  time.Time // the start of the numbers of slots
-	newest int64
+	epoch  time.Time // start of slot 0
+	newest int64     // the slot of the last advance
 }
 
-func (s *sends) add(now time.Time) { s.counts[s.advance(now)%sendSlots]++ }
+func (s *sendCounter) add(now time.Time) { s.counts[s.advance(now)%sendSlots]++ }
 
-func (s *sends) count(now time.Time) (n int) {
+func (s *sendCounter) count(now time.Time) (n int) {
 	s.advance(now)
 	for _, c := range s.counts {
 		n += c
@@ -25,12 +26,12 @@
 	return n
 }
 
-// advance empties the slots that are over, and returns the present one.
-func (s *sends) advance(now time.Time) int64 {
-	if s.first.IsZero() {
-		s.first = now
+// advance resets the slots that have left the window and returns the number of the current one.
+func (s *sendCounter) advance(now time.Time) int64 {
+	if s.epoch.IsZero() {
+		s.epoch = now
 	}
-	slot := max(s.newest, int64(now.Sub(s.first)/sendSlot))
+	slot := max(s.newest, int64(now.Sub(s.epoch)/sendSlot))
 	for n := max(s.newest+1, slot-sendSlots+1); n <= slot; n++ {
 		s.counts[n%sendSlots] = 0
 	}
