--- a/request/arrivals.go
+++ b/request/arrivals.go
@@ -1,26 +1,29 @@
 package request
 
-// arrivals counts what has reached upstreams of one request, and may have, as upstreams
-// that bound repeats count it: the first prompt that an engine accepts for nothing, every
-// other prompt and every run for one, also those that are rejected. It says how many
-// retries of the budget the next attempt needs.
+// arrivals counts the calls that reached, or may have reached, upstreams on behalf of one
+// request. It uses the accounting of upstreams that limit repeated requests: the first prompt
+// that an engine accepts is free; every other prompt and every decode call counts as one
+// arrival, also when it is rejected. From this it derives how many retry permits the next
+// attempt needs.
 //
-// What goes wrong with one retry for each attempt: an attempt whose prompt is read a second
-// time brings two arrivals, and one that is made again since nothing reached its decode
-// engine brings one that nobody paid for. One would notice twice the repeats of what the
-// budget allowed, when engines refuse what was reserved.
+// Charging one permit per attempt is not enough: an attempt that sends the prompt a second
+// time causes two arrivals, and an attempt that is planned again because nothing reached its
+// decode engine causes one for which no permit was taken. When engines refuse reserved slots,
+// upstreams would then see twice the repeats that the budget allows.
 type arrivals struct {
-	// counted is the arrivals that count, and paid the retries that were taken for them.
-	counted, paid int
-	// read says that an engine has accepted a prompt; last that the prompt in flight counts.
-	read, last bool
+	// counted is the number of arrivals so far; permits is the number of retry permits taken
+	// for them.
+	counted, permits int
+	// promptAccepted is set once an engine has accepted a prompt. lastPromptCounted is set
+	// when the latest prompt was counted as an arrival when it was sent.
+	promptAccepted, lastPromptCounted bool
 }
 
-// sent notes a call that starts.
+// sent records the start of a call.
 func (a *arrivals) sent(s Step) {
 	switch s {
 	case StepPrefill:
-		if a.last = a.read; a.last {
+		if a.lastPromptCounted = a.promptAccepted; a.lastPromptCounted {
 			a.counted++
 		}
 	case StepDecode, StepCall:
@@ -28,39 +31,40 @@
 	}
 }
 
-// unsent takes a call back that reached nobody.
-func (a *arrivals) unsent(s Step) {
-	if s == StepDecode || s == StepCall || s == StepPrefill && a.last {
+// undoSent reverses sent for a call that did not reach its upstream.
+func (a *arrivals) undoSent(s Step) {
+	if s == StepDecode || s == StepCall || s == StepPrefill && a.lastPromptCounted {
 		a.counted--
 	}
 }
 
-// rejected notes that an upstream rejected a call.
+// rejected records that an upstream rejected a call.
 func (a *arrivals) rejected(s Step) {
-	if s == StepPrefill && !a.last {
+	if s == StepPrefill && !a.lastPromptCounted {
 		a.counted++
 	}
 }
 
-// unknown notes that nobody knows whether an upstream took a call. Its prompt counts like one
-// that was rejected: if it was accepted, a later one that is accepted counts in its place.
+// uncertain records that a call may or may not have reached its upstream. A prompt is then
+// counted like a rejected one: if the engine did accept it, it was the free prompt, and
+// counting it makes up for a later accepted prompt that is not counted.
 //
-// What goes wrong where it counts for nothing: engines that are slow get two or three prompts of
-// a request, none of which they accept, and then a run without one, and one of them nobody paid
-// for.
-func (a *arrivals) unknown(s Step) { a.rejected(s) }
+// If such a prompt were not counted, a slow engine could receive two or three prompts of a
+// request, none of them confirmed, followed by a decode call without a prompt, and one
+// arrival would have no permit.
+func (a *arrivals) uncertain(s Step) { a.rejected(s) }
 
-// accepted notes that an engine has accepted a prompt.
-func (a *arrivals) accepted(s Step) { a.read = a.read || s == StepPrefill }
+// accepted records that an engine accepted a prompt.
+func (a *arrivals) accepted(s Step) { a.promptAccepted = a.promptAccepted || s == StepPrefill }
 
-// needs returns how many retries an attempt takes that runs the request once and, if
-// prompt is set, has its prompt read before. What an earlier attempt has paid for and not
-// used counts.
-func (a *arrivals) needs(prompt bool) int {
+// permitsNeeded returns how many more retry permits an attempt needs that makes one decode
+// call or plain-service call and, if prompt is set, sends its prompt first. Permits that
+// earlier attempts took and did not use are deducted.
+func (a *arrivals) permitsNeeded(prompt bool) int {
 	const first = 1
 	next := 1
-	if prompt && a.read {
+	if prompt && a.promptAccepted {
 		next++
 	}
-	return max(0, a.counted+next-first-a.paid)
+	return max(0, a.counted+next-first-a.permits)
 }
--- a/request/arrivals_internal_test.go
+++ b/request/arrivals_internal_test.go
@@ -2,41 +2,43 @@
 
 import "testing"
 
-// Guards against arrivals that no retry was taken for: prompts of which nobody knows whether an
-// engine accepted them, before a run that has none.
+// TestRetriesCoverArrivalsWhateverComesOfPrompts tries every sequence of four attempts and
+// checks that the permits taken always cover the arrivals after the first one. It guards
+// against uncounted prompts whose delivery is unknown, followed by a decode call without a
+// prompt.
 func TestRetriesCoverArrivalsWhateverComesOfPrompts(t *testing.T) {
 	const attempts = 4
-	var play func(a arrivals, left, prompts, runs int, read bool, told string)
-	play = func(a arrivals, left, prompts, runs int, read bool, told string) {
+	var play func(a arrivals, left, prompts, runs int, read bool, history string)
+	play = func(a arrivals, left, prompts, runs int, read bool, history string) {
 		arrived := prompts + runs
 		if read {
-			arrived-- // the first prompt that an engine accepts
+			arrived-- // the first prompt that an engine accepts is free
 		}
-		if a.paid < arrived-1 {
-			t.Errorf("%d retries were taken for %d arrivals:%s", a.paid, arrived, told)
+		if a.permits < arrived-1 {
+			t.Errorf("%d permits taken for %d arrivals:%s", a.permits, arrived, history)
 		}
 		if left == 0 {
 			return
 		}
 		skip := a
-		skip.paid += skip.needs(false)
+		skip.permits += skip.permitsNeeded(false)
 		skip.sent(StepDecode)
-		play(skip, left-1, prompts, runs+1, read, told+" run")
+		play(skip, left-1, prompts, runs+1, read, history+" run")
 		for _, outcome := range []string{"accepted", "rejected", "unknown"} {
-			next, told := a, told+" prompt-"+outcome
-			next.paid += next.needs(true)
+			next, history := a, history+" prompt-"+outcome
+			next.permits += next.permitsNeeded(true)
 			next.sent(StepPrefill)
 			switch outcome {
 			case "accepted":
 				next.accepted(StepPrefill)
 				next.sent(StepDecode)
-				play(next, left-1, prompts+1, runs+1, true, told+" run")
+				play(next, left-1, prompts+1, runs+1, true, history+" run")
 			case "rejected":
 				next.rejected(StepPrefill)
-				play(next, left-1, prompts+1, runs, read, told)
+				play(next, left-1, prompts+1, runs, read, history)
 			case "unknown":
-				next.unknown(StepPrefill)
-				play(next, left-1, prompts+1, runs, read, told)
+				next.uncertain(StepPrefill)
+				play(next, left-1, prompts+1, runs, read, history)
 			}
 		}
 	}
--- a/request/attached_test.go
+++ b/request/attached_test.go
@@ -10,25 +10,25 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// script drives one machine of an attached daemon by hand.
-type script struct {
+// machineScript feeds events to one machine that has the limits of an attached daemon.
+type machineScript struct {
 	t   *testing.T
 	m   *Machine
 	now time.Time
-	// call is the number of the last dispatch; its plan names the engines.
+	// call is the number of the last dispatch, which events belong to by default.
 	call int
 	last []Action
 }
 
-func newScript(t *testing.T, c Completion) *script {
+func newMachineScript(t *testing.T, c Completion) *machineScript {
 	at := time.Unix(1000, 0)
 	c.ID, c.Accepted, c.Deadline = "r", at, at.Add(14*time.Second)
-	s := &script{t: t, m: NewMachine(c, attachedLimits()), now: at}
+	s := &machineScript{t: t, m: NewMachine(c, attachedLimits()), now: at}
 	s.step(Event{Kind: EventStart})
 	return s
 }
 
-func (s *script) step(ev Event) *script {
+func (s *machineScript) step(ev Event) *machineScript {
 	if ev.Call == 0 {
 		ev.Call = s.call
 	}
@@ -41,22 +41,23 @@
 	return s
 }
 
-// planOn plans the attempt on a pair of engines.
-func (s *script) planOn(decode, prefill string) *script {
+// planOn answers the last ActionPlan with the given engines.
+func (s *machineScript) planOn(decode, prefill string) *machineScript {
 	return s.step(Event{Kind: EventPlanned, Plan: &policy.Plan{Decode: policy.Replica{Name: decode}, Prefill: policy.Replica{Name: prefill}}})
 }
 
-func (s *script) refused() {
+// refused reports the refusal of the latest call.
+func (s *machineScript) refused() {
 	s.step(Event{Kind: EventCallFailed, Delivery: upstream.Refused})
 }
 
-// toDecode goes on to the decode call.
-func (s *script) toDecode() *script {
+// toDecode completes the reservation and the prefill, so that the decode call is next.
+func (s *machineScript) toDecode() *machineScript {
 	s.step(Event{Kind: EventReserved, Reservation: "hold"})
 	return s.step(Event{Kind: EventPrefilled, Prefill: &engineapi.PrefillReply{Handle: "handle", PromptTokens: 3}})
 }
 
-func (s *script) find(kind ActionKind) *Action {
+func (s *machineScript) find(kind ActionKind) *Action {
 	for i := range s.last {
 		if s.last[i].Kind == kind {
 			return &s.last[i]
@@ -65,7 +66,7 @@
 	return nil
 }
 
-func (s *script) want(kind ActionKind, what string) Action {
+func (s *machineScript) wantAction(kind ActionKind, what string) Action {
 	s.t.Helper()
 	a := s.find(kind)
 	if a == nil {
@@ -74,64 +75,64 @@
 	return *a
 }
 
-// Load: a burst finds most engines full. A reservation that is refused costs the
-// caller nothing: no attempt, no retry of the budget, and the engine may be asked
-// again later.
+// Guards against charging refused reservations: in a burst most engines are full, so a refused
+// reservation must cost neither an attempt nor a retry permit, and the engine must remain
+// selectable.
 func TestRefusedReservationIsNoAttempt(t *testing.T) {
-	s := newScript(t, Completion{SendOnce: true, MaxSends: 1})
+	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	for range attachedLimits().MaxRefusals {
 		s.planOn("d0", "p0").refused()
-		a := s.want(ActionPlan, "another plan")
+		a := s.wantAction(ActionPlan, "another plan")
 		if a.Retry || len(a.Exclude) > 0 || a.Tries != 1 {
 			t.Fatalf("plan %+v", a)
 		}
 		if s.find(ActionFull) == nil {
-			t.Fatal("nobody was told that the engine is full")
+			t.Fatal("the full engine was not reported")
 		}
 	}
 	s.planOn("d0", "p0").refused()
-	if a := s.want(ActionPlan, "the second attempt"); !a.Retry {
-		t.Error("refusals without end are not charged")
+	if a := s.wantAction(ActionPlan, "the second attempt"); !a.Retry {
+		t.Error("a refusal beyond MaxRefusals is not charged")
 	}
 }
 
-// Load: the same of prompts; those are charged, as each costs its engine a look.
+// Guards against an engine that refuses a prompt and is not reported as full. Unlike a refused
+// reservation, a refused prompt takes a retry permit, because the engine has to process it.
 func TestRefusedPromptTellsThatTheEngineIsFull(t *testing.T) {
-	s := newScript(t, Completion{SendOnce: true, MaxSends: 1})
+	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").step(Event{Kind: EventReserved, Reservation: "hold"}).refused()
-	if a := s.want(ActionFull, "full"); a.Target.Name != "p0" || a.Step != StepPrefill {
+	if a := s.wantAction(ActionFull, "full"); a.Target.Name != "p0" || a.Step != StepPrefill {
 		t.Errorf("full: %q at %s", a.Target.Name, a.Step)
 	}
-	if a := s.want(ActionPlan, "the second attempt"); !a.Retry {
+	if a := s.wantAction(ActionPlan, "the second attempt"); !a.Retry {
 		t.Error("the refusal is not charged")
 	}
 }
 
-// Symptom: a completion that may run once is sent to a second engine.
-// Sequence: the engine opens the answer; then the call is said to have failed with
-// nothing sent, as a transport would that counts wrongly.
-// Cause: the later word was believed against the engine's own.
+// Guards against sending an at-most-once completion to a second engine: the engine opens the
+// answer, and then a faulty transport reports that the call was not sent or was refused. The
+// engine's own acceptance must prevail.
 func TestOpenedCallIsNeverUndone(t *testing.T) {
 	for _, delivery := range []upstream.Delivery{upstream.NotSent, upstream.Refused} {
-		s := newScript(t, Completion{SendOnce: true, MaxSends: 2})
+		s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 2})
 		s.planOn("d0", "p0").toDecode().step(Event{Kind: EventOpened}).step(Event{Kind: EventCallFailed, Delivery: delivery})
-		if a := s.want(ActionFail, "the end"); a.Err.Run != errkind.Unknown {
-			t.Errorf("%s: told %s", delivery, a.Err.Run)
+		if a := s.wantAction(ActionFail, "the end"); a.Err.Run != errkind.Unknown {
+			t.Errorf("%s: run state %s", delivery, a.Err.Run)
 		}
 	}
 }
 
-// Symptom: prompts are read in vain again and again on one engine.
-// Sequence: the slot is reserved, the prompt read, and the decode call refused, since
-// the prefill's result has lapsed, or since the decode engine is changing its role.
-// Cause: one of the two was left out, and the other one asked again.
+// Guards against repeated wasted prefills: after the reservation and the prefill, the decode
+// engine refuses the decode call because the prefill result has expired or the engine is
+// changing its role. If only one of the two engines were excluded, the next attempt could fail
+// in the same way.
 func TestRefusedHandoffLeavesOutBothEnds(t *testing.T) {
-	s := newScript(t, Completion{SendOnce: true, MaxSends: 1})
+	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode().refused()
-	if a := s.want(ActionHandoff, "the word on both"); a.Target.Name != "d0" || a.From.Name != "p0" || a.Taken {
-		t.Errorf("told %+v", a)
+	if a := s.wantAction(ActionHandoff, "a refused handoff"); a.Target.Name != "d0" || a.From.Name != "p0" || a.Taken {
+		t.Errorf("handoff %+v", a)
 	}
-	if a := s.want(ActionPlan, "another plan"); len(a.Exclude) != 2 || a.Exclude[0] != "p0" || a.Exclude[1] != "d0" {
+	if a := s.wantAction(ActionPlan, "another plan"); len(a.Exclude) != 2 || a.Exclude[0] != "p0" || a.Exclude[1] != "d0" {
 		t.Errorf("excluded %q", a.Exclude)
 	}
 	released := map[string]bool{}
@@ -141,73 +142,69 @@
 		}
 	}
 	if !released["hold"] {
-		t.Error("the slot stays reserved")
+		t.Error("the reservation was not released")
 	}
 }
 
-// Symptom: a draft that may run once is started a second time.
-// Sequence: the decode call is sent and its connection breaks before the first token.
-// Cause: silence or a break taken for a refusal.
+// Guards against starting an at-most-once draft again: the decode call is sent and its
+// connection breaks before the first token, so the engine may be running it.
 func TestUncertainDecodeIsTheLast(t *testing.T) {
-	s := newScript(t, Completion{SendOnce: true, MaxSends: 3})
+	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 3})
 	s.planOn("d0", "p0").toDecode().step(Event{Kind: EventCallFailed, Delivery: upstream.Maybe})
-	if a := s.want(ActionFail, "the end"); a.Err.Run != errkind.Unknown {
+	if a := s.wantAction(ActionFail, "the end"); a.Err.Run != errkind.Unknown {
 		t.Errorf("run %q", a.Err.Run)
 	}
 }
 
-// Symptom: an answer is cut off while its engine works on it.
-// Sequence: the engine is slow, and says nothing for longer than a stall takes.
-// Cause: silence taken for a failure where no other engine may go on.
+// Guards against cutting off an answer that no other engine may produce: a slow engine is
+// silent for longer than the stall timeout.
 func TestSilenceEndsNoAnswerThatNobodyElseMayGive(t *testing.T) {
-	s := newScript(t, Completion{SendOnce: true, MaxSends: 1})
+	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode()
 	s.now = s.now.Add(10 * time.Second)
 	if s.step(Event{Kind: EventTick}); len(s.last) > 0 {
 		t.Fatalf("silence led to %+v", s.last)
 	}
 	s.step(Event{Kind: EventChunk, Chunk: engineapi.Chunk{WorkID: engineapi.WorkID{RequestID: "r", Attempt: 1}, Text: "late"}})
-	s.want(ActionEmit, "the late token")
+	s.wantAction(ActionEmit, "the late token")
 }
 
-// Symptom: a resumable draft hangs on a dark engine until its caller leaves.
-// Sequence: tokens come, then nothing; another engine may go on.
-// Cause: none where a stall is bounded.
+// Guards against a resumable draft that waits for a silent engine until its caller leaves:
+// tokens arrive and then stop, and another engine may continue the answer.
 func TestStalledResumableStreamGoesOnElsewhere(t *testing.T) {
-	s := newScript(t, Completion{MaxSends: 2})
+	s := newMachineScript(t, Completion{MaxSends: 2})
 	s.planOn("d0", "p0").toDecode()
 	s.step(Event{Kind: EventChunk, Chunk: engineapi.Chunk{WorkID: engineapi.WorkID{RequestID: "r", Attempt: 1}, Text: "one"}})
 	s.now = s.now.Add(attachedLimits().Stall)
 	s.step(Event{Kind: EventTick})
-	if a := s.want(ActionPlan, "another engine"); !a.Retry {
+	if a := s.wantAction(ActionPlan, "another engine"); !a.Retry {
 		t.Error("the new run is not charged")
 	}
 	s.planOn("d1", "p1").toDecode()
-	if a := s.want(ActionDispatch, "the decode call"); a.Index != 1 {
-		t.Errorf("goes on at token %d, want 1", a.Index)
+	if a := s.wantAction(ActionDispatch, "the decode call"); a.Index != 1 {
+		t.Errorf("continues at token %d, want 1", a.Index)
 	}
 }
 
-// An engine's own failure is passed on as it came where nobody else may be asked.
+// An engine's own error answer is passed on unchanged if no other engine may be tried.
 func TestEnginesOwnFailureIsPassedOn(t *testing.T) {
 	own := &CallAnswer{Status: 500, Body: []byte("out of luck")}
 	failed := Event{Kind: EventCallFailed, Delivery: upstream.Maybe, Answer: own}
-	once := newScript(t, Completion{SendOnce: true, MaxSends: 1})
+	once := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	once.planOn("d0", "p0").toDecode().step(failed)
-	if a := once.want(ActionAnswer, "the answer"); a.Answer != own {
+	if a := once.wantAction(ActionAnswer, "the answer"); a.Answer != own {
 		t.Errorf("answered %+v", a.Answer)
 	}
-	again := newScript(t, Completion{MaxSends: 2})
+	again := newMachineScript(t, Completion{MaxSends: 2})
 	again.planOn("d0", "p0").toDecode().step(failed)
-	again.want(ActionPlan, "another engine")
+	again.wantAction(ActionPlan, "another engine")
 }
 
-// Symptom: a stream is broken off in the middle, at an engine that would have gone on.
-// Sequence: the engine is silent for longer than a stall takes, since it is busy with
-// others; the stream may be resumed elsewhere, but the retry budget is empty.
-// Cause: the call was given up before the retry was allowed.
+// Guards against breaking off a stream that its engine would have continued: a busy engine is
+// silent for longer than the stall timeout while the retry budget is empty. The call must not
+// be given up before the permits for another attempt are granted.
 func TestSilentStreamIsGivenUpOnlyForARetry(t *testing.T) {
-	s := newScript(t, Completion{MaxSends: 2})
+	s := newMachineScript(t, Completion{MaxSends: 2})
 	s.m.limits.CountArrivals = true
 	s.planOn("d0", "p0").toDecode()
 	chunk := func(i int) Event {
@@ -216,19 +213,19 @@
 	s.step(chunk(0))
 	s.now = s.now.Add(attachedLimits().Stall)
 	s.step(Event{Kind: EventTick})
-	if a := s.want(ActionPermit, "a question to the budget"); a.Needs != 2 {
-		t.Errorf("asked for %d retries, want 2: a prompt and a run", a.Needs)
+	if a := s.wantAction(ActionPermit, "a request to the retry budget"); a.Needs != 2 {
+		t.Errorf("requested %d permits, want 2: a prompt and a decode call", a.Needs)
 	}
 	if s.step(Event{Kind: EventPermitted}); len(s.last) > 0 {
 		t.Fatalf("a denial led to %+v", s.last)
 	}
 	s.step(chunk(1))
-	s.want(ActionEmit, "the late token")
+	s.wantAction(ActionEmit, "the late token")
 	s.now = s.now.Add(attachedLimits().Stall)
 	s.step(Event{Kind: EventTick})
 	s.step(Event{Kind: EventPermitted, Paid: 2})
-	s.want(ActionPlan, "another engine")
-	if n := s.m.needs(Action{Retry: true}, &policy.Plan{}); n != 0 {
-		t.Errorf("the plan needs %d more", n)
+	s.wantAction(ActionPlan, "another engine")
+	if n := s.m.permitsNeeded(Action{Retry: true}, &policy.Plan{}); n != 0 {
+		t.Errorf("the plan needs %d more permits", n)
 	}
 }
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -7,59 +7,60 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// dispatch sends one call of the current attempt.
+// dispatch starts one call of the current attempt.
 func (m *Machine) dispatch(now time.Time, s Step) {
 	m.call++
-	m.step = s
+	m.lastStep = s
 	if s == StepDecode {
 		m.sends++
 	}
 	m.arrivals.sent(s)
 	m.run.begin(s)
-	r := roleOf(s)
-	m.before = m.touched[r]
-	m.touched[r] = true
-	m.begin(now, s)
-	m.act(Action{
+	r := roleOfStep(s)
+	m.heldBeforeCall = m.mayHoldMemory[r]
+	m.mayHoldMemory[r] = true
+	m.enterCall(now, s)
+	m.addAction(Action{
 		Kind: ActionDispatch, Step: s, Call: m.call, Attempt: m.attempt,
-		Target: m.target(r), Plan: m.plan, Index: len(m.tokens),
+		Target: m.targetOf(r), Plan: m.plan, Index: len(m.tokens),
 		Reservation: m.reservation, Handle: m.handle,
 	})
 }
 
-// begin enters the state of a call and bounds it. Where the plan predicted a wait
-// or a transfer, the bound runs from its end.
-func (m *Machine) begin(now time.Time, s Step) {
-	var bound time.Duration
+// enterCall sets the state that belongs to a call and the call's timeout. Where the plan
+// predicts a queueing delay or a KV cache transfer, the predicted time is added to the
+// timeout.
+func (m *Machine) enterCall(now time.Time, s Step) {
+	var timeout time.Duration
 	switch s {
 	case StepReserve:
-		m.state, bound = StateReserving, m.limits.Reserve
+		m.state, timeout = StateReserving, m.limits.Reserve
 	case StepPrefill:
-		m.state, bound = StatePrefilling, m.limits.Prefill+m.plan.FirstToken
+		m.state, timeout = StatePrefilling, m.limits.Prefill+m.plan.FirstToken
 	case StepDecode:
 		arrival := m.plan.TransferAt.Add(m.plan.Transfer).Sub(now)
-		m.state, bound = StateImporting, m.limits.Import+max(0, arrival)
+		m.state, timeout = StateImporting, m.limits.Import+max(0, arrival)
 	default:
-		m.state, bound = StateStreaming, m.limits.Stall
+		m.state, timeout = StateStreaming, m.limits.Stall
 	}
-	m.stepEnds = now.Add(bound)
+	m.stepDeadline = now.Add(timeout)
 }
 
-func roleOf(s Step) role {
+func roleOfStep(s Step) role {
 	if s == StepPrefill {
 		return rolePrefill
 	}
 	return roleDecode
 }
 
-func (m *Machine) target(r role) Target {
+func (m *Machine) targetOf(r role) Target {
 	if r == rolePrefill {
 		return Target{Name: m.plan.Prefill.Name, Address: m.plan.Prefill.Address}
 	}
 	return Target{Name: m.plan.Decode.Name, Address: m.plan.Decode.Address}
 }
 
-func (m *Machine) reserved(now time.Time, reservation string) {
+func (m *Machine) handleReserved(now time.Time, reservation string) {
 	if m.state != StateReserving {
 		return
 	}
@@ -72,7 +73,7 @@
 	m.dispatch(now, StepPrefill)
 }
 
-func (m *Machine) prefilled(now time.Time, reply *engineapi.PrefillReply) {
+func (m *Machine) handlePrefilled(now time.Time, reply *engineapi.PrefillReply) {
 	if m.state != StatePrefilling {
 		return
 	}
@@ -90,111 +91,113 @@
 	m.dispatch(now, StepDecode)
 }
 
-// opened notes that the engine took the call. It changes no state: the first
-// chunk does.
-func (m *Machine) opened(now time.Time, head *engineapi.Head) {
-	if m.step == StepDecode || m.step == StepResume {
-		m.run.settle(m.step, upstream.Done)
-		if m.handle != "" && !m.taken {
-			m.act(Action{Kind: ActionHandoff, Target: m.target(roleDecode), From: m.target(rolePrefill), Taken: true})
+// handleOpened handles an engine's acceptance of a decode or resume call. The state changes
+// only with the first chunk.
+func (m *Machine) handleOpened(now time.Time, head *engineapi.Head) {
+	if m.lastStep == StepDecode || m.lastStep == StepResume {
+		m.run.settle(m.lastStep, upstream.Done)
+		if m.handle != "" && !m.decodeAccepted {
+			m.addAction(Action{Kind: ActionHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill), Taken: true})
 		}
-		m.taken = true
-		m.reservation, m.handle = "", "" // the engine has used both
+		m.decodeAccepted = true
+		m.reservation, m.handle = "", "" // the engine has consumed both
 	}
-	if head != nil && !m.headTold {
-		m.headTold = true
-		m.act(Action{Kind: ActionOpen, Attempt: m.attempt, Target: m.target(roleDecode), Head: head})
+	if head != nil && !m.headForwarded {
+		m.headForwarded = true
+		m.addAction(Action{Kind: ActionOpen, Attempt: m.attempt, Target: m.targetOf(roleDecode), Head: head})
 	}
-	if m.step == StepResume {
-		m.stepEnds = now.Add(m.limits.Stall)
+	if m.lastStep == StepResume {
+		m.stepDeadline = now.Add(m.limits.Stall)
 	}
 }
 
-// undo takes back a call that certainly did nothing.
-func (m *Machine) undo(d upstream.Delivery) {
-	m.run.settle(m.step, d)
+// undoCall restores the state from before a call that certainly had no effect.
+func (m *Machine) undoCall(d upstream.Delivery) {
+	m.run.settle(m.lastStep, d)
 	if d == upstream.Refused {
-		m.arrivals.rejected(m.step)
+		m.arrivals.rejected(m.lastStep)
 	} else {
-		m.arrivals.unsent(m.step)
+		m.arrivals.undoSent(m.lastStep)
 	}
-	m.touched[roleOf(m.step)] = m.before
-	if m.step == StepDecode {
+	m.mayHoldMemory[roleOfStep(m.lastStep)] = m.heldBeforeCall
+	if m.lastStep == StepDecode {
 		m.sends--
 	}
 }
 
-func (m *Machine) tick(now time.Time) {
-	if m.stepEnds.IsZero() || now.Before(m.stepEnds) {
+func (m *Machine) handleTick(now time.Time) {
+	if m.stepDeadline.IsZero() || now.Before(m.stepDeadline) {
 		return
 	}
 	if m.state == StateQueued {
-		m.turn()
+		m.replanQueued()
 		return
 	}
-	if m.limits.Patient && m.step == StepDecode && !m.mayRetry() {
-		// Silence alone ends no answer that nobody else may give: the engine may be
-		// busy, and the deadline bounds the wait.
-		m.stepEnds = time.Time{}
+	if m.limits.Patient && m.lastStep == StepDecode && !m.mayRetry() {
+		// No other engine may produce this answer, so a silent stream is not given up: the
+		// engine may be busy, and the request's deadline bounds the wait.
+		m.stepDeadline = time.Time{}
 		return
 	}
-	if needs := m.silenceNeeds(); needs > 0 {
-		m.stepEnds = now.Add(m.limits.Stall) // to ask again
-		m.act(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Needs: needs})
+	if needs := m.permitsForTimeOut(); needs > 0 {
+		m.stepDeadline = now.Add(m.limits.Stall) // when to ask the budget again
+		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Needs: needs})
 		return
 	}
-	m.giveUp(now)
+	m.timeOutCall(now)
 }
 
-// silenceNeeds returns how many retries must be had before the call in flight is given up
-// for its silence; 0 where the next attempt's plan is asked for them.
+// permitsForTimeOut returns how many retry permits must be granted before the call in flight
+// may be given up for its silence. It returns 0 where the permits are requested with the next
+// attempt's plan instead.
 //
-// What goes wrong otherwise: a stream whose engine is busy with others is cut, the retry is
-// then denied, and an answer that would have gone on ends broken.
-func (m *Machine) silenceNeeds() int {
-	if !m.limits.Patient || !m.limits.CountArrivals || m.step != StepDecode {
+// Without this check, the stream of a busy engine is cut off, the retry is then denied, and an
+// answer that would have continued ends as a broken stream.
+func (m *Machine) permitsForTimeOut() int {
+	if !m.limits.Patient || !m.limits.CountArrivals || m.lastStep != StepDecode {
 		return 0
 	}
-	return m.arrivals.needs(true)
+	return m.arrivals.permitsNeeded(true)
 }
 
-// permitted gives the silent call up once another attempt is paid for.
-func (m *Machine) permitted(now time.Time, ev Event) {
-	m.arrivals.paid += ev.Paid
+// handlePermitted gives up the silent call if the budget has granted the permits for another
+// attempt.
+func (m *Machine) handlePermitted(now time.Time, ev Event) {
+	m.arrivals.permits += ev.Paid
 	waits := m.state == StateImporting || m.state == StateStreaming
 	if ev.Paid > 0 && ev.Call == m.call && waits {
-		m.giveUp(now)
+		m.timeOutCall(now)
 	}
 }
 
-// giveUp ends a call whose time is over.
-func (m *Machine) giveUp(now time.Time) {
-	if m.taken {
-		m.cut(now)
+// timeOutCall ends a call whose timeout has passed.
+func (m *Machine) timeOutCall(now time.Time) {
+	if m.decodeAccepted {
+		m.handleBrokenStream(now)
 		return
 	}
-	m.act(Action{Kind: ActionBlame, Step: m.step, Late: true, Target: m.target(roleOf(m.step)), Unanswered: m.silent(upstream.Maybe)})
-	if m.step == StepReserve && m.refusals < m.limits.MaxRefusals {
-		m.run.settle(m.step, upstream.Maybe)
-		m.unsent()
+	m.addAction(Action{Kind: ActionBlame, Step: m.lastStep, Late: true, Target: m.targetOf(roleOfStep(m.lastStep)), Unanswered: m.noResponse(upstream.Maybe)})
+	if m.lastStep == StepReserve && m.refusals < m.limits.MaxRefusals {
+		m.run.settle(m.lastStep, upstream.Maybe)
+		m.handleUnsentCall()
 		return
 	}
-	m.uncertain(now)
+	m.handleUnknownDelivery(now)
 }
 
-// cancelTouched cancels the attempt on every engine that may hold memory for it.
-func (m *Machine) cancelTouched() {
+// cancelOnEngines cancels the attempt on every engine that may hold memory for it.
+func (m *Machine) cancelOnEngines() {
 	for r := range roles {
-		if m.touched[r] {
-			m.act(m.release(r))
-			m.touched[r] = false
+		if m.mayHoldMemory[r] {
+			m.addAction(m.release(r))
+			m.mayHoldMemory[r] = false
 		}
 	}
 }
 
-// release returns the action that frees what one engine holds for the attempt.
+// release returns the action that frees what the engine of role r holds for the attempt.
 func (m *Machine) release(r role) Action {
-	a := Action{Kind: ActionCancel, Attempt: m.attempt, Target: m.target(r)}
+	a := Action{Kind: ActionCancel, Attempt: m.attempt, Target: m.targetOf(r)}
 	if r == roleDecode {
 		a.Reservation = m.reservation
 	} else {
@@ -203,4 +206,4 @@
 	return a
 }
 
-func (m *Machine) act(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) addAction(a Action) { m.actions = append(m.actions, a) }
--- a/request/call.go
+++ b/request/call.go
@@ -16,51 +16,54 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// call is one plain-service request on its way.
-type call struct {
-	r       *Runner
-	c       Call
-	caller  context.Context // its end stops further dispatches
-	entry   *Active
-	rng     *rand.Rand
-	run     runState
-	exclude []string
-	attempt int
-	number  uint64
-	sends   int       // those that were not refused
-	counts  arrivals  // what the retry budget is charged for
-	after   time.Time // nothing is dispatched past it; zero means no bound
-	// digest stands for what the caller asks for; it is worked out once, where it is wanted.
+// serviceCall is one plain-service request in progress.
+type serviceCall struct {
+	r            *Runner
+	c            Call
+	caller       context.Context // ends when the caller leaves; no replica is tried after that
+	entry        *Active
+	rng          *rand.Rand
+	run          runState
+	exclude      []string
+	attempt      int
+	bundleNumber uint64
+	sends        int       // dispatches that were not refused
+	arrivals     arrivals  // determines how many retry permits the next dispatch needs
+	notAfter     time.Time // no dispatch at or after this time; zero means no limit
+	// digest identifies the caller's request in the quarantine; it is computed on first use.
 	digest func() quarantine.Digest
-	// usual is what calls like this one may take, given what the last send could.
-	usual, given time.Duration
-	target       time.Duration // of the class for the first byte; 0 when there is none
-	// unsent gives back what was taken of the replica's limit, until the call is sent; limited
-	// is how many replicas the last plan left out for their limits.
-	unsent  func()
-	limited int
-	// teamDone gives back the team's count; nil before the first plan.
+	// usualTimeout is the time that calls of this service and class normally get; givenTimeout
+	// is the time that the latest dispatch got.
+	usualTimeout, givenTimeout time.Duration
+	firstByteTarget            time.Duration // the class's target for the first byte; 0 if it has none
+	// returnLimit returns the units taken from the replica's rate limit; it is cleared once
+	// the call is sent. limitedCount is the number of replicas that the last plan excluded
+	// because of their rate limits.
+	returnLimit  func()
+	limitedCount int
+	// teamDone ends the request's entry in the team's in-flight count; nil before the first
+	// plan.
 	teamDone func()
 }
 
-// Call runs one plain-service request and returns its one answer, of whatever
-// status the service gave, or an honest error. A non-idempotent request is
-// dispatched at most once and goes on when its caller leaves, so that its
-// answer can be kept for a repeat of the key.
+// Call runs one plain-service request and returns the service's answer, whatever its status,
+// or an error with the request's run state. A non-idempotent request is dispatched at most
+// once. It continues after its caller has left, so that its answer can be stored for a repeat
+// of the idempotency key.
 func (r *Runner) Call(ctx context.Context, c Call) (CallAnswer, *errkind.Error) {
-	entry, leave := r.enter(Active{ID: c.ID, Team: c.Team, Class: c.Class, Target: c.Service, State: "calling", accepted: c.Accepted, deadline: c.Deadline})
+	entry, leave := r.register(Active{ID: c.ID, Team: c.Team, Class: c.Class, Target: c.Service, State: "calling", accepted: c.Accepted, deadline: c.Deadline})
 	defer leave()
-	k := &call{r: r, c: c, caller: ctx, entry: entry, rng: r.rng(c.ID), digest: sync.OnceValue(c.digest)}
+	k := &serviceCall{r: r, c: c, caller: ctx, entry: entry, rng: r.newRand(c.ID), digest: sync.OnceValue(c.contentDigest)}
 	defer func() {
-		give(&k.unsent)
-		give(&k.teamDone)
+		callOnce(&k.returnLimit)
+		callOnce(&k.teamDone)
 	}()
 	var answer *CallAnswer
 	var err *errkind.Error
 	if c.NonIdempotent {
-		answer, err = k.once(ctx)
+		answer, err = k.runOnce(ctx)
 	} else {
-		answer, err = k.attempts(ctx)
+		answer, err = k.tryReplicas(ctx)
 	}
 	k.observeEnd(err)
 	if err != nil {
@@ -69,14 +72,14 @@
 	return *answer, nil
 }
 
-// once runs the call under a grant of the gate.
-func (k *call) once(ctx context.Context) (*CallAnswer, *errkind.Error) {
+// runOnce runs the call after claiming its idempotency key at the gate.
+func (k *serviceCall) runOnce(ctx context.Context) (*CallAnswer, *errkind.Error) {
 	grant, err := k.r.claim(ctx, callKey(k.c))
 	if err != nil {
 		return nil, err.WithRun(errkind.Answer(err).Run)
 	}
 	if !grant.Run() {
-		if err := notHere(grant); err != nil {
+		if err := ownedElsewhere(grant); err != nil {
 			return nil, err
 		}
 		if kept := grant.Answer(); kept != nil {
@@ -84,10 +87,10 @@
 		}
 		return nil, errkind.New(errkind.KeyAlreadyRan, "the answer is not kept")
 	}
-	k.after = grant.Deadline()
-	out := Outcome{Run: errkind.Unknown} // what a panic below would leave
+	k.notAfter = grant.Deadline()
+	out := Outcome{Run: errkind.Unknown} // recorded if a panic ends the run
 	defer func() { grant.Finish(out) }()
-	answer, err := k.attempts(context.WithoutCancel(ctx))
+	answer, err := k.tryReplicas(context.WithoutCancel(ctx))
 	out = Outcome{Run: k.run.level().run(), Answer: answer}
 	return answer, err
 }
@@ -97,46 +100,46 @@
 	return ClaimKey{Team: c.Team, Key: c.Key, RequestID: c.ID, Body: body}
 }
 
-// attempts tries replicas until one answers, within the limits of retries.
-func (k *call) attempts(ctx context.Context) (*CallAnswer, *errkind.Error) {
+// tryReplicas tries replicas until one answers, within the retry limits.
+func (k *serviceCall) tryReplicas(ctx context.Context) (*CallAnswer, *errkind.Error) {
 	k.r.o.RetryBudget(k.c.Service).OnFirstAttempt(k.r.o.Now())
 	limits := k.r.limits()
-	var gateway, answer *CallAnswer // gateway is the last one that was worth a second try
+	var gateway, answer *CallAnswer // gateway is the latest answer that worthRetry accepted
 	var err *errkind.Error
 	for {
-		plan, timeout, failed := k.choose()
-		if failed == nil && !k.pay() {
-			return settle(gateway, answer, err)
+		plan, timeout, failed := k.chooseReplica()
+		if failed == nil && !k.takePermits() {
+			return finalAnswer(gateway, answer, err)
 		}
 		if answer, err = nil, failed; err == nil {
 			answer, err = k.send(ctx, plan.Replica, timeout)
 		}
-		if err == nil && !k.tryElsewhere(answer) {
+		if err == nil && !k.worthRetry(answer) {
 			return answer, nil
 		}
 		if err == nil {
 			gateway = answer
 		}
 		if !k.mayRetry(ctx, err, limits) {
-			return settle(gateway, answer, err)
+			return finalAnswer(gateway, answer, err)
 		}
 	}
 }
 
-// settle returns the service's own last answer where no replica is left to ask
-// for another one, or where the last one that was asked gave none.
-func settle(gateway, answer *CallAnswer, err *errkind.Error) (*CallAnswer, *errkind.Error) {
-	if gateway != nil && err != nil && (err.Kind == errkind.NoUpstream || err.Kind == errkind.UpstreamLimit || err.Kind == errkind.CrashesUpstreams || repeatable(err.Kind)) {
+// finalAnswer returns an earlier retryable answer of the service if no replica was left for
+// another try, or if the last replica gave no answer.
+func finalAnswer(gateway, answer *CallAnswer, err *errkind.Error) (*CallAnswer, *errkind.Error) {
+	if gateway != nil && err != nil && (err.Kind == errkind.NoUpstream || err.Kind == errkind.UpstreamLimit || err.Kind == errkind.CrashesUpstreams || attemptFailed(err.Kind)) {
 		return gateway, nil
 	}
 	return answer, err
 }
 
-// tryElsewhere says whether an answer is worth a second try: a gateway-like
-// status of a request that may run again, or a failure of the replica itself where
-// the limits say that another one may well do better.
-func (k *call) tryElsewhere(a *CallAnswer) bool {
-	if k.c.once() {
+// worthRetry reports whether another replica may give a better answer: the request may run
+// again, and the status is one that gateways use for an unavailable backend (502, 503 or 504),
+// or a 500 where the limits allow retrying those.
+func (k *serviceCall) worthRetry(a *CallAnswer) bool {
+	if k.c.atMostOnce() {
 		return false
 	}
 	switch a.Status {
@@ -149,97 +152,98 @@
 	}
 }
 
-// mayRetry says whether another attempt is allowed after err, or after an
-// answer that is worth a second try when err is nil.
-func (k *call) mayRetry(ctx context.Context, err *errkind.Error, limits Limits) bool {
+// mayRetry reports whether another attempt is allowed after err, or, when err is nil, after an
+// answer that worthRetry accepted.
+func (k *serviceCall) mayRetry(ctx context.Context, err *errkind.Error, limits Limits) bool {
 	now := k.r.o.Now()
-	if err != nil && !repeatable(err.Kind) || ctx.Err() != nil || !now.Before(k.c.Deadline) {
+	if err != nil && !attemptFailed(err.Kind) || ctx.Err() != nil || !now.Before(k.c.Deadline) {
 		return false
 	}
-	if k.attempt >= limits.MaxAttempts || (k.c.MaxSends > 0 && k.sends >= k.c.MaxSends) || (k.c.once() && k.run.level() > notRun) {
+	if k.attempt >= limits.MaxAttempts || (k.c.MaxSends > 0 && k.sends >= k.c.MaxSends) || (k.c.atMostOnce() && k.run.level() > notRun) {
 		return false
 	}
 	return true
 }
 
-// pay takes from the retry budget what another send needs.
-func (k *call) pay() bool {
-	needs := k.counts.needs(false)
+// takePermits takes the retry permits for the next dispatch from the budget.
+func (k *serviceCall) takePermits() bool {
+	needs := k.arrivals.permitsNeeded(false)
 	if needs == 0 {
 		return true
 	}
-	if !k.r.permit(permission{request: k.c.ID, class: k.c.Class, attempt: k.attempt, target: k.c.Service, needs: needs}) {
+	if !k.r.requestPermits(permitRequest{request: k.c.ID, class: k.c.Class, attempt: k.attempt, target: k.c.Service, needs: needs}) {
 		return false
 	}
-	k.counts.paid += needs
+	k.arrivals.permits += needs
 	k.r.o.Metrics.Retried(k.c.Class)
 	return true
 }
 
-// repeatable says whether kind is one of a failed attempt, and not the end of
-// the whole request.
-func repeatable(kind errkind.Kind) bool {
+// attemptFailed reports whether kind describes the failure of one attempt rather than of the
+// whole request.
+func attemptFailed(kind errkind.Kind) bool {
 	return kind == errkind.UpstreamFailed || kind == errkind.UpstreamRefused
 }
 
-// choose plans one attempt, and checks what may have changed since.
-func (k *call) choose() (policy.ServicePlan, time.Duration, *errkind.Error) {
+// chooseReplica plans one attempt and repeats the checks whose result may have changed since:
+// quarantine, deadline, caller, a stopped process and a leaving replica.
+func (k *serviceCall) chooseReplica() (policy.ServicePlan, time.Duration, *errkind.Error) {
 	k.attempt++
-	give(&k.unsent)
+	callOnce(&k.returnLimit)
 	if k.r.quarantined(k.c.ID, k.digest) {
-		return policy.ServicePlan{}, 0, k.failed(errQuarantined())
+		return policy.ServicePlan{}, 0, k.logFailure(errQuarantined())
 	}
-	plan, timeout, err := k.plan()
+	plan, timeout, err := k.planAttempt()
 	if err != nil {
-		return plan, 0, k.failed(err)
+		return plan, 0, k.logFailure(err)
 	}
 	now := k.r.o.Now()
 	switch {
 	case !now.Before(k.c.Deadline):
-		return plan, 0, k.failed(errkind.New(errkind.DeadlineExceeded, "the deadline passed"))
+		return plan, 0, k.logFailure(errkind.New(errkind.DeadlineExceeded, "the deadline passed"))
 	case k.caller.Err() != nil:
-		return plan, 0, k.failed(errkind.New(errkind.ClientGone, "the caller went away"))
-	case k.r.o.Frozen(now) || lapsed(k.after, now):
-		return plan, 0, k.failed(errkind.New(errkind.StaleView, "the instance was stopped for a while"))
+		return plan, 0, k.logFailure(errkind.New(errkind.ClientGone, "the caller went away"))
+	case k.r.o.Frozen(now) || grantExpired(k.notAfter, now):
+		return plan, 0, k.logFailure(errkind.New(errkind.StaleView, "the instance was stopped for a while"))
 	case !k.r.mayTakeWork(plan.Replica):
 		k.exclude = append(k.exclude, plan.Replica.Name)
-		return plan, 0, k.failed(errkind.New(errkind.UpstreamRefused, "the chosen upstream is leaving"))
+		return plan, 0, k.logFailure(errkind.New(errkind.UpstreamRefused, "the chosen upstream is leaving"))
 	}
 	return plan, timeout, nil
 }
 
-func (k *call) plan() (policy.ServicePlan, time.Duration, *errkind.Error) {
-	s, p, err := k.r.view()
+func (k *serviceCall) planAttempt() (policy.ServicePlan, time.Duration, *errkind.Error) {
+	s, p, err := k.r.snapshotAndPolicy()
 	if err != nil {
 		return policy.ServicePlan{}, 0, err
 	}
-	k.number = s.Number
-	plan, err := k.pick(s, p)
+	k.bundleNumber = s.Number
+	plan, err := k.pickReplica(s, p)
 	if err != nil {
-		k.decide("plan", policy.ServicePlan{}, string(err.Kind))
+		k.logDecision("plan", policy.ServicePlan{}, string(err.Kind))
 		return plan, 0, err
 	}
-	k.decide("plan", plan, plan.Reason)
+	k.logDecision("plan", plan, plan.Reason)
 	if k.teamDone == nil {
 		k.teamDone = k.r.o.Inflight.BeginTeam(k.c.Team)
 	}
-	k.r.update(func() { k.entry.Attempt, k.entry.Upstream = k.attempt, plan.Replica.Name })
+	k.r.updateEntry(func() { k.entry.Attempt, k.entry.Upstream = k.attempt, plan.Replica.Name })
 	timeout := s.Bundle.Services[k.c.Service].Timeout()
-	k.usual, k.target = timeout, s.Bundle.Classes[k.c.Class].FirstToken()
+	k.usualTimeout, k.firstByteTarget = timeout, s.Bundle.Classes[k.c.Class].FirstToken()
 	if d := s.Bundle.Classes[k.c.Class].Deadline(); d > 0 && (d < timeout || timeout <= 0) {
-		k.usual = d
+		k.usualTimeout = d
 	}
 	return plan, timeout, nil
 }
 
-// fair says whether the last send was given at least half of the usual time.
+// hadUsualTime reports whether the last dispatch got at least half of the usual timeout.
 //
-// What goes wrong: a caller states a deadline that no replica can meet, or little
-// of one is left for a retry. Counted as failures, a few such calls eject every
-// replica. One would notice no-upstream for all teams while the service is well.
-func (k *call) fair() bool { return 2*k.given >= k.usual }
+// A caller may state a deadline that no replica can meet, or a retry may have little time
+// left. If such timeouts counted as failures of the replica, a few of them would eject every
+// replica, and all teams would get no-upstream errors from a healthy service.
+func (k *serviceCall) hadUsualTime() bool { return 2*k.givenTimeout >= k.usualTimeout }
 
-func (k *call) query() policy.Query {
+func (k *serviceCall) planQuery() policy.Query {
 	return policy.Query{
 		RequestID:  k.c.ID,
 		Team:       k.c.Team,
@@ -254,23 +258,23 @@
 }
 
 // send dispatches the call once.
-func (k *call) send(ctx context.Context, rep policy.Replica, timeout time.Duration) (*CallAnswer, *errkind.Error) {
+func (k *serviceCall) send(ctx context.Context, rep policy.Replica, timeout time.Duration) (*CallAnswer, *errkind.Error) {
 	now := k.r.o.Now()
 	left := k.c.Deadline.Sub(now)
 	if timeout > 0 {
 		left = min(left, timeout)
 	}
-	k.given = left
-	ctx, cancel := k.r.untilLimit(ctx, k.patience(left))
+	k.givenTimeout = left
+	ctx, cancel := k.r.withTimeout(ctx, k.sendTimeout(left))
 	defer cancel()
 	done := k.r.o.Inflight.Begin(rep.Name, 0)
 	defer done()
 	k.run.begin(StepCall)
-	k.unsent = nil
-	k.counts.sent(StepCall)
+	k.returnLimit = nil
+	k.arrivals.sent(StepCall)
 	answer, err := k.r.o.Services.Call(ctx, rep.Address, upstream.ServiceCall{
 		RequestID: k.c.ID, Method: k.c.Method, Path: k.c.Path,
-		Header: k.c.Header, Body: k.c.Body, Once: k.c.once(),
+		Header: k.c.Header, Body: k.c.Body, Once: k.c.atMostOnce(),
 		Upstream: rep.Name, Deadline: now.Add(left),
 	})
 	k.run.settle(StepCall, upstream.DeliveryOf(err))
@@ -278,45 +282,45 @@
 	case upstream.Done, upstream.Maybe:
 		k.sends++
 	case upstream.NotSent:
-		k.counts.unsent(StepCall)
+		k.arrivals.undoSent(StepCall)
 	}
-	k.r.heardOf(rep.Name, answer, err)
-	if mayHaveBroken(ctx, StepCall, err) {
-		k.broke(rep, now)
+	k.r.reportServiceAnswer(rep.Name, answer, err)
+	if mayHaveCrashed(ctx, StepCall, err) {
+		k.reportBroken(rep, now)
 	}
 	if err == nil {
 		k.r.o.Quarantine.Ran(k.r.o.Now(), k.digest)
 		k.r.o.Observer.Succeeded(k.r.o.Now(), rep.Name)
-		k.decide("finish", policy.ServicePlan{Replica: rep}, http.StatusText(answer.Status))
+		k.logDecision("finish", policy.ServicePlan{Replica: rep}, http.StatusText(answer.Status))
 		got := &CallAnswer{Status: answer.Status, Header: answer.Header, Body: answer.Body}
-		if k.tryElsewhere(got) {
+		if k.worthRetry(got) {
 			k.exclude = append(k.exclude, rep.Name)
 		}
 		return got, nil
 	}
 	k.exclude = append(k.exclude, rep.Name)
-	return nil, k.failed(k.sendError(ctx, rep, err))
+	return nil, k.logFailure(k.sendError(ctx, rep, err))
 }
 
-// patience returns how long a send may take. Where it may be sent again, a replica
-// that has not answered well past the target is given up for another: it may be cut
-// off or stand still, which a kept connection shows only after seconds.
-func (k *call) patience(left time.Duration) time.Duration {
-	first := time.Duration(k.r.o.Limits.CallPatience * float64(k.target))
-	if first <= 0 || k.c.once() || k.c.MaxSends > 0 && k.sends+1 >= k.c.MaxSends {
+// sendTimeout returns the timeout of a dispatch. If the call may be dispatched again, a
+// replica that is well past the first-byte target is given up for another one: it may be
+// partitioned or frozen, which a kept-alive connection reveals only after seconds.
+func (k *serviceCall) sendTimeout(left time.Duration) time.Duration {
+	first := time.Duration(k.r.o.Limits.CallPatience * float64(k.firstByteTarget))
+	if first <= 0 || k.c.atMostOnce() || k.c.MaxSends > 0 && k.sends+1 >= k.c.MaxSends {
 		return left
 	}
 	return min(left, first)
 }
 
-// sendError types a failed dispatch.
-func (k *call) sendError(ctx context.Context, rep policy.Replica, err error) *errkind.Error {
+// sendError converts a failed dispatch to an error for the caller.
+func (k *serviceCall) sendError(ctx context.Context, rep policy.Replica, err error) *errkind.Error {
 	now := k.r.o.Now()
 	switch {
-	case k.r.limitReached():
+	case k.r.shutdownLimitReached():
 		return errkind.Wrap(err, errkind.Draining, "the instance reached its shutdown limit")
 	case !now.Before(k.c.Deadline):
-		if k.fair() {
+		if k.hadUsualTime() {
 			k.r.o.Observer.Failed(now, rep.Name)
 		}
 		return errkind.Wrap(err, errkind.DeadlineExceeded, "the answer did not come in time")
@@ -333,22 +337,22 @@
 	}
 }
 
-// failed logs an error and gives it the run state over all attempts.
-func (k *call) failed(err *errkind.Error) *errkind.Error {
-	k.decide("fail", policy.ServicePlan{}, string(err.Kind))
-	run := runOfCaller(err.Kind, k.run.level().run())
-	return err.WithRun(toldRun(run, k.after, k.r.o.Now()))
+// logFailure logs an error and adds the run state over all attempts to it.
+func (k *serviceCall) logFailure(err *errkind.Error) *errkind.Error {
+	k.logDecision("fail", policy.ServicePlan{}, string(err.Kind))
+	run := callerRun(err.Kind, k.run.level().run())
+	return err.WithRun(reportedRun(run, k.notAfter, k.r.o.Now()))
 }
 
-func (k *call) decide(step string, p policy.ServicePlan, reason string) {
-	k.r.decide(Decision{
+func (k *serviceCall) logDecision(step string, p policy.ServicePlan, reason string) {
+	k.r.logDecision(Decision{
 		Request: k.c.ID, Team: cmp.Or(k.c.Team, k.c.Caller), Class: k.c.Class, Attempt: k.attempt, Step: step,
-		Candidates: p.Candidates, Limited: k.limited, Upstream: p.Replica.Name, Reason: reason,
-		Bundle: k.number, ViewAge: p.ViewAge,
+		Candidates: p.Candidates, Limited: k.limitedCount, Upstream: p.Replica.Name, Reason: reason,
+		Bundle: k.bundleNumber, ViewAge: p.ViewAge,
 	})
 }
 
-func (k *call) observeEnd(err *errkind.Error) {
+func (k *serviceCall) observeEnd(err *errkind.Error) {
 	var kind errkind.Kind
 	if err != nil {
 		kind = err.Kind
@@ -356,14 +360,15 @@
 	k.r.o.Metrics.Ended(k.c.Class, kind, k.run.level().run(), k.r.o.Now().Sub(k.c.Accepted))
 }
 
-// untilLimit bounds ctx by a time and by the shutdown limit.
-func (r *Runner) untilLimit(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after d, or at the shutdown limit if that is
+// earlier.
+func (r *Runner) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, d)
-	stop := context.AfterFunc(r.limitCtx, cancel)
+	stop := context.AfterFunc(r.shutdownCtx, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 	}
 }
 
-func (r *Runner) limitReached() bool { return r.limitCtx.Err() != nil }
+func (r *Runner) shutdownLimitReached() bool { return r.shutdownCtx.Err() != nil }
--- a/request/canceller.go
+++ b/request/canceller.go
@@ -11,22 +11,22 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// CancelLimits bound the cancels that outlive their requests.
+// CancelLimits bound the cancel calls that continue after their requests have ended.
 type CancelLimits struct {
-	// Try bounds one call; Age is when a cancel is left to the steward's sweep.
+	// Try is the timeout of one call. After Age the canceller gives up and leaves the work to
+	// the steward's sweep, which frees memory that engines hold for ended requests.
 	Try time.Duration
 	Age time.Duration
-	// MinPause and MaxPause bound the pause between tries, which doubles.
+	// MinPause and MaxPause bound the pause between tries, which doubles each time.
 	MinPause time.Duration
 	MaxPause time.Duration
 	// PerUpstream bounds the cancels that wait for one upstream.
 	PerUpstream int
 }
 
-// DefaultCancelLimits returns the limits used where settings give none. A
-// cancelled caller's memory is to be free within 250 ms, so the first tries
-// come in quick succession; the sweep takes over long after it has begun to
-// list the engine's memory, about once a second.
+// DefaultCancelLimits returns the limits used when the settings give none. Engine memory must
+// be free within 250 ms after a caller cancels, so the first retries follow quickly. The
+// steward's sweep lists each engine's memory about once a second; Age is well above that.
 func DefaultCancelLimits() CancelLimits {
 	return CancelLimits{
 		Try:         500 * time.Millisecond,
@@ -37,8 +37,8 @@
 	}
 }
 
-// cancelTask is one attempt's work on one upstream, to be cancelled, or to be
-// resumed after a pause.
+// cancelTask is a call to repeat until one upstream acknowledges it: the cancel of an attempt,
+// or the resume of a paused attempt.
 type cancelTask struct {
 	work   engineapi.CancelRequest
 	resume bool
@@ -46,90 +46,89 @@
 	tries  int
 }
 
-// sendWork is a call about one attempt's work.
-type sendWork func(ctx context.Context, addr string, r engineapi.CancelRequest) error
+// sendFunc makes one cancel or resume call.
+type sendFunc func(ctx context.Context, addr string, r engineapi.CancelRequest) error
 
-// canceller repeats cancels, and resumes after a pause, until engines
-// acknowledge them.
+// canceller repeats cancel calls, and resume calls after a pause, until engines acknowledge
+// them.
 //
-// A cancel that is sent once and lost leaves a slot and its KV cache held for
-// nobody until the sweep finds it; the engine's held list would show it. So a
-// cancel outlives its request. Each upstream has its own lane, one goroutine
-// that lives while there is something to cancel: a frozen engine then holds up
-// its own cancels and no others, and there are no more lanes than upstreams.
+// If a cancel were sent only once and lost, a slot and its KV cache would stay allocated on
+// the engine, visible in its list of held memory, until the steward's sweep frees them.
+// Cancels therefore continue after their request has ended. Each upstream has its own queue,
+// served by one goroutine that exits when the queue is empty: a frozen engine delays only its
+// own cancels, and there are never more goroutines than upstreams.
 type canceller struct {
-	limits CancelLimits
-	now    func() time.Time
-	cancel sendWork
-	resume sendWork
-	ended  func(tries int, took time.Duration, acknowledged bool)
+	limits       CancelLimits
+	now          func() time.Time
+	cancel       sendFunc
+	resume       sendFunc
+	recordMetric func(tries int, took time.Duration, acknowledged bool)
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   conc.WaitGroup
 
-	mu    sync.Mutex
-	lanes map[string]*lane // by address; present while its goroutine runs
-	idle  chan struct{}    // closed when lanes is empty and someone waits
+	mu     sync.Mutex
+	queues map[string]*cancelQueue // by address; present while the queue's goroutine runs
+	idle   chan struct{}           // closed when queues becomes empty; nil when nobody waits
 }
 
 func newCanceller(o *Options) *canceller {
 	ctx, stop := context.WithCancel(context.Background())
 	return &canceller{
-		limits: o.Cancel,
-		now:    o.Now,
-		cancel: o.Engines.Release,
-		resume: o.Engines.Unpause,
-		ended:  o.Metrics.Cancelled,
-		ctx:    ctx,
-		stop:   stop,
-		lanes:  map[string]*lane{},
+		limits:       o.Cancel,
+		now:          o.Now,
+		cancel:       o.Engines.Release,
+		resume:       o.Engines.Unpause,
+		recordMetric: o.Metrics.Cancelled,
+		ctx:          ctx,
+		stop:         stop,
+		queues:       map[string]*cancelQueue{},
 	}
 }
 
-// add takes over one cancel. It never blocks; over the bound the cancel is left
-// to the steward's sweep at once.
+// add queues a task. It never blocks: if the queue is full, the task is dropped and the work
+// left to the steward's sweep.
 func (c *canceller) add(addr string, task cancelTask) {
 	task.since = c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.lanes[addr]
+	l := c.queues[addr]
 	if l != nil && len(l.tasks) >= c.limits.PerUpstream || c.ctx.Err() != nil {
-		c.note(task, false)
+		c.recordEnd(task, false)
 		return
 	}
 	if l == nil {
-		l = &lane{kick: make(chan struct{}, 1)}
-		c.lanes[addr] = l
+		l = &cancelQueue{added: make(chan struct{}, 1)}
+		c.queues[addr] = l
 		c.wg.Go(func() { c.run(addr, l) })
 	}
 	l.insert(task)
 }
 
-// lane is the tasks of one upstream, those not tried yet first. One that is not
-// acknowledged would otherwise hold up all that come after it for as long as it
-// is repeated: memory of cancelled requests would stay held on an engine that is
-// well. Guarded by canceller.mu but for kick.
-type lane struct {
+// cancelQueue holds the tasks of one upstream, those not tried yet first. Otherwise a task
+// that is not acknowledged would delay all later ones for as long as it is repeated, and a
+// healthy engine would keep the memory of cancelled requests. canceller.mu guards tasks.
+type cancelQueue struct {
 	tasks []cancelTask
-	kick  chan struct{} // holds a token when a task was added
+	added chan struct{} // buffered; signals that a task was added
 }
 
-// insert adds a new task behind the other new ones.
-func (l *lane) insert(task cancelTask) {
+// insert adds a new task after the other untried ones.
+func (l *cancelQueue) insert(task cancelTask) {
 	i := slices.IndexFunc(l.tasks, func(o cancelTask) bool { return o.tries > 0 })
 	if i < 0 {
 		i = len(l.tasks)
 	}
 	l.tasks = slices.Insert(l.tasks, i, task)
 	select {
-	case l.kick <- struct{}{}:
+	case l.added <- struct{}{}:
 	default:
 	}
 }
 
-// run works through one lane until it is empty.
-func (c *canceller) run(addr string, l *lane) {
+// run processes one queue until it is empty.
+func (c *canceller) run(addr string, l *cancelQueue) {
 	pause := c.limits.MinPause
 	for {
 		task, ok := c.take(addr, l)
@@ -141,35 +140,35 @@
 			continue
 		}
 		if c.now().Sub(task.since) > c.limits.Age {
-			c.note(task, false)
+			c.recordEnd(task, false)
 			continue
 		}
-		if fresh := c.putBack(l, task); fresh {
+		if untried := c.putBack(l, task); untried {
 			continue
 		}
 		if !l.sleep(c.ctx, pause) {
-			c.abandon(addr, l)
+			c.dropQueue(addr, l)
 			return
 		}
 		pause = min(2*pause, c.limits.MaxPause)
 	}
 }
 
-// sleep waits for d or for a new task; it returns false when ctx ended.
-func (l *lane) sleep(ctx context.Context, d time.Duration) bool {
+// sleep waits for d or for a new task; it returns false if ctx ended.
+func (l *cancelQueue) sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-l.kick:
+	case <-l.added:
 	case <-timer.C:
 	}
 	return true
 }
 
-// try sends one cancel and says whether it was acknowledged. An engine that
-// has restarted holds nothing and acknowledges too.
+// try makes one call and reports whether it was acknowledged. An engine that has restarted
+// holds nothing for the attempt and acknowledges as well.
 func (c *canceller) try(addr string, task *cancelTask) bool {
 	ctx, cancel := context.WithTimeout(c.ctx, c.limits.Try)
 	defer cancel()
@@ -181,23 +180,23 @@
 	if err := send(ctx, addr, task.work); err != nil {
 		return false
 	}
-	c.note(*task, true)
+	c.recordEnd(*task, true)
 	return true
 }
 
-// note counts the end of a cancel.
-func (c *canceller) note(task cancelTask, acknowledged bool) {
+// recordEnd reports the end of a cancel to the metrics; resumes are not counted.
+func (c *canceller) recordEnd(task cancelTask, acknowledged bool) {
 	if !task.resume {
-		c.ended(task.tries, c.now().Sub(task.since), acknowledged)
+		c.recordMetric(task.tries, c.now().Sub(task.since), acknowledged)
 	}
 }
 
-// take removes the first task of a lane, or ends the lane when there is none.
-func (c *canceller) take(addr string, l *lane) (cancelTask, bool) {
+// take removes the first task of a queue, or the queue itself when it is empty.
+func (c *canceller) take(addr string, l *cancelQueue) (cancelTask, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(l.tasks) == 0 {
-		c.remove(addr)
+		c.removeQueue(addr)
 		return cancelTask{}, false
 	}
 	task := l.tasks[0]
@@ -205,37 +204,36 @@
 	return task, true
 }
 
-// putBack adds a task that failed at the end and says whether one that was not
-// tried yet comes first.
-func (c *canceller) putBack(l *lane, task cancelTask) (fresh bool) {
+// putBack appends a task that failed and reports whether the first task is an untried one.
+func (c *canceller) putBack(l *cancelQueue, task cancelTask) (untried bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l.tasks = append(l.tasks, task)
 	return l.tasks[0].tries == 0
 }
 
-func (c *canceller) abandon(addr string, l *lane) {
+func (c *canceller) dropQueue(addr string, l *cancelQueue) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, task := range l.tasks {
-		c.note(task, false)
+		c.recordEnd(task, false)
 	}
-	c.remove(addr)
+	c.removeQueue(addr)
 }
 
-// remove ends a lane; c.mu is held.
-func (c *canceller) remove(addr string) {
-	delete(c.lanes, addr)
-	if len(c.lanes) == 0 && c.idle != nil {
+// removeQueue deletes a queue; c.mu must be held.
+func (c *canceller) removeQueue(addr string) {
+	delete(c.queues, addr)
+	if len(c.queues) == 0 && c.idle != nil {
 		close(c.idle)
 		c.idle = nil
 	}
 }
 
-// flush waits until every cancel has ended or ctx ends.
+// flush waits until all queues are empty or ctx ends.
 func (c *canceller) flush(ctx context.Context) {
 	c.mu.Lock()
-	if len(c.lanes) == 0 {
+	if len(c.queues) == 0 {
 		c.mu.Unlock()
 		return
 	}
@@ -250,7 +248,7 @@
 	}
 }
 
-// close ends every lane and waits for them.
+// close ends all queues and waits for their goroutines.
 func (c *canceller) close() {
 	c.stop()
 	c.wg.Wait()
--- a/request/canceller_test.go
+++ b/request/canceller_test.go
@@ -12,11 +12,9 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Symptom: the memory of cancelled requests stays held for ten seconds on an
-// engine that is well.
-// Sequence: the engine does not acknowledge one cancel, such as the resume of a
-// draft that has ended meanwhile; others come after it.
-// Cause: the first of a lane is repeated until it is acknowledged or too old.
+// Guards against one unacknowledged cancel, such as the resume of a draft that has already
+// ended, delaying the cancels queued after it on the same engine. The engine would hold the
+// memory of cancelled requests for ten seconds although it is healthy.
 func TestStuckCancelHoldsUpNoOther(t *testing.T) {
 	f := newFleet(t, func(o *request.Options) {
 		o.Cancel = request.DefaultCancelLimits()
@@ -24,7 +22,7 @@
 	})
 	d := f.engines["d0"]
 	refused := make(chan struct{}, 8)
-	d.on(engineapi.PathCancel, func(_ http.ResponseWriter, r *http.Request) {
+	d.onCall(engineapi.PathCancel, func(_ http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil || bytes.Contains(body, []byte("stuck")) {
 			refused <- struct{}{}
@@ -35,13 +33,13 @@
 	leave := func(id string) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := completion(id)
+		c := newCompletion(id)
 		c.MaxTokens = 1 << 20
-		f.run(ctx, c, &sink{onToken: func(int) error { cancel(); return nil }})
+		f.complete(ctx, c, &sink{onToken: func(int) error { cancel(); return nil }})
 	}
 	leave("stuck")
 	<-refused
 	leave("r1")
 	leave("r2")
-	until(t, "the others freed", func() bool { return d.Stats().Held == 1 })
+	waitUntil(t, "the other cancels", func() bool { return d.Stats().Held == 1 })
 }
--- a/request/chunks.go
+++ b/request/chunks.go
@@ -7,17 +7,16 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// The finish reasons of a whole answer.
+// The finish reasons of a complete answer.
 const (
-	finishStop   = "stop"
-	finishLength = "length"
+	finishReasonStop   = "stop"
+	finishReasonLength = "length"
 )
 
-// chunk takes one line of the current stream. Engines may repeat, reorder or
-// mix up what they send, and a stream may be a proxy's mistake: only the next
-// token of this very attempt becomes part of the answer, so that the caller
-// gets its own tokens, each once and in order.
-func (m *Machine) chunk(now time.Time, c *engineapi.Chunk) {
+// handleChunk handles one line of the current stream. A faulty engine or proxy may repeat,
+// reorder or mix up lines. Only the next token of the current attempt becomes part of the
+// answer, so that the caller gets each of its own tokens once and in order.
+func (m *Machine) handleChunk(now time.Time, c *engineapi.Chunk) {
 	if m.state != StateImporting && m.state != StateStreaming {
 		m.drops.Late++
 		return
@@ -28,86 +27,87 @@
 	}
 	switch {
 	case c.Error != "":
-		m.engineFailed("the engine failed: " + c.Error)
+		m.handleStreamError("the engine failed: " + c.Error)
 	case c.Done:
-		m.done(now, c)
+		m.handleDone(now, c)
 	case c.Imported:
-		m.progress(now)
+		m.recordProgress(now)
 	default:
-		m.token(now, c)
+		m.handleToken(now, c)
 	}
 }
 
-func (m *Machine) token(now time.Time, c *engineapi.Chunk) {
+func (m *Machine) handleToken(now time.Time, c *engineapi.Chunk) {
 	next := len(m.tokens)
 	if c.Index < next {
 		m.drops.Duplicate++
 		return
 	}
 	if c.Index > next {
-		m.cut(now)
+		m.handleBrokenStream(now)
 		return
 	}
-	m.progress(now)
+	m.recordProgress(now)
 	m.resumes = 0
 	m.run.generated()
 	m.tokens = append(m.tokens, c.Text)
-	m.act(Action{Kind: ActionEmit, Attempt: m.attempt, Index: c.Index, Text: c.Text})
+	m.addAction(Action{Kind: ActionEmit, Attempt: m.attempt, Index: c.Index, Text: c.Text})
 }
 
-// progress notes a sign of life of the stream.
-func (m *Machine) progress(now time.Time) {
+// recordProgress records that the stream is alive and restarts the stall timeout.
+func (m *Machine) recordProgress(now time.Time) {
 	m.state = StateStreaming
-	m.taken, m.imported = true, true
-	m.stepEnds = time.Time{}
+	m.decodeAccepted, m.imported = true, true
+	m.stepDeadline = time.Time{}
 	if !m.paused {
-		m.stepEnds = now.Add(m.limits.Stall)
+		m.stepDeadline = now.Add(m.limits.Stall)
 	}
 }
 
-// pause stops the wait for the next token, or starts it anew with twice the
-// time, since a resumed stream may wait for a slot. Without it a paused draft
-// would look like a stalled one and be started again elsewhere.
-func (m *Machine) pause(now time.Time, ev Event) {
+// handlePause handles EventPaused, which stops the stall timeout, and EventUnpaused, which
+// restarts it with twice the time because a resumed stream may have to wait for a slot.
+// Without it, a paused draft would be treated as stalled and started again on another engine.
+func (m *Machine) handlePause(now time.Time, ev Event) {
 	if ev.Attempt != m.attempt || m.state != StateStreaming {
 		return
 	}
 	m.paused = ev.Kind == EventPaused
-	m.stepEnds = time.Time{}
+	m.stepDeadline = time.Time{}
 	if !m.paused {
-		m.stepEnds = now.Add(2 * m.limits.Stall)
+		m.stepDeadline = now.Add(2 * m.limits.Stall)
 	}
 }
 
-// done takes the terminal marker. A count that differs means that tokens are
-// missing, however the stream looks.
-func (m *Machine) done(now time.Time, c *engineapi.Chunk) {
-	if c.FinishReason != finishStop && c.FinishReason != finishLength {
-		m.engineFailed("the engine ended the stream: " + c.FinishReason)
+// handleDone handles the final chunk. If its token count differs from the tokens received,
+// tokens are missing and the answer is not complete.
+func (m *Machine) handleDone(now time.Time, c *engineapi.Chunk) {
+	if c.FinishReason != finishReasonStop && c.FinishReason != finishReasonLength {
+		m.handleStreamError("the engine ended the stream: " + c.FinishReason)
 		return
 	}
 	if c.Tokens != len(m.tokens) {
-		m.cut(now)
+		m.handleBrokenStream(now)
 		return
 	}
 	m.run.generated()
 	m.usage.CompletionTokens = len(m.tokens)
 	m.state = StateEnded
-	m.act(Action{Kind: ActionFinish, Attempt: m.attempt, Target: m.target(roleDecode), Reason: c.FinishReason, Usage: m.usage})
+	m.addAction(Action{Kind: ActionFinish, Attempt: m.attempt, Target: m.targetOf(roleDecode), Reason: c.FinishReason, Usage: m.usage})
 }
 
-func (m *Machine) engineFailed(detail string) {
-	m.act(Action{Kind: ActionBlame, Target: m.target(roleDecode)})
+func (m *Machine) handleStreamError(detail string) {
+	m.addAction(Action{Kind: ActionBlame, Target: m.targetOf(roleDecode)})
 	m.retry(errkind.New(errkind.UpstreamFailed, detail), true)
 }
 
-// cut handles a stream that ended, stalled, skipped or miscounted: attach again
-// to the same attempt, which is no new work, else try another attempt.
-func (m *Machine) cut(now time.Time) {
+// handleBrokenStream handles a stream that ended early, stalled, skipped a token or reported a
+// wrong token count. It first resumes the stream of the same attempt, which starts no new
+// work, and otherwise tries another attempt.
+func (m *Machine) handleBrokenStream(now time.Time) {
 	if m.state != StateImporting && m.state != StateStreaming {
 		return
 	}
-	m.act(Action{Kind: ActionBlame, Target: m.target(roleDecode)})
+	m.addAction(Action{Kind: ActionBlame, Target: m.targetOf(roleDecode)})
 	if m.canResume() {
 		m.resume(now)
 		return
--- a/request/complete.go
+++ b/request/complete.go
@@ -16,199 +16,203 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// eventBuffer lets a reader run ahead of a slow caller by a few tokens.
+// eventBuffer lets a stream's reader run a few tokens ahead of a slow caller.
 const eventBuffer = 8
 
-// drive runs one machine. Its goroutine is the caller's; calls to engines run
-// beside it, one at a time.
-type drive struct {
+// driver runs one Machine in the caller's goroutine. Calls to engines run in goroutines of
+// their own, one at a time.
+type driver struct {
 	r    *Runner
 	c    Completion
 	sink Sink
 	m    *Machine
 	rng  *rand.Rand
-	// draw decides whether a throttled pool takes the request (see throttled).
-	draw   float64
-	prefix []uint64
-	// digest stands for what the caller asks for; it is worked out once, where it is wanted.
-	digest func() quarantine.Digest
-	entry  *Active
-	after  time.Time // nothing is dispatched past it; zero means no bound
+	// throttleDraw is the random number in [0,1) that checkThrottle compares with the
+	// admission probability of the model's throttle.
+	throttleDraw float64
+	prefix       []uint64 // chained hashes of the prompt's blocks
+	// digest identifies the caller's request in the quarantine; it is computed on first use.
+	digest   func() quarantine.Digest
+	entry    *Active
+	notAfter time.Time // no dispatch at or after this time; zero means no limit
 
-	// base outlives the caller, so that a caller's end reaches the machine as an
-	// event and not as a failed call.
-	base   context.Context
-	abort  context.CancelFunc // ends the call in flight
-	calls  conc.WaitGroup
-	events chan Event
-	queue  []Event // events that an action gave at once
-	// signals brings EventPaused and EventUnpaused; offer is this draft's entry in
-	// the list of those that may be paused, victim the draft that was paused for
-	// this attempt. Nil when there is none.
-	signals chan Event
-	offer   *pausable
-	victim  *pausable
-	// place is the request's place among those that wait for a slot, and freed the
-	// decode pool of the attempt's slot; nil and empty when there is none.
-	place *waiter
-	freed string
+	// baseCtx is not cancelled when the caller leaves, so that the machine sees an
+	// EventCallerGone and not a failed call.
+	baseCtx       context.Context
+	cancelCall    context.CancelFunc // cancels the call in flight
+	calls         conc.WaitGroup
+	events        chan Event
+	pendingEvents []Event // events that actions produced synchronously
+	// pauseEvents delivers EventPaused and EventUnpaused. listedDraft is this request's entry
+	// in the list of drafts that may be paused; pausedDraft is the draft that was paused to
+	// make room for this attempt. Both are nil when there is none.
+	pauseEvents chan Event
+	listedDraft *pausableDraft
+	pausedDraft *pausableDraft
+	// waiter is the request's entry in the queue for a decode slot; nil when it does not wait.
+	// slotPool is the pool of the decode slot that the attempt occupies.
+	waiter   *waiter
+	slotPool string
 	// decodeTarget is the attempt's decode engine.
 	decodeTarget Target
-	// decodeAt is when the last decode call was sent.
-	decodeAt time.Time
-	// tries is the number of the present attempt, without refused reservations, and
-	// triedAt when it began.
-	tries   int
-	triedAt time.Time
+	// decodeSentAt is when the last decode call was sent.
+	decodeSentAt time.Time
+	// currentTry is the attempt's number, not counting attempts that ended with a refused
+	// reservation; tryStartedAt is when it started.
+	currentTry   int
+	tryStartedAt time.Time
 
-	timer  *time.Timer
-	armed  time.Time
-	number uint64 // bundle number of the plan
-	// callDone, attemptDone and teamDone give back what the call in flight, the
-	// attempt and the request count at Inflight; nil when there is nothing.
+	timer        *time.Timer
+	timerAt      time.Time // when timer fires; zero once it has fired
+	bundleNumber uint64    // the number of the bundle that the last plan used
+	// callDone, attemptDone and teamDone end the Inflight entries of the call in flight, of
+	// the attempt and of the request; nil when there is no entry.
 	callDone    func()
 	attemptDone func()
 	teamDone    func()
-	// unsent is what the attempt holds of its engines' limits, and limited how many engines the
-	// last plan left out for theirs.
-	unsent  engineLimits
-	limited int
-	// computed is the prompt tokens that the attempt's prefill computed, until
-	// its first token is delivered.
-	computed int
-	ahead    int       // prompt tokens that the plan expects before its own prefill
-	last     time.Time // of the last token
-	first    time.Time // of the first one, which attempt firstOf delivered
-	firstOf  int
-	verdict  Verdict // of the latest plan
-	shown    State   // what administrators see
-	result   result
+	// heldLimits are the units that the attempt took from its engines' rate limits and has not
+	// used. limitedCount is the number of engines that the last plan excluded because of their
+	// rate limits.
+	heldLimits   engineLimits
+	limitedCount int
+	// undeliveredPrefill is the number of prompt tokens that the attempt's prefill computed;
+	// it is reset when the attempt's first token is delivered.
+	undeliveredPrefill int
+	aheadTokens        int // prompt tokens that the prefill engine has to compute before this prompt
+	lastTokenAt        time.Time
+	firstTokenAt       time.Time // delivered by attempt firstTokenAttempt
+	firstTokenAttempt  int
+	verdict            Verdict // of the latest plan
+	shownState         State   // the state shown on the administration listener
+	result             result
 }
 
-// result is how the request ended.
+// result is the outcome of the request.
 type result struct {
 	reason string
 	usage  Usage
 	err    *errkind.Error
 }
 
-// Complete runs one completion and answers it through sink, exactly once. It
-// returns when nothing of the request runs in this process any more; cancels
-// go on behind it. ctx is the caller's: its end cancels the work.
+// Complete runs one completion and answers it through sink exactly once. When it returns, no
+// goroutine of the request is running in this process; only cancels may still be pending.
+// Cancelling ctx, which is the caller's context, cancels the work.
 func (r *Runner) Complete(ctx context.Context, c Completion, sink Sink) {
-	entry, leave := r.enter(Active{ID: c.ID, Team: c.Team, Class: c.Class, Target: c.Model, accepted: c.Accepted, deadline: c.Deadline})
+	entry, leave := r.register(Active{ID: c.ID, Team: c.Team, Class: c.Class, Target: c.Model, accepted: c.Accepted, deadline: c.Deadline})
 	defer leave()
 	if !c.NonIdempotent {
-		r.drive(ctx, c, sink, entry, time.Time{})
+		r.runMachine(ctx, c, sink, entry, time.Time{})
 		return
 	}
 	r.completeOnce(ctx, c, sink, entry)
 }
 
-// drive runs the machine until its terminal action. Past notAfter, when set,
-// nothing is dispatched.
-func (r *Runner) drive(ctx context.Context, c Completion, sink Sink, entry *Active, notAfter time.Time) *drive {
+// runMachine runs the machine until its terminal action. If notAfter is set, nothing is
+// dispatched at or after that time.
+func (r *Runner) runMachine(ctx context.Context, c Completion, sink Sink, entry *Active, notAfter time.Time) *driver {
 	base, stop := context.WithCancel(context.WithoutCancel(ctx))
-	d := &drive{
-		r:      r,
-		c:      c,
-		sink:   sink,
-		m:      NewMachine(c, r.limits()),
-		rng:    r.rng(c.ID),
-		draw:   r.rng(c.ID).Float64(),
-		prefix: prefixOf(c),
-		digest: sync.OnceValue(c.digest),
-		entry:  entry,
-		after:  notAfter,
-		base:   base,
-		abort:  func() {},
-		events: make(chan Event, eventBuffer),
+	d := &driver{
+		r:            r,
+		c:            c,
+		sink:         sink,
+		m:            NewMachine(c, r.limits()),
+		rng:          r.newRand(c.ID),
+		throttleDraw: r.newRand(c.ID).Float64(),
+		prefix:       prefixOf(c),
+		digest:       sync.OnceValue(c.contentDigest),
+		entry:        entry,
+		notAfter:     notAfter,
+		baseCtx:      base,
+		cancelCall:   func() {},
+		events:       make(chan Event, eventBuffer),
 
-		signals: make(chan Event, signalBuffer),
-		timer:   time.NewTimer(time.Hour),
+		pauseEvents: make(chan Event, pauseEventBuffer),
+		timer:       time.NewTimer(time.Hour),
 	}
 	defer d.calls.Wait()
 	defer stop()
 	defer d.timer.Stop()
 	defer d.endRequest()
-	r.sizes.came(r.o.Now(), c.Model, d.promptTokens(), d.likelyTokens())
+	r.sizes.add(r.o.Now(), c.Model, d.promptTokens(), d.medianAnswerTokens())
 	r.o.RetryBudget(c.Model).OnFirstAttempt(r.o.Now())
-	if ctx.Err() != nil { // nothing may be sent for a caller that left before
-		d.step(d.gone(ctx))
+	if ctx.Err() != nil { // the caller left before the start: send nothing
+		d.handleEvent(d.contextEnded(ctx))
 	} else {
-		d.step(Event{Kind: EventStart})
+		d.handleEvent(Event{Kind: EventStart})
 	}
 	for d.m.State() != StateEnded {
-		d.arm()
-		d.step(d.next(ctx))
+		d.resetTimer()
+		d.handleEvent(d.nextEvent(ctx))
 	}
 	d.observeEnd()
 	return d
 }
 
-// next waits for the next event.
-func (d *drive) next(ctx context.Context) Event {
+// nextEvent waits for the next event.
+func (d *driver) nextEvent(ctx context.Context) Event {
 	select {
 	case ev := <-d.events:
 		return ev
-	case ev := <-d.signals:
+	case ev := <-d.pauseEvents:
 		return ev
-	case <-d.place.turn():
+	case <-d.waiter.readyChan():
 		return Event{Kind: EventTurn}
 	case <-ctx.Done():
-		return d.gone(ctx)
-	case <-d.r.limitCtx.Done():
+		return d.contextEnded(ctx)
+	case <-d.r.shutdownCtx.Done():
 		return Event{Kind: EventDrainLimit}
 	case <-d.timer.C:
-		d.armed = time.Time{}
+		d.timerAt = time.Time{}
 		return Event{Kind: EventTick}
 	}
 }
 
-// gone tells a caller that left from a context that the deadline ended.
-func (d *drive) gone(ctx context.Context) Event {
+// contextEnded returns the event for the end of the caller's context: a tick if its deadline
+// passed, otherwise EventCallerGone.
+func (d *driver) contextEnded(ctx context.Context) Event {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) && !d.r.o.Now().Before(d.c.Deadline) {
 		return Event{Kind: EventTick}
 	}
 	return Event{Kind: EventCallerGone}
 }
 
-// arm sets the timer when the machine must wake before it fires. A wake that
-// moved later is left: the machine ignores an early tick, and a reset for each
-// token would cost more than a tick now and then.
-func (d *drive) arm() {
+// resetTimer makes the timer fire no later than the machine's next wake time. A wake time that
+// moved to later leaves the timer as it is: the machine ignores an early tick, and a reset per
+// token would cost more than an occasional extra tick.
+func (d *driver) resetTimer() {
 	wake := d.m.Wake()
-	if d.armed.IsZero() || wake.Before(d.armed) {
-		d.armed = wake
+	if d.timerAt.IsZero() || wake.Before(d.timerAt) {
+		d.timerAt = wake
 		d.timer.Reset(wake.Sub(d.r.o.Now()))
 	}
 }
 
-// step feeds one event, performs the actions, and feeds what they give at once.
-func (d *drive) step(ev Event) {
+// handleEvent feeds one event to the machine, performs the resulting actions, and feeds the
+// events that these produce synchronously.
+func (d *driver) handleEvent(ev Event) {
 	if ev.Kind == EventPrefilled {
-		d.computed = ev.Prefill.PromptTokens - ev.Prefill.CachedTokens
+		d.undeliveredPrefill = ev.Prefill.PromptTokens - ev.Prefill.CachedTokens
 	}
-	d.queue = append(d.queue[:0], ev)
-	for i := 0; i < len(d.queue); i++ {
-		for _, a := range d.m.Step(d.r.o.Now(), d.queue[i]) {
+	d.pendingEvents = append(d.pendingEvents[:0], ev)
+	for i := 0; i < len(d.pendingEvents); i++ {
+		for _, a := range d.m.Step(d.r.o.Now(), d.pendingEvents[i]) {
 			d.perform(a)
 		}
 	}
 }
 
-func (d *drive) perform(a Action) {
+func (d *driver) perform(a Action) {
 	switch a.Kind {
 	case ActionPlan:
-		d.plan(a)
+		d.planAttempt(a)
 	case ActionPermit:
-		d.permit(a)
+		d.permitTimeOut(a)
 	case ActionDispatch:
 		d.dispatch(a)
 	case ActionCancel:
 		d.endCall()
-		d.r.canceller.add(a.Target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.work(a), Reservation: a.Reservation, Handle: a.Handle}})
-		d.decide("cancel", a.Target.Name, "attempt-ended")
+		d.r.canceller.add(a.Target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.workID(a), Reservation: a.Reservation, Handle: a.Handle}})
+		d.logDecision("cancel", a.Target.Name, "attempt-ended")
 	case ActionBlame:
 		if a.Step == StepPrefill && a.Late {
 			d.r.LearnPrefill(d.r.o.Now(), d.c.Model, true)
@@ -234,7 +238,7 @@
 	case ActionHandoff:
 		d.r.o.Observer.HandedOff(d.r.o.Now(), a.From.Name, a.Target.Name, a.Taken)
 		if !a.Taken {
-			d.decide("decode", a.Target.Name, "handoff-refused")
+			d.logDecision("decode", a.Target.Name, "handoff-refused")
 		}
 	case ActionFull:
 		d.r.o.Observer.Answered(d.r.o.Now(), a.Target.Name)
@@ -243,30 +247,30 @@
 		} else {
 			d.r.o.Observer.Full(d.r.o.Now(), a.Target.Name)
 		}
-		d.decide(a.Step.String(), a.Target.Name, "full")
+		d.logDecision(a.Step.String(), a.Target.Name, "full")
 	}
 }
 
-func (d *drive) emit(a Action) {
+func (d *driver) emit(a Action) {
 	if err := d.sink.Token(a.Index, a.Text); err != nil {
-		d.queue = append(d.queue, Event{Kind: EventCallerGone})
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventCallerGone})
 		return
 	}
 	d.showState()
 	d.entry.delivered.Store(int64(a.Index + 1))
 	now := d.r.o.Now()
-	d.computed = 0
-	d.offerPause(a)
+	d.undeliveredPrefill = 0
+	d.listDraft(a)
 	if a.Index == 0 {
-		d.first, d.firstOf = now, a.Attempt
+		d.firstTokenAt, d.firstTokenAttempt = now, a.Attempt
 		d.r.o.Metrics.FirstToken(d.c.Class, now.Sub(d.c.Accepted))
 	} else {
-		d.r.o.Metrics.NextToken(d.c.Class, now.Sub(d.last))
+		d.r.o.Metrics.NextToken(d.c.Class, now.Sub(d.lastTokenAt))
 	}
-	d.last = now
+	d.lastTokenAt = now
 }
 
-func (d *drive) finish(a Action) {
+func (d *driver) finish(a Action) {
 	d.result = result{reason: a.Reason, usage: a.Usage}
 	d.sink.Finish(a.Reason, a.Usage)
 	now := d.r.o.Now()
@@ -274,18 +278,18 @@
 	d.r.o.Observer.Succeeded(now, a.Target.Name)
 	chunks := len(d.m.Tokens())
 	tokens := chunks * d.r.o.ChunkTokens(d.c.Model)
-	d.r.answers.of(d.c.Model).Finished(now, tokens, d.expectedTokens())
+	d.r.answers.forModel(d.c.Model).Finished(now, tokens, d.expectedTokens())
 	f := FinishObservation{
 		Model: d.c.Model, Upstream: a.Target.Name, PromptTokens: d.promptTokens() - chunks, AnswerTokens: tokens,
-		ExpectedTokens: d.expectedTokens(), Held: now.Sub(d.decodeAt),
+		ExpectedTokens: d.expectedTokens(), Held: now.Sub(d.decodeSentAt),
 	}
-	f.PerToken = d.perToken(chunks)
+	f.PerToken = d.meanTokenInterval(chunks)
 	d.r.o.Observer.Finished(now, f)
-	d.decide("finish", a.Target.Name, a.Reason)
+	d.logDecision("finish", a.Target.Name, a.Reason)
 }
 
-// answer passes an engine's own failure on.
-func (d *drive) answer(a Action) {
+// answer passes an engine's own error answer to the caller.
+func (d *driver) answer(a Action) {
 	s, ok := d.sink.(PassThroughSink)
 	if !ok {
 		a.Err = errkind.New(errkind.UpstreamFailed, "the engine failed").WithRun(errkind.Ran)
@@ -294,66 +298,67 @@
 	}
 	d.r.o.Quarantine.Ran(d.r.o.Now(), d.digest)
 	s.Answer(*a.Answer)
-	d.decide("finish", a.Target.Name, http.StatusText(a.Answer.Status))
+	d.logDecision("finish", a.Target.Name, http.StatusText(a.Answer.Status))
 }
 
-func (d *drive) fail(a Action) {
-	err := a.Err.WithRun(toldRun(a.Err.Run, d.after, d.r.o.Now()))
+func (d *driver) fail(a Action) {
+	err := a.Err.WithRun(reportedRun(a.Err.Run, d.notAfter, d.r.o.Now()))
 	d.result = result{err: err}
 	d.sink.Fail(err)
-	d.decide("fail", d.entry.Upstream, string(a.Err.Kind))
+	d.logDecision("fail", d.entry.Upstream, string(a.Err.Kind))
 }
 
-func (d *drive) observeEnd() {
+func (d *driver) observeEnd() {
 	now := d.r.o.Now()
 	var kind errkind.Kind
 	if d.result.err != nil {
 		kind = d.result.err.Kind
 	}
-	d.tellVerdict()
+	d.logVerdict()
 	d.r.o.Metrics.Ended(d.c.Class, kind, d.m.Run(), now.Sub(d.c.Accepted))
 	if drops := d.m.Drops(); drops != (Drops{}) {
 		d.r.o.Metrics.Dropped(drops)
 	}
 }
 
-func (d *drive) decide(step, upstreamName, reason string) {
-	d.r.decide(Decision{
+func (d *driver) logDecision(step, upstreamName, reason string) {
+	d.r.logDecision(Decision{
 		Request: d.c.ID, Team: cmp.Or(d.c.Team, d.c.Caller), Class: d.c.Class, Attempt: d.m.Attempt(), Step: step,
-		Upstream: upstreamName, Prefill: d.entry.Prefill, Reason: reason, Bundle: d.number,
+		Upstream: upstreamName, Prefill: d.entry.Prefill, Reason: reason, Bundle: d.bundleNumber,
 	})
 }
 
-// endCall ends the call in flight.
-func (d *drive) endCall() {
-	d.abort()
-	give(&d.callDone)
+// endCall cancels the call in flight.
+func (d *driver) endCall() {
+	d.cancelCall()
+	callOnce(&d.callDone)
 }
 
-// endAttempt ends the call in flight and the attempt's hold on its decode engine.
-func (d *drive) endAttempt() {
+// endAttempt cancels the call in flight and ends the attempt's accounting: rate limits, paused
+// drafts, its decode slot and wasted prefill tokens.
+func (d *driver) endAttempt() {
 	d.endCall()
-	d.unsent.giveBack()
-	d.withdrawPause()
-	d.unpauseVictim()
+	d.heldLimits.returnAll()
+	d.unlistDraft()
+	d.unpauseDraft()
 	if d.attemptDone != nil {
-		give(&d.attemptDone)
-		d.r.waiters.wake(d.freed)
+		callOnce(&d.attemptDone)
+		d.r.waiters.wake(d.slotPool)
 	}
-	if d.computed > 0 {
-		d.r.o.Metrics.WastedPrefill(d.computed)
-		d.computed = 0
+	if d.undeliveredPrefill > 0 {
+		d.r.o.Metrics.WastedPrefill(d.undeliveredPrefill)
+		d.undeliveredPrefill = 0
 	}
 }
 
-func (d *drive) endRequest() {
+func (d *driver) endRequest() {
 	d.endAttempt()
 	d.leaveQueue()
-	give(&d.teamDone)
+	callOnce(&d.teamDone)
 }
 
-// give calls *done once.
-func give(done *func()) {
+// callOnce calls *done and clears it; it does nothing if *done is nil.
+func callOnce(done *func()) {
 	if *done != nil {
 		(*done)()
 		*done = nil
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -15,19 +15,19 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// cell is one fault at one step of a completion.
-type cell struct {
+// faultCase is the environment of one fault at one step of a completion.
+type faultCase struct {
 	*fleet
 	ctx    context.Context
 	cancel context.CancelFunc
 	c      request.Completion
 	sink   *sink
-	// check runs after the answer, before the engines are thawed.
+	// check runs after the answer and before the engines are thawed.
 	check func()
 }
 
-// at runs hook at the token's delivery.
-func (c *cell) at(token int, hook func()) {
+// onTokenAt runs hook when the token with the given index is delivered.
+func (c *faultCase) onTokenAt(token int, hook func()) {
 	c.sink.onToken = func(i int) error {
 		if i == token {
 			hook()
@@ -36,60 +36,59 @@
 	}
 }
 
-// endless makes the answer so long that only a cancel can free its memory.
-func (c *cell) endless() { c.c.MaxTokens = 1 << 20 }
+// longAnswer makes the answer so long that only a cancel frees its memory.
+func (c *faultCase) longAnswer() { c.c.MaxTokens = 1 << 20 }
 
-// stuck lets d0's decode never end by itself, so that only a cancel frees it.
-func (c *cell) stuck() { c.faults(0, engine.Faults{SlowStep: 1e6}) }
+// neverEnds slows down d0's decoding so much that only a cancel frees its memory.
+func (c *faultCase) neverEnds() { c.faults(0, engine.Faults{SlowStep: 1e6}) }
 
-// dropped fails the test unless chunks of that sort came and were dropped.
-func (c *cell) dropped(count func(request.Drops) int) func() {
+// chunksDropped returns a check that the runner has dropped chunks of the counted kind.
+func (c *faultCase) chunksDropped(count func(request.Drops) int) func() {
 	return func() {
 		if d := locked(c.fleet, func() request.Drops { return c.drops }); count(d) == 0 {
-			c.t.Errorf("dropped %+v: the fault did not happen or was not noticed", d)
+			c.t.Errorf("dropped %+v: the fault did not occur or was not detected", d)
 		}
 	}
 }
 
-// faults sets stand-in faults on d0 for its next calls; 0 means all.
-func (c *cell) faults(times int, f engine.Faults) { c.engines["d0"].SetFaults(f, times) }
+// faults sets stand-in faults on d0 for its next calls; 0 times means all calls.
+func (c *faultCase) faults(times int, f engine.Faults) { c.engines["d0"].SetFaults(f, times) }
 
-// want is how a cell's request must end.
+// want is the expected outcome of a request.
 type want struct {
-	kind errkind.Kind // empty: the whole answer
+	kind errkind.Kind // empty: a complete answer
 	run  errkind.Run
 }
 
 var (
-	whole       = want{}
-	goneBefore  = want{errkind.ClientGone, errkind.NotRun}
-	goneUnknown = want{errkind.ClientGone, errkind.Unknown}
-	goneRan     = want{errkind.ClientGone, errkind.Ran}
-	staleNotRun = want{errkind.StaleView, errkind.NotRun}
-	staleMaybe  = want{errkind.StaleView, errkind.Unknown}
-	staleRan    = want{errkind.StaleView, errkind.Ran}
+	completeAnswer = want{}
+	goneNotRun     = want{errkind.ClientGone, errkind.NotRun}
+	goneUnknown    = want{errkind.ClientGone, errkind.Unknown}
+	goneRan        = want{errkind.ClientGone, errkind.Ran}
+	staleNotRun    = want{errkind.StaleView, errkind.NotRun}
+	staleUnknown   = want{errkind.StaleView, errkind.Unknown}
+	staleRan       = want{errkind.StaleView, errkind.Ran}
 )
 
-// Symptom, for every cell: the caller gets no answer, two answers, tokens twice
-// or of another request, a clean end of half an answer, or a false "not run";
-// or an engine goes on holding memory for the request.
-// Sequence: the fault hits d0 or p0, the first choices, at the step; d1 and p1
-// are healthy. Frozen engines go on once the request has ended.
-// Cause: a step that trusts its call to be delivered, answered, in time, its own.
+// TestComplete checks for every fault at every step that the caller gets exactly one answer
+// with its own tokens, each once, that an incomplete answer does not end as a complete one,
+// that "not run" is reported only if it is true, and that no engine keeps memory for the
+// request. Faults hit d0 and p0, the first choices; d1 and p1 are healthy. Frozen engines
+// continue after the request has ended.
 func TestComplete(t *testing.T) {
-	for name, tc := range cells() {
+	for name, tc := range faultCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, nil)
-			c := &cell{fleet: f, c: completion("r1"), sink: &sink{}}
+			c := &faultCase{fleet: f, c: newCompletion("r1"), sink: &sink{}}
 			c.ctx, c.cancel = context.WithCancel(context.Background())
 			defer c.cancel()
 			tc.arrange(c)
-			f.run(c.ctx, c.c, c.sink)
-			if tc.want == whole {
-				c.sink.whole()
+			f.complete(c.ctx, c.c, c.sink)
+			if tc.want == completeAnswer {
+				c.sink.wantComplete()
 			} else {
-				c.sink.failed(tc.want.kind, tc.want.run)
+				c.sink.wantFailed(tc.want.kind, tc.want.run)
 			}
 			if c.check != nil {
 				c.check()
@@ -102,47 +101,48 @@
 	}
 }
 
-type row struct {
-	arrange func(*cell)
+// faultCaseSpec injects one fault and gives the expected outcome of the request.
+type faultCaseSpec struct {
+	arrange func(*faultCase)
 	want    want
 }
 
-// stepOf names the call that carries each step and the engine that is hit.
-var stepOf = map[string]struct{ engine, path string }{
+// callOfStep maps each step to the call that performs it and the engine that the fault hits.
+var callOfStep = map[string]struct{ engine, path string }{
 	"reserve": {"d0", engineapi.PathReserve},
 	"prefill": {"p0", engineapi.PathPrefill},
 	"export":  {"p0", engineapi.PathExport},
 	"import":  {"d0", engineapi.PathDecode},
 }
 
-// cells returns the matrix: the faults that hit every step alike, then those
-// that are the step's own.
-func cells() map[string]row {
-	out := map[string]row{}
-	for step, s := range stepOf {
-		hit := func(hook func(c *cell, n *node) http.HandlerFunc) func(*cell) {
-			return func(c *cell) { n := c.engines[s.engine]; n.on(s.path, hook(c, n)) }
+// faultCases returns all combinations of step and fault: the faults that apply to every step,
+// and then those specific to one step.
+func faultCases() map[string]faultCaseSpec {
+	out := map[string]faultCaseSpec{}
+	for step, s := range callOfStep {
+		hit := func(hook func(c *faultCase, n *engineNode) http.HandlerFunc) func(*faultCase) {
+			return func(c *faultCase) { n := c.engines[s.engine]; n.onCall(s.path, hook(c, n)) }
 		}
-		out[step+"/upstream-killed"] = row{hit(func(_ *cell, n *node) http.HandlerFunc {
+		out[step+"/upstream-killed"] = faultCaseSpec{hit(func(_ *faultCase, n *engineNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) { n.kill(); cut(w, r) }
-		}), whole}
-		out[step+"/upstream-frozen"] = row{hit(func(_ *cell, n *node) http.HandlerFunc {
+		}), completeAnswer}
+		out[step+"/upstream-frozen"] = faultCaseSpec{hit(func(_ *faultCase, n *engineNode) http.HandlerFunc {
 			return func(http.ResponseWriter, *http.Request) { n.freeze() }
-		}), whole}
-		out[step+"/connection-cut"] = row{hit(func(*cell, *node) http.HandlerFunc { return cut }), whole}
-		out[step+"/connection-stalled"] = row{hit(func(*cell, *node) http.HandlerFunc { return stall }), whole}
+		}), completeAnswer}
+		out[step+"/connection-cut"] = faultCaseSpec{hit(func(*faultCase, *engineNode) http.HandlerFunc { return cut }), completeAnswer}
+		out[step+"/connection-stalled"] = faultCaseSpec{hit(func(*faultCase, *engineNode) http.HandlerFunc { return stall }), completeAnswer}
 		gone := goneUnknown
 		if step == "reserve" {
-			gone = goneBefore
+			gone = goneNotRun
 		}
-		out[step+"/caller-gone"] = row{hit(func(c *cell, _ *node) http.HandlerFunc {
+		out[step+"/caller-gone"] = faultCaseSpec{hit(func(c *faultCase, _ *engineNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				c.cancel()
-				stall(w, r) // an answer beside the caller's leave may be taken first
+				stall(w, r) // an answer that arrives together with the caller's departure could be handled first
 			}
 		}), gone}
 	}
-	for _, more := range []map[string]row{beforeCells(), dispatchCells(), streamCells(), endCells(), cancelCells(), transferCells()} {
+	for _, more := range []map[string]faultCaseSpec{acceptFaults(), dispatchFaults(), streamFaults(), endFaults(), cancelFaults(), transferFaults()} {
 		for name, r := range more {
 			out[name] = r
 		}
@@ -150,8 +150,8 @@
 	return out
 }
 
-// untouched fails the test when a call started work on the engine.
-func (c *cell) untouched(name string) func() {
+// noNewWork returns a check that no call has started work on the engine.
+func (c *faultCase) noNewWork(name string) func() {
 	return func() {
 		if s := c.engines[name].Stats(); s.Reserves+s.Prefills+s.Decodes > 0 {
 			c.t.Errorf("%s got new work: %+v", name, s)
@@ -159,116 +159,116 @@
 	}
 }
 
-func beforeCells() map[string]row {
-	return map[string]row{
-		"accept/caller-gone": {func(c *cell) { c.cancel(); c.check = c.untouched("d0") }, goneBefore},
-		"accept/daemon-frozen": {func(c *cell) {
+func acceptFaults() map[string]faultCaseSpec {
+	return map[string]faultCaseSpec{
+		"accept/caller-gone": {func(c *faultCase) { c.cancel(); c.check = c.noNewWork("d0") }, goneNotRun},
+		"accept/daemon-frozen": {func(c *faultCase) {
 			c.stale = true
-			c.check = c.untouched("d0")
+			c.check = c.noNewWork("d0")
 		}, staleNotRun},
-		"accept/leaving": {func(c *cell) { c.leave("d0"); c.check = c.untouched("d0") }, whole},
+		"accept/leaving": {func(c *faultCase) { c.leave("d0"); c.check = c.noNewWork("d0") }, completeAnswer},
 	}
 }
 
-// dispatchCells hold what must be seen right before each call that is new work.
-func dispatchCells() map[string]row {
-	leaveAt := func(step, leaving string) func(*cell) {
-		s := stepOf[step]
-		return func(c *cell) {
-			c.engines[s.engine].on(s.path, func(http.ResponseWriter, *http.Request) { c.leave(leaving) })
+// dispatchFaults are faults that must be detected right before each call that starts work.
+func dispatchFaults() map[string]faultCaseSpec {
+	leaveAt := func(step, leaving string) func(*faultCase) {
+		s := callOfStep[step]
+		return func(c *faultCase) {
+			c.engines[s.engine].onCall(s.path, func(http.ResponseWriter, *http.Request) { c.leave(leaving) })
 		}
 	}
-	staleAt := func(step string) func(*cell) {
-		s := stepOf[step]
-		return func(c *cell) {
-			c.engines[s.engine].on(s.path, func(http.ResponseWriter, *http.Request) { c.set(func() { c.stale = true }) })
+	staleAt := func(step string) func(*faultCase) {
+		s := callOfStep[step]
+		return func(c *faultCase) {
+			c.engines[s.engine].onCall(s.path, func(http.ResponseWriter, *http.Request) { c.set(func() { c.stale = true }) })
 		}
 	}
-	return map[string]row{
-		"reserve/leaving": {func(c *cell) {
+	return map[string]faultCaseSpec{
+		"reserve/leaving": {func(c *faultCase) {
 			c.onPlan = func(int) { c.leave("d0") }
-			c.check = c.untouched("d0")
-		}, whole},
-		"prefill/leaving": {func(c *cell) {
+			c.check = c.noNewWork("d0")
+		}, completeAnswer},
+		"prefill/leaving": {func(c *faultCase) {
 			leaveAt("reserve", "p0")(c)
-			c.check = c.untouched("p0")
-		}, whole},
-		"import/leaving": {func(c *cell) {
+			c.check = c.noNewWork("p0")
+		}, completeAnswer},
+		"import/leaving": {func(c *faultCase) {
 			leaveAt("prefill", "d0")(c)
 			c.check = func() {
 				if n := c.engines["d0"].Stats().Decodes; n > 0 {
 					c.t.Errorf("leaving engine got %d decodes", n)
 				}
 			}
-		}, whole},
+		}, completeAnswer},
 		"reserve/daemon-frozen": {staleAt("reserve"), staleNotRun},
-		"prefill/daemon-frozen": {staleAt("prefill"), staleMaybe},
-		"import/daemon-frozen":  {staleAt("import"), whole}, // nothing is dispatched after it
-		"export/daemon-frozen":  {staleAt("export"), whole},
-		"export/leaving": {func(c *cell) { // the transfer in flight finishes
+		"prefill/daemon-frozen": {staleAt("prefill"), staleUnknown},
+		"import/daemon-frozen":  {staleAt("import"), completeAnswer}, // no call is dispatched after this one
+		"export/daemon-frozen":  {staleAt("export"), completeAnswer},
+		"export/leaving": {func(c *faultCase) { // the transfer in flight finishes
 			leaveAt("export", "p0")(c)
-			c.check = c.untouched("p1")
-		}, whole},
-		"own-word/reserve/leaving": {func(c *cell) {
+			c.check = c.noNewWork("p1")
+		}, completeAnswer},
+		"own-word/reserve/leaving": {func(c *faultCase) {
 			c.faults(0, engine.Faults{Leaving: true})
 			c.check = func() {
 				if !locked(c.fleet, func() bool { return len(c.left) > 0 && c.left[0] == "d0" }) {
-					c.t.Error("the board was not told")
+					c.t.Error("the observer got no leaving notice")
 				}
 			}
-		}, whole},
+		}, completeAnswer},
 	}
 }
 
-func streamCells() map[string]row {
-	first, last := 1, 1+tokens // chunks before the fault: Imported, then tokens
-	out := map[string]row{}
-	for step, after := range map[string]int{"decode-first-token": first, "mid-stream": mid, "last-chunk": last} {
+func streamFaults() map[string]faultCaseSpec {
+	first, last := 1, 1+tokens // chunks before the fault: the import notice, then tokens
+	out := map[string]faultCaseSpec{}
+	for step, after := range map[string]int{"decode-first-token": first, "mid-stream": midStreamChunks, "last-chunk": last} {
 		token := max(after-2, 0)
-		fault := func(f engine.Faults) func(*cell) { return func(c *cell) { c.faults(1, f) } }
-		out[step+"/connection-cut"] = row{fault(engine.Faults{CutAfter: after}), whole}
-		out[step+"/connection-stalled"] = row{fault(engine.Faults{StallAfter: after}), whole}
-		out[step+"/connection-cut+leaving"] = row{func(c *cell) { // attaching again is no new work
-			c.at(token, func() { c.leave("d0") })
+		fault := func(f engine.Faults) func(*faultCase) { return func(c *faultCase) { c.faults(1, f) } }
+		out[step+"/connection-cut"] = faultCaseSpec{fault(engine.Faults{CutAfter: after}), completeAnswer}
+		out[step+"/connection-stalled"] = faultCaseSpec{fault(engine.Faults{StallAfter: after}), completeAnswer}
+		out[step+"/connection-cut+leaving"] = faultCaseSpec{func(c *faultCase) { // a resume starts no new work
+			c.onTokenAt(token, func() { c.leave("d0") })
 			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
-			c.check = c.untouched("d1")
-		}, whole}
-		crossed := func(g engine.Garble) func(*cell) {
-			return func(c *cell) {
+			c.check = c.noNewWork("d1")
+		}, completeAnswer}
+		crossed := func(g engine.Garble) func(*faultCase) {
+			return func(c *faultCase) {
 				c.faults(1, engine.Faults{Garble: g, GarbleAfter: after})
-				c.check = c.dropped(func(d request.Drops) int { return d.Crossed })
+				c.check = c.chunksDropped(func(d request.Drops) int { return d.Crossed })
 			}
 		}
-		out[step+"/crossed-answer"] = row{crossed(engine.GarbleCrossed), whole}
-		out[step+"/late-answer"] = row{crossed(engine.GarbleOlder), whole}
-		out[step+"/duplicated-answer"] = row{fault(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: after}), whole}
-		out[step+"/truncated-answer"] = row{fault(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: after}), whole}
-		out[step+"/upstream-killed"] = row{func(c *cell) { c.at(token, c.engines["d0"].kill) }, whole}
-		out[step+"/upstream-frozen"] = row{func(c *cell) { c.at(token, func() { c.engines["d0"].freeze(); c.stuck() }) }, whole}
-		out[step+"/caller-gone"] = row{func(c *cell) { c.endless(); c.at(token, c.cancel) }, goneRan}
-		out[step+"/leaving"] = row{func(c *cell) {
-			c.at(token, func() { c.leave("d0") })
-			c.check = c.untouched("d1")
-		}, whole}
-		out[step+"/daemon-frozen"] = row{func(c *cell) { // and the stream is cut meanwhile
-			c.at(token, func() { c.set(func() { c.stale = true }) })
+		out[step+"/crossed-answer"] = faultCaseSpec{crossed(engine.GarbleCrossed), completeAnswer}
+		out[step+"/late-answer"] = faultCaseSpec{crossed(engine.GarbleOlder), completeAnswer}
+		out[step+"/duplicated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: after}), completeAnswer}
+		out[step+"/truncated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: after}), completeAnswer}
+		out[step+"/upstream-killed"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, c.engines["d0"].kill) }, completeAnswer}
+		out[step+"/upstream-frozen"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, func() { c.engines["d0"].freeze(); c.neverEnds() }) }, completeAnswer}
+		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.longAnswer(); c.onTokenAt(token, c.cancel) }, goneRan}
+		out[step+"/leaving"] = faultCaseSpec{func(c *faultCase) {
+			c.onTokenAt(token, func() { c.leave("d0") })
+			c.check = c.noNewWork("d1")
+		}, completeAnswer}
+		out[step+"/daemon-frozen"] = faultCaseSpec{func(c *faultCase) { // the stream is cut while the daemon is stopped
+			c.onTokenAt(token, func() { c.set(func() { c.stale = true }) })
 			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
 		}, staleRan}
 	}
-	for step, after := range map[string]int{"mid-stream": mid, "last-chunk": last - 1} {
-		out["skipped/"+step+"/truncated-answer"] = row{func(c *cell) {
+	for step, after := range map[string]int{"mid-stream": midStreamChunks, "last-chunk": last - 1} {
+		out["skipped/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
 			c.faults(1, engine.Faults{Garble: engine.GarbleSkipped, GarbleAfter: after})
-		}, whole}
-		out["garbled/"+step+"/truncated-answer"] = row{func(c *cell) {
+		}, completeAnswer}
+		out["garbled/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
 			c.faults(1, engine.Faults{Garble: engine.GarbleBytes, GarbleAfter: after})
-		}, whole}
+		}, completeAnswer}
 	}
 	return out
 }
 
-func endCells() map[string]row {
-	return map[string]row{
-		"answer/caller-gone": {func(c *cell) { // the write to the caller fails
+func endFaults() map[string]faultCaseSpec {
+	return map[string]faultCaseSpec{
+		"answer/caller-gone": {func(c *faultCase) { // the write to the caller fails
 			c.sink.onToken = func(i int) error {
 				if i == tokens-1 {
 					return errors.New("broken pipe")
@@ -276,77 +276,77 @@
 				return nil
 			}
 		}, goneRan},
-		"answer/daemon-frozen": {func(c *cell) { // stopped for longer than the deadline
-			c.at(5, func() { c.set(func() { c.skew = 2 * bound }) })
+		"answer/daemon-frozen": {func(c *faultCase) { // stopped for longer than the deadline
+			c.onTokenAt(5, func() { c.set(func() { c.skew = 2 * maxWait }) })
 		}, want{errkind.DeadlineExceeded, errkind.Ran}},
-		"answer/upstream-frozen": {func(c *cell) { // nothing comes until the deadline
+		"answer/upstream-frozen": {func(c *faultCase) { // no response before the deadline
 			c.c.Deadline = c.c.Accepted.Add(300 * time.Millisecond)
 			c.engines["d0"].freeze()
 		}, want{errkind.DeadlineExceeded, errkind.NotRun}},
-		"answer/upstream-killed": {func(c *cell) { // nobody is left
+		"answer/upstream-killed": {func(c *faultCase) { // no upstream is left
 			for _, n := range c.engines {
-				n.on(engineapi.PathPrefill, cut)
+				n.onCall(engineapi.PathPrefill, cut)
 			}
 		}, want{errkind.NoUpstream, errkind.Unknown}},
 	}
 }
 
-// cancelCells lose the cancel itself. The engine goes on until a cancel takes
-// effect, so a single lost one shows as memory held for ever.
-func cancelCells() map[string]row {
-	first := func(times int, hook http.HandlerFunc) func(*cell) {
-		return func(c *cell) {
-			c.endless()
-			c.at(5, c.cancel)
+// cancelFaults are faults that lose the cancel itself. The engine continues until a cancel
+// takes effect, so a cancel that is lost for good shows as memory that is never freed.
+func cancelFaults() map[string]faultCaseSpec {
+	first := func(times int, hook http.HandlerFunc) func(*faultCase) {
+		return func(c *faultCase) {
+			c.longAnswer()
+			c.onTokenAt(5, c.cancel)
 			var n atomic.Int32
-			c.engines["d0"].on(engineapi.PathCancel, func(w http.ResponseWriter, r *http.Request) {
+			c.engines["d0"].onCall(engineapi.PathCancel, func(w http.ResponseWriter, r *http.Request) {
 				if int(n.Add(1)) <= times {
 					hook(w, r)
 				}
 			})
 		}
 	}
-	return map[string]row{
+	return map[string]faultCaseSpec{
 		"cancel/connection-cut":     {first(3, cut), goneRan},
 		"cancel/connection-stalled": {first(2, stall), goneRan},
-		"cancel/truncated-answer": {func(c *cell) { // it takes effect, its answer is lost
-			c.endless()
-			c.at(5, c.cancel)
+		"cancel/truncated-answer": {func(c *faultCase) { // the cancel takes effect, but its answer is lost
+			c.longAnswer()
+			c.onTokenAt(5, c.cancel)
 			c.faults(2, engine.Faults{LoseCancel: true})
 		}, goneRan},
-		"cancel/upstream-frozen": {func(c *cell) {
-			c.endless()
-			c.at(5, func() { c.engines["d0"].freeze(); c.cancel() })
+		"cancel/upstream-frozen": {func(c *faultCase) {
+			c.longAnswer()
+			c.onTokenAt(5, func() { c.engines["d0"].freeze(); c.cancel() })
 		}, goneRan},
-		"cancel/upstream-killed": {func(c *cell) {
-			c.endless()
-			c.at(5, func() { c.engines["d0"].kill(); c.cancel() })
+		"cancel/upstream-killed": {func(c *faultCase) {
+			c.longAnswer()
+			c.onTokenAt(5, func() { c.engines["d0"].kill(); c.cancel() })
 		}, goneRan},
-		"cancel/daemon-frozen": {func(c *cell) { // a stale daemon frees what it holds all the same
-			c.endless()
-			c.at(5, func() { c.set(func() { c.stale = true }); c.cancel() })
+		"cancel/daemon-frozen": {func(c *faultCase) { // a daemon with stale data still frees what it holds
+			c.longAnswer()
+			c.onTokenAt(5, func() { c.set(func() { c.stale = true }); c.cancel() })
 		}, goneRan},
 	}
 }
 
-// transferCells break the KV cache on its way.
-func transferCells() map[string]row {
-	broken := func(f engine.Faults) func(*cell) {
-		return func(c *cell) { c.engines["p0"].SetFaults(f, 1) }
+// transferFaults are faults during the KV cache transfer.
+func transferFaults() map[string]faultCaseSpec {
+	broken := func(f engine.Faults) func(*faultCase) {
+		return func(c *faultCase) { c.engines["p0"].SetFaults(f, 1) }
 	}
-	return map[string]row{
-		"transfer/connection-cut":     {broken(engine.Faults{CutExport: true}), whole},
-		"transfer/connection-stalled": {broken(engine.Faults{StallExport: true}), whole},
-		"transfer/upstream-killed": {func(c *cell) { // while it is stalled
+	return map[string]faultCaseSpec{
+		"transfer/connection-cut":     {broken(engine.Faults{CutExport: true}), completeAnswer},
+		"transfer/connection-stalled": {broken(engine.Faults{StallExport: true}), completeAnswer},
+		"transfer/upstream-killed": {func(c *faultCase) { // the engine is killed while the transfer is stalled
 			broken(engine.Faults{StallExport: true})(c)
-			c.engines["d0"].on(engineapi.PathStream, func(http.ResponseWriter, *http.Request) { c.engines["p0"].kill() })
-		}, whole},
-		"transfer/caller-gone": {func(c *cell) {
+			c.engines["d0"].onCall(engineapi.PathStream, func(http.ResponseWriter, *http.Request) { c.engines["p0"].kill() })
+		}, completeAnswer},
+		"transfer/caller-gone": {func(c *faultCase) {
 			broken(engine.Faults{StallExport: true})(c)
-			c.engines["p0"].on(engineapi.PathExport, func(http.ResponseWriter, *http.Request) { c.cancel() })
+			c.engines["p0"].onCall(engineapi.PathExport, func(http.ResponseWriter, *http.Request) { c.cancel() })
 		}, goneUnknown},
 	}
 }
 
-// mid is how many chunks come before a fault in mid-stream.
-const mid = 7
+// midStreamChunks is the number of chunks before a fault in the middle of a stream.
+const midStreamChunks = 7
--- a/request/decision.go
+++ b/request/decision.go
@@ -8,33 +8,33 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Decision is one routing or placement decision, for its log line. Every line
-// has the same fields, so that a request can be followed by its id.
+// Decision is the log line of one routing or placement decision. All lines have the same
+// fields, so that a request can be followed by its id.
 type Decision struct {
 	Request string
 	Team    string
 	Class   bundle.Class
 	Attempt int
-	// Step is what was decided: plan, reserve, prefill, decode, resume, call,
-	// cancel, finish or fail.
+	// Step is what was decided: plan, reserve, prefill, decode, resume, call, cancel, finish
+	// or fail.
 	Step       string
 	Candidates int
-	// Limited is how many upstreams were left out since their rate limits leave nothing now.
+	// Limited is the number of upstreams excluded because their rate limits are used up.
 	Limited int
 	// Upstream is the decode engine or service replica; Prefill the prefill engine.
 	Upstream string
 	Prefill  string
-	// Reason is a short machine-readable word.
+	// Reason is a short machine-readable identifier.
 	Reason string
-	// Bundle is the number of the version decided on.
+	// Bundle is the number of the configuration bundle that the decision used.
 	Bundle uint64
-	// ViewAge is the age of the load that was decided on.
+	// ViewAge is the age of the load data that the decision used.
 	ViewAge time.Duration
 	// FirstToken is the predicted time to the first token.
 	FirstToken time.Duration
 }
 
-// Fields returns the line's fields.
+// Fields returns the fields of the log line.
 func (d Decision) Fields() log.Fields {
 	return log.Fields{
 		"request":                  d.Request,
@@ -53,7 +53,7 @@
 	}
 }
 
-func (r *Runner) decide(d Decision) {
+func (r *Runner) logDecision(d Decision) {
 	r.o.Metrics.Decided(d.Step)
 	r.o.Logger.WithFields(d.Fields()).Info("decision")
 }
--- a/request/decision_test.go
+++ b/request/decision_test.go
@@ -13,14 +13,14 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Symptom: nobody can tell from the log why a request took two prefills.
-// Sequence: the first attempt's KV cache is cut on its way, the second answers.
-// Cause: a decision without its line, or lines whose fields differ.
+// TestDecisionLines checks that every decision has a log line and that all lines have the same
+// fields. The KV cache transfer of the first attempt is cut and the second attempt answers, so
+// that the log must explain why the request needed two prefills.
 func TestDecisionLines(t *testing.T) {
 	lines := memory.New()
 	f := newFleet(t, func(o *request.Options) { o.Logger = &log.Logger{Handler: lines, Level: log.InfoLevel} })
 	f.engines["p0"].SetFaults(engine.Faults{CutExport: true}, 1)
-	f.run(context.Background(), completion("r1"), nil).whole()
+	f.complete(context.Background(), newCompletion("r1"), nil).wantComplete()
 	var got []string
 	verdicts, retries := 0, 0
 	for _, e := range lines.Entries {
@@ -49,17 +49,17 @@
 		t.Error(d)
 	}
 	if verdicts != 1 {
-		t.Errorf("%d verdicts on one completion", verdicts)
+		t.Errorf("%d verdicts for one completion", verdicts)
 	}
 	if retries != 1 {
-		t.Errorf("%d lines on one retry", retries)
+		t.Errorf("%d lines for one retry", retries)
 	}
 	if w := locked(f, func() int { return f.wasted }); w == 0 {
 		t.Error("the first attempt's prefill was not counted as wasted")
 	}
 }
 
-// checkRetry checks that the line of a retry names the request, the budget and its answer.
+// checkRetry checks that the line of a retry contains the request, the budget and its answer.
 func checkRetry(t *testing.T, e *log.Entry) {
 	t.Helper()
 	want := log.Fields{
@@ -70,8 +70,8 @@
 	}
 }
 
-// checkVerdict checks that a verdict has all its fields, for the request and the engine
-// that ended it.
+// checkVerdict checks that a verdict has all its fields and names the request and the engine
+// that finished it.
 func checkVerdict(t *testing.T, e *log.Entry) {
 	t.Helper()
 	for name := range (request.Verdict{}).Fields() {
--- a/request/dispatch.go
+++ b/request/dispatch.go
@@ -9,50 +9,52 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// dispatch checks what may have changed since the plan and starts one call.
-func (d *drive) dispatch(a Action) {
+// dispatch repeats the checks whose result may have changed since the plan and starts one
+// call.
+func (d *driver) dispatch(a Action) {
 	d.endCall()
 	if ev, ok := d.blocked(a); ok {
-		d.decide(a.Step.String(), a.Target.Name, "not-sent")
-		d.queue = append(d.queue, ev)
+		d.logDecision(a.Step.String(), a.Target.Name, "not-sent")
+		d.pendingEvents = append(d.pendingEvents, ev)
 		return
 	}
-	if a.Step == StepReserve && a.Plan.PauseDraft && !d.pauseVictim(a) {
-		d.decide(a.Step.String(), a.Target.Name, "no-draft-to-pause")
-		d.queue = append(d.queue, Event{Kind: EventLeft, Call: a.Call})
+	if a.Step == StepReserve && a.Plan.PauseDraft && !d.pauseDraft(a) {
+		d.logDecision(a.Step.String(), a.Target.Name, "no-draft-to-pause")
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventLeft, Call: a.Call})
 		return
 	}
-	d.count(a)
+	d.countInflight(a)
 	d.leaveQueue()
-	ctx, cancel := context.WithCancel(d.base)
-	d.abort = cancel
+	ctx, cancel := context.WithCancel(d.baseCtx)
+	d.cancelCall = cancel
 	d.showState()
 	switch a.Step {
 	case StepReserve:
-		msg, victim := d.reserveRequest(a), d.victim
-		d.calls.Go(func() { d.reserve(ctx, a, msg, victim) })
+		msg, pausedDraft := d.reserveRequest(a), d.pausedDraft
+		d.calls.Go(func() { d.reserve(ctx, a, msg, pausedDraft) })
 	case StepPrefill:
 		msg := d.prefillRequest(a)
-		d.unsent.prefill = nil
-		ahead := d.ahead
+		d.heldLimits.prefill = nil
+		ahead := d.aheadTokens
 		d.calls.Go(func() { d.prefill(ctx, a, msg, ahead) })
 	case StepDecode:
-		d.decodeAt = d.r.o.Now()
+		d.decodeSentAt = d.r.o.Now()
 		msg := d.decodeRequest(a)
-		d.unsent.decode = nil
+		d.heldLimits.decode = nil
 		d.calls.Go(func() { d.decode(ctx, a, msg) })
 	default:
 		d.calls.Go(func() { d.resume(ctx, a) })
 	}
 }
 
-// blocked says whether the call must not be sent. A process that was stopped
-// (SIGSTOP, a host's pause) goes on with its next call as if no time had passed,
-// on a view from before; upstreams may have left and its own work may have been
-// swept. It shows as a jump between heartbeats, which Frozen tells.
-func (d *drive) blocked(a Action) (Event, bool) {
+// blocked returns the event to handle instead of making the call if the call must not be sent.
+// A process that was stopped (SIGSTOP, a paused virtual machine) continues with its next call
+// as if no time had passed, with stale data: upstreams may have left, and the steward's sweep
+// may have freed the engine memory of its requests. Frozen detects this by a gap between
+// heartbeats.
+func (d *driver) blocked(a Action) (Event, bool) {
 	now := d.r.o.Now()
-	if d.r.o.Frozen(now) || lapsed(d.after, now) {
+	if d.r.o.Frozen(now) || grantExpired(d.notAfter, now) {
 		return Event{Kind: EventStale, Call: a.Call}, true
 	}
 	if a.Step != StepResume && d.r.quarantined(d.c.ID, d.digest) {
@@ -71,13 +73,13 @@
 	return a.Plan.Decode
 }
 
-// count tells Inflight what the call puts on its upstream. The decode engine
-// counts from the attempt's first call to the attempt's end; the links of both
-// engines are booked before prefill starts.
-func (d *drive) count(a Action) {
+// countInflight adds the call's load to Inflight. The decode engine is counted from the
+// attempt's first call to the attempt's end. The KV links of both engines are booked before
+// prefill starts.
+func (d *driver) countInflight(a Action) {
 	if d.attemptDone == nil {
 		d.attemptDone = d.r.o.Inflight.Begin(a.Plan.Decode.Name, d.holdTokens())
-		d.freed = a.Plan.Decode.Pool
+		d.slotPool = a.Plan.Decode.Pool
 	}
 	if a.Step == StepPrefill {
 		d.callDone = d.r.o.Inflight.Begin(a.Target.Name, d.promptTokens())
@@ -86,17 +88,18 @@
 	}
 }
 
-func (d *drive) work(a Action) engineapi.WorkID {
+func (d *driver) workID(a Action) engineapi.WorkID {
 	return engineapi.WorkID{RequestID: d.c.ID, Attempt: a.Attempt}
 }
 
-func (d *drive) envelope(a Action) engineapi.Envelope {
+func (d *driver) envelope(a Action) engineapi.Envelope {
 	return engineapi.Envelope{Upstream: a.Target.Name, Deadline: d.c.Deadline, Original: d.c.Original}
 }
 
-// reserveRequest asks for a slot that outlasts the bounds of prefill and of the
-// start of decode: a shorter hold would waste a prefill that is merely slow.
-func (d *drive) reserveRequest(a Action) engineapi.ReserveRequest {
+// reserveRequest asks for a slot that stays reserved for the timeouts of the prefill and of the
+// start of decoding together, within the limits of the request's deadline and of the pool. A
+// shorter reservation would waste a prefill that is merely slow.
+func (d *driver) reserveRequest(a Action) engineapi.ReserveRequest {
 	l := d.m.limits
 	hold := min(l.Prefill+a.Plan.FirstToken+l.Import, d.c.Deadline.Sub(d.r.o.Now()))
 	if bound := d.maxHold(a); bound > 0 {
@@ -104,7 +107,7 @@
 	}
 	tokens, headroom := d.reservation()
 	return engineapi.ReserveRequest{
-		WorkID:   d.work(a),
+		WorkID:   d.workID(a),
 		Envelope: d.envelope(a),
 		Tokens:   tokens,
 		Headroom: headroom,
@@ -116,8 +119,9 @@
 	}
 }
 
-// maxHold returns the longest reservation that the engine's pool takes; 0 is no bound.
-func (d *drive) maxHold(a Action) time.Duration {
+// maxHold returns the longest reservation time that the engine's pool accepts; 0 means no
+// limit.
+func (d *driver) maxHold(a Action) time.Duration {
 	s := d.r.o.Snapshot()
 	if s == nil || s.Bundle == nil {
 		return 0
@@ -125,8 +129,8 @@
 	return time.Duration(s.Bundle.Pools[a.Plan.Decode.Pool].HoldMillis) * time.Millisecond
 }
 
-// kvBytes estimates the prompt's KV cache by the bundle's size for a token.
-func (d *drive) kvBytes() int64 {
+// kvBytes estimates the size of the prompt's KV cache from the model's bytes per token.
+func (d *driver) kvBytes() int64 {
 	s := d.r.o.Snapshot()
 	if s == nil || s.Bundle == nil {
 		return 0
@@ -134,9 +138,9 @@
 	return int64(d.promptTokens()) * s.Bundle.Models[d.c.Model].KVBytesPerToken
 }
 
-func (d *drive) prefillRequest(a Action) engineapi.PrefillRequest {
+func (d *driver) prefillRequest(a Action) engineapi.PrefillRequest {
 	return engineapi.PrefillRequest{
-		WorkID:    d.work(a),
+		WorkID:    d.workID(a),
 		Envelope:  d.envelope(a),
 		Owner:     d.r.o.Owner,
 		Model:     d.c.Model,
@@ -147,9 +151,9 @@
 	}
 }
 
-func (d *drive) decodeRequest(a Action) engineapi.DecodeRequest {
+func (d *driver) decodeRequest(a Action) engineapi.DecodeRequest {
 	return engineapi.DecodeRequest{
-		WorkID:      d.work(a),
+		WorkID:      d.workID(a),
 		Envelope:    d.envelope(a),
 		Reservation: a.Reservation,
 		Handle:      a.Handle,
@@ -163,39 +167,39 @@
 	}
 }
 
-func (d *drive) reserve(ctx context.Context, a Action, msg engineapi.ReserveRequest, victim *pausable) {
-	if victim != nil { // when it fails, the engine is full and refuses
-		_, _ = d.r.o.Engines.Pause(ctx, victim.target.Address, victim.work)
+func (d *driver) reserve(ctx context.Context, a Action, msg engineapi.ReserveRequest, pausedDraft *pausableDraft) {
+	if pausedDraft != nil { // if it fails, the engine stays full and refuses the reservation
+		_, _ = d.r.o.Engines.Pause(ctx, pausedDraft.target.Address, pausedDraft.work)
 	}
 	reply, err := d.r.o.Engines.Reserve(ctx, a.Target.Address, msg)
 	if err != nil {
-		d.callFailed(ctx, a, time.Time{}, err)
+		d.sendCallFailed(ctx, a, time.Time{}, err)
 		return
 	}
-	d.r.heard(a.Target.Name, &reply.Load)
+	d.r.reportLoad(a.Target.Name, &reply.Load)
 	d.r.o.Observer.Answered(d.r.o.Now(), a.Target.Name)
-	d.send(ctx, Event{Kind: EventReserved, Call: a.Call, Reservation: reply.Reservation})
+	d.sendEvent(ctx, Event{Kind: EventReserved, Call: a.Call, Reservation: reply.Reservation})
 }
 
-// showState tells administrators the machine's state when it has changed.
-func (d *drive) showState() {
+// showState publishes the machine's state for administrators if it has changed.
+func (d *driver) showState() {
 	state := d.m.State()
-	if d.shown == state {
+	if d.shownState == state {
 		return
 	}
-	d.shown = state
-	d.r.update(func() { d.entry.State = state.String() })
+	d.shownState = state
+	d.r.updateEntry(func() { d.entry.State = state.String() })
 }
 
-func (d *drive) prefill(ctx context.Context, a Action, msg engineapi.PrefillRequest, ahead int) {
+func (d *driver) prefill(ctx context.Context, a Action, msg engineapi.PrefillRequest, ahead int) {
 	began := d.r.o.Now()
 	reply, err := d.r.o.Engines.Prefill(ctx, a.Target.Address, msg)
 	if err != nil {
-		d.callFailed(ctx, a, began, err)
+		d.sendCallFailed(ctx, a, began, err)
 		return
 	}
 	now := d.r.o.Now()
-	d.r.heard(a.Target.Name, &reply.Load)
+	d.r.reportLoad(a.Target.Name, &reply.Load)
 	d.r.LearnPrefill(now, d.c.Model, false)
 	d.r.o.Observer.Prefilled(now, a.Target.Name, PrefillObservation{
 		PromptTokens: reply.PromptTokens,
@@ -204,54 +208,54 @@
 		Took:         now.Sub(began),
 		Prefix:       d.prefix,
 	})
-	d.send(ctx, Event{Kind: EventPrefilled, Call: a.Call, Prefill: &reply})
+	d.sendEvent(ctx, Event{Kind: EventPrefilled, Call: a.Call, Prefill: &reply})
 }
 
-func (d *drive) decode(ctx context.Context, a Action, msg engineapi.DecodeRequest) {
+func (d *driver) decode(ctx context.Context, a Action, msg engineapi.DecodeRequest) {
 	sent := d.r.o.Now()
 	stream, err := d.r.o.Engines.Decode(ctx, a.Target.Address, msg)
-	d.relay(ctx, a, sent, stream, err)
+	d.relayStream(ctx, a, sent, stream, err)
 }
 
-func (d *drive) resume(ctx context.Context, a Action) {
+func (d *driver) resume(ctx context.Context, a Action) {
 	sent := d.r.o.Now()
-	stream, err := d.r.o.Engines.Stream(ctx, a.Target.Address, d.work(a), a.Index)
-	d.relay(ctx, a, sent, stream, err)
+	stream, err := d.r.o.Engines.Stream(ctx, a.Target.Address, d.workID(a), a.Index)
+	d.relayStream(ctx, a, sent, stream, err)
 }
 
-// relay sends a stream's chunks to the driver until it ends.
-func (d *drive) relay(ctx context.Context, a Action, sent time.Time, stream upstream.ChunkStream, err error) {
+// relayStream sends a stream's chunks to the driver until the stream ends.
+func (d *driver) relayStream(ctx context.Context, a Action, sent time.Time, stream upstream.ChunkStream, err error) {
 	if err != nil {
-		d.callFailed(ctx, a, sent, err)
+		d.sendCallFailed(ctx, a, sent, err)
 		return
 	}
 	defer stream.Close()
-	d.send(ctx, Event{Kind: EventOpened, Call: a.Call, Head: stream.Head()})
+	d.sendEvent(ctx, Event{Kind: EventOpened, Call: a.Call, Head: stream.Head()})
 	ev := Event{Kind: EventChunk, Call: a.Call}
-	for answering, whole := false, false; ; answering = true {
+	for answering, sawDone := false, false; ; answering = true {
 		if err := stream.Next(&ev.Chunk); err != nil {
-			if !whole && mayHaveBroken(ctx, a.Step, err) {
-				d.broke(a, sent, answering)
+			if !sawDone && mayHaveCrashed(ctx, a.Step, err) {
+				d.reportBroken(a, sent, answering)
 			}
-			d.send(ctx, Event{Kind: EventCut, Call: a.Call})
+			d.sendEvent(ctx, Event{Kind: EventCut, Call: a.Call})
 			return
 		}
-		whole = ev.Chunk.Done
+		sawDone = ev.Chunk.Done
 		if ev.Chunk.Load != nil {
-			d.r.heard(a.Target.Name, ev.Chunk.Load)
+			d.r.reportLoad(a.Target.Name, ev.Chunk.Load)
 		}
-		if !d.send(ctx, ev) {
+		if !d.sendEvent(ctx, ev) {
 			return
 		}
 	}
 }
 
-func (d *drive) callFailed(ctx context.Context, a Action, sent time.Time, err error) {
-	if mayHaveBroken(ctx, a.Step, err) {
-		d.broke(a, sent, false)
+func (d *driver) sendCallFailed(ctx context.Context, a Action, sent time.Time, err error) {
+	if mayHaveCrashed(ctx, a.Step, err) {
+		d.reportBroken(a, sent, false)
 	}
-	d.r.heardRefusal(a.Target.Name, err)
-	d.send(ctx, Event{
+	d.r.reportRefusal(a.Target.Name, err)
+	d.sendEvent(ctx, Event{
 		Kind: EventCallFailed, Call: a.Call,
 		Delivery: upstream.DeliveryOf(err), Refusal: upstream.RefusalOf(err), Answer: ownAnswer(err),
 		Reached: upstream.Reached(err),
@@ -267,8 +271,8 @@
 	return &CallAnswer{Status: a.Status, Header: a.Header, Body: a.Body}
 }
 
-// send hands ev to the driver, unless the call was ended meanwhile.
-func (d *drive) send(ctx context.Context, ev Event) bool {
+// sendEvent passes ev to the driver; it returns false if the call was cancelled first.
+func (d *driver) sendEvent(ctx context.Context, ev Event) bool {
 	select {
 	case d.events <- ev:
 		return true
--- a/request/events.go
+++ b/request/events.go
@@ -7,50 +7,55 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// EventKind says what happened.
+// EventKind is the type of an Event.
 type EventKind uint8
 
 // The events of a Machine.
 const (
-	// EventStart begins the request.
+	// EventStart starts the request.
 	EventStart EventKind = iota
-	// EventPlanned answers ActionPlan with Plan.
+	// EventPlanned is the successful result of ActionPlan and carries Plan.
 	EventPlanned
-	// EventPlanRefused answers ActionPlan with Err.
+	// EventPlanRefused is the result of ActionPlan when no plan could be made; Err says why.
 	EventPlanRefused
-	// EventRetryDenied answers ActionPlan when the retry budget lacks what the plan needs.
+	// EventRetryDenied is the result of ActionPlan when the retry budget lacks the permits
+	// that the plan needs.
 	EventRetryDenied
-	// EventPermitted answers ActionPermit with Paid, 0 when the retry budget lacks it.
+	// EventPermitted is the result of ActionPermit. Paid is the number of retry permits taken,
+	// 0 if the budget lacked them.
 	EventPermitted
-	// EventReserved says call Call reserved the slot.
+	// EventReserved reports that call Call reserved a slot.
 	EventReserved
-	// EventPrefilled says call Call computed the KV cache, as Prefill tells.
+	// EventPrefilled reports that call Call computed the KV cache; Prefill is the reply.
 	EventPrefilled
-	// EventOpened says the engine accepted decode or resume call Call.
+	// EventOpened reports that the engine accepted decode or resume call Call.
 	EventOpened
-	// EventCallFailed says call Call failed with Delivery, and Refusal if refused.
+	// EventCallFailed reports that call Call failed. Delivery says how far it got; Refusal is
+	// set if it was refused.
 	EventCallFailed
-	// EventLeft says call Call was not sent: its upstream takes no new work now.
+	// EventLeft reports that call Call was not sent because its upstream takes no new work.
 	EventLeft
-	// EventStale says call Call was not sent: the daemon's view is too old.
+	// EventStale reports that call Call was not sent because the daemon's data is stale.
 	EventStale
-	// EventQuarantined says call Call was not sent: upstreams ended under the request.
+	// EventQuarantined reports that call Call was not sent because upstreams crashed while
+	// they ran the request.
 	EventQuarantined
-	// EventChunk brings Chunk from stream Call.
+	// EventChunk carries the next Chunk of stream Call.
 	EventChunk
-	// EventCut says stream Call ended without being whole.
+	// EventCut reports that stream Call ended. Unless the final chunk came first, the stream
+	// was incomplete.
 	EventCut
-	// EventCallerGone says nobody reads the answer any more.
+	// EventCallerGone reports that the caller no longer reads the answer.
 	EventCallerGone
-	// EventDrainLimit says the daemon must exit now.
+	// EventDrainLimit reports that the daemon has reached its shutdown limit.
 	EventDrainLimit
-	// EventPaused says that attempt Attempt was paused to make room, so that no
-	// token is due; EventUnpaused that it goes on.
+	// EventPaused reports that attempt Attempt was paused to make room, so that no token is
+	// due; EventUnpaused reports that it continues.
 	EventPaused
 	EventUnpaused
-	// EventTurn says that there may be a slot for a request that waits for one.
+	// EventTurn tells a queued request to ask for a slot again.
 	EventTurn
-	// EventTick says the time that Wake gave has come.
+	// EventTick reports that the time returned by Wake has come.
 	EventTick
 )
 
@@ -59,28 +64,28 @@
 	Kind EventKind
 	// Call is the number of the call that the event belongs to.
 	Call int
-	// Attempt is the attempt that was paused or goes on.
+	// Attempt is the attempt that was paused or that continues.
 	Attempt  int
 	Delivery upstream.Delivery
 	Plan     *policy.Plan
-	// Paid is how many retries of the budget were taken.
+	// Paid is the number of retry permits that were taken from the budget.
 	Paid    int
 	Prefill *engineapi.PrefillReply
-	// Reservation is the engine's name for what EventReserved reserved.
+	// Reservation is the engine's id of the reservation in EventReserved.
 	Reservation string
-	// Head is the head of the answer of EventOpened; nil where there is none.
+	// Head is the head of the engine's answer in EventOpened; nil if there is none.
 	Head *engineapi.Head
-	// Answer is the engine's own answer of EventCallFailed; nil where there is none.
+	// Answer is the engine's own error answer in EventCallFailed; nil if there is none.
 	Answer *CallAnswer
-	// Reached says that the host answered although the call failed.
+	// Reached is set if the upstream's host responded although the call failed.
 	Reached bool
 	Refusal *engineapi.Refusal
 	Err     *errkind.Error
 	Chunk   engineapi.Chunk
 }
 
-// deniesCall says that an event would have its call taken for one that failed or was
-// never sent, without an answer of the engine.
+// deniesCall reports whether the event says that its call failed or was never sent, without an
+// answer from the engine.
 func (ev Event) deniesCall() bool {
 	switch ev.Kind {
 	case EventLeft, EventStale, EventQuarantined:
@@ -92,41 +97,42 @@
 	}
 }
 
-// ActionKind says what a Runner must do.
+// ActionKind is the type of an Action.
 type ActionKind uint8
 
 // The actions of a Machine.
 const (
-	// ActionPlan asks for a plan for Attempt without the upstreams in Exclude.
-	// With Retry set an attempt failed before it; with Again set the attempt has waited
-	// for a slot since its last plan.
+	// ActionPlan asks for a plan for Attempt that does not use the upstreams in Exclude. Retry
+	// is set after a failed attempt. Again is set when the attempt has waited for a slot since
+	// its last plan.
 	ActionPlan ActionKind = iota
-	// ActionPermit asks the retry budget for Needs retries, before call Call is given up for
+	// ActionPermit asks the retry budget for Needs permits before call Call is given up for
 	// its silence.
 	ActionPermit
-	// ActionDispatch performs call Call of Step on Target by Plan. It ends the
-	// call before it.
+	// ActionDispatch makes call Call of Step to Target according to Plan. It ends the call
+	// before it.
 	ActionDispatch
-	// ActionCancel cancels Attempt on Target until acknowledged, and ends the
-	// call in flight.
+	// ActionCancel repeats the cancel of Attempt on Target until it is acknowledged, and ends
+	// the call in flight.
 	ActionCancel
-	// ActionBlame tells the board that Target failed; with Unanswered set, that it did
-	// not answer where an answer is due at once, and with Reached, that its host did.
+	// ActionBlame reports to the observer that a call to Target failed. Unanswered is set if
+	// Target did not respond to a call that it must answer at once; Reached is set if its host
+	// did respond.
 	ActionBlame
 	// ActionEmit delivers the token at Index.
 	ActionEmit
-	// ActionFinish ends the whole answer.
+	// ActionFinish ends the request with a complete answer.
 	ActionFinish
 	// ActionFail ends the request with Err.
 	ActionFail
-	// ActionOpen tells the sink the head of the answer.
+	// ActionOpen passes the head of the engine's answer to the sink.
 	ActionOpen
-	// ActionAnswer ends the request with an engine's own failure.
+	// ActionAnswer ends the request with an engine's own error answer.
 	ActionAnswer
-	// ActionFull tells that Target refused a reservation or a prompt, as Step says.
+	// ActionFull reports that Target refused a reservation or a prompt, depending on Step.
 	ActionFull
-	// ActionHandoff tells whether Target took the prefill result of From, for which it had
-	// granted a reservation.
+	// ActionHandoff reports whether Target, a decode engine that had granted a reservation,
+	// accepted the prefill result of From.
 	ActionHandoff
 )
 
@@ -142,9 +148,10 @@
 	Step    Step
 	Call    int
 	Attempt int
-	// Tries is Attempt without those that ended with a refused reservation.
+	// Tries is the number of Attempt, not counting attempts that ended with a refused
+	// reservation.
 	Tries int
-	// Streak is how many reservations were refused since the request last waited.
+	// Streak is the number of reservations refused since the request last waited.
 	Streak  int
 	Target  Target
 	Plan    *policy.Plan
@@ -157,24 +164,25 @@
 	Reason  string
 	Usage   Usage
 	Err     *errkind.Error
-	// Reservation and Handle are what the engines hold for the attempt.
+	// Reservation and Handle are the engines' ids of what they hold for the attempt: the slot
+	// on the decode engine and the prefill result on the prefill engine.
 	Reservation, Handle string
 	Head                *engineapi.Head
 	Answer              *CallAnswer
 	Unanswered, Reached bool
-	// Late says of a blamed call that its bound passed.
+	// Late is set for ActionBlame if the call timed out.
 	Late  bool
 	From  Target
 	Taken bool
 }
 
-// State is where a Machine stands.
+// State is the phase that a Machine is in.
 type State uint8
 
 // The states of a Machine.
 const (
 	StatePlanning State = iota
-	// StateQueued waits for a decode slot; nothing was sent for the attempt.
+	// StateQueued waits for a decode slot; no call of the attempt has been sent.
 	StateQueued
 	StateReserving
 	StatePrefilling
@@ -183,7 +191,7 @@
 	StateEnded
 )
 
-// String returns the word used in logs and by the administration listener.
+// String returns the name used in logs and on the administration listener.
 func (s State) String() string {
 	return [...]string{"planning", "queued", "reserving", "prefilling", "importing", "streaming", "ended"}[s]
 }
--- a/request/failure.go
+++ b/request/failure.go
@@ -9,130 +9,129 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-func (m *Machine) callFailed(now time.Time, ev Event) {
-	target := m.target(roleOf(m.step))
+func (m *Machine) handleCallFailed(now time.Time, ev Event) {
+	target := m.targetOf(roleOfStep(m.lastStep))
 	if ev.Delivery == upstream.Refused {
-		m.undo(ev.Delivery)
-		if m.step == StepDecode && m.reservation != "" && m.handle != "" {
-			m.handleGone(ev)
+		m.undoCall(ev.Delivery)
+		if m.lastStep == StepDecode && m.reservation != "" && m.handle != "" {
+			m.handleRefusedHandoff(ev)
 			return
 		}
-		switch m.step {
+		switch m.lastStep {
 		case StepReserve:
-			m.act(Action{Kind: ActionFull, Step: m.step, Target: target})
-			m.refused(ev)
+			m.addAction(Action{Kind: ActionFull, Step: m.lastStep, Target: target})
+			m.handleRefusedReservation(ev)
 			return
 		case StepPrefill:
-			m.act(Action{Kind: ActionFull, Step: m.step, Target: target})
+			m.addAction(Action{Kind: ActionFull, Step: m.lastStep, Target: target})
 		}
-		m.retry(refusedCause(ev.Refusal), true)
+		m.retry(refusedError(ev.Refusal), true)
 		return
 	}
-	m.act(Action{Kind: ActionBlame, Target: target, Unanswered: m.silent(ev.Delivery), Reached: ev.Reached})
+	m.addAction(Action{Kind: ActionBlame, Target: target, Unanswered: m.noResponse(ev.Delivery), Reached: ev.Reached})
 	if ev.Delivery == upstream.NotSent {
-		m.undo(ev.Delivery)
-		m.unsent()
+		m.undoCall(ev.Delivery)
+		m.handleUnsentCall()
 		return
 	}
-	if ev.Answer != nil && m.step == StepDecode {
-		m.answered(ev.Answer)
+	if ev.Answer != nil && m.lastStep == StepDecode {
+		m.handleEngineError(ev.Answer)
 		return
 	}
-	m.uncertain(now)
+	m.handleUnknownDelivery(now)
 }
 
-// silent says that an upstream gave no sign of life: no connection, or no word on a
-// reservation, which takes no work.
-func (m *Machine) silent(d upstream.Delivery) bool {
-	return d == upstream.NotSent || m.step == StepReserve
+// noResponse reports whether a call failed without any response of the upstream: it could not
+// be reached, or a reservation, which engines answer at once, stayed unanswered.
+func (m *Machine) noResponse(d upstream.Delivery) bool {
+	return d == upstream.NotSent || m.lastStep == StepReserve
 }
 
-// handleGone takes the refusal of a decode call for which the slot is reserved. Either
-// the prefill's result is missing, which lapsed or could not be fetched, or the decode
-// engine is changing its role, in which it grants reservations that it does not keep.
-// This request cannot tell, so that its next attempt goes to two others; package board
-// tells by the refusals of several.
+// handleRefusedHandoff handles the refusal of a decode call for which a slot is reserved and a
+// prompt prefilled. Either the prefill result has expired or could not be fetched, or the
+// decode engine is changing its role and grants reservations that it does not keep. One
+// request cannot distinguish these, so its next attempt avoids both engines; package board
+// compares the refusals of several requests.
 //
-// What goes wrong otherwise: every prompt that is read for such a decode engine is read
-// in vain, up to three times for each request; seen as prompts read that no engine took,
-// and as a retry budget used up in seconds.
-func (m *Machine) handleGone(ev Event) {
-	m.act(Action{Kind: ActionHandoff, Target: m.target(roleDecode), From: m.target(rolePrefill)})
-	m.cause = refusedCause(ev.Refusal)
+// If a decode engine that is changing its role were used again, up to three prompts of each
+// request would be prefilled in vain, and the retry budget would be used up within seconds.
+func (m *Machine) handleRefusedHandoff(ev Event) {
+	m.addAction(Action{Kind: ActionHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill)})
+	m.cause = refusedError(ev.Refusal)
 	m.exclude = append(slices.Clone(m.exclude), m.plan.Prefill.Name, m.plan.Decode.Name)
 	if !m.mayRetry() {
 		m.fail(m.cause)
 		return
 	}
-	m.cancelTouched()
-	m.replan(true)
+	m.cancelOnEngines()
+	m.planNextAttempt(true)
 }
 
-// unsent plans an attempt again of which the last call did not leave this process; that
-// costs no upstream anything, so that no failed attempt is counted where refusals are not
-// either.
-func (m *Machine) unsent() {
+// handleUnsentCall plans the attempt again after a call that was never sent. Since this cost
+// the upstream nothing, it is not charged as a failed attempt until the bound on refused
+// reservations is reached.
+func (m *Machine) handleUnsentCall() {
 	free := m.refusals < m.limits.MaxRefusals
 	if !free {
-		m.retry(m.failedCause(), true)
+		m.retry(m.callFailedError(), true)
 		return
 	}
 	m.refusals++
-	m.cause = m.failedCause()
-	m.exclude = append(slices.Clone(m.exclude), m.suspects()...)
-	m.cancelTouched()
-	m.replan(false)
+	m.cause = m.callFailedError()
+	m.exclude = append(slices.Clone(m.exclude), m.failedUpstreams()...)
+	m.cancelOnEngines()
+	m.planNextAttempt(false)
 }
 
-// refused plans an attempt again after a refused reservation, which costs nothing
-// but the call; past the bound it is a failed attempt.
-func (m *Machine) refused(ev Event) {
+// handleRefusedReservation plans the attempt again after a refused reservation, which costs
+// only that call; beyond MaxRefusals it counts as a failed attempt.
+func (m *Machine) handleRefusedReservation(ev Event) {
 	if m.refusals >= m.limits.MaxRefusals {
-		m.retry(refusedCause(ev.Refusal), true)
+		m.retry(refusedError(ev.Refusal), true)
 		return
 	}
 	m.refusals++
-	m.streak++
-	m.cause = refusedCause(ev.Refusal)
-	m.cancelTouched()
-	m.replan(false)
+	m.refusalStreak++
+	m.cause = refusedError(ev.Refusal)
+	m.cancelOnEngines()
+	m.planNextAttempt(false)
 }
 
-// answered takes an engine's own failure: another engine may do better, else the
-// caller gets it as it came.
-func (m *Machine) answered(a *CallAnswer) {
-	m.run.settle(m.step, upstream.Done)
+// handleEngineError handles an engine's own error answer. It tries another engine if it may,
+// and otherwise passes the answer to the caller unchanged.
+func (m *Machine) handleEngineError(a *CallAnswer) {
+	m.run.settle(m.lastStep, upstream.Done)
 	m.run.generated()
 	m.reservation, m.handle = "", ""
 	if m.mayRetry() {
-		m.retry(m.failedCause(), true)
+		m.retry(m.callFailedError(), true)
 		return
 	}
-	if len(m.tokens) > 0 || m.headTold {
-		m.fail(m.failedCause())
+	if len(m.tokens) > 0 || m.headForwarded {
+		m.fail(m.callFailedError())
 		return
 	}
 	m.state = StateEnded
-	m.act(Action{Kind: ActionAnswer, Attempt: m.attempt, Target: m.target(roleDecode), Answer: a})
+	m.addAction(Action{Kind: ActionAnswer, Attempt: m.attempt, Target: m.targetOf(roleDecode), Answer: a})
 }
 
-// uncertain goes on after a call that may have been delivered. A decode call
-// is attached to first: its engine may well be generating.
-func (m *Machine) uncertain(now time.Time) {
-	m.run.settle(m.step, upstream.Maybe)
-	m.arrivals.unknown(m.step)
-	if m.step == StepDecode && m.canResume() {
+// handleUnknownDelivery handles the failure of a call that may have been delivered. After a
+// decode call it first resumes the stream, because the engine may be generating.
+func (m *Machine) handleUnknownDelivery(now time.Time) {
+	m.run.settle(m.lastStep, upstream.Maybe)
+	m.arrivals.uncertain(m.lastStep)
+	if m.lastStep == StepDecode && m.canResume() {
 		m.resume(now)
 		return
 	}
-	m.retry(m.failedCause(), true)
+	m.retry(m.callFailedError(), true)
 }
 
-func (m *Machine) failedCause() *errkind.Error {
-	return errkind.New(errkind.UpstreamFailed, "the "+m.step.String()+" call failed")
+func (m *Machine) callFailedError() *errkind.Error {
+	return errkind.New(errkind.UpstreamFailed, "the "+m.lastStep.String()+" call failed")
 }
 
-func refusedCause(r *engineapi.Refusal) *errkind.Error {
+func refusedError(r *engineapi.Refusal) *errkind.Error {
 	e := errkind.New(errkind.UpstreamRefused, "an upstream refused the request")
 	if r != nil && r.RetryAfterMS > 0 {
 		return e.WithRetryAfter(time.Duration(r.RetryAfterMS) * time.Millisecond)
@@ -140,58 +139,57 @@
 	return e
 }
 
-// retry gives the attempt up and plans another, or ends the request. A failure
-// that this daemon's own check found, before anything was sent, costs nothing
-// of the retry budget.
+// retry ends the attempt and plans another one, or fails the request. charged is false for a
+// failure that this daemon's own check found before anything was sent: it takes no retry
+// permit.
 func (m *Machine) retry(cause *errkind.Error, charged bool) {
 	m.cause = cause
-	m.exclude = append(slices.Clone(m.exclude), m.suspects()...)
+	m.exclude = append(slices.Clone(m.exclude), m.failedUpstreams()...)
 	if !m.mayRetry() {
 		m.fail(cause)
 		return
 	}
-	m.cancelTouched()
-	m.replan(charged)
+	m.cancelOnEngines()
+	m.planNextAttempt(charged)
 }
 
-// mayRetry says whether another attempt is allowed at all.
+// mayRetry reports whether the limits and the run state allow another attempt.
 func (m *Machine) mayRetry() bool {
 	switch {
-	case m.tries() >= m.limits.MaxAttempts:
+	case m.countedAttempts() >= m.limits.MaxAttempts:
 		return false
 	case m.c.MaxSends > 0 && m.sends >= m.c.MaxSends:
 		return false
 	}
-	return m.c.again() || m.run.level() == notRun
+	return m.c.mayRunAgain() || m.run.level() == notRun
 }
 
-// suspects names the upstreams that the next attempt leaves out. An attempt that
-// failed while the KV cache was on its way may have failed at either end: with
-// the decode engine alone left out, a prefill engine whose exports fail would
-// use up every attempt.
-func (m *Machine) suspects() []string {
-	if m.taken && !m.imported && m.step != StepPrefill {
+// failedUpstreams returns the upstreams that the next attempt must avoid. If the attempt
+// failed during the KV cache transfer, either end may be at fault: if only the decode engine
+// were excluded, a prefill engine whose exports fail would use up all attempts.
+func (m *Machine) failedUpstreams() []string {
+	if m.decodeAccepted && !m.imported && m.lastStep != StepPrefill {
 		return []string{m.plan.Decode.Name, m.plan.Prefill.Name}
 	}
-	return []string{m.target(roleOf(m.step)).Name}
+	return []string{m.targetOf(roleOfStep(m.lastStep)).Name}
 }
 
-// fail ends the request. The run state is always the lattice's.
+// fail ends the request with err and the run state over all attempts.
 func (m *Machine) fail(err *errkind.Error) {
 	if err == nil {
 		err = errkind.New(errkind.Internal, "no reason was given")
 	}
-	if len(m.tokens) > 0 && broken(err.Kind) {
+	if len(m.tokens) > 0 && noUpstreamLeft(err.Kind) {
 		err = errkind.Wrap(err, errkind.StreamBroken, err.Detail).WithRetryAfter(err.RetryAfter)
 	}
-	m.cancelTouched()
+	m.cancelOnEngines()
 	m.state = StateEnded
-	m.act(Action{Kind: ActionFail, Attempt: m.attempt, Err: err.WithRun(runOfCaller(err.Kind, m.Run()))})
+	m.addAction(Action{Kind: ActionFail, Attempt: m.attempt, Err: err.WithRun(callerRun(err.Kind, m.Run()))})
 }
 
-// broken says whether kind means that no upstream could go on, which after the
-// first token the caller sees as a broken stream.
-func broken(k errkind.Kind) bool {
+// noUpstreamLeft reports whether kind means that no upstream can continue the request. After
+// the first token, the caller gets such an error as a broken stream.
+func noUpstreamLeft(k errkind.Kind) bool {
 	switch k {
 	case errkind.UpstreamFailed, errkind.UpstreamRefused, errkind.NoUpstream, errkind.UpstreamLimit,
 		errkind.Overloaded, errkind.TeamLimit, errkind.DeadlineUnreachable:
--- a/request/gate.go
+++ b/request/gate.go
@@ -8,49 +8,49 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// ClaimKey names one non-idempotent request of one team.
+// ClaimKey identifies one non-idempotent request of one team.
 type ClaimKey struct {
 	Team      string
 	Key       string
 	RequestID string
-	// Body is the digest of the method, path and body, so that a key reused for
-	// another request is told apart from a repeat.
+	// Body is the digest of everything in the request that shapes its answer, so that the
+	// reuse of a key for another request can be distinguished from a repeat.
 	Body [32]byte
 }
 
-// Outcome says how a granted request ended.
+// Outcome is the result of a granted request.
 type Outcome struct {
 	Run errkind.Run
-	// Answer is kept, within limits, for a repeat of the same key.
+	// Answer is stored, within size limits, for a repeat of the same key.
 	Answer *CallAnswer
 }
 
-// Grant is the right to run a request once, or the answer of its earlier run.
+// Grant is the result of a claim: the right to run the request once, or the answer of its
+// earlier run.
 type Grant interface {
-	// Run says whether this request may run now. When false, Answer holds the
-	// earlier run's answer.
+	// Run reports whether this request may run now. If not, Answer returns the answer of the
+	// earlier run.
 	Run() bool
-	// Answer returns the kept answer of the earlier run.
+	// Answer returns the stored answer of the earlier run.
 	Answer() *CallAnswer
-	// Owner names the only daemon that may run this request, when that is not
-	// this one: Run is then false, Answer is nil, and the request is forwarded.
+	// Owner returns the daemon that alone may run this request, if that is another one. Run
+	// then returns false, Answer returns nil, and the request must be forwarded.
 	Owner() (wire.NodeID, bool)
-	// Deadline is the wall time after which the request must not be dispatched:
-	// past it the key may be forgotten and granted to somebody else. Compare it
-	// with time.Now right before the first byte goes upstream, because this
-	// process may have been frozen since the grant. Past it the caller is told
-	// errkind.Unknown, since another attempt may have run by now; Finish still
-	// gets errkind.NotRun. Zero when Run is false.
+	// Deadline is the wall-clock time from which on the request must not be dispatched,
+	// because the key may then be forgotten and granted again. Compare it with time.Now right
+	// before the first byte is sent upstream, since the process may have been frozen after the
+	// grant. After the deadline the caller gets errkind.Unknown, because another attempt may
+	// have run by then; Finish still gets errkind.NotRun. Zero when Run is false.
 	Deadline() time.Time
-	// Finish records the outcome. Call it exactly once when Run is true.
-	// errkind.NotRun promises that nothing was sent upstream and never will be.
+	// Finish records the outcome. Call it exactly once when Run is true. errkind.NotRun
+	// promises that nothing was sent upstream and nothing will be.
 	Finish(out Outcome)
 }
 
-// Gate lets each key run at most once, across all daemons. Package claims
-// implements it.
+// Gate ensures that the request of each idempotency key runs at most once across all daemons.
+// Package claims implements it.
 type Gate interface {
-	// Claim returns a grant, or the error that the caller gets. It never grants
-	// the same key twice.
+	// Claim returns a grant, or the error for the caller. Until a key is forgotten, at most
+	// one of its grants allows the request to run.
 	Claim(ctx context.Context, k ClaimKey) (Grant, *errkind.Error)
 }
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -30,17 +30,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bound is the generous limit of every wait.
-const bound = 20 * time.Second
+// maxWait is a generous upper limit for every wait.
+const maxWait = 20 * time.Second
 
-// inOrder is a policy that takes the first replicas of each pool that are not excluded.
+// inOrder is a policy that picks the first replicas of each pool that are not excluded.
 type inOrder struct{ f *fleet }
 
 func (inOrder) Name() string { return "in-order" }
 
 func (o inOrder) Plan(s *policy.Snapshot, in policy.Inflight, q policy.Query, _ *rand.Rand) (policy.Plan, *errkind.Error) {
-	d, okD := first(s, "decode", q.Exclude)
-	p, okP := first(s, "prefill", q.Exclude)
+	d, okD := firstReplica(s, "decode", q.Exclude)
+	p, okP := firstReplica(s, "prefill", q.Exclude)
 	if !okD || !okP {
 		return policy.Plan{}, errkind.New(errkind.NoUpstream, "all excluded")
 	}
@@ -51,7 +51,7 @@
 }
 
 func (o inOrder) PickService(s *policy.Snapshot, _ policy.Inflight, service string, q policy.Query, _ *rand.Rand) (policy.ServicePlan, *errkind.Error) {
-	r, ok := first(s, service, q.Exclude)
+	r, ok := firstReplica(s, service, q.Exclude)
 	if !ok {
 		return policy.ServicePlan{}, errkind.New(errkind.NoUpstream, "all excluded")
 	}
@@ -61,7 +61,7 @@
 	return policy.ServicePlan{Replica: r}, nil
 }
 
-func first(s *policy.Snapshot, pool string, exclude []string) (policy.Replica, bool) {
+func firstReplica(s *policy.Snapshot, pool string, exclude []string) (policy.Replica, bool) {
 	for _, r := range s.Pool(pool).Replicas() {
 		if !slices.Contains(exclude, r.Name) {
 			return *r, true
@@ -70,37 +70,38 @@
 	return policy.Replica{}, false
 }
 
-// fleet is a runner before stand-ins.
+// fleet is a runner with stand-in engines and services.
 type fleet struct {
 	t       testing.TB
 	runner  *request.Runner
-	engines map[string]*node
+	engines map[string]*engineNode
 	mu      sync.Mutex
 	members []policy.Replica
-	stale   bool          // Options.Frozen
+	stale   bool          // result of Options.Frozen
 	skew    time.Duration // added to the clock
 	onPlan  func(attempt int)
-	left    []string // upstreams that told by themselves that they leave
+	left    []string // upstreams that announced that they are leaving
 	drops   request.Drops
 	wasted  int         // prompt tokens of prefills that led to no token
-	budget  atomic.Bool // true: no retry is left
+	budget  atomic.Bool // true: the retry budget is empty
 	slots   int         // of each decode engine; 0 means the stand-in's default
 }
 
-// node is one stand-in engine with a switch before it.
-type node struct {
+// engineNode is a stand-in engine that can be frozen or killed and whose calls can be
+// intercepted.
+type engineNode struct {
 	*engine.Engine
 	server *httptest.Server
 	mu     sync.Mutex
-	hooks  map[string]http.HandlerFunc // by path, before the engine sees the call
-	frozen chan struct{}               // closed at the thaw; nil when not frozen
+	hooks  map[string]http.HandlerFunc // by path; run before the engine gets the call
+	frozen chan struct{}               // closed by thaw; nil when not frozen
 	killed bool
 }
 
-// newFleet starts two prefill and two decode engines, "p0", "p1", "d0", "d1",
-// a hundred times faster than real ones, and a runner before them.
+// newFleet starts two prefill engines, "p0" and "p1", and two decode engines, "d0" and "d1", a
+// hundred times faster than real ones, and a runner that uses them.
 func newFleet(t testing.TB, change func(*request.Options)) *fleet {
-	f := &fleet{t: t, engines: map[string]*node{}}
+	f := &fleet{t: t, engines: map[string]*engineNode{}}
 	hc := upstream.NewHTTPClient()
 	t.Cleanup(hc.CloseIdleConnections)
 	for _, name := range []string{"p0", "p1", "d0", "d1"} {
@@ -115,7 +116,7 @@
 		Services:    upstream.NewServices(hc, upstream.NoNotices{}),
 		Observer:    observer{f},
 		Metrics:     metrics{f},
-		RetryBudget: func(string) request.RetryBudget { return spent{&f.budget} },
+		RetryBudget: func(string) request.RetryBudget { return switchableBudget{&f.budget} },
 		Frozen:      func(time.Time) bool { return locked(f, func() bool { return f.stale }) },
 		Now:         func() time.Time { return time.Now().Add(locked(f, func() time.Duration { return f.skew })) },
 		Limits: request.Limits{
@@ -132,19 +133,21 @@
 	return f
 }
 
+// locked returns the result of get, called with f.mu held.
 func locked[T any](f *fleet, get func() T) T {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return get()
 }
 
+// set calls change with f.mu held.
 func (f *fleet) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// observer notes the upstreams that told of their leaving.
+// observer records the upstreams that announced that they are leaving.
 type observer struct{ f *fleet }
 
 func (observer) Failed(time.Time, string)                                {}
@@ -172,7 +175,7 @@
 	o.f.set(func() { o.f.left = append(o.f.left, name) })
 }
 
-// metrics notes dropped chunks.
+// metrics records dropped chunks and wasted prefill tokens.
 type metrics struct{ f *fleet }
 
 func (metrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
@@ -187,7 +190,7 @@
 
 func (f *fleet) addEngine(name string) {
 	cfg := engine.DefaultConfig()
-	cfg.TimeScale, cfg.Seed, cfg.PrefillTTL = 100, 1, bound
+	cfg.TimeScale, cfg.Seed, cfg.PrefillTTL = 100, 1, maxWait
 	cfg.Role = engine.RoleDecode
 	if strings.HasPrefix(name, "p") {
 		cfg.Role = engine.RolePrefill
@@ -199,15 +202,16 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	n := &node{Engine: e, hooks: map[string]http.HandlerFunc{}}
+	n := &engineNode{Engine: e, hooks: map[string]http.HandlerFunc{}}
 	n.server = httptest.NewServer(n.handler(e.Handler()))
 	f.t.Cleanup(func() { n.thaw(); e.Close(); n.server.CloseClientConnections(); n.server.Close() })
 	f.engines[name] = n
 	f.join(name, strings.TrimPrefix(n.server.URL, "http://"))
 }
 
-// handler puts the hooks and the freeze before an engine.
-func (n *node) handler(next http.Handler) http.Handler {
+// handler returns a handler that runs the hooks and waits while the engine is frozen before it
+// calls next.
+func (n *engineNode) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n.mu.Lock()
 		hook := n.hooks[r.URL.Path]
@@ -216,13 +220,13 @@
 			hook(w, r)
 		}
 		n.wait()
-		next.ServeHTTP(&thawed{w, n}, r)
+		next.ServeHTTP(&freezableWriter{w, n}, r)
 	})
 }
 
-// wait blocks while the engine is frozen. What was delivered before goes on
-// after the thaw, as in a stopped process.
-func (n *node) wait() {
+// wait blocks while the engine is frozen. Calls delivered before continue after the thaw, as
+// in a stopped process.
+func (n *engineNode) wait() {
 	n.mu.Lock()
 	frozen := n.frozen
 	n.mu.Unlock()
@@ -231,7 +235,7 @@
 	}
 }
 
-func (n *node) freeze() {
+func (n *engineNode) freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.frozen == nil {
@@ -239,7 +243,7 @@
 	}
 }
 
-func (n *node) thaw() {
+func (n *engineNode) thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.frozen != nil {
@@ -248,15 +252,15 @@
 	}
 }
 
-// on runs hook when a call of path arrives, before it has any effect.
-func (n *node) on(path string, hook http.HandlerFunc) {
+// onCall runs hook when a call to path arrives, before the engine gets it.
+func (n *engineNode) onCall(path string, hook http.HandlerFunc) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.hooks[path] = hook
 }
 
-// kill ends the engine with its connections and its listener.
-func (n *node) kill() {
+// kill closes the engine, its connections and its listener.
+func (n *engineNode) kill() {
 	n.mu.Lock()
 	n.killed = true
 	n.mu.Unlock()
@@ -265,33 +269,34 @@
 	n.Close()
 }
 
-// thawed is a response that does not go on while its engine is frozen.
-type thawed struct {
+// freezableWriter is a response writer that blocks while its engine is frozen.
+type freezableWriter struct {
 	http.ResponseWriter
-	n *node
+	n *engineNode
 }
 
-func (w *thawed) Write(p []byte) (int, error) { w.n.wait(); return w.ResponseWriter.Write(p) }
-func (w *thawed) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *freezableWriter) Write(p []byte) (int, error) { w.n.wait(); return w.ResponseWriter.Write(p) }
+func (w *freezableWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // cut closes the connection of a call.
 func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// stall holds a call until its caller has gone.
+// stall holds a call until its caller cancels it.
 func stall(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// serve adds a replica of service "svc" that answers with h.
-func (f *fleet) serve(name string, h http.Handler) *httptest.Server {
+// addService adds a replica of service "svc" that answers with h.
+func (f *fleet) addService(name string, h http.Handler) *httptest.Server {
 	s := httptest.NewServer(h)
 	f.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	f.join(name, strings.TrimPrefix(s.URL, "http://"))
 	return s
 }
 
+// join adds an upstream to the snapshots; the first letter of its name selects the pool.
 func (f *fleet) join(name, addr string) {
 	pool := map[byte]string{'p': "prefill", 'd': "decode", 's': "svc"}[name[0]]
 	f.set(func() {
@@ -299,6 +304,7 @@
 	})
 }
 
+// leave removes an upstream from the snapshots that the runner gets.
 func (f *fleet) leave(name string) {
 	f.set(func() {
 		f.members = slices.DeleteFunc(f.members, func(r policy.Replica) bool { return r.Name == name })
@@ -315,7 +321,7 @@
 // nothingHeld waits until no engine holds memory.
 func (f *fleet) nothingHeld() {
 	f.t.Helper()
-	until(f.t, "no memory held", func() bool {
+	waitUntil(f.t, "no memory held", func() bool {
 		for _, n := range f.engines {
 			if !n.killed && n.Stats().Held > 0 {
 				return false
@@ -325,16 +331,17 @@
 	})
 }
 
-func until(t testing.TB, what string, ok func() bool) {
+func waitUntil(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(bound); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(maxWait); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// sink records one answer and fails the test when the runner breaks its promises.
+// sink records one answer and fails the test when the runner violates the contract of
+// request.Sink.
 type sink struct {
 	t       testing.TB
 	mu      sync.Mutex
@@ -379,16 +386,16 @@
 
 var tokens = answer.AnswerLength(prompt, maxTokens)
 
-func completion(id string) request.Completion {
+func newCompletion(id string) request.Completion {
 	now := time.Now()
 	return request.Completion{
 		ID: id, Team: "t", Class: bundle.Draft, Model: "m", Prompt: prompt, MaxTokens: maxTokens,
-		Accepted: now, Deadline: now.Add(bound),
+		Accepted: now, Deadline: now.Add(maxWait),
 	}
 }
 
-// run runs c to its end.
-func (f *fleet) run(ctx context.Context, c request.Completion, s *sink) *sink {
+// complete runs c to its end.
+func (f *fleet) complete(ctx context.Context, c request.Completion, s *sink) *sink {
 	if s == nil {
 		s = &sink{}
 	}
@@ -400,17 +407,17 @@
 	return s
 }
 
-// whole fails the test unless s holds the whole answer.
-func (s *sink) whole() {
+// wantComplete fails the test unless s holds the complete answer.
+func (s *sink) wantComplete() {
 	s.t.Helper()
 	want := answer.Text("m", "", prompt, maxTokens)
 	if s.err != nil || s.text.String() != want || s.reason == "" {
-		s.t.Errorf("got %q, end %q, error %v; want the whole answer %q", s.text.String(), s.reason, s.err, want)
+		s.t.Errorf("got %q, end %q, error %v; want the complete answer %q", s.text.String(), s.reason, s.err, want)
 	}
 }
 
-// failed fails the test unless s ended with kind and run.
-func (s *sink) failed(kind errkind.Kind, run errkind.Run) {
+// wantFailed fails the test unless s ended with kind and run.
+func (s *sink) wantFailed(kind errkind.Kind, run errkind.Run) {
 	s.t.Helper()
 	if s.err == nil || s.err.Kind != kind || s.err.Run != run {
 		s.t.Errorf("got end %q, error %v (run %q); want %s, %s", s.reason, s.err, runOf(s.err), kind, run)
--- a/request/lattice.go
+++ b/request/lattice.go
@@ -5,10 +5,10 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// Step is one kind of call to an upstream.
+// Step is the kind of a call to an upstream.
 type Step uint8
 
-// The steps.
+// The kinds of calls.
 const (
 	StepReserve Step = iota
 	StepPrefill
@@ -17,7 +17,7 @@
 	StepCall // a call to a plain service
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (s Step) String() string {
 	switch s {
 	case StepReserve:
@@ -33,12 +33,12 @@
 	}
 }
 
-// carries says whether the step's call hands the request itself to an
-// upstream. A reservation holds ids and a size but no prompt, so whatever
-// became of it the request cannot have run; a resume only reads what runs.
-func (s Step) carries() bool { return s == StepPrefill || s == StepDecode || s == StepCall }
+// carriesRequest reports whether calls of this step pass the request itself to an upstream. A
+// reservation holds ids and a size but no prompt, so it cannot run the request, and a resume
+// only reads the output of a running attempt.
+func (s Step) carriesRequest() bool { return s == StepPrefill || s == StepDecode || s == StepCall }
 
-// level is the run state as a chain: notRun < unknown < ran.
+// level is a run state with an order: notRun < unknown < ran.
 type level uint8
 
 const (
@@ -50,7 +50,7 @@
 // join returns the higher of two levels.
 func (l level) join(o level) level { return max(l, o) }
 
-// run returns the caller's word for the level.
+// run returns the level as the run state that callers get.
 func (l level) run() errkind.Run {
 	switch l {
 	case notRun:
@@ -62,11 +62,11 @@
 	}
 }
 
-// levelOf returns what one call of step s with delivery d tells. A prefill that
-// is done has read the prompt but answered nothing, so it counts as unknown;
-// a completion counts as ran from its first token.
+// levelOf returns the run state that follows from one call of step s with delivery d. A
+// completed prefill has processed the prompt but answered nothing, so it counts as unknown; a
+// completion counts as ran from its first token.
 func levelOf(s Step, d upstream.Delivery) level {
-	if !s.carries() || d == upstream.NotSent || d == upstream.Refused {
+	if !s.carriesRequest() || d == upstream.NotSent || d == upstream.Refused {
 		return notRun
 	}
 	if s == StepCall && d == upstream.Done {
@@ -75,31 +75,31 @@
 	return unknown
 }
 
-// runState joins the levels of all calls of one request. A call in flight
-// counts as one that may have been delivered until its outcome is known.
+// runState joins the levels of all calls of one request. A call in flight counts as possibly
+// delivered until its outcome is known.
 type runState struct {
 	// prefillRepeatable is Limits.PrefillRepeatable.
 	prefillRepeatable bool
-	settled           level
-	pending           level
+	settled           level // of the calls whose outcome is known
+	pending           level // that the call in flight may reach
 }
 
-// begin notes a dispatch. An earlier call without a known outcome stays unknown.
+// begin records a dispatch. An earlier call without a known outcome stays unknown.
 func (r *runState) begin(s Step) {
 	r.settled = r.settled.join(r.pending)
 	r.pending = r.levelOf(s, upstream.Maybe)
 }
 
-// settle notes the outcome of the latest dispatch.
+// settle records the outcome of the latest dispatch.
 func (r *runState) settle(s Step, d upstream.Delivery) {
 	r.settled = r.settled.join(r.levelOf(s, d))
 	r.pending = notRun
 }
 
-// generated notes a token: the request ran.
+// generated records that the request produced output, so that it has run.
 func (r *runState) generated() { r.settled = ran }
 
-// levelOf is the function of the same name, but for prefills that run nothing.
+// levelOf is the package function levelOf, except that repeatable prefills count as notRun.
 func (r *runState) levelOf(s Step, d upstream.Delivery) level {
 	if s == StepPrefill && r.prefillRepeatable {
 		return notRun
@@ -107,5 +107,5 @@
 	return levelOf(s, d)
 }
 
-// level returns the join over all attempts.
+// level returns the highest level over all attempts.
 func (r *runState) level() level { return r.settled.join(r.pending) }
--- a/request/lattice_test.go
+++ b/request/lattice_test.go
@@ -9,10 +9,9 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// Symptom: a caller is told "not run" of a request that ran, repeats it, and
-// two nominations are filed.
-// Sequence: one call at each step with each delivery.
-// Cause: the run state read from the wrong step or delivery.
+// TestLattice checks the run state after one call of each step with each delivery. It guards
+// against reporting "not run" for a request that ran, which its caller would then submit a
+// second time.
 func TestLattice(t *testing.T) {
 	const n, u, r = errkind.NotRun, errkind.Unknown, errkind.Ran
 	for _, tc := range []struct {
@@ -20,10 +19,10 @@
 		inFlight                        errkind.Run
 		notSent, refused, maybe, answer errkind.Run
 	}{
-		{StepReserve, n, n, n, n, n}, // ids and a size: nothing to run
+		{StepReserve, n, n, n, n, n}, // carries only ids and a size
 		{StepPrefill, u, n, n, u, u},
-		{StepDecode, u, n, n, u, u}, // ran comes with the first token
-		{StepResume, n, n, n, n, n}, // reads what runs
+		{StepDecode, u, n, n, u, u}, // becomes ran with the first token
+		{StepResume, n, n, n, n, n}, // only reads the output of a running attempt
 		{StepCall, u, n, n, u, r},
 	} {
 		for d, want := range map[upstream.Delivery]errkind.Run{
@@ -43,7 +42,8 @@
 	}
 }
 
-// TestLatticeJoin checks that no later attempt lowers what an earlier settled.
+// TestLatticeJoin checks that later attempts never lower the run state that earlier ones
+// established.
 func TestLatticeJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s runState
@@ -55,7 +55,7 @@
 			if rapid.Bool().Draw(t, "settled") {
 				s.settle(step, d)
 				floor = floor.join(levelOf(step, d))
-			} else { // its outcome never came: the next call must not hide it
+			} else { // an unknown outcome must not be hidden by the next call
 				floor = floor.join(levelOf(step, upstream.Maybe))
 			}
 			if s.level() != floor {
--- a/request/learned.go
+++ b/request/learned.go
@@ -8,98 +8,97 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// answersByModel learns the lengths of each model's answers. It is safe for concurrent
-// use.
+// answersByModel holds estimates of the answer lengths of each model. It is safe for
+// concurrent use.
 type answersByModel struct {
-	mu sync.Mutex
-	by map[string]*estimate.Answers
+	mu      sync.Mutex
+	byModel map[string]*estimate.Answers
 }
 
 func newAnswersByModel() *answersByModel {
-	return &answersByModel{by: map[string]*estimate.Answers{}}
+	return &answersByModel{byModel: map[string]*estimate.Answers{}}
 }
 
-func (a *answersByModel) of(model string) *estimate.Answers {
+func (a *answersByModel) forModel(model string) *estimate.Answers {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	got := a.by[model]
+	got := a.byModel[model]
 	if got == nil {
 		got = &estimate.Answers{}
-		a.by[model] = got
+		a.byModel[model] = got
 	}
 	return got
 }
 
-// LearnAnswer takes an answer that another daemon has passed on, of which so many tokens
-// were expected.
+// LearnAnswer records an answer that another daemon reported. tokens is its length, and
+// expected the length that its caller expected.
 func (r *Runner) LearnAnswer(now time.Time, model string, tokens, expected int) {
-	r.answers.of(model).Finished(now, tokens, expected)
+	r.answers.forModel(model).Finished(now, tokens, expected)
 }
 
-// LearnPrefill takes a prefill that another daemon has passed on; lost says that it was
-// given up at its bound.
+// LearnPrefill records the end of a prefill, of this daemon or of another one that reported
+// it. lost is set if the prefill was given up at its timeout.
 func (r *Runner) LearnPrefill(now time.Time, model string, lost bool) {
-	r.throttles.of(model).Ended(now, lost)
+	r.throttles.forModel(model).Ended(now, lost)
 }
 
-// throttlesByModel holds the throttle of each model's prefill engines. It is safe for
-// concurrent use.
+// throttlesByModel holds the admission throttle for the prefill engines of each model. It is
+// safe for concurrent use.
 type throttlesByModel struct {
-	mu sync.Mutex
-	by map[string]*policy.Throttle
+	mu      sync.Mutex
+	byModel map[string]*policy.Throttle
 }
 
 func newThrottlesByModel() *throttlesByModel {
-	return &throttlesByModel{by: map[string]*policy.Throttle{}}
+	return &throttlesByModel{byModel: map[string]*policy.Throttle{}}
 }
 
-func (t *throttlesByModel) of(model string) *policy.Throttle {
+func (t *throttlesByModel) forModel(model string) *policy.Throttle {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	got := t.by[model]
+	got := t.byModel[model]
 	if got == nil {
 		got = &policy.Throttle{}
-		t.by[model] = got
+		t.byModel[model] = got
 	}
 	return got
 }
 
-// sizesByModel learns the mean request of each model from those that come, whether they
-// are served or not: the means of those that are would leave out who is refused for his
-// size. It is safe for concurrent use.
+// sizesByModel holds the mean request size of each model. It averages all arriving requests,
+// whether they are served or not: the mean of the served ones would leave out requests that
+// are refused for their size. It is safe for concurrent use.
 type sizesByModel struct {
-	mu sync.Mutex
-	by map[string]*sizes
+	mu      sync.Mutex
+	byModel map[string]*sizes
 }
 
-type sizes struct{ prompt, likely estimate.Mean }
+type sizes struct{ promptTokens, answerTokens estimate.Mean }
 
-func newSizesByModel() *sizesByModel { return &sizesByModel{by: map[string]*sizes{}} }
+func newSizesByModel() *sizesByModel { return &sizesByModel{byModel: map[string]*sizes{}} }
 
-// came takes a request whose prompt has, and whose answer is likely to have, so many
-// tokens.
-func (s *sizesByModel) came(now time.Time, model string, prompt, likely int) {
+// add records a request with the given numbers of prompt tokens and likely answer tokens.
+func (s *sizesByModel) add(now time.Time, model string, prompt, likely int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := s.by[model]
+	got := s.byModel[model]
 	if got == nil {
 		got = &sizes{}
-		s.by[model] = got
+		s.byModel[model] = got
 	}
-	got.prompt.Add(now, float64(prompt))
-	got.likely.Add(now, float64(likely))
+	got.promptTokens.Add(now, float64(prompt))
+	got.answerTokens.Add(now, float64(likely))
 }
 
-// usual returns the mean request of a model.
-func (s *sizesByModel) usual(now time.Time, model string) policy.Usual {
+// mean returns the mean request size of a model; zero while nothing is known.
+func (s *sizesByModel) mean(now time.Time, model string) policy.Usual {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := s.by[model]
+	got := s.byModel[model]
 	if got == nil {
 		return policy.Usual{}
 	}
-	prompt, known := got.prompt.Value(now)
-	likely, _ := got.likely.Value(now)
+	prompt, known := got.promptTokens.Value(now)
+	likely, _ := got.answerTokens.Value(now)
 	if !known {
 		return policy.Usual{}
 	}
--- a/request/limits_internal_test.go
+++ b/request/limits_internal_test.go
@@ -6,7 +6,8 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Guards against requests whose priority is not heeded under a limit.
+// TestRankUnderALimit guards against a request's own priority being ignored under a rate
+// limit.
 func TestRankUnderALimit(t *testing.T) {
 	one, seven := 1, 7
 	b := &bundle.Bundle{Classes: map[bundle.Class]bundle.ClassTarget{"route": {Priority: 3}, bundle.Urgent: {Priority: 9}}}
--- a/request/limits_test.go
+++ b/request/limits_test.go
@@ -14,18 +14,18 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// allowance is how many requests upstreams may still be sent; those it does not name have no
-// limit.
-type allowance struct {
+// fakeLimits holds the number of requests that upstreams may still be sent; upstreams without
+// an entry in left have no limit.
+type fakeLimits struct {
 	mu   sync.Mutex
 	left map[string]int
-	// lent is what other daemons have.
+	// lent is the number of requests that other daemons can lend.
 	lent  map[string]int
-	asked []string // of which upstreams others were asked
+	asked []string // upstreams for which other daemons were asked
 	ranks []int
 }
 
-func (a *allowance) Spent(_ time.Time, s ratelimit.Seeker) (out []string) {
+func (a *fakeLimits) Spent(_ time.Time, s ratelimit.Seeker) (out []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ranks = append(a.ranks, s.Rank)
@@ -38,13 +38,13 @@
 	return out
 }
 
-func (a *allowance) Take(_ time.Time, name string, _ ratelimit.Seeker) (func(), bool) {
+func (a *fakeLimits) Take(_ time.Time, name string, _ ratelimit.Seeker) (func(), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.take(a.left, name)
 }
 
-func (a *allowance) take(from map[string]int, name string) (func(), bool) {
+func (a *fakeLimits) take(from map[string]int, name string) (func(), bool) {
 	if _, limited := a.left[name]; !limited {
 		return nil, true
 	}
@@ -59,27 +59,29 @@
 	}, true
 }
 
-func (a *allowance) Borrow(_ context.Context, name string, _ ratelimit.Seeker) (func(), bool) {
+func (a *fakeLimits) Borrow(_ context.Context, name string, _ ratelimit.Seeker) (func(), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked = append(a.asked, name)
 	return a.take(a.lent, name)
 }
 
-func (a *allowance) Refuse(time.Time, string, ratelimit.Seeker, []string) time.Duration {
+func (a *fakeLimits) Refuse(time.Time, string, ratelimit.Seeker, []string) time.Duration {
 	return 700 * time.Millisecond
 }
 
-func limitedFleet(t *testing.T, left, lent map[string]int) (*fleet, *allowance) {
-	a := &allowance{left: left, lent: lent}
+// limitedFleet starts a fleet whose upstreams have the given units left and can borrow lent.
+func limitedFleet(t *testing.T, left, lent map[string]int) (*fleet, *fakeLimits) {
+	a := &fakeLimits{left: left, lent: lent}
 	return newFleet(t, func(o *request.Options) { o.UpstreamLimits = a }), a
 }
 
-// Guards against calls to replicas that take no more, and against refusals beside one that does.
+// Guards against calls to replicas whose rate limits are used up, and against refusing a call
+// although a replica has units left.
 func TestCallsKeepToTheLimitsOfReplicas(t *testing.T) {
 	for name, c := range map[string]struct {
 		left, lent map[string]int
-		want       string // the replica that answers; empty where the call is refused
+		want       string // the replica that answers; empty if the call is refused
 	}{
 		"no limit":        {nil, nil, "s0"},
 		"some left":       {map[string]int{"s0": 1}, nil, "s0"},
@@ -90,10 +92,10 @@
 	} {
 		f, a := limitedFleet(t, c.left, c.lent)
 		for _, replica := range []string{"s0", "s1"} {
-			f.serve(replica, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(replica)) }))
+			f.addService(replica, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(replica)) }))
 		}
 		rank := 2
-		call := request.Call{ID: "c", Service: "svc", Method: http.MethodGet, Path: "/", Deadline: time.Now().Add(bound), Accepted: time.Now(), Priority: &rank}
+		call := request.Call{ID: "c", Service: "svc", Method: http.MethodGet, Path: "/", Deadline: time.Now().Add(maxWait), Accepted: time.Now(), Priority: &rank}
 		answer, err := f.runner.Call(context.Background(), call)
 		if c.want != "" {
 			if err != nil || string(answer.Body) != c.want {
@@ -103,7 +105,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if len(a.asked) > 0 && c.lent == nil && c.want != "" {
-			t.Errorf("%s: others were asked for %v", name, a.asked)
+			t.Errorf("%s: other daemons were asked for units of %v", name, a.asked)
 		}
 		if a.ranks[0] != rank {
 			t.Errorf("%s: rank %d", name, a.ranks[0])
@@ -111,12 +113,12 @@
 	}
 }
 
-// Guards against engines that get a prompt or a run which their limits do not bear, and against
-// limits that are used up by requests which were not sent.
+// Guards against prompts or runs that exceed an engine's rate limit, and against units that
+// stay taken for requests that were not sent.
 func TestCompletionsKeepToTheLimitsOfEngines(t *testing.T) {
 	for name, c := range map[string]struct {
 		left, lent  map[string]int
-		prompt, run string // the engines that get them; empty where the request is refused
+		prompt, run string // the engines that receive them; empty if the request is refused
 		rest        map[string]int
 	}{
 		"some left":           {map[string]int{"p0": 1, "d0": 1}, nil, "p0", "d0", map[string]int{"p0": 0, "d0": 0}},
@@ -137,10 +139,10 @@
 					*list = append(*list, name)
 				}
 			}
-			n.on("/v1/prefill", note(&prompts))
-			n.on("/v1/decode", note(&runs))
+			n.onCall("/v1/prefill", note(&prompts))
+			n.onCall("/v1/decode", note(&runs))
 		}
-		got := f.run(context.Background(), completion("r"), nil)
+		got := f.complete(context.Background(), newCompletion("r"), nil)
 		mu.Lock()
 		want := func(name string) []string {
 			if name == "" {
@@ -157,25 +159,25 @@
 		}
 		for upstream, n := range c.rest {
 			if a.left[upstream] != n {
-				t.Errorf("%s: %d left of %s, want %d", name, a.left[upstream], upstream, n)
+				t.Errorf("%s: %d units left for %s, want %d", name, a.left[upstream], upstream, n)
 			}
 		}
 	}
 }
 
-// Guards against a limit that is used up by reservations that an engine refuses.
+// Guards against units that stay taken after an engine has refused the reservation.
 func TestRefusedReservationGivesItsLimitBack(t *testing.T) {
 	f, a := limitedFleet(t, map[string]int{"p0": 1, "p1": 1, "d0": 1, "d1": 1}, nil)
 	f.budget.Store(true)
 	for _, name := range []string{"d0", "d1"} {
-		f.engines[name].on("/v1/reserve", cut)
+		f.engines[name].onCall("/v1/reserve", cut)
 	}
-	if got := f.run(context.Background(), completion("r"), nil); got.err == nil {
-		t.Fatal("it ran without a slot")
+	if got := f.complete(context.Background(), newCompletion("r"), nil); got.err == nil {
+		t.Fatal("the request ran without a slot")
 	}
 	for name, n := range a.left {
 		if n != 1 {
-			t.Errorf("%d left of %s", n, name)
+			t.Errorf("%d units left for %s", n, name)
 		}
 	}
 }
--- a/request/machine.go
+++ b/request/machine.go
@@ -10,38 +10,39 @@
 
 // Limits bound one request.
 type Limits struct {
-	// MaxAttempts bounds the plans that are tried; at least 1.
+	// MaxAttempts bounds the attempts, not counting those that MaxRefusals allows; at least 1.
 	MaxAttempts int
-	// MaxRefusals bounds the refused reservations after each of which the attempt is
-	// planned again, without a retry being charged; a reservation carries nothing of
-	// the request, and the next engine may well have room.
+	// MaxRefusals bounds how often an attempt is planned again, without taking a retry permit,
+	// after a refused reservation or a call that was not sent. A reservation carries nothing
+	// of the request, and the next engine may have room.
 	MaxRefusals int
-	// PrefillRepeatable says that a prefill is no work for the request: where engines
-	// let a prefill be repeated, one that led to no token has run nothing.
+	// PrefillRepeatable states that engines allow a prefill to be repeated, so that a prefill
+	// that led to no token does not count as having run the request.
 	PrefillRepeatable bool
-	// CallPatience is how long the first send of an idempotent call may take, in
-	// targets of its class for the first byte; 0 leaves it the whole deadline.
+	// CallPatience is the timeout of a dispatch of an idempotent call that may be dispatched
+	// again, as a multiple of its class's target for the first byte; 0 allows all the time
+	// until the deadline.
 	CallPatience float64
-	// RetryServerErrors sends an idempotent call again after a 500, within the budget.
+	// RetryServerErrors retries an idempotent call after status 500, within the retry budget.
 	RetryServerErrors bool
-	// Patient says that silence ends no answer that no other engine may give.
+	// Patient keeps a silent answer open if no other engine may produce it.
 	Patient bool
-	// CountArrivals charges the retry budget for all that may reach upstreams beyond the
-	// first arrival of a request, as type arrivals counts it; else one retry is charged for
-	// each attempt after a failed one.
+	// CountArrivals charges the retry budget for every arrival at upstreams after the first
+	// one of a request, as defined by type arrivals. Otherwise each attempt after a failed one
+	// costs one retry permit.
 	CountArrivals bool
-	// MaxResumes bounds how often one attempt's stream is attached to again.
+	// MaxResumes bounds how often the stream of one attempt is resumed without a new token.
 	MaxResumes int
-	// Reserve, Prefill and Import bound their calls; Import runs from the decode
-	// call to its first chunk. Stall bounds the wait between two chunks.
+	// Reserve, Prefill and Import are call timeouts; Import runs from the decode call to its
+	// first chunk. Stall bounds the time between two chunks.
 	Reserve time.Duration
 	Prefill time.Duration
 	Import  time.Duration
 	Stall   time.Duration
 }
 
-// DefaultLimits returns the limits used where settings give none:
-// many times what a healthy engine takes, and short beside a draft's deadline.
+// DefaultLimits returns the limits used when the settings give none: many times what a healthy
+// engine needs, but short compared with the deadline of a draft.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxAttempts: 3,
@@ -53,7 +54,7 @@
 	}
 }
 
-// role tells the two engines of an attempt apart.
+// role identifies one of the two engines of an attempt.
 type role uint8
 
 const (
@@ -62,14 +63,15 @@
 	roles
 )
 
-// Drops counts chunks that were not part of the answer.
+// Drops counts chunks that did not become part of the answer.
 type Drops struct {
-	// Late came from an older call, Crossed named other work, Duplicate repeated an index.
+	// Late chunks came from an older call, Crossed ones named another request or attempt, and
+	// Duplicate ones repeated an index.
 	Late, Crossed, Duplicate int
 }
 
-// Machine is the state machine of one completion. It does no I/O and reads no
-// clock. It is not safe for concurrent use.
+// Machine is the state machine of one completion. It does no I/O and does not read the clock.
+// It is not safe for concurrent use.
 type Machine struct {
 	c      Completion
 	limits Limits
@@ -80,30 +82,33 @@
 	exclude []string
 	cause   *errkind.Error // why the last attempt failed
 
-	call     int // number of the latest call
-	step     Step
-	stepEnds time.Time
-	resumes  int
-	// refusals counts refused reservations, and sends the engines that may have taken
-	// the request itself.
+	call         int       // number of the latest call
+	lastStep     Step      // step of the latest call
+	stepDeadline time.Time // when the latest call or the wait for a slot times out; zero: never
+	resumes      int       // resumes of the stream since its last token
+	// refusals counts attempts that ended before anything of the request was sent: refused
+	// reservations and unsent calls. sends counts the engines that may have received the
+	// request itself.
 	refusals, sends int
 	arrivals        arrivals
-	// streak counts the refusals since the request last waited.
-	streak int
-	// reservation and handle are what the engines hold for the attempt, as they named it.
+	// refusalStreak counts refused reservations since the request last waited.
+	refusalStreak int
+	// reservation is the decode engine's id of the reserved slot, and handle the prefill
+	// engine's id of the prefill result; both are empty once the decode engine has used them.
 	reservation, handle string
-	// headTold says that the sink was told the head of the answer.
-	headTold bool
-	// taken says that the engine is known to have taken this attempt's decode call.
-	taken bool
-	// imported says that the KV cache has arrived there.
+	// headForwarded is set once the head of the answer was passed to the sink.
+	headForwarded bool
+	// decodeAccepted is set once the engine is known to have accepted this attempt's decode
+	// call.
+	decodeAccepted bool
+	// imported is set once the KV cache has arrived on the decode engine.
 	imported bool
-	// paused says that the engine was told to hold the stream.
+	// paused is set while the engine holds the stream back to make room.
 	paused bool
-	// touched says which engines may hold memory for this attempt; before is its
-	// value before the call in flight.
-	touched [roles]bool
-	before  bool
+	// mayHoldMemory marks the engines that may hold memory for this attempt; heldBeforeCall is
+	// the value for the called engine before the call in flight.
+	mayHoldMemory  [roles]bool
+	heldBeforeCall bool
 
 	run     runState
 	tokens  []string
@@ -112,12 +117,12 @@
 	actions []Action
 }
 
-// NewMachine returns a machine for c. Step it with EventStart first.
+// NewMachine returns a machine for c. Its first event must be EventStart.
 func NewMachine(c Completion, limits Limits) *Machine {
 	return &Machine{c: c, limits: limits, run: runState{prefillRepeatable: limits.PrefillRepeatable}}
 }
 
-// State returns where the request stands.
+// State returns the state of the request.
 func (m *Machine) State() State { return m.state }
 
 // Attempt returns the number of the current attempt, from 1.
@@ -134,14 +139,14 @@
 
 // Wake returns when EventTick is due.
 func (m *Machine) Wake() time.Time {
-	if m.stepEnds.IsZero() || m.c.Deadline.Before(m.stepEnds) {
+	if m.stepDeadline.IsZero() || m.c.Deadline.Before(m.stepDeadline) {
 		return m.c.Deadline
 	}
-	return m.stepEnds
+	return m.stepDeadline
 }
 
-// Step takes one event and returns the actions it leads to, in order. The slice
-// is valid until the next call.
+// Step handles one event and returns the resulting actions in order. The slice is valid until
+// the next call.
 func (m *Machine) Step(now time.Time, ev Event) []Action {
 	m.actions = m.actions[:0]
 	if m.state == StateEnded {
@@ -149,38 +154,38 @@
 		return nil
 	}
 	if !now.Before(m.c.Deadline) && ev.Kind != EventCallerGone {
-		m.settleLast(ev)
+		m.settleAtDeadline(ev)
 		m.fail(errkind.New(errkind.DeadlineExceeded, "the answer was not complete in time"))
 		return m.actions
 	}
 	switch ev.Kind {
 	case EventStart:
-		m.replan(false)
+		m.planNextAttempt(false)
 	case EventPlanned, EventPlanRefused, EventRetryDenied:
-		m.planning(now, ev)
+		m.handlePlanResult(now, ev)
 	case EventCallerGone:
 		m.fail(errkind.New(errkind.ClientGone, "the caller went away"))
 	case EventDrainLimit:
 		m.fail(errkind.New(errkind.Draining, "the instance reached its shutdown limit"))
 	case EventTurn:
-		m.turn()
+		m.replanQueued()
 	case EventTick:
-		m.tick(now)
+		m.handleTick(now)
 	case EventPermitted:
-		m.permitted(now, ev)
+		m.handlePermitted(now, ev)
 	case EventPaused, EventUnpaused:
-		m.pause(now, ev)
+		m.handlePause(now, ev)
 	default:
-		m.callEvent(now, ev)
+		m.handleCallEvent(now, ev)
 	}
 	return m.actions
 }
 
-// settleLast lets an outcome that comes together with the deadline still count
-// in the run state.
-func (m *Machine) settleLast(ev Event) {
+// settleAtDeadline records the outcome of a call that arrives at or after the deadline, so
+// that the run state includes it.
+func (m *Machine) settleAtDeadline(ev Event) {
 	if ev.Kind == EventCallFailed && ev.Call == m.call {
-		m.run.settle(m.step, ev.Delivery)
+		m.run.settle(m.lastStep, ev.Delivery)
 	}
 }
 
@@ -190,27 +195,27 @@
 	}
 }
 
-func (m *Machine) replan(retry bool) {
+func (m *Machine) planNextAttempt(retry bool) {
 	m.attempt++
 	m.state = StatePlanning
 	m.plan = nil
 	m.resumes = 0
-	m.taken, m.imported, m.paused = false, false, false
+	m.decodeAccepted, m.imported, m.paused = false, false, false
 	m.reservation, m.handle = "", ""
-	m.stepEnds = time.Time{}
-	m.call++ // outcomes of the attempt before are late from here on
-	m.act(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Retry: retry, Tries: m.tries(), Streak: m.streak})
+	m.stepDeadline = time.Time{}
+	m.call++ // from here on, events of earlier calls are outdated
+	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Retry: retry, Tries: m.countedAttempts(), Streak: m.refusalStreak})
 }
 
-func (m *Machine) planning(now time.Time, ev Event) {
+func (m *Machine) handlePlanResult(now time.Time, ev Event) {
 	if m.state != StatePlanning {
 		return
 	}
 	switch ev.Kind {
 	case EventPlanned:
-		m.arrivals.paid += ev.Paid
+		m.arrivals.permits += ev.Paid
 		if ev.Plan.Wait > 0 {
-			m.state, m.stepEnds = StateQueued, now.Add(ev.Plan.Wait)
+			m.state, m.stepDeadline = StateQueued, now.Add(ev.Plan.Wait)
 			return
 		}
 		m.plan = ev.Plan
@@ -230,20 +235,20 @@
 	}
 }
 
-// turn plans the attempt again after a wait for a slot.
-func (m *Machine) turn() {
+// replanQueued plans the attempt again after a wait for a slot.
+func (m *Machine) replanQueued() {
 	if m.state != StateQueued {
 		return
 	}
-	m.state, m.stepEnds, m.streak = StatePlanning, time.Time{}, 0
-	m.act(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Again: true, Tries: m.tries()})
+	m.state, m.stepDeadline, m.refusalStreak = StatePlanning, time.Time{}, 0
+	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Again: true, Tries: m.countedAttempts()})
 }
 
-// needs returns how many retries of the budget a plan takes, for an attempt that the action
-// asked for.
-func (m *Machine) needs(a Action, p *policy.Plan) int {
+// permitsNeeded returns how many retry permits must be taken for plan p, which answers action
+// a.
+func (m *Machine) permitsNeeded(a Action, p *policy.Plan) int {
 	if m.limits.CountArrivals {
-		return m.arrivals.needs(!p.SkipPrefill)
+		return m.arrivals.permitsNeeded(!p.SkipPrefill)
 	}
 	if a.Retry {
 		return 1
@@ -251,41 +256,41 @@
 	return 0
 }
 
-// tries counts the attempts that went beyond a reservation.
-func (m *Machine) tries() int { return m.attempt - m.refusals }
+// countedAttempts returns the number of attempts that count towards MaxAttempts.
+func (m *Machine) countedAttempts() int { return m.attempt - m.refusals }
 
-// callEvent handles what belongs to one call. Whatever belongs to another call
-// than the latest is dropped: its attempt was given up and cancelled.
-func (m *Machine) callEvent(now time.Time, ev Event) {
+// handleCallEvent handles an event that belongs to a call. Events of any call other than the
+// latest are dropped: that call's attempt was given up and cancelled.
+func (m *Machine) handleCallEvent(now time.Time, ev Event) {
 	if ev.Call != m.call || m.state == StatePlanning || m.state == StateQueued {
 		m.countLate(ev)
 		return
 	}
-	if m.step == StepDecode && m.taken && ev.deniesCall() {
-		m.cut(now) // whatever is said of the call now, its engine has answered
+	if m.lastStep == StepDecode && m.decodeAccepted && ev.deniesCall() {
+		m.handleBrokenStream(now) // the engine has already accepted the call, so the report is wrong
 		return
 	}
 	switch ev.Kind {
 	case EventReserved:
-		m.reserved(now, ev.Reservation)
+		m.handleReserved(now, ev.Reservation)
 	case EventPrefilled:
-		m.prefilled(now, ev.Prefill)
+		m.handlePrefilled(now, ev.Prefill)
 	case EventOpened:
-		m.opened(now, ev.Head)
+		m.handleOpened(now, ev.Head)
 	case EventCallFailed:
-		m.callFailed(now, ev)
+		m.handleCallFailed(now, ev)
 	case EventLeft:
-		m.undo(upstream.NotSent)
+		m.undoCall(upstream.NotSent)
 		m.retry(errkind.New(errkind.NoUpstream, "the chosen upstream takes no new work now"), false)
 	case EventStale:
-		m.undo(upstream.NotSent)
+		m.undoCall(upstream.NotSent)
 		m.fail(errkind.New(errkind.StaleView, "the instance was stopped for a while"))
 	case EventQuarantined:
-		m.undo(upstream.NotSent)
+		m.undoCall(upstream.NotSent)
 		m.fail(errQuarantined())
 	case EventChunk:
-		m.chunk(now, &ev.Chunk)
+		m.handleChunk(now, &ev.Chunk)
 	case EventCut:
-		m.cut(now)
+		m.handleBrokenStream(now)
 	}
 }
