--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -14,7 +14,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// checker performs no actions but checks the promises on them.
+// checker checks that the actions of a Machine keep its guarantees; it performs none of them.
 type checker struct {
 	*Machine
 	t       *rapid.T
@@ -22,17 +22,17 @@
 	emitted int
 	ends    int
 	calls   map[int]Action
-	// held names the engines that may hold memory, as "attempt engine".
+	// held contains the engines that may hold memory, as "attempt engine".
 	held      map[string]bool
-	delivered bool // the prompt may have reached an engine
-	pending   bool // the call in flight carries the prompt
+	delivered bool // the request may have reached an engine
+	pending   bool // the call in flight carries the request
 	plans     int
-	// sent names the engines that may have taken the request itself.
+	// sent contains the engines that may have received the request itself.
 	sent map[string]bool
-	// answers lets engines fail with answers of their own; failed says that one did.
+	// answers lets engines fail with error answers of their own; failed is set once one did.
 	answers, failed bool
-	// spoke is the last decode call that its engine answered.
-	spoke int
+	// acceptedCall is the last decode call that its engine accepted.
+	acceptedCall int
 }
 
 func newChecker(t *rapid.T, c Completion, limits Limits) *checker {
@@ -55,19 +55,19 @@
 	}
 }
 
-// settle notes what an event proves of the latest call.
+// settle records what an event proves about the latest call.
 func (k *checker) settle(ev Event) {
 	a, ok := k.calls[ev.Call]
 	if !ok || ev.Call != k.call || k.state == StatePlanning || k.state == StateEnded {
 		return
 	}
-	if a.Step == StepDecode && k.engineSpoke(ev) {
-		k.delivered, k.spoke = true, ev.Call
+	if a.Step == StepDecode && k.engineAccepted(ev) {
+		k.delivered, k.acceptedCall = true, ev.Call
 	}
 	if ev.Kind == EventCallFailed && ev.Answer != nil && a.Step == StepDecode {
 		k.delivered, k.failed = true, true
 	}
-	if k.spoke == ev.Call {
+	if k.acceptedCall == ev.Call {
 		return
 	}
 	if ev.Kind == EventLeft || ev.Kind == EventStale || ev.Kind == EventQuarantined ||
@@ -77,19 +77,19 @@
 			delete(k.sent, a.Target.Name)
 		}
 		if a.Step == StepPrefill || a.Step == StepReserve { // the first call to that engine
-			delete(k.held, heldBy(a))
+			delete(k.held, holdKey(a))
 		}
 	}
 }
 
-// engineSpoke says that an event is the engine's own word that it took the call; what
-// is said against it later proves nothing.
-func (k *checker) engineSpoke(ev Event) bool {
+// engineAccepted reports whether an event shows that the engine accepted the call. Later
+// reports to the contrary then prove nothing.
+func (k *checker) engineAccepted(ev Event) bool {
 	own := ev.Chunk.RequestID == k.c.ID && ev.Chunk.Attempt == k.attempt
 	return ev.Kind == EventOpened || ev.Kind == EventChunk && own && ev.Chunk.Imported
 }
 
-func heldBy(a Action) string { return fmt.Sprint(a.Attempt, " ", a.Target.Name) }
+func holdKey(a Action) string { return fmt.Sprint(a.Attempt, " ", a.Target.Name) }
 
 func (k *checker) check(a Action) {
 	switch a.Kind {
@@ -104,11 +104,11 @@
 		if k.plans > k.limits.MaxAttempts+k.limits.MaxRefusals {
 			k.t.Fatal("too many attempts")
 		}
-		if !k.c.again() && k.delivered {
+		if !k.c.mayRunAgain() && k.delivered {
 			k.t.Fatal("a second attempt after one that may have been delivered")
 		}
 	case ActionDispatch:
-		k.next(a.Step.carries() && (a.Step != StepPrefill || !k.limits.PrefillRepeatable))
+		k.next(a.Step.carriesRequest() && (a.Step != StepPrefill || !k.limits.PrefillRepeatable))
 		if a.Step == StepDecode {
 			k.sent[a.Target.Name] = true
 		}
@@ -116,9 +116,9 @@
 			k.t.Fatalf("sent to %v", k.sent)
 		}
 		k.calls[a.Call] = a
-		k.held[heldBy(a)] = true
+		k.held[holdKey(a)] = true
 	case ActionCancel:
-		delete(k.held, heldBy(a))
+		delete(k.held, holdKey(a))
 	case ActionEmit:
 		if a.Index != k.emitted || a.Text != text(a.Index) {
 			k.t.Fatalf("emitted %d %q after %d tokens", a.Index, a.Text, k.emitted)
@@ -137,14 +137,14 @@
 		if k.emitted > 0 {
 			k.t.Fatal("another answer after the first token")
 		}
-		k.held = map[string]bool{} // the engine has answered, and its handle is used
+		k.held = map[string]bool{} // the engine has answered and consumed the handle
 		return
 	}
 	if a.Kind == ActionFinish {
 		if k.emitted != answerLength {
 			k.t.Fatalf("finished after %d tokens of %d", k.emitted, answerLength)
 		}
-		k.held = map[string]bool{} // the engine has freed it itself
+		k.held = map[string]bool{} // the engine has freed its memory itself
 		return
 	}
 	want := errkind.NotRun
@@ -162,14 +162,14 @@
 	}
 }
 
-// next begins a call or a plan. What the call before it did is not known any
-// more, unless it was proven to be nothing.
+// next records the start of a call or a plan. Unless the call before it was proven to have had
+// no effect, it may have been delivered.
 func (k *checker) next(carries bool) {
 	k.delivered = k.delivered || k.pending
 	k.pending = carries
 }
 
-// answerLength is the length of the one right answer, whose tokens are text(i).
+// answerLength is the length of the only correct answer, whose tokens are text(i).
 const answerLength = 5
 
 func text(i int) string { return fmt.Sprint("t", i) }
@@ -180,8 +180,8 @@
 	{Wait: time.Second},
 }
 
-// event draws any event: of the latest call, of an older one, or of none. What
-// a chunk says of this attempt is true; of other work it may be anything.
+// event draws a random event of the latest call, of an older one, or of none. A chunk of the
+// current attempt has correct content; a chunk of other work may have any content.
 func (k *checker) event() Event {
 	t := k.t
 	call := k.call
@@ -189,7 +189,7 @@
 		call = rapid.IntRange(0, k.call).Draw(t, "call")
 	}
 	ev := Event{Call: call, Kind: EventKind(rapid.IntRange(int(EventPlanned), int(EventTick)).Draw(t, "kind"))}
-	if rapid.IntRange(0, 2).Draw(t, "forward") > 0 { // mostly what moves the request on
+	if rapid.IntRange(0, 2).Draw(t, "forward") > 0 { // usually an event that advances the request
 		ev.Kind = map[State]EventKind{
 			StatePlanning: EventPlanned, StateQueued: EventTurn, StateReserving: EventReserved, StatePrefilling: EventPrefilled,
 			StateImporting: EventChunk, StateStreaming: EventChunk,
@@ -232,39 +232,39 @@
 	return c
 }
 
-// TestMachineAnyOrder feeds events in any order and checks every promise: one
-// end, tokens once and in order, nothing after the end, a true run state, each
-// engine cancelled that may hold memory, no second dispatch of a non-idempotent
-// request.
+// TestMachineAnyOrder feeds events in random order and checks that there is exactly one end
+// and nothing after it, that tokens come once and in order, that the run state is correct,
+// that each engine that may hold memory is cancelled, and that a non-idempotent request is not
+// dispatched twice.
 func TestMachineAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1000, 0)
 		k := newChecker(t, Completion{ID: "r", Accepted: at, Deadline: at.Add(time.Minute), NonIdempotent: rapid.Bool().Draw(t, "once")}, DefaultLimits())
-		k.play(at)
+		k.run(at)
 	})
 }
 
-// attachedLimits are limits of the kind that attached daemons use.
+// attachedLimits returns limits like those of attached daemons.
 func attachedLimits() Limits {
 	l := DefaultLimits()
 	l.MaxRefusals, l.MaxResumes, l.PrefillRepeatable, l.Patient = 5, 0, true, true
 	return l
 }
 
-// TestMachineAnyOrderAttached plays the same where refusals are free, prefills run
-// nothing, sends are bounded and engines' own failures are passed on.
+// TestMachineAnyOrderAttached makes the checks of TestMachineAnyOrder with free refusals,
+// prefills that do not count as running the request, bounded sends and engines that return error answers of their own.
 func TestMachineAnyOrderAttached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1000, 0)
 		c := Completion{ID: "r", Accepted: at, Deadline: at.Add(time.Minute), SendOnce: rapid.Bool().Draw(t, "once"), MaxSends: rapid.IntRange(1, 2).Draw(t, "sends")}
 		k := newChecker(t, c, attachedLimits())
 		k.answers = true
-		k.play(at)
+		k.run(at)
 	})
 }
 
-// play feeds events until the deadline.
-func (k *checker) play(at time.Time) {
+// run feeds random events, and then a tick at the deadline.
+func (k *checker) run(at time.Time) {
 	t := k.t
 	for range rapid.IntRange(0, 60).Draw(t, "events") {
 		k.now = k.now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
@@ -277,11 +277,9 @@
 	}
 }
 
-// Symptom: an older attempt's late answer moves the request on, or its late
-// token reaches the caller.
-// Sequence: the reserve call stalls, the next attempt is planned, the first
-// call's answer comes after all.
-// Cause: outcomes told apart by their kind alone.
+// TestMachineLateOutcome checks that a late event of an older attempt has no effect: a reserve
+// call stalls, the next attempt is planned, and then the first call's answer arrives. Events
+// must be matched by call number and not only by kind.
 func TestMachineLateOutcome(t *testing.T) {
 	at := time.Unix(1000, 0)
 	m := NewMachine(Completion{ID: "r", Deadline: at.Add(time.Minute)}, DefaultLimits())
@@ -296,8 +294,8 @@
 	}
 }
 
-// TestMachineAsksAgain pins that a request that waits for a slot asks for the same
-// attempt when it is its turn, or its time, and not before.
+// TestMachineAsksAgain checks that a queued request asks for a slot for the same attempt when
+// it is woken or its waiting time has passed, and not earlier.
 func TestMachineAsksAgain(t *testing.T) {
 	at := time.Unix(1000, 0)
 	for name, tc := range map[string]struct {
--- a/request/observe.go
+++ b/request/observe.go
@@ -5,36 +5,37 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// heard passes a piggybacked load on; a zero one was not sent. That the upstream
-// is leaving goes on as part of the load, with the incarnation that said so: an
-// answer that is read late may be that of a former life, and the notice alone
-// would keep the new one idle for good.
-func (r *Runner) heard(name string, l *engineapi.Load) {
+// reportLoad passes on the load that an answer carried; a zero load was not sent. The leaving
+// notice stays part of the load, together with the upstream's incarnation: an answer that is
+// read late may come from a process that has been replaced, and the notice alone would keep
+// its successor without work.
+func (r *Runner) reportLoad(name string, l *engineapi.Load) {
 	if *l == (engineapi.Load{}) {
 		return
 	}
 	r.o.Observer.Report(r.o.Now(), name, *l)
 }
 
-// heardRefusal passes on what a refusal tells of the upstream.
-func (r *Runner) heardRefusal(name string, err error) {
+// reportRefusal passes on the load and the leaving notice of a refusal.
+func (r *Runner) reportRefusal(name string, err error) {
 	refusal := upstream.RefusalOf(err)
 	if refusal == nil {
 		return
 	}
 	load := refusal.Load
 	if load == (engineapi.Load{}) && refusal.Leaving {
-		r.o.Observer.Leaving(r.o.Now(), name) // of no known life
+		r.o.Observer.Leaving(r.o.Now(), name) // without an incarnation
 		return
 	}
 	load.Leaving = load.Leaving || refusal.Leaving
-	r.heard(name, &load)
+	r.reportLoad(name, &load)
 }
 
-// heardOf passes on what a plain service's answer or refusal tells.
-func (r *Runner) heardOf(name string, answer *upstream.ServiceAnswer, err error) {
-	r.heardRefusal(name, err)
+// reportServiceAnswer passes on the load and the leaving notice in a plain service's answer or
+// refusal.
+func (r *Runner) reportServiceAnswer(name string, answer *upstream.ServiceAnswer, err error) {
+	r.reportRefusal(name, err)
 	if answer != nil && answer.Load != nil {
-		r.heard(name, answer.Load)
+		r.reportLoad(name, answer.Load)
 	}
 }
--- a/request/observe_test.go
+++ b/request/observe_test.go
@@ -17,7 +17,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// boardObserver passes on what the runner hears, as the router does.
+// boardObserver passes the runner's reports to a board, as the router does.
 type boardObserver struct {
 	observer
 	h *board.Holder
@@ -35,15 +35,14 @@
 	o.h.Update(func(b *board.Board) { b.Leaving(now, name, board.FromUpstream) })
 }
 
-// Symptom: an upstream that was replaced during the move never gets work again.
-// Sequence: its former life says that it leaves in an answer that is read late,
-// after the new life was heard of.
-// Cause: the notice is passed on without the incarnation that it belongs to.
+// Guards against a replaced upstream that never gets work again: after its new process was
+// observed, an answer of the old process is read late and announces that it is leaving. The
+// notice must be applied to its own incarnation only.
 func TestLateLeavingOfAFormerLife(t *testing.T) {
 	h := board.NewHolder(board.New(board.Config{}))
 	f := newFleet(t, func(o *request.Options) { o.Observer = boardObserver{observer{}, h} })
 	loads := make(chan string, 1)
-	f.serve("s0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	f.addService("s0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.HeaderLoad, <-loads)
 	}))
 	h.Update(func(b *board.Board) {
@@ -63,7 +62,7 @@
 	} {
 		loads <- c.load
 		now := time.Now()
-		call := request.Call{ID: fmt.Sprint("c", i), Team: "t", Service: "svc", Method: "GET", Path: "/", Accepted: now, Deadline: now.Add(bound)}
+		call := request.Call{ID: fmt.Sprint("c", i), Team: "t", Service: "svc", Method: "GET", Path: "/", Accepted: now, Deadline: now.Add(maxWait)}
 		if _, err := f.runner.Call(context.Background(), call); err != nil {
 			t.Fatal(err)
 		}
@@ -73,9 +72,9 @@
 	}
 }
 
-// Symptom: one team's requests make a healthy service unreachable for all.
-// Sequence: calls whose callers give them a few milliseconds run out of time.
-// Cause: a deadline that no service could meet counts as the service's failure.
+// Guards against a short deadline being counted as the service's failure: the calls of one
+// team allow only a few milliseconds, run out of time and would eject a healthy service for
+// all teams.
 func TestShortDeadlinesBlameNobody(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -104,7 +103,7 @@
 					return policy.NewSnapshot(b, 1, time.Now(), slices.Clone(f.members), nil)
 				}
 			})
-			f.serve("s0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
+			f.addService("s0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 			for i := range 5 {
 				now := time.Now()
 				call := request.Call{ID: fmt.Sprint("c", i), Team: "t", Class: bundle.Urgent, Service: "svc", Method: "GET", Path: "/", Accepted: now, Deadline: now.Add(c.deadline)}
--- a/request/once.go
+++ b/request/once.go
@@ -11,15 +11,16 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// keptCompletion is the body of the answer that the gate keeps for a
-// completion, so that a repeat of its key gets the same tokens.
+// keptCompletion is the body of the stored answer of a completion, so that a repeat of its
+// idempotency key gets the same tokens.
 type keptCompletion struct {
 	Tokens []string `json:"tokens"`
 	Reason string   `json:"reason"`
 	Usage  Usage    `json:"usage"`
 }
 
-// completeOnce runs a non-idempotent completion under a grant of the gate.
+// completeOnce runs a non-idempotent completion after claiming its idempotency key at the
+// gate.
 func (r *Runner) completeOnce(ctx context.Context, c Completion, sink Sink, entry *Active) {
 	grant, err := r.claim(ctx, completionKey(c))
 	if err != nil {
@@ -27,53 +28,53 @@
 		return
 	}
 	if !grant.Run() {
-		if err := notHere(grant); err != nil {
+		if err := ownedElsewhere(grant); err != nil {
 			sink.Fail(err)
 			return
 		}
 		replay(grant.Answer(), sink)
 		return
 	}
-	out := Outcome{Run: errkind.Unknown} // what a panic below would leave
+	out := Outcome{Run: errkind.Unknown} // recorded if a panic ends the run
 	defer func() { grant.Finish(out) }()
-	d := r.drive(ctx, c, sink, entry, grant.Deadline())
+	d := r.runMachine(ctx, c, sink, entry, grant.Deadline())
 	out.Run = d.m.Run()
 	if d.result.err == nil {
-		out.Answer = d.kept()
+		out.Answer = d.keptAnswer()
 	}
 }
 
-// notHere returns an error when another daemon alone may run the request. The
-// frontend forwards such requests before they get here.
-func notHere(g Grant) *errkind.Error {
+// ownedElsewhere returns an error if another daemon alone may run the request. The frontend
+// forwards such requests before they reach this package.
+func ownedElsewhere(g Grant) *errkind.Error {
 	if _, other := g.Owner(); !other {
 		return nil
 	}
 	return errkind.New(errkind.ClaimUnavailable, "another instance alone may run this key").WithRun(errkind.Unknown)
 }
 
-// lapsed says that a grant must not be used any more: the process may have been
-// stopped between the claim and the dispatch for longer than keys are kept, and
-// somebody else may have been granted the key since.
-func lapsed(deadline, now time.Time) bool {
+// grantExpired reports whether a grant must no longer be used: between the claim and the
+// dispatch, the process may have been stopped for longer than keys are stored, and the key may
+// have been granted again.
+func grantExpired(deadline, now time.Time) bool {
 	return !deadline.IsZero() && !now.Before(deadline)
 }
 
-// toldRun returns the run state that the caller is told of a request whose own
-// is run, under a grant with the given deadline.
+// reportedRun returns the run state that the caller gets for a request with run state run
+// under a grant with the given deadline.
 //
-// What goes wrong: past the deadline the key may have been forgotten, claimed
-// again and run by a replay of the same request. One would notice a caller that
-// was told "not run" and an order that was placed. The caller cares for the
-// request, not for this attempt at it, so it is told that the run is unknown.
-func toldRun(run errkind.Run, deadline, now time.Time) errkind.Run {
-	if run == errkind.NotRun && lapsed(deadline, now) {
+// After the deadline the key may have been forgotten, claimed again and run by a replay of the
+// same request. The caller asks about the request rather than this attempt. If it were told
+// "not run" while a replay placed the order, it would place the order twice, so the run state
+// is reported as unknown.
+func reportedRun(run errkind.Run, deadline, now time.Time) errkind.Run {
+	if run == errkind.NotRun && grantExpired(deadline, now) {
 		return errkind.Unknown
 	}
 	return run
 }
 
-// claim asks the gate. Every request that must not run twice passes here.
+// claim claims the key at the gate. Every request that must not run twice goes through it.
 func (r *Runner) claim(ctx context.Context, k ClaimKey) (Grant, *errkind.Error) {
 	if k.Key == "" {
 		return nil, errkind.New(errkind.KeyRequired, "send an Idempotency-Key")
@@ -84,8 +85,8 @@
 	return r.o.Gate.Claim(ctx, k)
 }
 
-// completionKey digests everything that shapes the answer, each part with its
-// length, so that two different requests cannot have the same digest.
+// completionKey returns a key with the digest of everything that shapes the answer. Each part
+// is preceded by its length, so that different requests have different digests.
 func completionKey(c Completion) ClaimKey {
 	parts := []string{"completion", c.Model, c.Adapter, strconv.Itoa(c.MaxTokens), c.Prompt}
 	return ClaimKey{Team: c.Team, Key: c.Key, RequestID: c.ID, Body: digest(parts...)}
@@ -101,15 +102,15 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-func (d *drive) kept() *CallAnswer {
+func (d *driver) keptAnswer() *CallAnswer {
 	body, err := json.Marshal(keptCompletion{Tokens: d.m.Tokens(), Reason: d.result.reason, Usage: d.result.usage})
 	if err != nil {
-		return nil // the gate then says that the key ran and its answer is not kept
+		return nil // a repeat is then told that the key ran and no answer is stored
 	}
 	return &CallAnswer{Status: http.StatusOK, Body: body}
 }
 
-// replay answers with the kept answer of the earlier run of the same key.
+// replay sends the stored answer of an earlier run of the same key.
 func replay(kept *CallAnswer, sink Sink) {
 	var k keptCompletion
 	if kept == nil || json.Unmarshal(kept.Body, &k) != nil {
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -18,7 +18,7 @@
 	"github.com/corianderturn/corianderturn/retry"
 )
 
-// gate grants each key once and notes how each grant ended.
+// gate grants each key once and records the outcome of each grant.
 type gate struct {
 	mu       sync.Mutex
 	t        testing.TB
@@ -63,32 +63,31 @@
 	g.g.ended = append(g.g.ended, o)
 }
 
-// gated starts a fleet behind a gate.
-func gated(t testing.TB) (*fleet, *gate) {
+// newFleetWithGate starts a fleet whose runner has a gate.
+func newFleetWithGate(t testing.TB) (*fleet, *gate) {
 	g := &gate{t: t}
 	return newFleet(t, func(o *request.Options) { o.Gate = g }), g
 }
 
-func once(id string) request.Completion {
-	c := completion(id)
+func newNonIdempotentCompletion(id string) request.Completion {
+	c := newCompletion(id)
 	c.NonIdempotent, c.Key = true, "k"
 	return c
 }
 
-// Symptom: a completion marked as non-idempotent runs twice, or its key is free
-// again although it may have run.
-// Sequence: every fault of TestComplete, with the mark set.
-// Cause: a second attempt after a dispatch that may have been delivered.
+// TestCompleteOnce repeats the faults of TestComplete for a completion marked as
+// non-idempotent. It guards against a second attempt after a dispatch that may have been
+// delivered, and against releasing the key although the completion may have run.
 func TestCompleteOnce(t *testing.T) {
-	for name, tc := range cells() {
+	for name, tc := range faultCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, g := gated(t)
-			c := &cell{fleet: f, c: once("r1"), sink: &sink{}}
+			f, g := newFleetWithGate(t)
+			c := &faultCase{fleet: f, c: newNonIdempotentCompletion("r1"), sink: &sink{}}
 			c.ctx, c.cancel = context.WithCancel(context.Background())
 			defer c.cancel()
 			tc.arrange(c)
-			f.run(c.ctx, c.c, c.sink)
+			f.complete(c.ctx, c.c, c.sink)
 			for _, n := range f.engines {
 				n.thaw()
 			}
@@ -111,125 +110,126 @@
 	}
 }
 
-// Symptom: a repeat of a key gets another answer, or runs again.
-// Sequence: the same completion twice with one key.
-// Cause: an answer that is not kept whole.
+// TestCompleteRepeat checks that a repeat of a key gets the complete stored answer and does
+// not run again.
 func TestCompleteRepeat(t *testing.T) {
-	f, _ := gated(t)
-	f.run(context.Background(), once("r1"), nil).whole()
-	f.run(context.Background(), once("r2"), nil).whole()
+	f, _ := newFleetWithGate(t)
+	f.complete(context.Background(), newNonIdempotentCompletion("r1"), nil).wantComplete()
+	f.complete(context.Background(), newNonIdempotentCompletion("r2"), nil).wantComplete()
 	if n := f.engines["p0"].Stats().Prefills; n != 1 {
 		t.Errorf("ran %d times", n)
 	}
 }
 
-// Symptom: a caller is told "not run" of a nomination that another daemon filed.
-// Sequence: the daemon is stopped between the claim and the dispatch until the
-// key is forgotten; a replay of the request is granted elsewhere and runs.
-// Cause: the word of this attempt is given for the key.
+// TestCompletePastGrant guards against telling a caller "not run" although another daemon
+// ran its request: this daemon is stopped between the claim and the dispatch until the
+// key is forgotten, and a replay of the request is granted elsewhere and runs.
 func TestCompletePastGrant(t *testing.T) {
-	f, g := gated(t)
+	f, g := newFleetWithGate(t)
 	g.deadline = time.Now()
-	f.run(context.Background(), once("r1"), nil).failed(errkind.StaleView, errkind.Unknown)
+	f.complete(context.Background(), newNonIdempotentCompletion("r1"), nil).wantFailed(errkind.StaleView, errkind.Unknown)
 	if len(g.ended) != 1 || g.ended[0].Run != errkind.NotRun {
 		t.Errorf("grant finished with %+v", g.ended)
 	}
 }
 
-// rig is a fleet with two plain services, of which the first is hit.
-type rig struct {
+// serviceFixture is a fleet with two replicas of a plain service; faults hit the first one.
+type serviceFixture struct {
 	*fleet
 	gate   *gate
 	first  *service.Service
 	second *service.Service
-	kill   func() // closes the first
-	onCall func() // runs when a call reaches the first
+	kill   func() // closes the first replica
+	onCall func() // runs when a call reaches the first replica
 	call   request.Call
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-func newRig(t testing.TB, method string) *rig {
-	f, g := gated(t)
-	r := &rig{fleet: f, gate: g, first: service.New(service.Config{}), second: service.New(service.Config{})}
+func newServiceFixture(t testing.TB, method string) *serviceFixture {
+	f, g := newFleetWithGate(t)
+	r := &serviceFixture{fleet: f, gate: g, first: service.New(service.Config{}), second: service.New(service.Config{})}
 	t.Cleanup(r.first.Close)
 	t.Cleanup(r.second.Close)
 	first := r.first.Handler()
-	s := f.serve("s0", http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	s := f.addService("s0", http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if r.onCall != nil {
 			r.onCall()
 		}
 		first.ServeHTTP(w, req)
 	}))
 	r.kill = func() { s.Listener.Close(); s.CloseClientConnections() }
-	f.serve("s1", r.second.Handler())
+	f.addService("s1", r.second.Handler())
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	t.Cleanup(r.cancel)
 	now := time.Now()
 	r.call = request.Call{
 		ID: "c1", Team: "t", Service: "svc", Method: method, Path: "/orders/7", Key: "k",
 		Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("jar"),
-		Accepted: now, Deadline: now.Add(bound), NonIdempotent: method == http.MethodPost,
+		Accepted: now, Deadline: now.Add(maxWait), NonIdempotent: method == http.MethodPost,
 	}
 	return r
 }
 
-func (r *rig) executions() int { return r.first.Executions().Total + r.second.Executions().Total }
+func (r *serviceFixture) executions() int {
+	return r.first.Executions().Total + r.second.Executions().Total
+}
 
-// soon makes the deadline come while a call is held.
-func (r *rig) soon() { r.call.Deadline = r.call.Accepted.Add(300 * time.Millisecond) }
+// shortDeadline sets a deadline that passes while a call is held.
+func (r *serviceFixture) shortDeadline() {
+	r.call.Deadline = r.call.Accepted.Add(300 * time.Millisecond)
+}
 
-func faulty(f service.Faults) func(*rig) {
-	return func(r *rig) { r.first.SetFaults(f, 1) }
+func firstCallFaults(f service.Faults) func(*serviceFixture) {
+	return func(r *serviceFixture) { r.first.SetFaults(f, 1) }
 }
 
-// Symptom: an order is confirmed twice, or refused as "not run" although it was
-// placed, or its key is free again although it may have run.
-// Sequence: the fault hits the first replica at the step of a non-idempotent
-// call; a second replica is healthy.
-// Cause: a second dispatch, or a delivery that is taken for none.
+// TestCallOnce injects a fault into the first replica at each step of a non-idempotent call
+// while a second replica is healthy. It guards against an order that is confirmed twice, that
+// is reported as "not run" although it was placed, or whose key is released although it may
+// have run.
 func TestCallOnce(t *testing.T) {
 	const n, u, ran = errkind.NotRun, errkind.Unknown, errkind.Ran
-	refused := func(k errkind.Kind) func(*rig) {
-		return func(r *rig) { r.gate.refusal = errkind.New(k, "") }
+	refused := func(k errkind.Kind) func(*serviceFixture) {
+		return func(r *serviceFixture) { r.gate.refusal = errkind.New(k, "") }
 	}
 	for name, tc := range map[string]struct {
-		arrange    func(*rig)
+		arrange    func(*serviceFixture)
 		kind       errkind.Kind // empty: an answer
 		run        errkind.Run
 		executions int
 		finished   errkind.Run // empty: no grant to finish
 	}{
-		"healthy/answer":             {func(*rig) {}, "", "", 1, ran},
+		"healthy/answer":             {func(*serviceFixture) {}, "", "", 1, ran},
 		"claim/log-down":             {refused(errkind.ClaimUnavailable), errkind.ClaimUnavailable, n, 0, ""},
 		"claim/log-reply-lost":       {refused(errkind.KeyOutcomeUnknown), errkind.KeyOutcomeUnknown, u, 0, ""},
-		"no-key/claim":               {func(r *rig) { r.call.Key = "" }, errkind.KeyRequired, n, 0, ""},
-		"elsewhere/claim":            {func(r *rig) { r.gate.owner.Instance = "other" }, errkind.ClaimUnavailable, u, 0, ""},
-		"claim/daemon-frozen":        {func(r *rig) { r.gate.onClaim = func() { r.stale = true } }, errkind.StaleView, n, 0, n},
-		"lapsed/claim/daemon-frozen": {func(r *rig) { r.gate.deadline = time.Now() }, errkind.StaleView, u, 0, n},
-		"late/claim/daemon-frozen":   {func(r *rig) { r.gate.onClaim = func() { r.skew = 2 * bound } }, errkind.DeadlineExceeded, n, 0, n},
-		"accept/leaving":             {faulty(service.Faults{Leaving: true}), "", "", 1, ran},
-		"refused/accept/leaving":     {faulty(service.Faults{Refuse: true}), "", "", 1, ran},
-		"planned/accept/leaving": {func(r *rig) { // costs nothing of the retry budget
+		"no-key/claim":               {func(r *serviceFixture) { r.call.Key = "" }, errkind.KeyRequired, n, 0, ""},
+		"elsewhere/claim":            {func(r *serviceFixture) { r.gate.owner.Instance = "other" }, errkind.ClaimUnavailable, u, 0, ""},
+		"claim/daemon-frozen":        {func(r *serviceFixture) { r.gate.onClaim = func() { r.stale = true } }, errkind.StaleView, n, 0, n},
+		"lapsed/claim/daemon-frozen": {func(r *serviceFixture) { r.gate.deadline = time.Now() }, errkind.StaleView, u, 0, n},
+		"late/claim/daemon-frozen":   {func(r *serviceFixture) { r.gate.onClaim = func() { r.skew = 2 * maxWait } }, errkind.DeadlineExceeded, n, 0, n},
+		"accept/leaving":             {firstCallFaults(service.Faults{Leaving: true}), "", "", 1, ran},
+		"refused/accept/leaving":     {firstCallFaults(service.Faults{Refuse: true}), "", "", 1, ran},
+		"planned/accept/leaving": {func(r *serviceFixture) { // takes no retry permit
 			r.budget.Store(true)
 			r.onPlan = func(int) { r.leave("s0") }
 			r.onCall = func() { r.t.Error("a leaving replica got new work") }
 		}, "", "", 1, ran},
-		"accept/upstream-killed":        {func(r *rig) { r.kill() }, "", "", 1, ran},
-		"before/answer/connection-cut":  {faulty(service.Faults{CutBefore: true}), errkind.UpstreamFailed, u, 0, u},
-		"answer/connection-cut":         {faulty(service.Faults{CutAfter: true}), errkind.UpstreamFailed, u, 1, u},
-		"before/answer/upstream-frozen": {func(r *rig) { r.soon(); faulty(service.Faults{StallBefore: true})(r) }, errkind.DeadlineExceeded, u, 0, u},
-		"answer/connection-stalled":     {func(r *rig) { r.soon(); faulty(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u, 1, u},
-		"answer/crossed-answer":         {faulty(service.Faults{Crossed: true}), errkind.UpstreamFailed, u, 1, u},
-		"answer/caller-gone":            {func(r *rig) { r.onCall = r.cancel }, "", "", 1, ran}, // it goes on, for a repeat
-		"accept/caller-gone":            {func(r *rig) { r.cancel() }, errkind.ClientGone, n, 0, n},
-		"own-status/answer/late-answer": {faulty(service.Faults{Fail: true}), "", "", 1, ran},
-		"answer/leaving":                {func(r *rig) { r.leave("s0") }, "", "", 1, ran},
-		"no-upstream/accept/leaving":    {func(r *rig) { r.leave("s0"); r.leave("s1") }, errkind.NoUpstream, n, 0, n},
+		"accept/upstream-killed":        {func(r *serviceFixture) { r.kill() }, "", "", 1, ran},
+		"before/answer/connection-cut":  {firstCallFaults(service.Faults{CutBefore: true}), errkind.UpstreamFailed, u, 0, u},
+		"answer/connection-cut":         {firstCallFaults(service.Faults{CutAfter: true}), errkind.UpstreamFailed, u, 1, u},
+		"before/answer/upstream-frozen": {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallBefore: true})(r) }, errkind.DeadlineExceeded, u, 0, u},
+		"answer/connection-stalled":     {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u, 1, u},
+		"answer/crossed-answer":         {firstCallFaults(service.Faults{Crossed: true}), errkind.UpstreamFailed, u, 1, u},
+		"answer/caller-gone":            {func(r *serviceFixture) { r.onCall = r.cancel }, "", "", 1, ran}, // the call continues so that a repeat gets its answer
+		"accept/caller-gone":            {func(r *serviceFixture) { r.cancel() }, errkind.ClientGone, n, 0, n},
+		"own-status/answer/late-answer": {firstCallFaults(service.Faults{Fail: true}), "", "", 1, ran},
+		"answer/leaving":                {func(r *serviceFixture) { r.leave("s0") }, "", "", 1, ran},
+		"no-upstream/accept/leaving":    {func(r *serviceFixture) { r.leave("s0"); r.leave("s1") }, errkind.NoUpstream, n, 0, n},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, http.MethodPost)
+			r := newServiceFixture(t, http.MethodPost)
 			tc.arrange(r)
 			answer, err := r.runner.Call(r.ctx, r.call)
 			if err == nil && (tc.kind != "" || answer.Status == 0) || err != nil && (err.Kind != tc.kind || err.Run != tc.run) {
@@ -245,7 +245,7 @@
 			if finished != tc.finished {
 				t.Errorf("grant finished with %q, want %q", finished, tc.finished)
 			}
-			if err == nil { // a repeat gets the very answer
+			if err == nil { // a repeat gets the same answer
 				again, err := r.runner.Call(context.Background(), r.call)
 				if d := cmp.Diff(answer, again); err != nil || d != "" || r.executions() != 1 {
 					t.Errorf("repeat: %v %s, %d executions", err, d, r.executions())
@@ -255,35 +255,34 @@
 	}
 }
 
-// Symptom: a look-up fails although another replica could answer it, or is
-// answered for another request.
-// Sequence: the fault hits the first replica of an idempotent call.
-// Cause: no second try, or an answer that is not checked.
+// TestCallAgain injects a fault into the first replica of an idempotent call. It guards
+// against a look-up that fails although another replica could answer it, and against an answer
+// that belongs to another request.
 func TestCallAgain(t *testing.T) {
 	const u = errkind.Unknown
 	for name, tc := range map[string]struct {
-		arrange func(*rig)
+		arrange func(*serviceFixture)
 		kind    errkind.Kind
 		run     errkind.Run
 	}{
-		"accept/upstream-killed":    {func(r *rig) { r.kill() }, "", ""},
-		"accept/leaving":            {faulty(service.Faults{Leaving: true}), "", ""},
-		"accept/daemon-frozen":      {func(r *rig) { r.stale = true }, errkind.StaleView, errkind.NotRun},
-		"answer/connection-cut":     {faulty(service.Faults{CutAfter: true}), "", ""},
-		"answer/crossed-answer":     {faulty(service.Faults{Crossed: true}), "", ""},
-		"answer/connection-stalled": {func(r *rig) { r.soon(); faulty(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u},
-		"answer/caller-gone": {func(r *rig) {
+		"accept/upstream-killed":    {func(r *serviceFixture) { r.kill() }, "", ""},
+		"accept/leaving":            {firstCallFaults(service.Faults{Leaving: true}), "", ""},
+		"accept/daemon-frozen":      {func(r *serviceFixture) { r.stale = true }, errkind.StaleView, errkind.NotRun},
+		"answer/connection-cut":     {firstCallFaults(service.Faults{CutAfter: true}), "", ""},
+		"answer/crossed-answer":     {firstCallFaults(service.Faults{Crossed: true}), "", ""},
+		"answer/connection-stalled": {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u},
+		"answer/caller-gone": {func(r *serviceFixture) {
 			r.first.SetFaults(service.Faults{StallAfter: true}, 1)
 			r.onCall = r.cancel
 		}, errkind.ClientGone, u},
-		"no-budget/answer/connection-cut": {func(r *rig) {
+		"no-budget/answer/connection-cut": {func(r *serviceFixture) {
 			r.budget.Store(true)
-			faulty(service.Faults{CutAfter: true})(r)
+			firstCallFaults(service.Faults{CutAfter: true})(r)
 		}, errkind.UpstreamFailed, u},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, http.MethodGet)
+			r := newServiceFixture(t, http.MethodGet)
 			tc.arrange(r)
 			answer, err := r.runner.Call(r.ctx, r.call)
 			if err != nil && (err.Kind != tc.kind || err.Run != tc.run) || err == nil && (tc.kind != "" || !strings.Contains(string(answer.Body), "/orders/7")) {
@@ -293,12 +292,12 @@
 	}
 }
 
-// spent is a retry budget that a test can empty.
-type spent struct{ empty *atomic.Bool }
+// switchableBudget is a retry budget that a test can empty.
+type switchableBudget struct{ empty *atomic.Bool }
 
-func (spent) OnFirstAttempt(time.Time)    {}
-func (s spent) Allow(time.Time, int) bool { return !s.empty.Load() }
-func (s spent) Held(time.Time) float64    { return 0 }
+func (switchableBudget) OnFirstAttempt(time.Time)    {}
+func (s switchableBudget) Allow(time.Time, int) bool { return !s.empty.Load() }
+func (s switchableBudget) Held(time.Time) float64    { return 0 }
 
 var (
 	_ request.RetryBudget = (*retry.Bucket)(nil)
--- a/request/options.go
+++ b/request/options.go
@@ -15,181 +15,182 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Inflight counts what this daemon has in flight. board.Inflight implements it.
+// Inflight counts the calls that this daemon has in flight. board.Inflight implements it.
 type Inflight interface {
 	policy.Inflight
-	// Begin counts one call on an upstream, with the tokens that it computes or holds
-	// there, until done is called.
+	// Begin counts one call on an upstream, and the tokens that it computes or holds there,
+	// until done is called.
 	Begin(upstream string, tokens int) (done func())
-	// Book books an upstream's KV link for a transfer that takes d from the given
-	// time on.
+	// Book reserves an upstream's KV link for a transfer of duration d that starts at the
+	// given time.
 	Book(upstream string, from time.Time, d time.Duration)
-	// AddPausable changes by delta the drafts on an upstream that may be paused.
+	// AddPausable adds delta to the number of an upstream's drafts that may be paused.
 	AddPausable(upstream string, delta int)
 	// BeginTeam counts one request of a team until done is called.
 	BeginTeam(team string) (done func())
 }
 
-// Observer hears what calls tell of upstreams. Implementations are safe for
-// concurrent use and do not block.
+// Observer receives what calls reveal about upstreams. Implementations are safe for concurrent
+// use and do not block.
 type Observer interface {
-	// Report passes on the load that an engine's answer carried.
+	// Report receives the load that an upstream's answer carried.
 	Report(now time.Time, upstream string, l engineapi.Load)
-	// Prefilled passes on what a finished prefill showed of an engine.
+	// Prefilled receives the measurements of a finished prefill.
 	Prefilled(now time.Time, upstream string, o PrefillObservation)
-	// Failed says a call failed without a definitive refusal.
+	// Failed reports a call that failed without a definitive refusal.
 	Failed(now time.Time, upstream string)
-	// PrefillLost says that a prefill for a model was given up at its bound.
+	// PrefillLost reports that a prefill for a model was given up at its timeout.
 	PrefillLost(now time.Time, model string)
-	// Unanswered says an upstream did not answer where an answer is due at once; reached,
-	// that its host refused the connection, so that the way there works.
+	// Unanswered reports that an upstream did not respond to a call that it must answer at
+	// once. reached is set if its host refused the connection, so that the network path works.
 	Unanswered(now time.Time, upstream string, reached bool)
-	// Answered says an upstream gave a sign of life, whatever it was.
+	// Answered reports that an upstream responded, with whatever result.
 	Answered(now time.Time, upstream string)
-	// Succeeded says a call was answered.
+	// Succeeded reports that a call was answered.
 	Succeeded(now time.Time, upstream string)
-	// Finished says a completion is whole and what it took of its decode engine.
+	// Finished reports a complete answer and its resource use on the decode engine.
 	Finished(now time.Time, f FinishObservation)
-	// Full says the upstream refused a reservation for want of room.
+	// Full reports that an upstream refused a reservation for lack of room.
 	Full(now time.Time, upstream string)
-	// HandedOff says whether a decode engine took a prefill engine's result, for which it
-	// had granted a reservation.
+	// HandedOff reports whether a decode engine that had granted a reservation accepted a
+	// prefill engine's result.
 	HandedOff(now time.Time, prefill, decode string, taken bool)
-	// Shut says a prefill engine refused a prompt.
+	// Shut reports that a prefill engine refused a prompt.
 	Shut(now time.Time, upstream string)
-	// Leaving says the upstream told by itself that it takes no new work, with no
-	// load beside it; a load that says so goes to Report alone.
+	// Leaving reports that an upstream announced that it takes no new work, without sending
+	// its load. A leaving notice within a load goes to Report only.
 	Leaving(now time.Time, upstream string)
 }
 
-// PrefillObservation is what one prefill showed of an engine.
+// PrefillObservation holds the measurements of one prefill.
 type PrefillObservation struct {
-	// PromptTokens is the length of the prompt, CachedTokens how much of it the
-	// engine held, and AheadTokens what the plan expected to be computed first.
+	// PromptTokens is the length of the prompt, CachedTokens the part of it that the engine
+	// had cached, and AheadTokens the tokens that the plan expected to be computed first.
 	PromptTokens, CachedTokens, AheadTokens int
-	// Took is the time of the call.
+	// Took is the duration of the call.
 	Took time.Duration
 	// Prefix holds the block hashes of the prompt; it must not be changed.
 	Prefix []uint64
 }
 
-// FinishObservation is what one whole completion took.
+// FinishObservation holds the measurements of one complete answer.
 type FinishObservation struct {
 	Model string
-	// Upstream is the decode engine that ended it.
+	// Upstream is the decode engine that finished the answer.
 	Upstream string
-	// PromptTokens and AnswerTokens are the lengths of prompt and answer, and
-	// ExpectedTokens the length of the answer that was expected.
+	// PromptTokens and AnswerTokens are the actual lengths of prompt and answer;
+	// ExpectedTokens is the expected length of the answer.
 	PromptTokens, AnswerTokens, ExpectedTokens int
 	// Held is the time from the decode call to the end.
 	Held time.Duration
-	// PerToken is the mean time between two tokens; 0 where that cannot be told.
+	// PerToken is the mean time between two tokens; 0 if unknown.
 	PerToken time.Duration
 }
 
-// Metrics counts what the runner does. Implementations are safe for concurrent use.
+// Metrics receives the runner's counts and timings. Implementations are safe for concurrent
+// use.
 type Metrics interface {
-	// Ended notes a request's end; kind is empty for a whole answer.
+	// Ended records the end of a request; kind is empty for a complete answer.
 	Ended(class bundle.Class, kind errkind.Kind, run errkind.Run, took time.Duration)
-	// FirstToken and NextToken note the wait for a token.
+	// FirstToken and NextToken record the time that the caller waited for a token.
 	FirstToken(class bundle.Class, wait time.Duration)
 	NextToken(class bundle.Class, wait time.Duration)
-	// Retried notes a second or later attempt.
+	// Retried records a second or later attempt.
 	Retried(class bundle.Class)
-	// Permitted notes what the retry budget answered.
+	// Permitted records the answer of the retry budget.
 	Permitted(allowed bool)
-	// WastedPrefill notes prompt tokens that were computed for an attempt that
-	// delivered nothing.
+	// WastedPrefill records prompt tokens that were computed for an attempt that delivered no
+	// token.
 	WastedPrefill(tokens int)
-	// Dropped notes chunks that were not part of an answer.
+	// Dropped records chunks that did not become part of an answer.
 	Dropped(d Drops)
-	// Decided notes a decision by its step, one of a closed list; see Decision.
+	// Decided records a decision by its step; Decision.Step lists the possible values.
 	Decided(step string)
-	// Cancelled notes a cancel's end: how many tries it took, how long, and
-	// whether it was acknowledged or left to the steward's sweep.
+	// Cancelled records the end of a cancel: how many tries it took, how long, and whether it
+	// was acknowledged or left to the steward's sweep.
 	Cancelled(tries int, took time.Duration, acknowledged bool)
 }
 
-// Engines calls engines. upstream.Engines implements it for the project's own
-// interface. Implementations are safe for concurrent use; their errors are
-// *upstream.CallError.
+// Engines makes calls to engines. upstream.Engines implements it for the project's own engine
+// protocol. Implementations are safe for concurrent use; their errors are *upstream.CallError.
 type Engines interface {
 	Reserve(ctx context.Context, addr string, r engineapi.ReserveRequest) (engineapi.ReserveReply, error)
 	Prefill(ctx context.Context, addr string, r engineapi.PrefillRequest) (engineapi.PrefillReply, error)
 	Decode(ctx context.Context, addr string, r engineapi.DecodeRequest) (upstream.ChunkStream, error)
-	// Stream attaches again to a running attempt, from a token index on.
+	// Stream resumes the stream of a running attempt from a token index on.
 	Stream(ctx context.Context, addr string, w engineapi.WorkID, from int) (upstream.ChunkStream, error)
-	// Pause and Unpause stop a running attempt for a while.
+	// Pause suspends a running attempt, and Unpause continues it.
 	Pause(ctx context.Context, addr string, w engineapi.WorkID) (engineapi.CancelReply, error)
 	Unpause(ctx context.Context, addr string, r engineapi.CancelRequest) error
-	// Release frees what an attempt holds; no error means acknowledged.
+	// Release frees what an attempt holds; a nil error means that it was acknowledged.
 	Release(ctx context.Context, addr string, r engineapi.CancelRequest) error
 }
 
-// Services calls plain services. upstream.Services implements it. Implementations
-// are safe for concurrent use; their errors are *upstream.CallError.
+// Services makes calls to plain services. upstream.Services implements it. Implementations are
+// safe for concurrent use; their errors are *upstream.CallError.
 type Services interface {
 	Call(ctx context.Context, addr string, c upstream.ServiceCall) (*upstream.ServiceAnswer, error)
 }
 
-// Options wire a Runner. Owner, Snapshot, Policy, Inflight, Engines, Services
-// and Logger are required; the rest may be zero.
+// Options configure a Runner. Snapshot, Policy, Inflight, Engines, Services and Logger are
+// required; the other fields may be zero.
 type Options struct {
-	// Owner is this life of this daemon, as engines see it.
+	// Owner identifies this daemon process to engines.
 	Owner      engineapi.Owner
 	DataCentre string
 	// Snapshot returns the newest snapshot, or nil before the first bundle.
 	Snapshot func() *policy.Snapshot
-	// Policy returns a policy by its name.
+	// Policy returns the policy with the given name.
 	Policy   func(name string) (policy.Policy, bool)
 	Inflight Inflight
 	Engines  Engines
 	Services Services
-	// Gate lets non-idempotent requests run at most once; without it they are refused.
+	// Gate ensures that non-idempotent requests run at most once; without it they are refused.
 	Gate     Gate
 	Observer Observer
-	// Frozen says that this process was stopped and its view is not refreshed yet.
+	// Frozen reports that this process was stopped and its data has not been refreshed yet.
 	Frozen func(now time.Time) bool
-	// RetryBudget returns the budget of a model or plain service.
+	// RetryBudget returns the retry budget of a model or plain service.
 	RetryBudget func(target string) RetryBudget
 	Metrics     Metrics
-	// ChunkTokens returns how many tokens one chunk of a model's stream holds; one, where
-	// it is nil.
+	// ChunkTokens returns how many tokens one chunk of a model's stream holds; if it is nil,
+	// each chunk holds one token.
 	ChunkTokens func(model string) int
 	Now         func() time.Time
-	// Seed seeds the random source of each request, together with its id.
+	// Seed seeds each request's random source, together with the request's id.
 	Seed   uint64
 	Limits Limits
 	Cancel CancelLimits
-	// UpstreamLimits holds the rate limits that upstreams name; without it none is held.
+	// UpstreamLimits enforces the rate limits that upstreams announce; without it they are
+	// ignored.
 	UpstreamLimits UpstreamLimits
-	// Quarantine hears of runs that broke off.
+	// Quarantine records failed runs and identifies requests that crash upstreams.
 	Quarantine Quarantine
 	Logger     log.Interface
 }
 
-// provision checks the required options and fills in the others.
-func (o *Options) provision() error {
+// applyDefaults checks the required options and sets defaults for the others.
+func (o *Options) applyDefaults() error {
 	if o.Snapshot == nil || o.Policy == nil || o.Inflight == nil || o.Engines == nil || o.Services == nil || o.Logger == nil {
 		return errors.New("request: Snapshot, Policy, Inflight, Engines, Services and Logger are required")
 	}
 	if o.Observer == nil {
-		o.Observer = nopObserver{}
+		o.Observer = noopObserver{}
 	}
 	if o.Frozen == nil {
 		o.Frozen = func(time.Time) bool { return false }
 	}
 	if o.RetryBudget == nil {
-		o.RetryBudget = func(string) RetryBudget { return unlimited{} }
+		o.RetryBudget = func(string) RetryBudget { return unlimitedBudget{} }
 	}
 	if o.Metrics == nil {
-		o.Metrics = nopMetrics{}
+		o.Metrics = noopMetrics{}
 	}
 	if o.Quarantine == nil {
 		o.Quarantine = noQuarantine{}
 	}
 	if o.UpstreamLimits == nil {
-		o.UpstreamLimits = unbounded{}
+		o.UpstreamLimits = noUpstreamLimits{}
 	}
 	if o.ChunkTokens == nil {
 		o.ChunkTokens = func(string) int { return 1 }
@@ -206,35 +207,35 @@
 	return nil
 }
 
-type nopObserver struct{}
-
-func (nopObserver) Report(time.Time, string, engineapi.Load)        {}
-func (nopObserver) Prefilled(time.Time, string, PrefillObservation) {}
-func (nopObserver) Failed(time.Time, string)                        {}
-func (nopObserver) Answered(time.Time, string)                      {}
-func (nopObserver) PrefillLost(time.Time, string)                   {}
-func (nopObserver) Unanswered(time.Time, string, bool)              {}
-func (nopObserver) Succeeded(time.Time, string)                     {}
-func (nopObserver) Finished(time.Time, FinishObservation)           {}
-func (nopObserver) Full(time.Time, string)                          {}
-func (nopObserver) HandedOff(time.Time, string, string, bool)       {}
-func (nopObserver) Shut(time.Time, string)                          {}
-func (nopObserver) Leaving(time.Time, string)                       {}
-
-type unlimited struct{}
-
-func (unlimited) OnFirstAttempt(time.Time)  {}
-func (unlimited) Allow(time.Time, int) bool { return true }
-func (unlimited) Held(time.Time) float64    { return math.Inf(1) }
-
-type nopMetrics struct{}
-
-func (nopMetrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
-func (nopMetrics) FirstToken(bundle.Class, time.Duration)                       {}
-func (nopMetrics) NextToken(bundle.Class, time.Duration)                        {}
-func (nopMetrics) Retried(bundle.Class)                                         {}
-func (nopMetrics) WastedPrefill(int)                                            {}
-func (nopMetrics) Permitted(bool)                                               {}
-func (nopMetrics) Decided(string)                                               {}
-func (nopMetrics) Dropped(Drops)                                                {}
-func (nopMetrics) Cancelled(int, time.Duration, bool)                           {}
+type noopObserver struct{}
+
+func (noopObserver) Report(time.Time, string, engineapi.Load)        {}
+func (noopObserver) Prefilled(time.Time, string, PrefillObservation) {}
+func (noopObserver) Failed(time.Time, string)                        {}
+func (noopObserver) Answered(time.Time, string)                      {}
+func (noopObserver) PrefillLost(time.Time, string)                   {}
+func (noopObserver) Unanswered(time.Time, string, bool)              {}
+func (noopObserver) Succeeded(time.Time, string)                     {}
+func (noopObserver) Finished(time.Time, FinishObservation)           {}
+func (noopObserver) Full(time.Time, string)                          {}
+func (noopObserver) HandedOff(time.Time, string, string, bool)       {}
+func (noopObserver) Shut(time.Time, string)                          {}
+func (noopObserver) Leaving(time.Time, string)                       {}
+
+type unlimitedBudget struct{}
+
+func (unlimitedBudget) OnFirstAttempt(time.Time)  {}
+func (unlimitedBudget) Allow(time.Time, int) bool { return true }
+func (unlimitedBudget) Held(time.Time) float64    { return math.Inf(1) }
+
+type noopMetrics struct{}
+
+func (noopMetrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
+func (noopMetrics) FirstToken(bundle.Class, time.Duration)                       {}
+func (noopMetrics) NextToken(bundle.Class, time.Duration)                        {}
+func (noopMetrics) Retried(bundle.Class)                                         {}
+func (noopMetrics) WastedPrefill(int)                                            {}
+func (noopMetrics) Permitted(bool)                                               {}
+func (noopMetrics) Decided(string)                                               {}
+func (noopMetrics) Dropped(Drops)                                                {}
+func (noopMetrics) Cancelled(int, time.Duration, bool)                           {}
--- a/request/pause.go
+++ b/request/pause.go
@@ -7,46 +7,48 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// signalBuffer holds a pause and an unpause, which is all that one offer leads to.
-const signalBuffer = 2
+// pauseEventBuffer has room for one pause and one unpause, the only events that a listed draft
+// can get.
+const pauseEventBuffer = 2
 
-// pausable is one streaming draft that an urgent request may pause.
-type pausable struct {
+// pausableDraft is a streaming draft that an urgent request may pause.
+type pausableDraft struct {
 	target Target
 	work   engineapi.WorkID
-	tell   chan<- Event
+	events chan<- Event
 }
 
-// signal tells the draft's own driver. It never blocks: a driver that has not
-// read the signals of its one offer has ended.
-func (p *pausable) signal(kind EventKind) {
+// signal sends an event to the draft's driver. It never blocks: if the buffer is full, the
+// driver has ended.
+func (p *pausableDraft) signal(kind EventKind) {
 	select {
-	case p.tell <- Event{Kind: kind, Attempt: p.work.Attempt}:
+	case p.events <- Event{Kind: kind, Attempt: p.work.Attempt}:
 	default:
 	}
 }
 
-// drafts lists the drafts of this daemon that may be paused, by decode engine. It
-// is safe for concurrent use.
-type drafts struct {
+// pausableDrafts lists this daemon's drafts that may be paused, by decode engine. It is safe
+// for concurrent use.
+type pausableDrafts struct {
 	mu     sync.Mutex
-	byName map[string][]*pausable
+	byName map[string][]*pausableDraft
 	count  func(upstream string, delta int)
 }
 
-func newDrafts(count func(upstream string, delta int)) *drafts {
-	return &drafts{byName: map[string][]*pausable{}, count: count}
+func newPausableDrafts(count func(upstream string, delta int)) *pausableDrafts {
+	return &pausableDrafts{byName: map[string][]*pausableDraft{}, count: count}
 }
 
-func (l *drafts) add(p *pausable) {
+func (l *pausableDrafts) add(p *pausableDraft) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.byName[p.target.Name] = append(l.byName[p.target.Name], p)
 	l.count(p.target.Name, 1)
 }
 
-// take removes and returns the draft that began to stream last, or nil.
-func (l *drafts) take(name string) *pausable {
+// takeNewest removes and returns the draft on the named engine that started to stream last, or
+// nil.
+func (l *pausableDrafts) takeNewest(name string) *pausableDraft {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := l.byName[name]
@@ -54,24 +56,24 @@
 		return nil
 	}
 	p := list[len(list)-1]
-	l.remove(name, len(list)-1)
+	l.removeAt(name, len(list)-1)
 	return p
 }
 
-// drop removes p if it is still listed.
-func (l *drafts) drop(p *pausable) {
+// remove removes p if it is still listed.
+func (l *pausableDrafts) remove(p *pausableDraft) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, o := range l.byName[p.target.Name] {
 		if o == p {
-			l.remove(p.target.Name, i)
+			l.removeAt(p.target.Name, i)
 			return
 		}
 	}
 }
 
-// remove drops entry i; l.mu is held.
-func (l *drafts) remove(name string, i int) {
+// removeAt removes entry i; l.mu must be held.
+func (l *pausableDrafts) removeAt(name string, i int) {
 	list := l.byName[name]
 	l.byName[name] = append(list[:i:i], list[i+1:]...)
 	if len(l.byName[name]) == 0 {
@@ -80,40 +82,40 @@
 	l.count(name, -1)
 }
 
-// offerPause lists a draft as pausable at its first token of an attempt.
-func (d *drive) offerPause(a Action) {
-	if d.offer != nil || d.c.Class != bundle.Draft {
+// listDraft lists a draft as pausable when the attempt delivers its first token.
+func (d *driver) listDraft(a Action) {
+	if d.listedDraft != nil || d.c.Class != bundle.Draft {
 		return
 	}
-	d.offer = &pausable{target: d.decodeTarget, work: d.work(a), tell: d.signals}
-	d.r.drafts.add(d.offer)
+	d.listedDraft = &pausableDraft{target: d.decodeTarget, work: d.workID(a), events: d.pauseEvents}
+	d.r.pausableDrafts.add(d.listedDraft)
 }
 
-func (d *drive) withdrawPause() {
-	if d.offer != nil {
-		d.r.drafts.drop(d.offer)
-		d.offer = nil
+func (d *driver) unlistDraft() {
+	if d.listedDraft != nil {
+		d.r.pausableDrafts.remove(d.listedDraft)
+		d.listedDraft = nil
 	}
 }
 
-// pauseVictim takes a draft on the planned decode engine, or says that none is left.
-func (d *drive) pauseVictim(a Action) bool {
-	d.victim = d.r.drafts.take(a.Target.Name)
-	if d.victim == nil {
+// pauseDraft pauses a draft on the planned decode engine; it returns false if none is left.
+func (d *driver) pauseDraft(a Action) bool {
+	d.pausedDraft = d.r.pausableDrafts.takeNewest(a.Target.Name)
+	if d.pausedDraft == nil {
 		return false
 	}
-	d.victim.signal(EventPaused)
-	d.decide("pause", a.Target.Name, d.victim.work.RequestID)
+	d.pausedDraft.signal(EventPaused)
+	d.logDecision("pause", a.Target.Name, d.pausedDraft.work.RequestID)
 	return true
 }
 
-// unpauseVictim lets the paused draft go on. The call is repeated until it is
-// acknowledged: a lost one would hold the draft until its deadline.
-func (d *drive) unpauseVictim() {
-	if d.victim == nil {
+// unpauseDraft lets the paused draft continue. The call is repeated until it is acknowledged,
+// because a lost one would keep the draft paused until its deadline.
+func (d *driver) unpauseDraft() {
+	if d.pausedDraft == nil {
 		return
 	}
-	d.r.canceller.add(d.victim.target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.victim.work}, resume: true})
-	d.victim.signal(EventUnpaused)
-	d.victim = nil
+	d.r.canceller.add(d.pausedDraft.target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.pausedDraft.work}, resume: true})
+	d.pausedDraft.signal(EventUnpaused)
+	d.pausedDraft = nil
 }
--- a/request/pause_test.go
+++ b/request/pause_test.go
@@ -15,27 +15,25 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Symptom: an urgent look-up is refused while drafts fill the engine, or a draft
-// that was paused for it never goes on, or is started again elsewhere.
-// Sequence: a draft holds d1's only slot and an urgent request comes; the fault
-// hits the pause or the resume.
-// Cause: no pause, a resume that is sent once, a paused stream taken for stalled.
+// TestPauseDraft checks that an urgent look-up gets the only slot of a decode engine that a
+// draft occupies, and that the paused draft continues afterwards and is not started again. The
+// faults lose the pause or the first three resume calls.
 func TestPauseDraft(t *testing.T) {
 	const draftTokens = 2000
 	for name, tc := range map[string]struct {
-		arrange func(d1 *node)
+		arrange func(d1 *engineNode)
 		urgent  errkind.Kind
 	}{
-		"healthy": {func(*node) {}, ""},
-		"resume/connection-cut": {func(d1 *node) {
+		"healthy": {func(*engineNode) {}, ""},
+		"resume/connection-cut": {func(d1 *engineNode) {
 			var n atomic.Int32
-			d1.on(engineapi.PathResume, func(w http.ResponseWriter, r *http.Request) {
+			d1.onCall(engineapi.PathResume, func(w http.ResponseWriter, r *http.Request) {
 				if n.Add(1) <= 3 {
 					cut(w, r)
 				}
 			})
 		}, ""},
-		"pause/connection-cut": {func(d1 *node) { d1.on(engineapi.PathPause, cut) }, errkind.NoUpstream},
+		"pause/connection-cut": {func(d1 *engineNode) { d1.onCall(engineapi.PathPause, cut) }, errkind.NoUpstream},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -46,22 +44,22 @@
 			f.leave("d1")
 			d := f.engines["d2"]
 			tc.arrange(d)
-			draft, urgent := completion("draft"), completion("urgent")
+			draft, urgent := newCompletion("draft"), newCompletion("urgent")
 			draft.MaxTokens, urgent.Class = draftTokens, bundle.Urgent
 			s, u := &sink{}, &sink{}
 			var urgentDone <-chan struct{}
 			s.onToken = func(i int) error {
 				if i == 3 {
-					urgentDone = f.started(urgent, u)
+					urgentDone = f.runInBackground(urgent, u)
 				}
 				return nil
 			}
-			f.run(context.Background(), draft, s)
+			f.complete(context.Background(), draft, s)
 			<-urgentDone
 			if tc.urgent == "" {
-				u.whole()
+				u.wantComplete()
 			} else {
-				u.failed(tc.urgent, errkind.NotRun)
+				u.wantFailed(tc.urgent, errkind.NotRun)
 			}
 			if want := answer.Text("m", "", prompt, draftTokens); s.err != nil || s.text.String() != want {
 				t.Errorf("draft: %v, %d tokens", s.err, s.tokens)
@@ -74,10 +72,8 @@
 	}
 }
 
-// Symptom: a paused draft is given up as stalled.
-// Sequence: the pause lasts longer than the bound of a stall; a late pause of an
-// earlier attempt comes.
-// Cause: a stall timer that knows no pause.
+// TestMachinePause checks that a draft whose pause lasts longer than the stall timeout is not
+// given up as stalled, also when a late pause of an earlier attempt arrives.
 func TestMachinePause(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := request.Completion{ID: "r", Deadline: at.Add(time.Hour)}
@@ -95,13 +91,13 @@
 	}
 	m.Step(at, request.Event{Kind: request.EventPaused, Attempt: 1})
 	late := chunk
-	late.Index = 1 // was on its way at the pause
+	late.Index = 1 // in transit when the draft was paused
 	m.Step(at, request.Event{Kind: request.EventChunk, Call: call, Chunk: late})
 	if got := m.Step(at.Add(time.Minute), request.Event{Kind: request.EventTick}); len(got) > 0 || m.Wake() != c.Deadline {
 		t.Errorf("paused: %+v, wake %s", got, m.Wake())
 	}
 	m.Step(at.Add(time.Minute), request.Event{Kind: request.EventUnpaused, Attempt: 1})
 	if got := m.Step(at.Add(2*time.Minute), request.Event{Kind: request.EventTick}); len(got) == 0 {
-		t.Error("a stream that does not go on after its pause is not noticed")
+		t.Error("a stream that does not continue after its pause is not given up")
 	}
 }
--- a/request/permit.go
+++ b/request/permit.go
@@ -8,33 +8,32 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// RetryBudget bounds retries over all requests of a daemon. Package retry implements it.
+// RetryBudget bounds the retries over all requests of a daemon. Package retry implements it.
 // Implementations are safe for concurrent use.
 type RetryBudget interface {
-	// OnFirstAttempt notes a first attempt, which earns part of a retry.
+	// OnFirstAttempt records a first attempt, which adds a fraction of a permit to the budget.
 	OnFirstAttempt(now time.Time)
-	// Allow takes n retries, or says that not so many are left.
+	// Allow takes n permits; it returns false if fewer are left.
 	Allow(now time.Time, n int) bool
-	// Held returns how many retries are left.
+	// Held returns how many permits are left.
 	Held(now time.Time) float64
 }
 
-// permission is one question to a retry budget, for its log line.
-type permission struct {
+// permitRequest is one request to a retry budget, with the fields for its log line.
+type permitRequest struct {
 	request string
 	class   bundle.Class
 	attempt int
-	// target is the model or plain service whose budget is asked.
+	// target is the model or plain service whose budget is used.
 	target string
-	// needs is how many retries are asked for.
+	// needs is the number of permits requested.
 	needs int
 }
 
-// permit asks the retry budget, and tells what it held and what it answered.
-//
-// What goes wrong without the line: upstreams get more retries than are allowed, or
-// requests end beside upstreams with room, and nobody can tell which budget said what.
-func (r *Runner) permit(p permission) bool {
+// requestPermits takes permits from the retry budget and logs the budget's level and its
+// answer. Without that line it could not be determined which budget allowed too many retries,
+// or denied one although upstreams had room.
+func (r *Runner) requestPermits(p permitRequest) bool {
 	budget, now := r.o.RetryBudget(p.target), r.o.Now()
 	held := budget.Held(now)
 	allowed := budget.Allow(now, p.needs)
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -13,15 +13,16 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// Quarantine hears of runs that broke off, and says which requests are not sent any more
-// since upstreams ended under them. quarantine.Keeper implements it. Implementations are
-// safe for concurrent use and do not block; they work digests out only where they need them.
+// Quarantine records failed runs and identifies requests that must not be sent because
+// upstreams crashed while running them. quarantine.Keeper implements it. Implementations are
+// safe for concurrent use and do not block; they call digest only if they need it.
 type Quarantine interface {
+	// Broke records a run that failed in a way that a crash of its upstream would explain.
 	Broke(b quarantine.Broken)
-	// Ran notes that a request ran whole.
+	// Ran records that a request ran to completion.
 	Ran(now time.Time, digest func() quarantine.Digest)
-	// Refuses says whether the request is not to be sent, and how many upstreams ended
-	// under it.
+	// Refuses reports whether the request must not be sent, and how many upstreams crashed
+	// while running it.
 	Refuses(now time.Time, digest func() quarantine.Digest) (ends int, refused bool)
 }
 
@@ -33,12 +34,12 @@
 
 func (noQuarantine) Refuses(time.Time, func() quarantine.Digest) (int, bool) { return 0, false }
 
-// quarantined says whether a request is not to be sent any more, whichever of its caller's
-// attempts this is.
+// quarantined reports whether a request must not be sent. The quarantine applies to the
+// request's content and so covers repeats by its caller.
 //
-// What goes wrong without it: a request that ends each upstream that runs it takes all of
-// them, with all that runs there, as its caller comes again. It is asked right before each
-// call, since others may learn of its last end at any time.
+// Without the quarantine, a request that crashes every upstream running it and is repeated by
+// its caller could take down all of them together with their other work. The check is made right before each
+// call, because another daemon may report a further crash at any time.
 func (r *Runner) quarantined(id string, digest func() quarantine.Digest) bool {
 	ends, refused := r.o.Quarantine.Refuses(r.o.Now(), digest)
 	if refused {
@@ -47,31 +48,33 @@
 	return refused
 }
 
-// errQuarantined tells the caller that coming back is of no use.
+// errQuarantined returns the error that tells the caller not to repeat the request.
 func errQuarantined() *errkind.Error {
 	return errkind.New(errkind.CrashesUpstreams, "upstreams ended while they ran this request")
 }
 
-// runOfCaller returns the run state of what the caller asks for, where run is that of this
-// attempt: upstreams began to run a request that is quarantined, under another id.
-func runOfCaller(kind errkind.Kind, run errkind.Run) errkind.Run {
+// callerRun returns the run state that the caller gets, where run is that of this request id.
+// A quarantined request has been run by upstreams under other ids, so it is never reported as
+// not run.
+func callerRun(kind errkind.Kind, run errkind.Run) errkind.Run {
 	if kind == errkind.CrashesUpstreams && run == errkind.NotRun {
 		return errkind.Unknown
 	}
 	return run
 }
 
-// digest stands for what the caller of a completion asks for.
-func (c *Completion) digest() quarantine.Digest {
+// contentDigest identifies the content of a completion in the quarantine.
+func (c *Completion) contentDigest() quarantine.Digest {
 	if o := c.Original; o != nil {
 		return quarantine.DigestOf(c.Team, c.Caller, o.Header.Get("Host"), o.Method, o.Path, string(o.Body))
 	}
 	return quarantine.DigestOf(c.Team, c.Caller, c.Model, c.Adapter, strconv.Itoa(c.MaxTokens), c.Prompt)
 }
 
-// digest stands for what the caller of a plain service asks for. A host that the caller
-// named selects the service, perhaps another one for the next repeat.
-func (c *Call) digest() quarantine.Digest {
+// contentDigest identifies the content of a plain-service call in the quarantine. If the
+// caller sent a Host header, that header selects the service, and a repeat may be routed to
+// another service, so it is used in place of the service's name.
+func (c *Call) contentDigest() quarantine.Digest {
 	target := c.Header.Get("Host")
 	if target == "" {
 		target = c.Service
@@ -79,22 +82,22 @@
 	return quarantine.DigestOf(c.Team, c.Caller, target, c.Method, c.Path, string(c.Body))
 }
 
-// mayHaveBroken says whether a call may have failed since the upstream ended while it had
-// the request: neither an answer came nor a promise, and nobody here ended the call.
-func mayHaveBroken(ctx context.Context, s Step, err error) bool {
+// mayHaveCrashed reports whether a call may have failed because the upstream crashed while it
+// had the request: its delivery is unknown, it got no answer, and it was not cancelled here.
+func mayHaveCrashed(ctx context.Context, s Step, err error) bool {
 	return s != StepReserve && ctx.Err() == nil && upstream.DeliveryOf(err) == upstream.Maybe && upstream.AnswerOf(err) == nil
 }
 
-// broke tells of a call that broke off after it was sent at a time; answering says that a
-// part of the answer had come.
-func (d *drive) broke(a Action, sent time.Time, answering bool) {
+// reportBroken reports a call that failed after it was sent at the given time. answering is
+// set if a part of the answer was received.
+func (d *driver) reportBroken(a Action, sent time.Time, answering bool) {
 	d.r.o.Quarantine.Broke(quarantine.Broken{
 		Request: d.c.ID, Digest: d.digest(), Upstream: a.Target.Name, Address: a.Target.Address, Step: a.Step.String(),
 		Answering: answering, Ran: d.r.o.Now().Sub(sent),
 	})
 }
 
-func (k *call) broke(rep policy.Replica, sent time.Time) {
+func (k *serviceCall) reportBroken(rep policy.Replica, sent time.Time) {
 	k.r.o.Quarantine.Broke(quarantine.Broken{
 		Request: k.c.ID, Digest: k.digest(), Upstream: rep.Name, Address: rep.Address, Step: StepCall.String(),
 		Ran: k.r.o.Now().Sub(sent),
--- a/request/queue.go
+++ b/request/queue.go
@@ -7,36 +7,35 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// rank orders the requests that wait; a lower one comes first.
+// rank orders waiting requests; a lower rank goes first.
 type rank uint8
 
-// The ranks. A caller who came back after a refusal has waited longer than any
-// other, and a second refusal leaves most of them without an answer.
+// The ranks. A caller who returned after a refusal has waited longest, and most callers that
+// are refused a second time get no answer at all.
 const (
 	rankUrgent rank = iota
 	rankReturned
 	rankOther
 )
 
-// waiter is one request that waits for a decode slot.
+// waiter is a request that waits for a decode slot.
 type waiter struct {
 	pool  string
 	rank  rank
-	ready chan struct{}
+	ready chan struct{} // buffered; signals that the request should ask for a slot again
 }
 
-// turn returns the channel that tells the request to ask again; nil, which never
-// does, for one that does not wait.
-func (w *waiter) turn() <-chan struct{} {
+// readyChan returns the channel that tells the request to ask for a slot again. A nil waiter
+// has a nil channel, which never delivers.
+func (w *waiter) readyChan() <-chan struct{} {
 	if w == nil {
 		return nil
 	}
 	return w.ready
 }
 
-// waiters lists the requests that wait for a slot of each decode pool: by
-// rank, each rank in the order in which it came. The policy bounds it. It
-// is safe for concurrent use.
+// waiters holds one queue per decode pool, ordered by rank and then by arrival. The policy
+// bounds its length. It is safe for concurrent use.
 type waiters struct {
 	mu     sync.Mutex
 	byPool map[string][]*waiter
@@ -48,12 +47,12 @@
 	w := &waiter{pool: pool, rank: rank, ready: make(chan struct{}, 1)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.byPool[pool] = slices.Insert(l.byPool[pool], l.end(pool, rank), w)
+	l.byPool[pool] = slices.Insert(l.byPool[pool], l.insertIndex(pool, rank), w)
 	return w
 }
 
-// end returns the position of a new request of the rank; l.mu is held.
-func (l *waiters) end(pool string, rank rank) int {
+// insertIndex returns the position for a new request of the rank; l.mu must be held.
+func (l *waiters) insertIndex(pool string, rank rank) int {
 	list := l.byPool[pool]
 	if i := slices.IndexFunc(list, func(o *waiter) bool { return o.rank > rank }); i >= 0 {
 		return i
@@ -61,19 +60,19 @@
 	return len(list)
 }
 
-// ahead returns how many requests come before w, or before a new one of the pool
-// and rank when w is nil.
+// ahead returns how many requests are ahead of w or, if w is nil, of a new request with the
+// given pool and rank.
 func (l *waiters) ahead(w *waiter, pool string, rank rank) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w == nil {
-		return l.end(pool, rank)
+		return l.insertIndex(pool, rank)
 	}
 	return slices.Index(l.byPool[w.pool], w)
 }
 
-// drop removes w, which is listed, and lets the first of its pool ask.
-func (l *waiters) drop(w *waiter) {
+// remove removes w, which must be listed, and wakes the first request of its pool.
+func (l *waiters) remove(w *waiter) {
 	l.mu.Lock()
 	i := slices.Index(l.byPool[w.pool], w)
 	l.byPool[w.pool] = slices.Delete(l.byPool[w.pool], i, i+1)
@@ -84,8 +83,8 @@
 	l.wake(w.pool)
 }
 
-// wake lets the first of a pool ask for a slot. It never blocks: one that was
-// told and has not asked yet will see this slot too.
+// wake tells the first request of a pool to ask for a slot. It never blocks: a request that
+// was woken and has not asked yet will find this slot as well.
 func (l *waiters) wake(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,25 +98,25 @@
 	}
 }
 
-// wait keeps the request in the queue; only its entry is logged, not each time
-// that it asks again.
-func (d *drive) wait(a Action, p policy.Plan, pool string, paid int) {
-	if d.place == nil {
-		d.place = d.r.waiters.add(pool, d.rank())
+// enqueue puts the request into the queue or leaves it there. Only the entry is logged, not
+// every time that the request asks again.
+func (d *driver) enqueue(a Action, p policy.Plan, pool string, paid int) {
+	if d.waiter == nil {
+		d.waiter = d.r.waiters.add(pool, d.rank())
 		d.logPlan(a, p)
-		d.r.update(func() {
+		d.r.updateEntry(func() {
 			d.entry.Attempt = a.Attempt
-			d.shown, d.entry.State = StateQueued, StateQueued.String()
+			d.shownState, d.entry.State = StateQueued, StateQueued.String()
 		})
 	}
-	d.queue = append(d.queue, Event{Kind: EventPlanned, Plan: &p, Paid: paid})
+	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &p, Paid: paid})
 }
 
-// leaveQueue gives the place up, once what the request takes is counted: the next
-// one asks at once and would be planned onto the same slot.
-func (d *drive) leaveQueue() {
-	if d.place != nil {
-		d.r.waiters.drop(d.place)
-		d.place = nil
+// leaveQueue removes the request from the queue. It is called after the request's slot is
+// counted: the next request asks at once, and would otherwise be planned onto the same slot.
+func (d *driver) leaveQueue() {
+	if d.waiter != nil {
+		d.r.waiters.remove(d.waiter)
+		d.waiter = nil
 	}
 }
--- a/request/queue_internal_test.go
+++ b/request/queue_internal_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWaitersOrder pins the order of the queue: urgent before drafts, the oldest
-// first, each pool by itself; and that whoever becomes the first is told.
+// TestWaitersOrder checks the order of the queue (urgent requests before drafts, oldest first,
+// each pool separately) and that the first request is always woken.
 func TestWaitersOrder(t *testing.T) {
 	l := newWaiters()
 	names := map[*waiter]string{}
@@ -26,18 +26,18 @@
 	add("urgent 2", "a", rankUrgent)
 	other := add("other", "b", rankOther)
 	l.wake("a")
-	l.wake("a") // told already: must not block
+	l.wake("a") // already woken: must not block
 	var got []string
 	for len(l.byPool["a"]) > 0 {
 		w := l.byPool["a"][0]
-		<-w.turn()
+		<-w.readyChan()
 		got = append(got, names[w])
-		l.drop(w)
+		l.remove(w)
 	}
 	if d := cmp.Diff([]string{"urgent 1", "urgent 2", "draft 1", "draft 2"}, got); d != "" {
 		t.Error(d)
 	}
 	if l.ahead(other, "b", rankOther) != 0 || len(other.ready) != 0 {
-		t.Error("the other pool's request was told")
+		t.Error("the other pool's request was woken")
 	}
 }
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -14,8 +14,8 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// oneAtATime makes requests wait while this daemon has one in flight, and for
-// those before them. They wait for longer than the test takes.
+// oneAtATime makes requests wait while this daemon has one in flight on d0 or other requests
+// are queued ahead. The waiting time exceeds the duration of the test.
 type oneAtATime struct {
 	inOrder
 	waits chan string
@@ -24,24 +24,24 @@
 func (o oneAtATime) Plan(s *policy.Snapshot, in policy.Inflight, q policy.Query, rng *rand.Rand) (policy.Plan, *errkind.Error) {
 	if n, _ := in.Upstream("d0", time.Time{}); n > 0 || q.Ahead > 0 {
 		o.waits <- q.RequestID
-		return policy.Plan{Wait: bound, Reason: "queue"}, nil
+		return policy.Plan{Wait: maxWait, Reason: "queue"}, nil
 	}
 	return o.inOrder.Plan(s, in, q, rng)
 }
 
-// Symptom: requests that wait for a slot get it only when their timers end, or two
-// get the same one, or a draft goes before an urgent request.
-// Sequence: one request streams; a draft waits, a second one whose caller leaves,
-// and an urgent request; the first one ends.
-// Cause: a freed slot told to nobody or to the wrong one, or a place in the queue
-// given up before the slot is counted or kept after the caller left.
+// TestQueuedRequestsFollowAFreedSlot guards against queued requests that get a free slot only
+// after their waiting time, against one slot given to two requests, and against a draft that
+// precedes an urgent request. While one request streams, a draft, a request whose caller
+// leaves and an urgent request wait; then the first one ends. Such faults arise if the wrong
+// request or none is woken, or if a queue entry is removed before its slot is counted or stays
+// after its caller has left.
 func TestQueuedRequestsFollowAFreedSlot(t *testing.T) {
 	waits := make(chan string, 100)
 	var f *fleet
 	f = newFleet(t, func(o *request.Options) {
 		o.Policy = func(string) (policy.Policy, bool) { return oneAtATime{inOrder{f}, waits}, true }
 	})
-	var order []string // guarded by the one slot
+	var order []string // serialized by the single slot
 	note := func(id string, s *sink) *sink {
 		s.onToken = func(i int) error {
 			if i == 0 {
@@ -54,10 +54,10 @@
 	draft, gone, urgent := note("draft", &sink{}), &sink{}, note("urgent", &sink{})
 	var ended []<-chan struct{}
 	queue := func(ctx context.Context, id string, class bundle.Class, s *sink) {
-		c := completion(id)
+		c := newCompletion(id)
 		c.Class = class
 		done := make(chan struct{})
-		go func() { defer close(done); f.run(ctx, c, s) }()
+		go func() { defer close(done); f.complete(ctx, c, s) }()
 		ended = append(ended, done)
 		if got := <-waits; got != id {
 			t.Errorf("%s waits, want %s", got, id)
@@ -74,19 +74,19 @@
 		}
 		return nil
 	}}
-	f.run(context.Background(), completion("first"), first)
+	f.complete(context.Background(), newCompletion("first"), first)
 	for _, done := range ended {
 		<-done
 	}
-	first.whole()
-	draft.whole()
-	urgent.whole()
-	gone.failed(errkind.ClientGone, errkind.NotRun)
+	first.wantComplete()
+	draft.wantComplete()
+	urgent.wantComplete()
+	gone.wantFailed(errkind.ClientGone, errkind.NotRun)
 	if d := cmp.Diff([]string{"urgent", "draft"}, order); d != "" {
 		t.Error(d)
 	}
 	if st := f.engines["d0"].Stats(); st.MaxActive != 1 {
-		t.Errorf("%d at once", st.MaxActive)
+		t.Errorf("%d requests at once, want 1", st.MaxActive)
 	}
 	f.nothingHeld()
 }
--- a/request/resend_test.go
+++ b/request/resend_test.go
@@ -10,11 +10,9 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Symptom: an order that nobody marked is placed twice.
-// Sequence: a service runs a POST and its connection breaks, or its gateway
-// answers 502 after it ran; the daemon sends the POST to another replica.
-// Cause: a call without a mark was taken for one that may run again, though its
-// method says otherwise.
+// Guards against placing an unmarked order twice: a service executes a POST and its connection
+// breaks, or its gateway answers 502 after the execution. The call must be dispatched again
+// only if its method or its caller allows it.
 func TestUnmarkedCallIsSentAgainOnlyWhereItsMethodAllows(t *testing.T) {
 	failures := map[string]http.HandlerFunc{
 		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -26,7 +24,7 @@
 		want     int32
 	}{
 		{http.MethodPost, true, 1},
-		{http.MethodPost, false, 2}, // its caller marked it as idempotent
+		{http.MethodPost, false, 2}, // the caller marked it as idempotent
 		{http.MethodPut, false, 2},
 	} {
 		for name, fail := range failures {
@@ -36,11 +34,11 @@
 				runs.Add(1)
 				fail(w, r)
 			}
-			f.serve("s0", http.HandlerFunc(count))
-			f.serve("s1", http.HandlerFunc(count))
+			f.addService("s0", http.HandlerFunc(count))
+			f.addService("s1", http.HandlerFunc(count))
 			call := request.Call{
 				ID: "c1", Team: "t", Service: "svc", Method: c.method, Path: "/", Body: []byte("x"), SendOnce: c.sendOnce,
-				Accepted: time.Now(), Deadline: time.Now().Add(bound),
+				Accepted: time.Now(), Deadline: time.Now().Add(maxWait),
 			}
 			answer, err := f.runner.Call(context.Background(), call)
 			if name == "bad gateway" && (err != nil || answer.Status != http.StatusBadGateway) {
--- a/request/runner.go
+++ b/request/runner.go
@@ -17,26 +17,26 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// cancelFlush bounds how long Drain waits for the last cancels.
-const cancelFlush = time.Second
+// cancelFlushTimeout bounds how long Drain waits for pending cancels.
+const cancelFlushTimeout = time.Second
 
-// Runner performs the actions of the machines, one for each request. It is
-// safe for concurrent use.
+// Runner performs the actions of the machines, one machine per request. It is safe for
+// concurrent use.
 type Runner struct {
-	o         Options
-	canceller *canceller
-	drafts    *drafts
-	waiters   *waiters
-	answers   *answersByModel
-	sizes     *sizesByModel
-	throttles *throttlesByModel
-	// limitCtx ends when requests in flight must end now.
-	limitCtx  context.Context
-	endFlight context.CancelFunc
+	o              Options
+	canceller      *canceller
+	pausableDrafts *pausableDrafts
+	waiters        *waiters
+	answers        *answersByModel
+	sizes          *sizesByModel
+	throttles      *throttlesByModel
+	// shutdownCtx ends when all requests in flight must end.
+	shutdownCtx context.Context
+	endInFlight context.CancelFunc
 
 	mu     sync.Mutex
 	active map[string]*Active
-	idle   chan struct{} // closed when active is empty and Drain waits
+	idle   chan struct{} // closed when active becomes empty; nil until Drain waits
 }
 
 // Active describes one request in flight, for the administration listener.
@@ -50,39 +50,39 @@
 	Attempt  int    `json:"attempt"`
 	Upstream string `json:"upstream"`
 	Prefill  string `json:"prefill,omitempty"`
-	// Tokens is how many output tokens the caller got.
+	// Tokens is the number of output tokens delivered to the caller.
 	Tokens int `json:"tokens"`
-	// Age is the time since the request was accepted, Left that to its deadline.
+	// Age is the time since the request was accepted, and Left the time until its deadline.
 	Age  time.Duration `json:"age"`
 	Left time.Duration `json:"left"`
 
 	accepted, deadline time.Time
-	// delivered is counted without the runner's lock, which every token would take.
+	// delivered is atomic so that delivering a token does not take the runner's lock.
 	delivered *atomic.Int64
 }
 
-// NewRunner returns a runner. It panics when a required option is missing,
-// which is a mistake of the program that wires it. Close it after Drain.
+// NewRunner returns a runner. It panics if a required option is missing, which is a
+// programming error. Call Close after Drain.
 func NewRunner(o Options) *Runner {
-	if err := o.provision(); err != nil {
+	if err := o.applyDefaults(); err != nil {
 		panic(err)
 	}
 	limitCtx, endFlight := context.WithCancel(context.Background())
 	return &Runner{
-		o:         o,
-		canceller: newCanceller(&o),
-		drafts:    newDrafts(o.Inflight.AddPausable),
-		waiters:   newWaiters(),
-		answers:   newAnswersByModel(),
-		sizes:     newSizesByModel(),
-		throttles: newThrottlesByModel(),
-		limitCtx:  limitCtx,
-		endFlight: endFlight,
-		active:    map[string]*Active{},
+		o:              o,
+		canceller:      newCanceller(&o),
+		pausableDrafts: newPausableDrafts(o.Inflight.AddPausable),
+		waiters:        newWaiters(),
+		answers:        newAnswersByModel(),
+		sizes:          newSizesByModel(),
+		throttles:      newThrottlesByModel(),
+		shutdownCtx:    limitCtx,
+		endInFlight:    endFlight,
+		active:         map[string]*Active{},
 	}
 }
 
-// Active lists the requests in flight, the oldest first.
+// Active lists the requests in flight, oldest first.
 func (r *Runner) Active() []Active {
 	now := r.o.Now()
 	r.mu.Lock()
@@ -103,20 +103,20 @@
 	return out
 }
 
-// Drain waits until no request is in flight. When ctx ends first, the requests
-// that remain get an honest failure and their work is cancelled; the error
-// then says how many they were. The caller has stopped accepting before.
+// Drain waits until no request is in flight. If ctx ends first, the remaining requests fail
+// with errkind.Draining, their work is cancelled, and the returned error contains their
+// number. The caller must have stopped accepting requests.
 func (r *Runner) Drain(ctx context.Context) error {
-	idle, _ := r.whenIdle()
+	idle, _ := r.idleChan()
 	cut := 0
 	select {
 	case <-idle:
 	case <-ctx.Done():
-		_, cut = r.whenIdle()
-		r.endFlight()
+		_, cut = r.idleChan()
+		r.endInFlight()
 		<-idle
 	}
-	flush, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelFlush)
+	flush, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelFlushTimeout)
 	defer stop()
 	r.canceller.flush(flush)
 	if cut > 0 {
@@ -125,19 +125,19 @@
 	return nil
 }
 
-// EndFlight ends the requests in flight with an honest error, now; Drain does so
-// when its context ends. Calls that go on without their callers end too.
-func (r *Runner) EndFlight() { r.endFlight() }
+// EndFlight fails all requests in flight at once, as Drain does when its context ends. It also
+// ends calls that continue after their callers have left.
+func (r *Runner) EndFlight() { r.endInFlight() }
 
-// Close ends what outlives requests. Call it after Drain.
+// Close stops the goroutines that outlive requests. Call it after Drain.
 func (r *Runner) Close() {
-	r.endFlight()
+	r.endInFlight()
 	r.canceller.close()
 }
 
-// whenIdle returns a channel that is closed once nothing is in flight, and how
-// many requests are.
-func (r *Runner) whenIdle() (<-chan struct{}, int) {
+// idleChan returns a channel that is closed once no request is in flight, and the number of
+// requests in flight.
+func (r *Runner) idleChan() (<-chan struct{}, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.idle == nil {
@@ -149,20 +149,20 @@
 	return r.idle, len(r.active)
 }
 
-// enter lists a request as in flight until leave is called.
-func (r *Runner) enter(a Active) (entry *Active, leave func()) {
+// register lists a request as in flight until leave is called.
+func (r *Runner) register(a Active) (entry *Active, leave func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.delivered = &atomic.Int64{}
 	key := a.ID
-	for r.active[key] != nil { // an id is unique; a repeated one must not hide its namesake
+	for r.active[key] != nil { // ids should be unique; list a duplicate under another key
 		key += "+"
 	}
 	r.active[key] = &a
-	return &a, func() { r.leave(key) }
+	return &a, func() { r.unregister(key) }
 }
 
-func (r *Runner) leave(key string) {
+func (r *Runner) unregister(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.active, key)
@@ -170,26 +170,26 @@
 		return
 	}
 	select {
-	case <-r.idle: // already closed by an earlier moment without requests
+	case <-r.idle: // already closed when no request was in flight before
 	default:
 		close(r.idle)
 	}
 }
 
-// update changes an entry under the lock.
-func (r *Runner) update(f func()) {
+// updateEntry changes an entry under the lock.
+func (r *Runner) updateEntry(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// rng returns the random source of one request.
-func (r *Runner) rng(id string) *rand.Rand {
+// newRand returns the random source of one request.
+func (r *Runner) newRand(id string) *rand.Rand {
 	return rand.New(rand.NewPCG(r.o.Seed, xxhash.Sum64String(id)))
 }
 
-// view returns the newest snapshot and the policy it names.
-func (r *Runner) view() (*policy.Snapshot, policy.Policy, *errkind.Error) {
+// snapshotAndPolicy returns the newest snapshot and the policy that its bundle names.
+func (r *Runner) snapshotAndPolicy() (*policy.Snapshot, policy.Policy, *errkind.Error) {
 	s := r.o.Snapshot()
 	if s == nil || s.Bundle == nil {
 		return nil, nil, errkind.New(errkind.NotReady, "no bundle is in force")
@@ -201,10 +201,10 @@
 	return s, p, nil
 }
 
-// mayTakeWork says whether the newest snapshot still lets rep take new work. A
-// plan is decided on one snapshot and carried out over seconds; an upstream
-// that began to leave, or was replaced, meanwhile would get new work without
-// this check, right before each call that starts some.
+// mayTakeWork reports whether rep may take new work according to the newest snapshot. A plan
+// is based on one snapshot and executed over seconds. Without this check right before each
+// call that starts work, an upstream that has begun to leave or was replaced since would still
+// get new work.
 func (r *Runner) mayTakeWork(rep policy.Replica) bool {
 	s := r.o.Snapshot()
 	return s != nil && slices.ContainsFunc(s.Pool(rep.Pool).Replicas(), func(o *policy.Replica) bool {
@@ -212,7 +212,7 @@
 	})
 }
 
-// limits returns the request limits with those of the bundle applied.
+// limits returns the request limits, with the bundle's overrides applied.
 func (r *Runner) limits() Limits {
 	l := r.o.Limits
 	if s := r.o.Snapshot(); s != nil && s.Bundle != nil && s.Bundle.Policy.MaxAttempts > 0 {
--- a/request/runner_test.go
+++ b/request/runner_test.go
@@ -21,12 +21,12 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// started runs c in the background; the channel is closed at its end.
-func (f *fleet) started(c request.Completion, s *sink) <-chan struct{} {
+// runInBackground runs c in a goroutine; the returned channel is closed when c ends.
+func (f *fleet) runInBackground(c request.Completion, s *sink) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.run(context.Background(), c, s)
+		f.complete(context.Background(), c, s)
 	}()
 	return done
 }
@@ -37,9 +37,8 @@
 	return s.ends > 0
 }
 
-// Symptom: a restart of the daemon cuts an answer off.
-// Sequence: a drain begins while an answer streams.
-// Cause: an exit that does not wait.
+// TestDrainWaits guards against a daemon restart that cuts off an answer: a drain begins while
+// an answer streams and must wait for its end.
 func TestDrainWaits(t *testing.T) {
 	f := newFleet(t, nil)
 	drained := make(chan error, 1)
@@ -56,23 +55,22 @@
 		}
 		return nil
 	}
-	f.run(context.Background(), completion("r1"), s).whole()
+	f.complete(context.Background(), newCompletion("r1"), s).wantComplete()
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
-	if err := f.runner.Drain(context.Background()); err != nil { // a second drain ends too
+	if err := f.runner.Drain(context.Background()); err != nil { // a second drain returns as well
 		t.Error(err)
 	}
 }
 
-// Symptom: at the shutdown limit a caller sees a cut connection, or an engine
-// goes on for nobody.
-// Sequence: the limit comes while a completion streams and a call is held.
-// Cause: an exit without an answer and a cancel.
+// TestDrainLimit checks that requests still in flight at the shutdown limit, a streaming
+// completion and a held call, get an error in place of a closed connection, and that their
+// engines are cancelled.
 func TestDrainLimit(t *testing.T) {
 	for name, arrange := range map[string]func(*fleet){
 		"mid-stream/daemon-killed": func(*fleet) {},
-		"prefill/daemon-killed":    func(f *fleet) { f.engines["p0"].on(engineapi.PathPrefill, stall) },
+		"prefill/daemon-killed":    func(f *fleet) { f.engines["p0"].onCall(engineapi.PathPrefill, stall) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, nil)
@@ -80,17 +78,17 @@
 			held := service.New(service.Config{})
 			t.Cleanup(held.Close)
 			held.SetFaults(service.Faults{StallAfter: true}, 0)
-			f.serve("s0", held.Handler())
-			c := completion("r1")
+			f.addService("s0", held.Handler())
+			c := newCompletion("r1")
 			c.MaxTokens = 1 << 20
 			s := &sink{}
-			done := f.started(c, s)
+			done := f.runInBackground(c, s)
 			var wg conc.WaitGroup
 			var callErr *errkind.Error
 			wg.Go(func() {
 				_, callErr = f.runner.Call(context.Background(), request.Call{ID: "c1", Service: "svc", Method: "GET", Path: "/", Deadline: c.Deadline})
 			})
-			until(t, "both in flight", func() bool {
+			waitUntil(t, "both in flight", func() bool {
 				list := f.runner.Active()
 				return len(list) == 2 && held.Executions().Total+held.Stats().Lookups > 0 && slices.ContainsFunc(list, func(a request.Active) bool {
 					return a.ID == "r1" && a.Team == "t" && a.Upstream == "d0" && a.Prefill == "p0" && a.Attempt == 1 && a.State != "planning" && a.State != "reserving"
@@ -114,33 +112,32 @@
 	}
 }
 
-// Symptom: one frozen engine keeps the memory of every other cancelled request.
-// Sequence: cancels for a frozen engine come first, then one for a healthy one.
-// Cause: one queue for all engines.
+// TestCancelLanes guards against a frozen engine that delays the cancels of other engines:
+// cancels for the frozen engine are queued before one for a healthy engine.
 func TestCancelLanes(t *testing.T) {
 	f := newFleet(t, func(o *request.Options) {
 		o.Cancel = request.DefaultCancelLimits()
-		o.Cancel.Try = 2 * bound // a call to the frozen engine does not end by itself
+		o.Cancel.Try = 2 * maxWait // a call to the frozen engine must not time out
 	})
 	frozen := f.engines["d0"]
 	var ends conc.WaitGroup
 	for i := range 80 {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		frozen.on(engineapi.PathReserve, func(http.ResponseWriter, *http.Request) { frozen.freeze(); cancel() })
-		ends.Go(func() { f.run(ctx, completion(fmt.Sprint("frozen", i)), nil) })
+		frozen.onCall(engineapi.PathReserve, func(http.ResponseWriter, *http.Request) { frozen.freeze(); cancel() })
+		ends.Go(func() { f.complete(ctx, newCompletion(fmt.Sprint("frozen", i)), nil) })
 		ends.Wait()
 		if i == 0 {
-			frozen.on(engineapi.PathCancel, func(http.ResponseWriter, *http.Request) {})
+			frozen.onCall(engineapi.PathCancel, func(http.ResponseWriter, *http.Request) {})
 		}
 	}
 	f.leave("d0")
-	c := completion("healthy")
+	c := newCompletion("healthy")
 	c.MaxTokens = 1 << 20
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &sink{onToken: func(i int) error { cancel(); return nil }}
-	f.run(ctx, c, s)
-	until(t, "the healthy engine freed", func() bool { return f.engines["d1"].Stats().Held == 0 })
+	f.complete(ctx, c, s)
+	waitUntil(t, "the healthy engine to be freed", func() bool { return f.engines["d1"].Stats().Held == 0 })
 	if frozen.Stats().Cancels > 0 {
 		t.Error("the frozen engine answered")
 	}
@@ -148,7 +145,7 @@
 	f.nothingHeld()
 }
 
-// cancelled notes how cancels end.
+// cancelled counts the ends of cancels by whether they were acknowledged.
 type cancelled struct {
 	metrics
 	mu   *sync.Mutex
@@ -161,9 +158,8 @@
 	c.ends[acknowledged]++
 }
 
-// Symptom: cancels for a dead engine pile up for ever.
-// Sequence: an engine dies for good while it holds a request.
-// Cause: repeats without a bound; the steward's sweep is there for the rest.
+// TestCancelGivesUp guards against an unbounded backlog of cancels for an engine that has died
+// while it held a request. After the age limit the steward's sweep takes over.
 func TestCancelGivesUp(t *testing.T) {
 	m := cancelled{mu: &sync.Mutex{}, ends: map[bool]int{}}
 	f := newFleet(t, func(o *request.Options) {
@@ -172,23 +168,24 @@
 		o.Cancel = request.DefaultCancelLimits()
 		o.Cancel.Age = 50 * time.Millisecond
 	})
-	f.engines["d0"].on(engineapi.PathReserve, func(w http.ResponseWriter, r *http.Request) { f.engines["d0"].kill(); cut(w, r) })
-	f.run(context.Background(), completion("r1"), nil).whole()
-	until(t, "the cancel given up", func() bool {
+	f.engines["d0"].onCall(engineapi.PathReserve, func(w http.ResponseWriter, r *http.Request) { f.engines["d0"].kill(); cut(w, r) })
+	f.complete(context.Background(), newCompletion("r1"), nil).wantComplete()
+	waitUntil(t, "the cancel to be given up", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return m.ends[false] == 1
 	})
 }
 
-// counter is a sink that only counts.
-type counter struct{ tokens, ends int }
+// countingSink counts tokens and ends.
+type countingSink struct{ tokens, ends int }
 
-func (d *counter) Token(int, string) error      { d.tokens++; return nil }
-func (d *counter) Finish(string, request.Usage) { d.ends++ }
-func (d *counter) Fail(*errkind.Error)          {}
+func (d *countingSink) Token(int, string) error      { d.tokens++; return nil }
+func (d *countingSink) Finish(string, request.Usage) { d.ends++ }
+func (d *countingSink) Fail(*errkind.Error)          {}
 
-// fastDecode answers every call, and decode calls with n tokens at once.
+// fastDecode answers decode calls with n tokens at once, and all other calls with an empty
+// object.
 func fastDecode(n int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engineapi.PathDecode {
@@ -206,9 +203,8 @@
 	}
 }
 
-// BenchmarkRelay measures one token on its way from an engine's connection
-// through the machine to the sink, with an engine that writes as fast as it can
-// in the same process.
+// BenchmarkRelay measures the cost of relaying one token from an engine's connection through
+// the machine to the sink. The engine runs in the same process and writes as fast as it can.
 func BenchmarkRelay(b *testing.B) {
 	f := newFleet(b, nil)
 	s := httptest.NewServer(fastDecode(b.N))
@@ -216,9 +212,9 @@
 	f.leave("d0")
 	f.leave("d1")
 	f.join("d2", strings.TrimPrefix(s.URL, "http://"))
-	c := completion("bench")
+	c := newCompletion("bench")
 	c.Deadline = time.Now().Add(time.Hour)
-	sink := &counter{}
+	sink := &countingSink{}
 	b.ReportAllocs()
 	b.ResetTimer()
 	f.runner.Complete(context.Background(), c, sink)
@@ -228,16 +224,17 @@
 	}
 }
 
-// BenchmarkCancel measures the time from a caller's end to free engine memory.
+// BenchmarkCancel measures the time from the caller's departure until the engine's memory is
+// free.
 func BenchmarkCancel(b *testing.B) {
 	f := newFleet(b, nil)
 	var most time.Duration
 	for i := range b.N {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := completion(fmt.Sprint("bench", i))
+		c := newCompletion(fmt.Sprint("bench", i))
 		c.MaxTokens = 1 << 20
 		var at time.Time
-		f.run(ctx, c, &sink{onToken: func(i int) error {
+		f.complete(ctx, c, &sink{onToken: func(i int) error {
 			if i == 3 {
 				at = time.Now()
 				cancel()
--- a/request/types.go
+++ b/request/types.go
@@ -1,6 +1,6 @@
-// Package request owns one request from acceptance to its single answer. It is
-// the only place that may answer a caller. The state machine takes events and
-// the time and returns actions; Runner performs the actions.
+// Package request processes one request from its acceptance to its single answer. No other
+// package answers callers for accepted requests. A state machine takes events and the current
+// time and returns actions; Runner performs the actions.
 package request
 
 import (
@@ -14,7 +14,7 @@
 
 // Completion is an accepted request for a model.
 type Completion struct {
-	// ID is unique among all daemons and is shown to the caller and to engines.
+	// ID is unique across all daemons. It is shown to the caller and to engines.
 	ID        string
 	Team      string
 	Class     bundle.Class
@@ -25,35 +25,36 @@
 	Stream    bool
 	Accepted  time.Time
 	Deadline  time.Time
-	// NonIdempotent forbids a second dispatch after one that may have been delivered.
+	// NonIdempotent forbids another dispatch after one that may have been delivered. The
+	// request needs Key, which is claimed so that it runs once across all daemons.
 	NonIdempotent bool
-	// Key is the caller's idempotency key; empty when none was sent.
+	// Key is the caller's idempotency key; empty if the caller sent none.
 	Key string
-	// SendOnce forbids a second dispatch after one that may have been delivered, but
-	// claims nothing: a repeat by the caller is a request of its own.
+	// SendOnce forbids another dispatch after one that may have been delivered, but claims no
+	// key: a repeat by the caller is a new request.
 	SendOnce bool
-	// MaxSends bounds the engines to which the request itself is sent; 0 leaves it to
-	// the limits. Reservations do not count, and neither does a refused send.
+	// MaxSends bounds the number of engines that the request itself is sent to; 0 means that
+	// only Limits apply. Reservations and refused dispatches do not count.
 	MaxSends int
-	// PromptTokens and AnswerTokens are the sizes that the caller stated, the second
-	// as an estimate; 0 when it stated none.
+	// PromptTokens and AnswerTokens are the sizes that the caller stated, the latter as an
+	// estimate; 0 if not stated.
 	PromptTokens, AnswerTokens int
-	// Waited is how long the caller has been waiting before this request, when it comes
-	// back after a refusal; 0 when it does not.
+	// Waited is how long the caller has waited before this request if it returns after a
+	// refusal; otherwise 0.
 	Waited time.Duration
-	// Prefix holds the chained hashes of the prompt's parts where Prompt is empty.
+	// Prefix holds the chained hashes of the prompt's blocks if Prompt is empty.
 	Prefix []uint64
-	// Original is the caller's request as it came, for engines that take it so.
+	// Original is the caller's unmodified request, for engines that accept it in that form.
 	Original *engineapi.Original
-	// Caller names the team of a caller that is none of the bundle's; never a key, since it
-	// is logged.
+	// Caller is the team name of a caller whose team is not in the bundle. It is logged, so it
+	// must never be a key.
 	Caller string
-	// Priority goes before that of the class; nil leaves the class's.
+	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
 }
 
-// again says whether the request may be dispatched once more after it may have run.
-func (c *Completion) again() bool { return !c.NonIdempotent && !c.SendOnce }
+// mayRunAgain reports whether the request may be dispatched again after it may have run.
+func (c *Completion) mayRunAgain() bool { return !c.NonIdempotent && !c.SendOnce }
 
 // Call is an accepted request for a plain service.
 type Call struct {
@@ -62,28 +63,31 @@
 	Class    bundle.Class
 	Service  string
 	Method   string
-	Path     string // below the service, with the raw query
+	Path     string // relative to the service, with the raw query
 	Header   http.Header
 	Body     []byte
 	Accepted time.Time
 	Deadline time.Time
-	// NonIdempotent forbids a second dispatch after one that may have been delivered.
+	// NonIdempotent forbids another dispatch after one that may have been delivered. The call
+	// needs Key, which is claimed so that it runs once across all daemons.
 	NonIdempotent bool
 	Key           string
-	// SendOnce forbids the same without a claim: the method is not idempotent, and
-	// neither the bundle nor the caller says anything of this call.
+	// SendOnce forbids the same without a claim. It is set if the method is not idempotent and
+	// neither the bundle nor the caller says whether the call is.
 	SendOnce bool
-	// MaxSends bounds the replicas to which the call is sent; 0 leaves it to the limits.
+	// MaxSends bounds the number of replicas that the call is sent to; 0 means that only
+	// Limits apply.
 	MaxSends int
-	// Caller names the team of a caller that is none of the bundle's; never a key, since it
-	// is logged.
+	// Caller is the team name of a caller whose team is not in the bundle. It is logged, so it
+	// must never be a key.
 	Caller string
-	// Priority goes before that of the class; nil leaves the class's.
+	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
 }
 
-// once says whether a dispatch that may have been delivered is the last.
-func (c Call) once() bool { return c.NonIdempotent || c.SendOnce }
+// atMostOnce reports whether the call must not be dispatched again after a dispatch that may
+// have been delivered.
+func (c Call) atMostOnce() bool { return c.NonIdempotent || c.SendOnce }
 
 // Usage counts the tokens of a finished completion.
 type Usage struct {
@@ -92,28 +96,29 @@
 	CachedTokens     int
 }
 
-// Sink receives the answer of one completion. The runner calls Token any number
-// of times and then exactly one of Finish and Fail, from one goroutine. An error
-// from Token means the caller is gone; the runner then cancels the work.
+// Sink receives the answer of one completion. The runner calls Token any number of times and
+// then exactly one of Finish and Fail, all from one goroutine. An error from Token means that
+// the caller has left; the runner then cancels the work.
 type Sink interface {
 	// Token delivers the token at the next index.
 	Token(index int, text string) error
-	// Finish ends the whole answer; reason is "stop" or "length".
+	// Finish ends a complete answer; reason is "stop" or "length".
 	Finish(reason string, usage Usage)
-	// Fail ends the request with an honest error.
+	// Fail ends the request with an error that carries its run state.
 	Fail(err *errkind.Error)
 }
 
-// PassThroughSink is a Sink whose caller gets the engine's answer as it came.
+// PassThroughSink is a Sink that forwards the engine's answer unchanged. Its request may end
+// with Answer in place of Finish or Fail.
 type PassThroughSink interface {
 	Sink
-	// Open tells the head of the first engine's answer, before the first token.
+	// Open delivers the head of the first engine's answer, before the first token.
 	Open(head engineapi.Head)
-	// Answer ends the request with an engine's own failure, before any token.
+	// Answer ends the request with an engine's own error answer, before any token.
 	Answer(a CallAnswer)
 }
 
-// CallAnswer is a plain service's answer.
+// CallAnswer is a plain service's answer, or an engine's own error answer.
 type CallAnswer struct {
 	Status int
 	Header http.Header
--- a/request/verdict.go
+++ b/request/verdict.go
@@ -8,28 +8,29 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Verdict sets what was predicted for a completion beside what came of it. Zero is what
-// was not predicted or not seen.
+// Verdict compares the predictions for a completion with the actual values. A zero field was
+// not predicted or not measured.
 type Verdict struct {
 	Request  string
 	Class    bundle.Class
 	Upstream string
-	// FirstToken is from the plan, SeenFirst from the acceptance on, on the caller's side
-	// of the daemon.
+	// FirstToken is the predicted time to the first token, SeenFirst the actual one. Both run
+	// from the request's acceptance until the daemon passes the token to the caller's sink.
 	FirstToken, SeenFirst time.Duration
-	// Answer and SeenAnswer are tokens, Expected what the caller expected of them.
+	// Answer and SeenAnswer are the predicted and the actual length of the answer in tokens;
+	// Expected is the length that the caller expected.
 	Answer, SeenAnswer, Expected int
-	// Step and SeenStep are the time between two tokens.
+	// Step and SeenStep are the predicted and the actual time between two tokens.
 	Step, SeenStep time.Duration
-	// Reserved and Held are the memory reserved and that held at the end, in tokens.
+	// Reserved is the reserved memory and Held the memory used at the end, in tokens.
 	Reserved, Held int
-	// Samples is how many answers the prediction of this one's length rested on, and Age
-	// how long ago the last of them was.
+	// Samples is the number of answers that the length prediction is based on, and Age the
+	// time since the last of them.
 	Samples int
 	Age     time.Duration
 }
 
-// Fields returns the line's fields.
+// Fields returns the fields of the log line.
 func (o Verdict) Fields() log.Fields {
 	return log.Fields{
 		"request":                  o.Request,
@@ -49,9 +50,9 @@
 	}
 }
 
-// predicted notes what a plan predicts, for the verdict.
-func (d *drive) predicted(now time.Time, first, step time.Duration) {
-	samples, at := d.r.answers.of(d.c.Model).Samples()
+// recordPrediction stores a plan's predictions for the verdict.
+func (d *driver) recordPrediction(now time.Time, first, step time.Duration) {
+	samples, at := d.r.answers.forModel(d.c.Model).Samples()
 	d.verdict = Verdict{
 		Request: d.c.ID, Class: d.c.Class, Upstream: d.decodeTarget.Name,
 		FirstToken: now.Sub(d.c.Accepted) + first, Step: step,
@@ -62,8 +63,8 @@
 	}
 }
 
-// tellVerdict logs the verdict of a completion of which an engine has streamed anything.
-func (d *drive) tellVerdict() {
+// logVerdict logs the verdict of a completion if an engine has streamed any chunk.
+func (d *driver) logVerdict() {
 	chunks := len(d.m.Tokens())
 	if chunks == 0 || d.verdict.Request == "" {
 		return
@@ -71,16 +72,16 @@
 	o := d.verdict
 	o.SeenAnswer = chunks * d.r.o.ChunkTokens(d.c.Model)
 	o.Held = d.c.PromptTokens + o.SeenAnswer
-	o.SeenFirst = d.first.Sub(d.c.Accepted)
-	o.SeenStep = d.perToken(chunks)
+	o.SeenFirst = d.firstTokenAt.Sub(d.c.Accepted)
+	o.SeenStep = d.meanTokenInterval(chunks)
 	d.r.o.Logger.WithFields(o.Fields()).Info("verdict")
 }
 
-// perToken is the mean time between two tokens of a stream that one attempt has made; 0
-// where that cannot be told.
-func (d *drive) perToken(chunks int) time.Duration {
-	if chunks < 2 || d.firstOf != d.m.Attempt() {
+// meanTokenInterval returns the mean time between two tokens; 0 if there are fewer than two
+// chunks or they came from more than one attempt.
+func (d *driver) meanTokenInterval(chunks int) time.Duration {
+	if chunks < 2 || d.firstTokenAttempt != d.m.Attempt() {
 		return 0
 	}
-	return d.last.Sub(d.first) / time.Duration((chunks-1)*d.r.o.ChunkTokens(d.c.Model))
+	return d.lastTokenAt.Sub(d.firstTokenAt) / time.Duration((chunks-1)*d.r.o.ChunkTokens(d.c.Model))
 }
