--- a/relay/asked.go
+++ b/relay/asked.go
@@ -7,59 +7,61 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// askedTime is how long after it was asked a daemon goes on reading for others. It is
-// several times the pause between two calls of a follower, and no longer: while a fleet is
-// restarted one by one, each daemon that stood in for a reader reads beside the next one.
-const askedTime = 3 * time.Second
+// followerTimeout is how long after the last call of a follower a daemon goes on reading
+// the store for followers. It is several times the pause between two calls of a follower,
+// but no longer: during a rolling restart every daemon that has stood in for a reader keeps
+// reading the store for this long next to the current reader.
+const followerTimeout = 3 * time.Second
 
-// Asked remembers when another daemon last asked this one to read for it. It is safe
-// for concurrent use.
+// Asked records when another daemon last read the store's feeds through this one. It is
+// safe for concurrent use.
 type Asked struct {
-	mu    sync.Mutex
-	at    time.Time
-	calls map[int]func() // of OnFirst
-	next  int
+	mu        sync.Mutex
+	lastCall  time.Time
+	callbacks map[int]func() // registered with OnFirst
+	nextID    int
 }
 
-// NewAsked returns an Asked that nobody has asked.
-func NewAsked() *Asked { return &Asked{calls: map[int]func(){}} }
+// NewAsked returns an Asked without any recorded call.
+func NewAsked() *Asked { return &Asked{callbacks: map[int]func(){}} }
 
-// Note takes that another daemon asks now.
+// Note records a call of a follower. If no call was recent, it runs the callbacks
+// registered with OnFirst.
 func (a *Asked) Note(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.lately(now) {
-		for _, call := range a.calls {
+	if !a.recentlyAsked(now) {
+		for _, call := range a.callbacks {
 			call()
 		}
 	}
-	a.at = now
+	a.lastCall = now
 }
 
-// Lately says whether others rely on this daemon, which then reads the store itself,
-// with short waits.
+// Lately reports whether a follower has called within followerTimeout. While it has, this
+// daemon reads the store itself, with short waits.
 func (a *Asked) Lately(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lately(now)
+	return a.recentlyAsked(now)
 }
 
-func (a *Asked) lately(now time.Time) bool {
-	return !a.at.IsZero() && clock.Elapsed(a.at, now) < askedTime
+func (a *Asked) recentlyAsked(now time.Time) bool {
+	return !a.lastCall.IsZero() && clock.Elapsed(a.lastCall, now) < followerTimeout
 }
 
-// OnFirst has f called when others begin to rely on this daemon, until stop: a reading
-// through another one, which may have gone silent, is then worth nothing. f must not
-// block nor call this Asked.
+// OnFirst registers f, which is run when a follower calls and none has called recently. The
+// store uses it to cancel a read through another daemon, which may be unreachable. f must
+// neither block nor call methods of a. stop removes f.
 func (a *Asked) OnFirst(f func()) (stop func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	id := a.next
-	a.next++
-	a.calls[id] = f
+	id := a.nextID
+	a.nextID++
+	a.callbacks[id] = f
 	return func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		delete(a.calls, id)
+		delete(a.callbacks, id)
 	}
 }
--- a/relay/borrower.go
+++ b/relay/borrower.go
@@ -13,44 +13,46 @@
 )
 
 const (
-	// borrowTime bounds a question to all lenders: a few times the way within a data
-	// centre, and short beside the time that a caller gives a look-up.
-	borrowTime = 30 * time.Millisecond
-	// lendersAsked is how many daemons are asked at most.
-	lendersAsked = 3
-	// refusedTime is how long a daemon that had nothing to give is left alone.
-	refusedTime = time.Second
+	// borrowTimeout bounds the calls to all lenders together: a few round trips within a
+	// data centre, and short compared with the time that a caller has for a look-up.
+	borrowTimeout = 30 * time.Millisecond
+	// maxLenders is the largest number of daemons that are asked for one retry.
+	maxLenders = 3
+	// refusalBackoff is how long a daemon that lent nothing is not asked again for the same
+	// target.
+	refusalBackoff = time.Second
 )
 
-// permitCall asks a daemon to give up retries to a target.
-type permitCall struct {
+// borrowRequest asks a daemon to lend retries for a target.
+type borrowRequest struct {
 	Target string `msgpack:"t"`
 	Needs  int    `msgpack:"n"`
 }
 
-// permitReply answers it. What was given is spent at the daemon that gave it.
-type permitReply struct {
+// borrowResponse answers a borrowRequest. The lender has already deducted the retries from
+// its own budget.
+type borrowResponse struct {
 	Given bool `msgpack:"g"`
 }
 
-// Borrower asks other daemons for retries when this one has none left. It is safe for
-// concurrent use.
+// Borrower asks other daemons to lend retries when the retry budget of this one is
+// exhausted. It is safe for concurrent use.
 //
-// Load pattern: some requests in a hundred are rejected, now more at one daemon and now at
-// another. What each may send by itself is two retries in a large fleet, and none in the
-// first seconds of a life, while the fleet as a whole may send hundreds. One that asks
-// takes from a bucket that is bounded like its own, so that the sum stays what it was; an
-// answer that is lost is a retry lost.
+// Load pattern: a few percent of the requests are rejected, at one daemon after the other.
+// In a large fleet the budget of one daemon is two retries, and zero during its first
+// seconds, while the budget of the whole fleet is hundreds. Lent retries are deducted from
+// the lender's token bucket, which has the same bound as the borrower's, so that the
+// fleet's total is unchanged. If the answer is lost, the retries are lost too.
 type Borrower struct {
 	o BorrowerOptions
-	// asking is held by the one question that is on its way. Others are told no at once:
-	// a request that is given up is not kept waiting.
-	asking  sync.Mutex
-	refused map[refusal]time.Time
-	known   map[string]*client
+	// inFlight is held during a call to the lenders. Concurrent callers are refused at
+	// once, so that a request about to fail is not delayed further.
+	inFlight     sync.Mutex
+	refusedUntil map[refusalKey]time.Time
+	clients      map[string]*client
 }
 
-// BorrowerOptions wire a Borrower; all are required.
+// BorrowerOptions configure a Borrower; all fields are required.
 type BorrowerOptions struct {
 	Roster *Roster
 	Dial   Dialer
@@ -59,38 +61,39 @@
 	Now    func() time.Time
 }
 
-// refusal is who had nothing to give to which target.
-type refusal struct{ address, target string }
+// refusalKey identifies a lender that refused to lend and the target it was asked for.
+type refusalKey struct{ address, target string }
 
-// NewBorrower returns a borrower that has asked nobody.
+// NewBorrower returns a borrower that has not contacted any lender yet.
 func NewBorrower(o BorrowerOptions) *Borrower {
-	return &Borrower{o: o, refused: map[refusal]time.Time{}, known: map[string]*client{}}
+	return &Borrower{o: o, refusedUntil: map[refusalKey]time.Time{}, clients: map[string]*client{}}
 }
 
-// Borrow returns whether another daemon gave up n retries to a target.
+// Borrow reports whether another daemon lent n retries for a target.
 func (b *Borrower) Borrow(ctx context.Context, target string, n int) bool {
-	if !b.asking.TryLock() {
+	if !b.inFlight.TryLock() {
 		return false
 	}
-	defer b.asking.Unlock()
+	defer b.inFlight.Unlock()
 	began := b.o.Now()
-	ctx, cancel := context.WithTimeout(ctx, borrowTime)
+	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	lenders := b.lenders(began, target)
-	for _, peer := range lenders[:min(len(lenders), lendersAsked)] {
-		if b.ask(ctx, peer, permitCall{Target: target, Needs: n}) {
-			// A process that stood still meanwhile would send it in a later window.
-			return clock.Elapsed(began, b.o.Now()) < 2*borrowTime
+	for _, peer := range lenders[:min(len(lenders), maxLenders)] {
+		if b.borrowFrom(ctx, peer, borrowRequest{Target: target, Needs: n}) {
+			// If this process was paused during the call, the lent retry is dropped: it
+			// would be sent in a later window of the lender's budget.
+			return clock.Elapsed(began, b.o.Now()) < 2*borrowTimeout
 		}
 	}
 	return false
 }
 
-// lenders returns who may have something to give, in a random order.
+// lenders returns the daemons that have not refused the target recently, in random order.
 func (b *Borrower) lenders(now time.Time, target string) []Peer {
 	var out []Peer
 	for _, peer := range b.o.Roster.Lenders(now) {
-		if until := b.refused[refusal{peer.Address, target}]; !now.Before(until) {
+		if until := b.refusedUntil[refusalKey{peer.Address, target}]; !now.Before(until) {
 			out = append(out, peer)
 		}
 	}
@@ -98,25 +101,26 @@
 	return out
 }
 
-func (b *Borrower) ask(ctx context.Context, peer Peer, call permitCall) bool {
-	c := b.known[peer.Address]
+// borrowFrom asks one lender and records a refusal.
+func (b *Borrower) borrowFrom(ctx context.Context, peer Peer, call borrowRequest) bool {
+	c := b.clients[peer.Address]
 	if c == nil {
 		c = &client{dial: b.o.Dial}
-		b.known[peer.Address] = c
+		b.clients[peer.Address] = c
 	}
-	var reply permitReply
-	err := c.call(ctx, peer.Address, wire.TypePermit, borrowTime, &call, &reply)
+	var reply borrowResponse
+	err := c.call(ctx, peer.Address, wire.TypePermit, borrowTimeout, &call, &reply)
 	if err != nil {
-		delete(b.known, peer.Address)
+		delete(b.clients, peer.Address)
 	}
-	line := b.o.Logger.WithFields(log.Fields{"target": call.Target, "needs": call.Needs, "lender": peer.Instance})
+	logger := b.o.Logger.WithFields(log.Fields{"target": call.Target, "needs": call.Needs, "lender": peer.Instance})
 	switch {
 	case err != nil:
-		line.WithError(err).Debug("retry not borrowed")
+		logger.WithError(err).Debug("retry not borrowed")
 	case reply.Given:
-		line.Info("retry borrowed")
+		logger.Info("retry borrowed")
 		return true
 	}
-	b.refused[refusal{peer.Address, call.Target}] = b.o.Now().Add(refusedTime)
+	b.refusedUntil[refusalKey{peer.Address, call.Target}] = b.o.Now().Add(refusalBackoff)
 	return false
 }
--- a/relay/borrower_test.go
+++ b/relay/borrower_test.go
@@ -11,20 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// lender is a daemon that gives up so many retries to one target.
-type lender struct {
+// fakeLender lends a limited number of retries for target "s".
+type fakeLender struct {
 	left  atomic.Int64
 	asked atomic.Int64
 }
 
-func (l *lender) lend(target string, n int) bool {
+func (l *fakeLender) lend(target string, n int) bool {
 	l.asked.Add(1)
 	return target == "s" && l.left.Add(-int64(n)) >= 0
 }
 
-// lendersOf starts a server for each lender and returns a borrower whose reader and
-// successors they are, and a clock to move.
-func lendersOf(t *testing.T, list ...*lender) (*Borrower, *time.Time) {
+// newTestBorrower starts a server for each lender. It returns a borrower whose roster has
+// these daemons as reader and successors, and the borrower's clock.
+func newTestBorrower(t *testing.T, list ...*fakeLender) (*Borrower, *time.Time) {
 	t.Helper()
 	roster := NewRoster(peer("me", "a", 1), nil)
 	var order []Peer
@@ -34,19 +34,20 @@
 			t.Fatal(err)
 		}
 		p := peer(ln.Addr().String(), "a", 1)
-		s := NewServer(ServerOptions{Journal: NewJournal(), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(t0), Quarantine: keeper(), Lend: l.lend, Pace: testPace, Logger: quiet, Now: time.Now})
+		s := NewServer(ServerOptions{Journal: NewJournal(), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(t0), Quarantine: newQuarantine(), Lend: l.lend, Pace: testPace, Logger: discardLogger, Now: time.Now})
 		s.Listen(ln)
-		runUntilTheEnd(t, s.Run)
+		runUntilCleanup(t, s.Run)
 		order = append(order, p)
 	}
 	roster.Told(Succession{Order: order, Daemons: 20})
 	now := t0
 	return NewBorrower(BorrowerOptions{
-		Roster: roster, Dial: DialTCP, Random: rand.New(rand.NewPCG(1, 1)), Logger: quiet, Now: func() time.Time { return now },
+		Roster: roster, Dial: DialTCP, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return now },
 	}), &now
 }
 
-func runUntilTheEnd(t *testing.T, run func(context.Context) error) {
+// runUntilCleanup runs a service until the end of the test.
+func runUntilCleanup(t *testing.T, run func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- run(ctx) }()
@@ -58,55 +59,54 @@
 	})
 }
 
-// Load: one daemon meets more rejections than it may retry, others meet none.
+// Load: one daemon sees more rejections than its retry budget covers, the others see none.
 func TestBorrow(t *testing.T) {
-	rich, poor := &lender{}, &lender{}
-	rich.left.Store(3)
-	b, now := lendersOf(t, poor, rich)
+	funded, empty := &fakeLender{}, &fakeLender{}
+	funded.left.Store(3)
+	b, now := newTestBorrower(t, empty, funded)
 	if !b.Borrow(t.Context(), "s", 2) {
-		t.Error("nobody gave two retries, of three that one had")
+		t.Error("two of three available retries were not lent")
 	}
 	if b.Borrow(t.Context(), "s", 2) {
-		t.Error("two more were given")
+		t.Error("more retries were lent than available")
 	}
-	before := rich.asked.Load() + poor.asked.Load()
-	if b.Borrow(t.Context(), "s", 1) || rich.asked.Load()+poor.asked.Load() != before {
-		t.Error("daemons that had nothing are asked again at once")
+	before := funded.asked.Load() + empty.asked.Load()
+	if b.Borrow(t.Context(), "s", 1) || funded.asked.Load()+empty.asked.Load() != before {
+		t.Error("lenders were asked again before refusalBackoff")
 	}
-	rich.left.Store(1)
-	*now = now.Add(refusedTime)
+	funded.left.Store(1)
+	*now = now.Add(refusalBackoff)
 	if !b.Borrow(t.Context(), "s", 1) {
-		t.Error("they are not asked again later")
+		t.Error("lenders were not asked again after refusalBackoff")
 	}
 }
 
-// Symptom: a request that is to end waits for daemons that do not answer.
-// Sequence: the lenders are dark, and many requests ask at once.
-// Cause: each question waits for the one before it.
+// Guards against requests that wait for unreachable lenders. If many requests borrow at
+// once, each call to a lender would wait for the one before it.
 func TestBorrowerAsksOneAtATime(t *testing.T) {
-	b, _ := lendersOf(t, &lender{})
+	b, _ := newTestBorrower(t, &fakeLender{})
 	entered, release := make(chan struct{}), make(chan struct{})
 	b.o.Dial = func(context.Context, string) (net.Conn, error) {
 		close(entered)
 		<-release
-		return nil, errors.New("dark")
+		return nil, errors.New("unreachable")
 	}
 	first := make(chan bool)
 	go func() { first <- b.Borrow(t.Context(), "s", 1) }()
 	<-entered
 	if b.Borrow(t.Context(), "s", 1) {
-		t.Error("a second question was answered while the first one waits")
+		t.Error("a concurrent call was not refused")
 	}
 	close(release)
 	if <-first {
-		t.Error("a dark daemon gave a retry")
+		t.Error("an unreachable daemon lent a retry")
 	}
 }
 
-// Nobody is asked by a daemon that knows of no other.
+// A daemon without other known daemons has no lenders.
 func TestBorrowFromNobody(t *testing.T) {
-	b, _ := lendersOf(t)
+	b, _ := newTestBorrower(t)
 	if b.Borrow(t.Context(), "s", 1) {
-		t.Error("a retry came from nowhere")
+		t.Error("a retry was lent without a lender")
 	}
 }
--- a/relay/client.go
+++ b/relay/client.go
@@ -11,94 +11,99 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// dialTime bounds a new connection to a daemon: many times the way to any data centre
-// of a region.
-const dialTime = 100 * time.Millisecond
+// dialTimeout bounds connecting to another daemon. It is many times the round trip to any
+// data centre of a region.
+const dialTimeout = 100 * time.Millisecond
 
-// Dialer opens connections to other daemons.
+// Dialer opens a connection to another daemon.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP is the Dialer of a daemon.
+// DialTCP is the Dialer used in production.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
-	d := net.Dialer{Timeout: dialTime}
+	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", address)
-	return conn, errors.Wrap(err, "connect to a daemon")
+	return conn, errors.Wrap(err, "connect to daemon")
 }
 
-// client calls one daemon at a time, over one connection. It is not safe for concurrent
-// use.
+// client makes calls to one daemon at a time over a single connection, which it reopens
+// when the address changes. It is not safe for concurrent use.
 type client struct {
 	dial    Dialer
 	address string
 	conn    net.Conn
 	reader  *wire.Reader
-	number  uint64
+	lastID  uint64
 }
 
-// read asks the reader at address for records, which it has slack more than the wait to
-// send. An error leaves no connection behind.
-func (c *client) read(ctx context.Context, address string, msg readCall, slack time.Duration) (reply readReply, b fleet.Batch, err error) {
+// read asks the reader at address for records. The answer must arrive within the wait of
+// the request plus slack. After an error the connection is closed.
+func (c *client) read(ctx context.Context, address string, msg readRequest, slack time.Duration) (reply readResponse, b fleet.Batch, err error) {
 	if err = c.call(ctx, address, wire.TypeFeedRead, msg.Wait+slack, &msg, &reply); err != nil {
 		return reply, b, err
 	}
-	if reply.Verdict == fit {
-		if b, err = unpackBatch(reply.Batch); err != nil {
+	if reply.Status == statusFresh {
+		if b, err = decodeBatch(reply.Batch); err != nil {
 			c.close()
 		}
 	}
 	return reply, b, err
 }
 
-// meet asks the daemon at address who reads.
-func (c *client) meet(ctx context.Context, address string, msg meetCall, within time.Duration) (reply meetReply, err error) {
+// discover asks the daemon at address which daemons read the store for the data centre of
+// this one.
+func (c *client) discover(ctx context.Context, address string, msg discoverRequest, within time.Duration) (reply discoverResponse, err error) {
 	err = c.call(ctx, address, wire.TypeReaders, within, &msg, &reply)
 	return reply, err
 }
 
-// call sends one message and reads its answer within a time.
+// call sends one request and reads its response. Both must be done within the given time.
 func (c *client) call(ctx context.Context, address string, t wire.Type, within time.Duration, msg, reply any) error {
-	err := c.exchange(ctx, address, t, within, msg, reply)
+	err := c.roundTrip(ctx, address, t, within, msg, reply)
 	if err != nil {
 		c.close()
 	}
 	return err
 }
 
-func (c *client) exchange(ctx context.Context, address string, t wire.Type, within time.Duration, msg, reply any) error {
+// roundTrip connects if necessary, sends a request and reads its response. It returns early
+// if the context ends.
+func (c *client) roundTrip(ctx context.Context, address string, t wire.Type, within time.Duration, msg, reply any) error {
 	if err := c.connect(ctx, address); err != nil {
 		return err
 	}
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
-	err := c.transfer(t, within, msg, reply)
+	err := c.sendAndReceive(t, within, msg, reply)
 	if !stop() && err == nil {
-		// The call ended as its context did: the connection is closed, or is about to be.
-		// Kept, it would make the next call take the daemon for lost.
+		// The context ended at the same time as the call, so the connection is closed or
+		// about to be. If it were kept, the next call would fail and the daemon would count
+		// as unreachable.
 		err = errors.WithStack(context.Cause(ctx))
 	}
 	return err
 }
 
-// transfer sends a message and reads its answer over the open connection.
-func (c *client) transfer(t wire.Type, within time.Duration, msg, reply any) error {
+// sendAndReceive sends a request and reads its response over the open connection.
+func (c *client) sendAndReceive(t wire.Type, within time.Duration, msg, reply any) error {
 	conn := c.conn
 	if err := conn.SetDeadline(time.Now().Add(within)); err != nil {
 		return errors.WithStack(err)
 	}
-	c.number++
-	if err := send(conn, wire.Envelope{Type: t, ID: c.number}, msg); err != nil {
+	c.lastID++
+	if err := writeMessage(conn, wire.Envelope{Type: t, ID: c.lastID}, msg); err != nil {
 		return err
 	}
 	env, _, err := c.reader.Read()
 	if err != nil {
-		return errors.Wrap(err, "read a daemon's answer")
+		return errors.Wrap(err, "read response")
 	}
-	if env.Type != t || env.ID != c.number || !env.Reply {
-		return errors.Errorf("unexpected answer of type %d", env.Type)
+	if env.Type != t || env.ID != c.lastID || !env.Reply {
+		return errors.Errorf("unexpected response of type %d", env.Type)
 	}
 	return wire.Decode(env.Body, reply)
 }
 
+// connect opens the connection to an address unless it is already open.
 func (c *client) connect(ctx context.Context, address string) error {
 	if c.conn != nil && c.address == address {
 		return nil
--- a/relay/count_test.go
+++ b/relay/count_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// Symptom: what all daemons share is spent more than once.
-// Sequence: daemons start, or are all killed and started again; each divides by as many as
-// it has heard of. In a small fleet nobody asks another daemon for records.
-// Cause: who does not ask is not heard.
+// Guards against fleet-wide limits that are exceeded because each daemon divides them by
+// too few daemons. This could happen after a start or a restart of all daemons, above all
+// in a small fleet, where no daemon reads through another one and daemons must learn of
+// each other in another way.
 func TestDaemonsCountEachOther(t *testing.T) {
 	const known = 8 * time.Second
 	for _, n := range []int{6, 7, 12, 150} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, n)
-				w.store.configure(1)
+				w := newTestFleet(t, n)
+				w.store.putConfig(1)
 				w.store.register(1)
 				for range 3 {
 					w.startAll(w.daemons)
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,23 +1,29 @@
-// Package relay lets one daemon of a data centre read the store's feeds for the
-// others, so that calls to the store grow with the data centres and not with the
-// daemons.
+// Package relay lets one daemon of each data centre, the reader, read the store's feeds on
+// behalf of the other daemons there, its followers. The number of calls to the store then
+// grows with the number of data centres instead of the number of daemons.
 //
-// Roster knows the other daemons and who reads for a data centre. Plan decides whom
-// this daemon asks next: the reader, one of its successors, a reader of another data
-// centre, the store, or nobody for a while. Journal holds what this daemon has read.
-// These three decide without I/O: events and the time in, answers out. Store runs the
-// plan for the two feeds, Server answers other daemons from the journal, and Exchange
-// tells readers of each other.
+// Three types make the decisions. They do no I/O: they are given events and the current
+// time.
 //
-// What goes wrong without it: every daemon asks the store for every change, and again
-// and again while the store is away. At 295 daemons an outage of 16 seconds brought
-// 41,000 calls, most of them at the moment in which the store was weakest, and a start
-// 4,000 before the first caller came.
+//   - Roster holds the known daemons and elects the reader of a data centre and the successors
+//     that replace it in case of failure.
+//   - Plan selects the source of the next read: the reader, one of its successors, a reader of
+//     another data centre, the store, or none for a while.
+//   - Journal caches the records that this daemon has read.
 //
-// A reader that is cut off, frozen or gone must cost its followers no time that they
-// owe to callers: a daemon gives new work to an upstream that left until it has read
-// of it. So every answer tells the age of the reader's own last word from the store, a
-// reader that waits for the store says so at once, and whoever gets no fresh word asks
-// the next in the succession, which asks the store. Times follow from the bound within
-// which the platform wants a change in force (see Pace).
+// Three types do the I/O. Store reads the two feeds as its Plan says, Server answers other
+// daemons from the Journal and the Roster, and Exchange lets the readers inform each other.
+//
+// Without the relay every daemon asks the store for every change, and retries while the store
+// is unavailable. With 295 daemons, an outage of 16 seconds caused 41,000 calls, most of
+// them while the store was recovering, and a start caused 4,000 calls before the first
+// request of a caller.
+//
+// A reader that is partitioned, frozen or gone must not delay its followers much, because a
+// daemon sends new requests to a draining upstream until it has read the record of its
+// draining. Therefore each response contains the age of the data, which is the time since
+// the reader's last contact with the store; a reader that cannot reach the store says so at
+// once; and a follower that gets no fresh data asks the next daemon in the succession,
+// which reads the store itself. All timeouts derive from the time within which a change
+// must be in force on all daemons (see Pace).
 package relay
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -10,52 +10,55 @@
 )
 
 const (
-	// exchangeEvery is how often a reader tells the others of itself: three times within
-	// the life of a claim. Eight readers make 56 such calls a second.
-	exchangeEvery = time.Second
-	// exchangeFirst is the first pause: what daemons at which others look know of each other
-	// is wanted before those others are told.
-	exchangeFirst = 200 * time.Millisecond
-	// introduceEvery is in how many rounds a daemon that is no reader calls its reader once,
-	// the first time in round introduceFirst, before it counts on the number of daemons.
-	introduceEvery = 10
-	introduceFirst = 4
-	// exchangeTime bounds one such call.
-	exchangeTime = 250 * time.Millisecond
+	// exchangeInterval is the interval at which a reader sends its claim to the other
+	// readers: three times within claimTTL. Eight readers make 56 such calls a second.
+	exchangeInterval = time.Second
+	// firstExchangeDelay is the delay before the first exchange. It is short so that the
+	// seeds have exchanged their claims before other daemons ask them for a reader.
+	firstExchangeDelay = 200 * time.Millisecond
+	// In a large fleet, a daemon that is not a reader calls its reader in round
+	// announceFirstRound and then every announceEveryRounds rounds. The first call comes
+	// before the daemon relies on the number of daemons in the fleet.
+	announceEveryRounds = 10
+	announceFirstRound  = 4
+	// exchangeTimeout bounds one call of an exchange.
+	exchangeTimeout = 250 * time.Millisecond
 )
 
-// Exchange tells the readers of the data centres, and the daemons at which others look
-// for a reader, of each other. It is a supervise.Service.
+// Exchange spreads the claims of readers between the readers of all data centres and the
+// seeds, which daemons ask for their reader. It is a supervise.Service.
 //
-// What goes wrong without it: a daemon that starts is sent to a reader that is gone, and
-// two daemons read for one data centre for good, each with followers of its own.
+// Without it, a starting daemon is sent to a reader that no longer runs, and two daemons
+// may both stay readers of one data centre, each with its own followers.
 type Exchange struct {
-	o     ExchangeOptions
-	known map[string]*client
+	o       ExchangeOptions
+	clients map[string]*client
 }
 
-// ExchangeOptions wire an Exchange; all but Limits and Time are required.
+// ExchangeOptions configure an Exchange; all fields but Limits and Time are required.
 type ExchangeOptions struct {
-	// Self is this daemon, and Seeds the addresses at which others look for a reader.
+	// Self describes this daemon. Seeds are the addresses that daemons ask for their
+	// reader.
 	Self    Peer
 	Seeds   []string
 	Roster  *Roster
 	Samples *Samples
-	// Limits are told of and heard of in each call; nil does neither.
+	// Limits supplies and receives the upstreams' rate limits of each call; nil does
+	// neither.
 	Limits Limits
-	// Time hands the daemon's time over to its reader; nil hands none over.
+	// Time hands accrual time over to the reader; nil hands none over.
 	Time   *TimeKeeper
 	Dial   Dialer
 	Logger log.Interface
 	Now    func() time.Time
 }
 
-// NewExchange returns an exchange with the readers in the roster and the seeds.
+// NewExchange returns an exchange that has called no daemon yet.
 func NewExchange(o ExchangeOptions) *Exchange {
 	if o.Limits == nil {
 		o.Limits = noLimits{}
 	}
-	return &Exchange{o: o, known: map[string]*client{}}
+	return &Exchange{o: o, clients: map[string]*client{}}
 }
 
 // Name implements supervise.Service.
@@ -63,70 +66,76 @@
 
 // Run implements supervise.Service.
 func (e *Exchange) Run(ctx context.Context) error {
-	defer e.forget(nil)
-	pause := exchangeFirst
+	defer e.closeAllExcept(nil)
+	pause := firstExchangeDelay
 	for n := 0; clock.Sleep(ctx, pause); n++ {
-		pause = exchangeEvery
+		pause = exchangeInterval
 		order := e.o.Roster.Order(e.o.Now())
 		switch {
 		case e.o.Roster.Leads():
-			e.round(ctx)
-		case len(order) > 0 && (e.o.Roster.Daemons(e.o.Now()) < minFleet || n%introduceEvery == introduceFirst):
-			e.introduce(ctx, order)
+			e.exchangeWithPartners(ctx)
+		case len(order) > 0 && (e.o.Roster.Daemons(e.o.Now()) < minFleet || n%announceEveryRounds == announceFirstRound):
+			e.announceToReader(ctx, order)
 		default:
-			e.forget(nil)
+			e.closeAllExcept(nil)
 		}
 	}
 	return nil
 }
 
-// introduce tells the reader of this daemon, or the first in its succession that answers,
-// and takes what that one knows of the fleet. One that does not answer within exchangeTime
-// may be slow; whether it is lost is for those to say who ask it for records.
+// announceToReader calls the reader of this daemon, or the first successor that answers,
+// and adopts the succession in the response. A daemon that does not answer within
+// exchangeTimeout may only be slow, so it isn't marked as unreachable; only failed reads do
+// that.
 //
-// What goes wrong otherwise: who reads the store itself, as all do in a small fleet and
-// those do that read for others a moment ago, is not heard and not told, and what all share
-// is divided by too few.
-func (e *Exchange) introduce(ctx context.Context, order []Peer) {
+// It is needed by daemons that read the store themselves and so make no other calls to the
+// reader: all daemons of a small fleet, and those that have had followers recently. Without
+// it, such a daemon and the reader would not count each other, and each would divide the
+// fleet's limits by too few daemons.
+func (e *Exchange) announceToReader(ctx context.Context, order []Peer) {
 	for _, peer := range order {
 		if peer.Address == e.o.Self.Address {
 			continue
 		}
-		reply, err := e.call(ctx, peer.Address, meetCall{Self: e.o.Self, Accrued: e.o.Time.handOver(e.o.Now(), peer)})
+		reply, err := e.call(ctx, peer.Address, discoverRequest{Self: e.o.Self, Accrued: e.o.Time.handOver(e.o.Now(), peer)})
 		if err == nil {
-			e.o.Time.stamped(e.o.Now(), peer.Address, reply.Stamp)
-			e.forget(map[string]bool{peer.Address: true})
+			e.o.Time.recordStamp(e.o.Now(), peer.Address, reply.Stamp)
+			e.closeAllExcept(map[string]bool{peer.Address: true})
 			e.o.Roster.Told(reply.Succession)
 			return
 		}
 	}
 }
 
-// round calls every partner once.
-func (e *Exchange) round(ctx context.Context) {
+// exchangeWithPartners calls every partner once.
+func (e *Exchange) exchangeWithPartners(ctx context.Context) {
 	partners := e.partners()
-	e.forget(partners)
-	saw := packSamples(e.o.Samples.TakeAcross())
+	e.closeAllExcept(partners)
+	samples := toWireSamples(e.o.Samples.TakeAcross())
 	if e.o.Roster.Daemons(e.o.Now()) < minFleet {
-		saw = nil // each daemon sees enough itself, and knows of its own prompts which waited
+		// A daemon of a small fleet handles enough completions itself. Samples of others
+		// would also lack what it knows of its own requests, such as which prompts were
+		// queued.
+		samples = nil
 	}
 	for address := range partners {
-		_, _ = e.call(ctx, address, meetCall{Self: e.o.Self, Claims: e.o.Roster.Claims(e.o.Now()), Saw: saw}) // the next round calls again
+		_, _ = e.call(ctx, address, discoverRequest{Self: e.o.Self, Claims: e.o.Roster.Claims(e.o.Now()), Samples: samples}) // the next round calls again after an error
 	}
 }
 
-// call tells a daemon of this one, and takes the readers that it knows.
-func (e *Exchange) call(ctx context.Context, address string, m meetCall) (meetReply, error) {
-	c := e.known[address]
+// call sends a request to the daemon at an address and stores the claims and limits of the
+// response.
+func (e *Exchange) call(ctx context.Context, address string, m discoverRequest) (discoverResponse, error) {
+	c := e.clients[address]
 	if c == nil {
 		c = &client{dial: e.o.Dial}
-		e.known[address] = c
+		e.clients[address] = c
 	}
 	now := e.o.Now()
 	m.Limits = e.o.Limits.News(e.o.Roster.Daemons(now) < minFleet)
-	reply, err := c.meet(ctx, address, m, exchangeTime)
+	reply, err := c.discover(ctx, address, m, exchangeTimeout)
 	if err != nil {
-		e.o.Logger.WithField("daemon", address).WithError(err).Debug("no exchange")
+		e.o.Logger.WithField("daemon", address).WithError(err).Debug("exchange unanswered")
 		return reply, err
 	}
 	e.o.Roster.Answered(address)
@@ -135,7 +144,7 @@
 	return reply, nil
 }
 
-// partners returns the addresses to call.
+// partners returns the addresses of the seeds and of all known readers except this daemon.
 func (e *Exchange) partners() map[string]bool {
 	out := map[string]bool{}
 	for _, address := range e.o.Seeds {
@@ -148,12 +157,12 @@
 	return out
 }
 
-// forget closes the connections to daemons that are no partners any more.
-func (e *Exchange) forget(partners map[string]bool) {
-	for address, c := range e.known {
+// closeAllExcept closes the connections to all daemons but the partners.
+func (e *Exchange) closeAllExcept(partners map[string]bool) {
+	for address, c := range e.clients {
 		if !partners[address] {
 			c.close()
-			delete(e.known, address)
+			delete(e.clients, address)
 		}
 	}
 }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -1,8 +1,9 @@
 //go:build !race
 
-// The race detector of go1.26 fails a check of its own ("slot_locked") in a test bubble with
-// the goroutines of thirty daemons, so that these tests run without it; make test runs them
-// by themselves. What daemons share is tested with the detector over real connections.
+// The race detector of go1.26 fails an internal check ("slot_locked") in a synctest bubble
+// with the goroutines of thirty daemons. These tests therefore run without it, in a
+// separate step of make test. Other tests cover the state shared between daemons with the
+// race detector, over real connections.
 
 package relay
 
@@ -16,102 +17,101 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// fleetSizes are the fleets that each load is played with.
+// fleetSizes are the numbers of daemons with which each load is run.
 var fleetSizes = []int{30, 100, 300}
 
 const (
 	upstreams = 40
-	// startTime is how long a fleet needs at most to settle after a start.
-	startTime = 12 * time.Second
-	// burstCalls is how many calls the fleet may make in any second after its first, and
-	// startCalls in its first.
-	burstCalls = 100
-	startCalls = 150
+	// startupTime is the longest time that a fleet needs to settle after a start.
+	startupTime = 12 * time.Second
+	// maxCallsPerSecond is the largest number of calls that the fleet may make to the store
+	// in any later second, and maxCallsAtStart in its first second.
+	maxCallsPerSecond = 100
+	maxCallsAtStart   = 150
 )
 
-// play runs a load on fleets of each size, of which all daemons know the configuration
-// and the upstreams.
-func play(t *testing.T, load func(t *testing.T, w *world)) {
+// runOnFleets runs a load on fleets of each size. When the load begins, all daemons have
+// the configuration and the upstreams.
+func runOnFleets(t *testing.T, load func(t *testing.T, w *testFleet)) {
 	for _, n := range fleetSizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, n)
-				w.store.configure(1)
+				w := newTestFleet(t, n)
+				w.store.putConfig(1)
 				for i := range upstreams {
 					w.store.register(i)
 				}
 				w.startAll(w.daemons)
-				time.Sleep(startTime)
-				if _, ok := w.slowest(); !ok {
+				time.Sleep(startupTime)
+				if _, ok := w.slowestStart(); !ok {
 					t.Error("a daemon is not ready")
 				}
 				load(t, w)
 				for _, d := range w.daemons {
-					if d.back {
-						t.Errorf("%s went back to an older version", d.self.Instance)
+					if d.regressed {
+						t.Errorf("%s applied an older version after a newer one", d.self.Instance)
 					}
 				}
-				w.end()
+				w.stopAll()
 			})
 		})
 	}
 }
 
-// calls checks the calls from a time of the test to now.
-func (w *world) calls(t *testing.T, from time.Duration, most float64) {
+// checkCalls checks the number of calls to the store since a time of the test.
+func (w *testFleet) checkCalls(t *testing.T, from time.Duration, limit float64) {
 	t.Helper()
-	sum, second := w.store.calls(from, w.at())
-	t.Logf("%.0f calls in %v, at most %.0f in a second", sum, w.at()-from, second)
-	if sum > most {
-		t.Errorf("%.0f calls in %v, want at most %.0f", sum, w.at()-from, most)
+	sum, maxPerSecond := w.store.calls(from, w.elapsed())
+	t.Logf("%.0f calls in %v, at most %.0f in a second", sum, w.elapsed()-from, maxPerSecond)
+	if sum > limit {
+		t.Errorf("%.0f calls in %v, want at most %.0f", sum, w.elapsed()-from, limit)
 	}
-	if second > burstCalls {
-		t.Errorf("%.0f calls in one second, want at most %d", second, burstCalls)
+	if maxPerSecond > maxCallsPerSecond {
+		t.Errorf("%.0f calls in one second, want at most %d", maxPerSecond, maxCallsPerSecond)
 	}
 }
 
-// within checks that all daemons that live have learned something in time.
-func (w *world) within(t *testing.T, what string, from time.Time, bound time.Duration) {
+// checkLearned checks that all running daemons have seen a change within a bound.
+func (w *testFleet) checkLearned(t *testing.T, change string, from time.Time, bound time.Duration) {
 	t.Helper()
-	late, missing := w.late(what, from, w.living())
-	t.Logf("%s: known to all %v after", what, late)
+	late, missing := w.lastLearned(change, from, w.running())
+	t.Logf("%s: applied by all daemons after %v", change, late)
 	if missing > 0 || late > bound {
-		t.Errorf("%s: %d daemons do not know, the last that does %v after, want %v", what, missing, late, bound)
+		t.Errorf("%s: %d daemons have not applied it, the last that has after %v, want %v", change, missing, late, bound)
 	}
 }
 
-// leave marks upstream u0 as leaving.
-func (s *modelStore) leave() time.Time {
+// markDraining marks upstream u0 as draining.
+func (s *fakeStore) markDraining() time.Time {
 	r := upstream(0)
 	r.Draining = true
 	return s.put(fleet.FeedUpstreams, fleet.Change{Put: &r})
 }
 
-// forget drops an upstream's registration.
-func (s *modelStore) forget(i int) time.Time {
+// unregister removes an upstream's registration.
+func (s *fakeStore) unregister(i int) time.Time {
 	return s.put(fleet.FeedUpstreams, fleet.Change{Gone: upstream(i).Name})
 }
 
-// Load: a fleet of which nothing happens.
-// Symptom: calls that grow with the daemons.
+// Load: a fleet without any events. Guards against calls whose number grows with the number
+// of daemons.
 func TestCalm(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		time.Sleep(30 * time.Second)
-		w.calls(t, from, 30*12) // two and a half a second for each reader, a tenth for each renewal
+		w.checkCalls(t, from, 30*12) // 2.5 calls a second for each reader, and 0.1 for each renewal of its membership
 	})
 }
 
-// Load: all daemons start within 0.3 s while upstreams register one by one.
-// Symptom: thousands of calls before the first caller came.
-// Cause: each daemon reads each record for itself until it has found a reader, and the
-// reader it finds has no word yet.
+// Load: all daemons start within 0.3 s while upstreams register one by one. Guards against
+// thousands of calls before the first request of a caller, which occur if each daemon reads
+// the store until it has found a reader, and that reader has no data yet.
 func TestStart(t *testing.T) {
 	for _, n := range fleetSizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, n)
-				w.store.configure(1)
+				w := newTestFleet(t, n)
+				w.store.putConfig(1)
 				go func() {
 					for i := range upstreams {
 						w.store.register(i)
@@ -119,52 +119,52 @@
 					}
 				}()
 				w.startAll(w.daemons)
-				time.Sleep(14*time.Second - w.at())
-				if longest, ok := w.slowest(); !ok || longest > 2*time.Second {
+				time.Sleep(14*time.Second - w.elapsed())
+				if longest, ok := w.slowestStart(); !ok || longest > 2*time.Second {
 					t.Errorf("ready: all %t, the last after %v", ok, longest)
 				}
-				if first, _ := w.store.calls(0, time.Second); first > startCalls {
-					t.Errorf("%.0f calls in the first second, want at most %d", first, startCalls)
+				if first, _ := w.store.calls(0, time.Second); first > maxCallsAtStart {
+					t.Errorf("%.0f calls in the first second, want at most %d", first, maxCallsAtStart)
 				}
-				w.calls(t, time.Second, 300)
+				w.checkCalls(t, time.Second, 300)
 				if got := len(w.readers()); got != dataCentres {
 					t.Errorf("%d readers, want one of each data centre", got)
 				}
 				for _, d := range w.readers() {
 					if d.self.Weight < 800 {
-						t.Errorf("%s reads, which is a small daemon", d.self.Instance)
+						t.Errorf("%s is a reader in spite of its small weight", d.self.Instance)
 					}
 				}
-				w.end()
+				w.stopAll()
 			})
 		})
 	}
 }
 
-// Load: all daemons are killed at once and start again.
-// Symptom: a fleet of 300 is back after tens of seconds.
-// Cause: the store refuses the calls over its rate, which all daemons make at once.
+// Load: all daemons are killed at once and started again. Guards against a fleet of 300
+// that needs tens of seconds to be ready because the store's rate limit refuses the calls
+// that all daemons make at once.
 func TestRestartOfAll(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		w.kill(w.daemons...)
 		w.startAll(w.daemons)
 		time.Sleep(10 * time.Second)
-		if longest, ok := w.slowest(); !ok || longest > 2*time.Second {
+		if longest, ok := w.slowestStart(); !ok || longest > 2*time.Second {
 			t.Errorf("ready: all %t, the last after %v", ok, longest)
 		}
-		sum, most := w.store.calls(from, w.at())
+		sum, most := w.store.calls(from, w.elapsed())
 		t.Logf("%.0f calls, at most %.0f in a second", sum, most)
-		if sum > 300 || most > startCalls {
+		if sum > 300 || most > maxCallsAtStart {
 			t.Errorf("%.0f calls, at most %.0f in a second", sum, most)
 		}
 	})
 }
 
-// Load: one daemon after the other is stopped and started again.
+// Load: the daemons are stopped and started again one after the other.
 func TestRollingRestart(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		for _, d := range w.daemons[:20] {
 			d.kill()
 			time.Sleep(500 * time.Millisecond)
@@ -172,49 +172,48 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		if longest, ok := w.slowest(); !ok || longest > 3*time.Second {
+		if longest, ok := w.slowestStart(); !ok || longest > 3*time.Second {
 			t.Errorf("ready: all %t, the last after %v", ok, longest)
 		}
-		w.calls(t, from, 25*20)
+		w.checkCalls(t, from, 25*20)
 	})
 }
 
-// Load: the store refuses every call for 16 s, or leaves every call without an answer,
-// and comes back with a new version, a registration that lapsed and one that is back.
-// Symptom: 41,000 calls of 295 daemons to a store that was weakest then.
-// Cause: each daemon asked for each feed every 250 ms.
+// Load: the store refuses every call for 16 s, or answers none, and then has a new version
+// of the configuration and a draining upstream. Guards against 41,000 calls by 295 daemons
+// to a store that is recovering, caused by daemons that each read each feed every 250 ms.
 func TestOutage(t *testing.T) {
-	for name, set := range map[string]func(s *modelStore, away bool){
-		"refuses": func(s *modelStore, away bool) { s.down = away },
-		"silent":  func(s *modelStore, away bool) { s.silent = away },
+	for name, set := range map[string]func(s *fakeStore, away bool){
+		"refuses": func(s *fakeStore, away bool) { s.down = away },
+		"silent":  func(s *fakeStore, away bool) { s.unresponsive = away },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(t *testing.T, w *world) {
-				from := w.at()
+			runOnFleets(t, func(t *testing.T, w *testFleet) {
+				from := w.elapsed()
 				w.store.update(func() { set(w.store, true) })
 				time.Sleep(16 * time.Second)
-				w.calls(t, from, 16*50)
-				version, left := w.store.configure(2), w.store.leave()
+				w.checkCalls(t, from, 16*50)
+				version, left := w.store.putConfig(2), w.store.markDraining()
 				w.store.update(func() { set(w.store, false) })
 				time.Sleep(5 * time.Second)
-				w.within(t, "version 2", version, 2*time.Second)
-				w.within(t, "leaves u0", left, 2*time.Second)
-				w.calls(t, from, 21*50)
+				w.checkLearned(t, "version 2", version, 2*time.Second)
+				w.checkLearned(t, "leaves u0", left, 2*time.Second)
+				w.checkCalls(t, from, 21*50)
 			})
 		})
 	}
 }
 
-// Symptom: upstreams that live get no work after an outage.
-// Sequence: registrations lapse while the store is away; it comes back; they are back
-// within 1.5 s.
-// Cause: a follower that takes what its reader read after the outage for withdrawals.
+// Guards against running upstreams that get no requests after an outage. Registrations
+// expire while the store is unavailable, and all but one are restored within 1.5 s of its
+// return. Followers must not take the first batch that their reader reads after the outage
+// for deliberate removals.
 func TestLapsesOfAnOutageAreToldApart(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		w.store.update(func() { w.store.down = true })
 		time.Sleep(5 * time.Second)
 		for i := range 5 {
-			w.store.forget(i)
+			w.store.unregister(i)
 		}
 		w.store.update(func() { w.store.down = false })
 		time.Sleep(1500 * time.Millisecond)
@@ -222,9 +221,9 @@
 			w.store.register(i)
 		}
 		time.Sleep(5 * time.Second)
-		for _, d := range w.living() {
+		for _, d := range w.running() {
 			if _, ok := d.learned["gone u0"]; ok {
-				t.Fatalf("%s dropped an upstream that lives", d.self.Instance)
+				t.Fatalf("%s dropped a running upstream", d.self.Instance)
 			}
 			if _, ok := d.learned["gone u4"]; !ok {
 				t.Fatalf("%s keeps an upstream that is gone", d.self.Instance)
@@ -233,80 +232,81 @@
 	})
 }
 
-// Load: the store turns a third of the daemons away, readers among them, and serves the
-// others.
-// Symptom: followers of a reader that is refused learn nothing, or all ask the store.
+// Load: the store refuses a third of the daemons, including the readers, and serves the
+// others. Guards against followers of a refused reader that learn nothing or all call the
+// store.
 func TestSomeAreRefused(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		w.store.update(func() {
 			for i, d := range w.daemons {
-				w.store.refused[d.self.Instance] = i%3 == 0 || d.roster.Leads()
+				w.store.refusedInstances[d.self.Instance] = i%3 == 0 || d.roster.Leads()
 			}
 		})
 		time.Sleep(time.Second)
-		version, left := w.store.configure(2), w.store.leave()
+		version, left := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(8 * time.Second)
-		w.within(t, "version 2", version, testBound)
-		w.within(t, "leaves u0", left, testBound)
-		w.calls(t, from, 9*45)
+		w.checkLearned(t, "version 2", version, testBound)
+		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkCalls(t, from, 9*45)
 	})
 }
 
-// Symptom: a version is three seconds late in a data centre whose reader the store refuses.
-// Sequence: the store refuses every reader and the two after its first successor for nine
-// seconds; versions come all the while.
-// Cause: a successor that serves the reader is not heard, and is left for the next ones.
+// Guards against a configuration that arrives three seconds late in a data centre whose
+// reader the store refuses. For nine seconds the store serves only one daemon of each data
+// centre, while new versions are published. A successor that serves the reader must not
+// drop out of its order.
 func TestRefusedForLong(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		w.store.update(func() {
 			for i, d := range w.daemons {
-				w.store.refused[d.self.Instance] = i/dataCentres != 1
+				w.store.refusedInstances[d.self.Instance] = i/dataCentres != 1
 			}
 		})
 		for version := uint64(2); version < 11; version++ {
-			at := w.store.configure(version)
+			at := w.store.putConfig(version)
 			time.Sleep(time.Second)
-			if version > 4 { // those that are served are found by then
-				w.within(t, fmt.Sprintf("version %d", version), at, 500*time.Millisecond)
+			if version > 4 { // by then followers have found the daemons that the store serves
+				w.checkLearned(t, fmt.Sprintf("version %d", version), at, 500*time.Millisecond)
 			}
 		}
-		w.calls(t, from, 9*60)
+		w.checkCalls(t, from, 9*60)
 	})
 }
 
-// Load: every reader is killed, just before a version and a withdrawal.
-// Symptom: a withdrawn upstream gets new work; or 300 daemons ask the store.
+// Load: every reader is killed just before a new configuration and the draining of an
+// upstream. Guards against requests that are still sent to the draining upstream, and
+// against a call to the store by each of 300 daemons.
 func TestReadersLost(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		w.kill(w.readers()...)
-		version, left := w.store.configure(2), w.store.leave()
+		version, left := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(8 * time.Second)
-		w.within(t, "version 2", version, testBound)
-		w.within(t, "leaves u0", left, testBound)
-		w.calls(t, from, 8*25)
+		w.checkLearned(t, "version 2", version, testBound)
+		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkCalls(t, from, 8*25)
 	})
 }
 
-// Load: the readers stand still, with open connections, for 6 s.
-// Symptom: their followers wait for them.
+// Load: the readers freeze for 6 s with their connections open. Guards against followers
+// that wait for them.
 func TestReadersFrozen(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		frozen := map[string]bool{}
 		for _, d := range w.readers() {
 			frozen[d.self.Address] = true
-			w.store.setDead(d.self.Instance, true)
+			w.store.setUnreachable(d.self.Instance, true)
 		}
-		w.network.setCut(func(a, b string) bool { return frozen[a] || frozen[b] })
-		version, left := w.store.configure(2), w.store.leave()
+		w.network.setPartition(func(a, b string) bool { return frozen[a] || frozen[b] })
+		version, left := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(6 * time.Second)
 		for _, d := range w.daemons {
-			w.store.setDead(d.self.Instance, false)
+			w.store.setUnreachable(d.self.Instance, false)
 		}
-		w.network.setCut(nil)
+		w.network.setPartition(nil)
 		var others []*daemon
 		for _, d := range w.daemons {
 			if !frozen[d.self.Address] {
@@ -314,76 +314,75 @@
 			}
 		}
 		for what, at := range map[string]time.Time{"version 2": version, "leaves u0": left} {
-			if late, missing := w.late(what, at, others); missing > 0 || late > testBound {
-				t.Errorf("%s: %d do not know, the last %v after", what, missing, late)
+			if late, missing := w.lastLearned(what, at, others); missing > 0 || late > testBound {
+				t.Errorf("%s: %d daemons have not applied it, the last that has after %v", what, missing, late)
 			}
 		}
 		time.Sleep(12 * time.Second)
-		w.within(t, "version 2", version, 10*time.Second)
-		w.calls(t, from, 18*30)
+		w.checkLearned(t, "version 2", version, 10*time.Second)
+		w.checkCalls(t, from, 18*30)
 		if got := len(w.readers()); got != dataCentres {
-			t.Errorf("%d readers after the thaw", got)
+			t.Errorf("%d readers after the freeze", got)
 		}
 	})
 }
 
-// Load: a data centre is cut off from the others and from the store for 6 s, and comes
-// back.
-// Symptom: each of its daemons asks a store that it cannot reach; after the cut versions
-// are late there.
+// Load: a data centre is partitioned from the others and from the store for 6 s. Guards
+// against daemons that each call the unreachable store, and against changes that arrive
+// late there after the partition.
 func TestDataCentreCutOff(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		cut := map[string]bool{}
 		for _, d := range w.daemons {
 			if d.self.DataCentre == "dc1" {
 				cut[d.self.Address] = true
-				w.store.setDead(d.self.Instance, true)
+				w.store.setUnreachable(d.self.Instance, true)
 			}
 		}
-		w.network.setCut(func(a, b string) bool { return cut[a] != cut[b] })
+		w.network.setPartition(func(a, b string) bool { return cut[a] != cut[b] })
 		time.Sleep(6 * time.Second)
-		for _, d := range w.living() {
+		for _, d := range w.running() {
 			if d.self.DataCentre == "dc1" && d.watch.View() == nil {
 				t.Errorf("%s serves nothing", d.self.Instance)
 			}
 		}
 		for _, d := range w.daemons {
-			w.store.setDead(d.self.Instance, false)
+			w.store.setUnreachable(d.self.Instance, false)
 		}
-		w.network.setCut(nil)
-		version := w.store.configure(2)
+		w.network.setPartition(nil)
+		version := w.store.putConfig(2)
 		time.Sleep(8 * time.Second)
-		w.within(t, "version 2", version, testBound)
-		w.calls(t, from, 14*25)
+		w.checkLearned(t, "version 2", version, testBound)
+		w.checkCalls(t, from, 14*25)
 		if got := len(w.readers()); got != dataCentres {
-			t.Errorf("%d readers after the cut", got)
+			t.Errorf("%d readers after the partition", got)
 		}
 	})
 }
 
-// Load: the store drops its history while all daemons follow it.
-// Symptom: each daemon reads the whole state from the store.
+// Load: the store trims its history while all daemons follow it. Guards against daemons
+// that each read a snapshot from the store.
 func TestHistoryForgotten(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
-		left := w.store.leave()
-		w.store.update(func() { // before any reader has asked for the last record
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
+		left := w.store.markDraining()
+		w.store.update(func() { // before any reader has read the last record
 			for f := range w.store.feeds {
-				w.store.first[f] = uint64(len(w.store.feeds[f]))
+				w.store.firstOffset[f] = uint64(len(w.store.feeds[f]))
 			}
 		})
 		time.Sleep(5 * time.Second)
-		w.within(t, "leaves u0", left, testBound)
-		w.calls(t, from, 5*20)
+		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkCalls(t, from, 5*20)
 	})
 }
 
-// Load: a configuration of many routes each second.
-// Symptom: each daemon reads each version from the store.
+// Load: a configuration with many routes every 0.33 s. Guards against daemons that each
+// read every version from the store.
 func TestConfigurationsInSuccession(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		var last time.Time
 		for version := uint64(2); version < 12; version++ {
 			routes := make([]fleet.Route, 1400)
@@ -394,18 +393,17 @@
 			time.Sleep(330 * time.Millisecond)
 		}
 		time.Sleep(4 * time.Second)
-		w.within(t, "version 11", last, testBound)
-		w.calls(t, from, 8*30)
+		w.checkLearned(t, "version 11", last, testBound)
+		w.checkCalls(t, from, 8*30)
 	})
 }
 
-// Symptom: a daemon that starts while the store is away serves nothing.
-// Sequence: the store goes away; a daemon is started again.
-// Cause: a whole state that only the store could give.
+// Guards against a daemon that serves nothing when it is started while the store is
+// unavailable. It must get its snapshot from another daemon.
 func TestStartWhileTheStoreIsAway(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		w.store.update(func() { w.store.down = true })
-		time.Sleep(300 * time.Millisecond) // the readers' words are still fresh
+		time.Sleep(300 * time.Millisecond) // the readers' data is still fresh
 		d := w.daemons[len(w.daemons)-1]
 		d.kill()
 		d.start()
@@ -416,50 +414,48 @@
 	})
 }
 
-// Symptom: the one daemon that reaches the store learns nothing.
-// Sequence: all others, among them those it follows, are killed.
-// Cause: a daemon that waits for a reader for good.
+// Guards against a daemon that waits for a reader forever. All other daemons, including its
+// reader, are killed; it must read the store itself.
 func TestTheLastDaemonReadsItself(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		last := w.daemons[len(w.daemons)-1]
 		w.kill(w.daemons[:len(w.daemons)-1]...)
-		left := w.store.leave()
+		left := w.store.markDraining()
 		time.Sleep(5 * time.Second)
-		if late, missing := w.late("leaves u0", left, []*daemon{last}); missing > 0 || late > testBound {
-			t.Errorf("known after %v, missing %d", late, missing)
+		if late, missing := w.lastLearned("leaves u0", left, []*daemon{last}); missing > 0 || late > testBound {
+			t.Errorf("applied after %v, missing %d", late, missing)
 		}
 	})
 }
 
-// Load: a fleet of seven, as all of the oldest deployments are. Each daemon reads for
-// itself, so that no fault of one reaches the others.
+// Load: a fleet of seven daemons, which is below minFleet. Each daemon reads the store
+// itself, so that the fault of one does not affect the others.
 func TestSmallFleetReadsDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 7)
-		w.store.configure(1)
+		w := newTestFleet(t, 7)
+		w.store.putConfig(1)
 		w.store.register(0)
 		w.startAll(w.daemons)
-		time.Sleep(startTime)
+		time.Sleep(startupTime)
 		for _, d := range w.daemons {
 			if !d.feeds.Reads() {
-				t.Errorf("%s follows another daemon", d.self.Instance)
+				t.Errorf("%s reads through another daemon", d.self.Instance)
 			}
 		}
-		w.end()
+		w.stopAll()
 	})
 }
 
-// Load: each daemon sees one completion every two seconds, as in a fleet of hundreds.
-// Symptom: the daemon that orders engines learns nothing of what completions cost before
-// a day is over, and no daemon the length of answers within a minute.
-// Cause: each learns from its own alone.
+// Load: each daemon sees one completion every two seconds, as in a fleet of hundreds. From
+// its own completions alone, the daemon that assigns roles to engines would not learn their
+// cost within a day, and no daemon would learn the length of answers within a minute.
 func TestAllLearnFromTheFleet(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
-		from := w.at()
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
+		from := w.elapsed()
 		const seconds = 12
 		for range seconds {
 			for i, d := range w.daemons {
-				if i%2 == int(w.at()/time.Second)%2 {
+				if i%2 == int(w.elapsed()/time.Second)%2 {
 					d.samples.Saw(time.Now(), estimate.Sample{Model: "m", PromptTokens: 3000, AnswerTokens: 700, Held: time.Second})
 				}
 			}
@@ -468,26 +464,25 @@
 		all := len(w.daemons) / 2 * seconds
 		for _, d := range w.daemons {
 			d.mu.Lock()
-			got := len(d.shown)
+			got := len(d.received)
 			d.mu.Unlock()
 			switch {
 			case d.roster.Leads() && got < all/2:
-				t.Errorf("%s reads and has learned of %d of %d", d.self.Instance, got, all)
+				t.Errorf("reader %s has received %d of %d samples", d.self.Instance, got, all)
 			case got < 24:
-				t.Errorf("%s has learned of %d", d.self.Instance, got)
+				t.Errorf("%s has received %d samples", d.self.Instance, got)
 			case got > all:
-				t.Errorf("%s has learned of %d of %d", d.self.Instance, got, all)
+				t.Errorf("%s has received %d samples of %d", d.self.Instance, got, all)
 			}
 		}
-		w.calls(t, from, seconds*14)
+		w.checkCalls(t, from, seconds*14)
 	})
 }
 
-// Symptom: a daemon that starts judges engines by nothing for a minute.
-// Sequence: the fleet has seen hundreds of completions; a daemon is started again.
-// Cause: what others know reaches it one by one.
+// Guards against a restarted daemon that has no estimates for a minute. It must be sent the
+// recent samples of the fleet at once instead of one by one.
 func TestANewDaemonIsToldWhatOthersSaw(t *testing.T) {
-	play(t, func(t *testing.T, w *world) {
+	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		for range 5 {
 			for _, d := range w.daemons {
 				d.samples.Saw(time.Now(), estimate.Sample{Model: "m", AnswerTokens: 700})
@@ -496,11 +491,11 @@
 		}
 		d := w.daemons[len(w.daemons)-1]
 		d.kill()
-		d.shown = nil
+		d.received = nil
 		d.start()
 		time.Sleep(2 * time.Second)
-		if got := len(d.shown); got < firstSamples {
-			t.Errorf("told of %d", got)
+		if got := len(d.received); got < maxSamplesAtStart {
+			t.Errorf("received %d samples", got)
 		}
 	})
 }
--- a/relay/journal.go
+++ b/relay/journal.go
@@ -8,113 +8,121 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// keptReadings bounds the readings of one feed that are kept for others. A follower
-// asks again within AnswerWithin, in which a feed has a few readings; one that asks
-// for older ones is given the state as a whole.
-const keptReadings = 64
+// maxCachedBatches bounds the batches that are cached of each feed. A follower reads again
+// within Pace.AnswerWithin, in which a feed yields only a few batches. A follower that asks
+// for older records is sent a snapshot of the feed.
+const maxCachedBatches = 64
 
-// feeds is the number of the store's feeds.
-const feeds = 2
+// feedCount is the number of the store's feeds.
+const feedCount = 2
 
-// reading is what one call to the store returned: the records from an offset on, up
-// to Batch.Next.
-type reading struct {
+// cachedBatch is the result of one read: the records from offset from up to batch.Next.
+type cachedBatch struct {
 	from  uint64
 	batch fleet.Batch
 }
 
-// Journal holds what this daemon has read of the feeds: the newest record of every key,
-// and the readings of late. It is safe for concurrent use.
+// Journal caches what this daemon has read of the feeds: the newest record of each key and
+// the most recent batches. It is safe for concurrent use.
 type Journal struct {
 	mu    sync.Mutex
-	feeds [feeds]journalFeed
-	// heard is when the store last had a word, of whatever feed and by whatever way: the
-	// feeds are one store's.
-	heard time.Time
-	// away says that the store gave this daemon no answer since.
-	away    bool
-	changed chan struct{} // closed and replaced with each reading
+	feeds [feedCount]feedState
+	// lastContact is the time of the newest data from the store, read directly or through
+	// another daemon. Both feeds share it because they belong to the same store.
+	lastContact time.Time
+	// storeDown reports that the last direct read of this daemon failed, with no successful
+	// read since.
+	storeDown bool
+	changed   chan struct{} // closed and replaced by each change
 }
 
-type journalFeed struct {
-	readings []reading
-	// state is the newest record of each key up to next; nil before the first reading.
+// feedState is the cached content of one feed.
+type feedState struct {
+	batches []cachedBatch
+	// state holds the newest record of each key up to offset next. It is nil before the
+	// first read.
 	state map[string]fleet.Change
 	next  uint64
-	// returned is when the store last came back after it was away.
-	returned time.Time
+	// recoveredAt is the time of the last successful read that followed an outage of the
+	// store.
+	recoveredAt time.Time
 }
 
-// returnTime is how long after the store's return records are told apart from others:
-// what is missing then may only have lapsed. It is as long as upstreams that live have
-// to register again.
-const returnTime = 2 * time.Second
+// recoveryWindow is how long after an outage of the store snapshots are marked with Away. A
+// registration that is missing then may only have expired during the outage. Running
+// upstreams need this long to register again.
+const recoveryWindow = 2 * time.Second
 
-// Look is what a journal holds of a feed from an offset on.
+// Look is the cached content of a feed from an offset on.
 type Look struct {
-	// Known says that there is anything. Then Batch has the records, or the state as a
-	// whole where those from the offset on are not kept.
+	// Known reports that the feed has been read. Batch then holds the records from the
+	// offset on or, where these are no longer cached, a snapshot.
 	Known bool
 	Batch fleet.Batch
-	// Age is how long ago the store last had a word. A machine that was suspended counts
-	// the time that it stood still.
+	// Age is the time since the last contact with the store. It includes time during which
+	// the machine was suspended.
 	Age time.Duration
-	// Away says that the store gave no answer since.
+	// Away reports that a call to the store has failed since the last contact.
 	Away bool
-	// Changed is closed when any of this changes, but for the age.
+	// Changed is closed when any other field than Age changes.
 	Changed <-chan struct{}
 }
 
-// NewJournal returns a journal of nothing.
+// NewJournal returns an empty journal.
 func NewJournal() *Journal { return &Journal{changed: make(chan struct{})} }
 
-// Add takes what was read of a feed from an offset on, as of a time.
-func (j *Journal) Add(heard time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
+// Add stores a batch of a feed that was read from the offset from on. readAt is when its
+// data came from the store.
+func (j *Journal) Add(readAt time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if heard.After(j.heard) {
-		j.heard = heard
+	if readAt.After(j.lastContact) {
+		j.lastContact = readAt
 	}
-	j.away = false
+	j.storeDown = false
 	s := &j.feeds[f]
 	if b.Away {
-		s.returned = heard
+		s.recoveredAt = readAt
 	}
 	switch {
 	case b.Whole:
-		s.readings, s.state = nil, map[string]fleet.Change{}
+		s.batches, s.state = nil, map[string]fleet.Change{}
 		s.apply(b)
 	case from > s.next:
-		// What lies between was not read here: this daemon has no whole state to tell of.
-		s.readings, s.state = nil, nil
+		// Records between s.next and from are missing, so the state is incomplete and is
+		// dropped.
+		s.batches, s.state = nil, nil
 	case s.state != nil && b.Next > s.next:
-		s.add(reading{from: from, batch: b})
+		s.addBatch(cachedBatch{from: from, batch: b})
 		s.apply(b)
 	}
-	j.wake()
+	j.notify()
 }
 
-// Away notes that the store gave no answer.
+// Away records that the store failed to answer this daemon.
 func (j *Journal) Away() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.away = true
-	j.wake()
+	j.storeDown = true
+	j.notify()
 }
 
-func (j *Journal) wake() {
+// notify wakes the callers that wait for a change.
+func (j *Journal) notify() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-func (s *journalFeed) add(r reading) {
-	if len(s.readings) == keptReadings {
-		s.readings = append(s.readings[:0], s.readings[1:]...)
+// addBatch caches a batch and drops the oldest one if there are too many.
+func (s *feedState) addBatch(r cachedBatch) {
+	if len(s.batches) == maxCachedBatches {
+		s.batches = append(s.batches[:0], s.batches[1:]...)
 	}
-	s.readings = append(s.readings, r)
+	s.batches = append(s.batches, r)
 }
 
-func (s *journalFeed) apply(b fleet.Batch) {
+// apply applies the records of a batch to the state.
+func (s *feedState) apply(b fleet.Batch) {
 	s.next = b.Next
 	for _, c := range b.Changes {
 		switch {
@@ -123,52 +131,56 @@
 		case c.Put != nil:
 			s.state[c.Put.Name] = c
 		case c.Config != nil:
-			s.state[""] = c // the one record of its feed
+			s.state[""] = c // the configuration feed has a single key
 		}
 	}
 }
 
-// Look returns what is held of a feed from an offset on, or the state as a whole.
+// Look returns the cached records of a feed from the offset from on, or a snapshot if whole
+// is set.
 func (j *Journal) Look(now time.Time, f fleet.Feed, from uint64, whole bool) Look {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := &j.feeds[f]
-	l := Look{Known: s.state != nil, Away: j.away, Changed: j.changed}
+	l := Look{Known: s.state != nil, Away: j.storeDown, Changed: j.changed}
 	if !l.Known {
 		return l
 	}
-	l.Age = clock.Elapsed(j.heard, now)
-	if b, ok := s.since(from); ok && !whole {
+	l.Age = clock.Elapsed(j.lastContact, now)
+	if b, ok := s.changesSince(from); ok && !whole {
 		l.Batch = b
 	} else {
-		l.Batch = s.whole(now)
+		l.Batch = s.snapshot(now)
 	}
 	return l
 }
 
-// since returns the records from an offset on; ok is false when some may be missing.
-func (s *journalFeed) since(from uint64) (b fleet.Batch, ok bool) {
+// changesSince returns the records from an offset on; ok is false if some of them may be
+// missing.
+func (s *feedState) changesSince(from uint64) (b fleet.Batch, ok bool) {
 	b = fleet.Batch{Next: from}
-	for _, r := range s.readings {
+	for _, r := range s.batches {
 		switch {
 		case r.batch.Next <= from:
 		case r.from > b.Next:
 			return fleet.Batch{}, false
 		default:
-			// A reading that begins before the offset is passed on whole: taking a
-			// record twice, in order, leads to the same.
+			// A batch that begins before the offset is returned as a whole, because
+			// applying a record twice in order has the same result.
 			b.Changes = append(b.Changes, r.batch.Changes...)
 			b.Away = b.Away || r.batch.Away
 			b.Next = r.batch.Next
 		}
 	}
-	// A caller that is ahead of this daemon has read elsewhere: there is nothing new for it.
+	// A caller with a larger offset than this daemon has read elsewhere; there is nothing
+	// new for it.
 	return b, b.Next >= s.next
 }
 
-func (s *journalFeed) whole(now time.Time) fleet.Batch {
+// snapshot returns the newest records of all keys.
+func (s *feedState) snapshot(now time.Time) fleet.Batch {
 	b := fleet.Batch{Next: s.next, Whole: true, Changes: make([]fleet.Change, 0, len(s.state))}
-	b.Away = !s.returned.IsZero() && clock.Elapsed(s.returned, now) < returnTime
+	b.Away = !s.recoveredAt.IsZero() && clock.Elapsed(s.recoveredAt, now) < recoveryWindow
 	for _, c := range s.state {
 		b.Changes = append(b.Changes, c)
 	}
--- a/relay/journal_test.go
+++ b/relay/journal_test.go
@@ -14,10 +14,11 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// after returns the time d after t0.
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
-// gone returns a batch that withdraws names, one record each.
-func gone(next uint64, names ...string) fleet.Batch {
+// removals returns a batch with one record for each name, which removes its registration.
+func removals(next uint64, names ...string) fleet.Batch {
 	b := fleet.Batch{Next: next}
 	for _, n := range names {
 		b.Changes = append(b.Changes, fleet.Change{Gone: n})
@@ -25,8 +26,8 @@
 	return b
 }
 
-// puts returns a state as a whole that holds names.
-func puts(next uint64, names ...string) fleet.Batch {
+// snapshotOf returns a snapshot with a registration for each name.
+func snapshotOf(next uint64, names ...string) fleet.Batch {
 	b := fleet.Batch{Next: next, Whole: true}
 	for _, n := range names {
 		b.Changes = append(b.Changes, fleet.Change{Put: &fleet.Registration{Name: n}})
@@ -34,8 +35,9 @@
 	return b
 }
 
-// names returns the names that a batch withdraws, and those that it holds with a sign.
-func names(b fleet.Batch) []string {
+// recordNames returns the names in a batch, registrations with the prefix "+" and removals
+// without it.
+func recordNames(b fleet.Batch) []string {
 	var out []string
 	for _, c := range b.Changes {
 		if c.Put != nil {
@@ -66,14 +68,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			j := NewJournal()
-			j.Add(t0, fleet.FeedUpstreams, 0, puts(4, "a", "b", "c", "z"))
-			j.Add(t0, fleet.FeedUpstreams, 4, gone(6, "a", "b"))
-			j.Add(t0, fleet.FeedUpstreams, 6, gone(7, "c"))
+			j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(4, "a", "b", "c", "z"))
+			j.Add(t0, fleet.FeedUpstreams, 4, removals(6, "a", "b"))
+			j.Add(t0, fleet.FeedUpstreams, 6, removals(7, "c"))
 			l := j.Look(t0, fleet.FeedUpstreams, tc.from, tc.whole)
 			if !l.Known || l.Batch.Next != tc.next || l.Batch.Whole != tc.isAll {
 				t.Errorf("%+v; want next %d, whole %t", l, tc.next, tc.isAll)
 			}
-			if d := cmp.Diff(tc.want, names(l.Batch)); d != "" {
+			if d := cmp.Diff(tc.want, recordNames(l.Batch)); d != "" {
 				t.Error(d)
 			}
 		})
@@ -82,76 +84,74 @@
 
 func TestJournalIsBounded(t *testing.T) {
 	j := NewJournal()
-	j.Add(t0, fleet.FeedUpstreams, 0, puts(0))
-	for i := range uint64(3 * keptReadings) {
-		j.Add(t0, fleet.FeedUpstreams, i, gone(i+1, "r"))
+	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0))
+	for i := range uint64(3 * maxCachedBatches) {
+		j.Add(t0, fleet.FeedUpstreams, i, removals(i+1, "r"))
 	}
-	if l := j.Look(t0, fleet.FeedUpstreams, 2*keptReadings-1, false); !l.Batch.Whole {
-		t.Error("an older reading than the bound is kept")
+	if l := j.Look(t0, fleet.FeedUpstreams, 2*maxCachedBatches-1, false); !l.Batch.Whole {
+		t.Error("more than maxCachedBatches batches are kept")
 	}
-	if l := j.Look(t0, fleet.FeedUpstreams, 2*keptReadings, false); l.Batch.Whole || len(l.Batch.Changes) != keptReadings {
+	if l := j.Look(t0, fleet.FeedUpstreams, 2*maxCachedBatches, false); l.Batch.Whole || len(l.Batch.Changes) != maxCachedBatches {
 		t.Errorf("%d records kept, whole %t", len(l.Batch.Changes), l.Batch.Whole)
 	}
 }
 
-// Symptom: followers never learn of an upstream, with a reader that is fresh.
-// Sequence: the reader reads the records from 0 to 2, then those from 4 on.
-// Cause: a state that is taken for whole although records are missing.
+// Guards against followers of a healthy reader that never learn of an upstream. The reader
+// skips records 2 and 3; its state is then incomplete and must not be served as a snapshot.
 func TestJournalTellsOfNoGap(t *testing.T) {
 	j := NewJournal()
-	j.Add(t0, fleet.FeedUpstreams, 0, puts(2, "a"))
-	j.Add(t0, fleet.FeedUpstreams, 4, gone(6, "b"))
+	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(2, "a"))
+	j.Add(t0, fleet.FeedUpstreams, 4, removals(6, "b"))
 	if l := j.Look(t0, fleet.FeedUpstreams, 2, false); l.Known {
 		t.Errorf("%+v", l)
 	}
-	j.Add(t0, fleet.FeedUpstreams, 0, puts(7, "a"))
+	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(7, "a"))
 	if l := j.Look(t0, fleet.FeedUpstreams, 7, false); !l.Known {
-		t.Error("nothing known after a whole reading")
+		t.Error("unknown after a snapshot")
 	}
 }
 
-// Symptom: upstreams that live are dropped by the followers of a reader, not by the reader.
-// Sequence: the store was away and leases ran out; the reader's first reading shows them
-// gone, and knows that they may only have lapsed; a follower missed nothing itself, or
-// asks for the state as a whole.
-// Cause: the reader passed the records on without saying so.
+// Guards against running upstreams that are dropped by followers only. Leases expire while
+// the store is unavailable, and the reader's first batch after the outage contains the
+// removals. Followers must receive the Away mark with it, and with a snapshot for the
+// length of recoveryWindow.
 func TestJournalPassesOnThatTheStoreWasAway(t *testing.T) {
 	j := NewJournal()
-	j.Add(t0, fleet.FeedUpstreams, 0, puts(0, "a", "b"))
-	first := gone(1, "a")
+	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0, "a", "b"))
+	first := removals(1, "a")
 	first.Away = true
 	j.Add(t0, fleet.FeedUpstreams, 0, first)
-	j.Add(t0, fleet.FeedUpstreams, 1, gone(2, "b"))
+	j.Add(t0, fleet.FeedUpstreams, 1, removals(2, "b"))
 	for from, want := range map[uint64]bool{0: true, 1: false} {
 		if l := j.Look(t0, fleet.FeedUpstreams, from, false); l.Batch.Away != want {
 			t.Errorf("from %d: away %t", from, l.Batch.Away)
 		}
 	}
-	for at, want := range map[time.Duration]bool{returnTime - 1: true, returnTime: false} {
+	for at, want := range map[time.Duration]bool{recoveryWindow - 1: true, recoveryWindow: false} {
 		if l := j.Look(after(at), fleet.FeedUpstreams, 0, true); l.Batch.Away != want {
-			t.Errorf("as a whole after %v: away %t", at, l.Batch.Away)
+			t.Errorf("snapshot after %v: away %t", at, l.Batch.Away)
 		}
 	}
 }
 
-// The store's word on one feed shows that it is there for the other too, of which nothing
-// may be known yet.
+// The age depends on the last contact with the store by either feed. A feed that was never
+// read is unknown.
 func TestJournalAge(t *testing.T) {
 	j := NewJournal()
 	if j.Look(t0, fleet.FeedConfig, 0, false).Known {
-		t.Error("known before the first reading")
+		t.Error("known before the first read")
 	}
 	j.Add(t0, fleet.FeedConfig, 0, fleet.Batch{Next: 3, Whole: true})
-	j.Add(after(time.Second), fleet.FeedConfig, 3, fleet.Batch{Next: 3}) // an answer without records counts too
+	j.Add(after(time.Second), fleet.FeedConfig, 3, fleet.Batch{Next: 3}) // an empty batch also counts as contact
 	if l := j.Look(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != 2*time.Second {
 		t.Errorf("age %v", l.Age)
 	}
-	j.Add(after(2*time.Second), fleet.FeedUpstreams, 0, puts(1, "a"))
+	j.Add(after(2*time.Second), fleet.FeedUpstreams, 0, snapshotOf(1, "a"))
 	if l := j.Look(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != time.Second {
-		t.Errorf("age %v after a word on the other feed", l.Age)
+		t.Errorf("age %v after a read of the other feed", l.Age)
 	}
 	j.Away()
 	if !j.Look(t0, fleet.FeedConfig, 3, false).Away {
-		t.Error("does not tell that the store is away")
+		t.Error("does not report that the store is unavailable")
 	}
 }
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -2,19 +2,21 @@
 
 import "github.com/corianderturn/corianderturn/ratelimit"
 
-// Limits knows the rate limits that upstreams name, and hears of those that other daemons
-// know. Implementations are safe for concurrent use and do not block.
+// Limits provides the rate limits that upstreams report in their responses, and receives
+// those that other daemons have learned. Implementations are safe for concurrent use and do
+// not block.
 //
-// What goes wrong without it: a daemon that sends nothing to an upstream with a limit never
-// hears that the limit has changed or is over, and one that starts sends what it likes until
-// its first answer.
+// Without it, a daemon that sends nothing to an upstream does not learn that the upstream's
+// limit has changed or was removed, and a daemon that has just started exceeds the limit
+// until it gets its first response.
 type Limits interface {
-	// News returns what changed of late, or all that is in force.
+	// News returns the limits that changed recently, or all limits in force if all is set.
 	News(all bool) []ratelimit.Record
-	// Told takes what another daemon said.
+	// Told stores limits received from another daemon.
 	Told(list []ratelimit.Record)
 }
 
+// noLimits is the Limits of a daemon that shares no rate limits.
 type noLimits struct{}
 
 func (noLimits) News(bool) []ratelimit.Record { return nil }
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -13,59 +13,63 @@
 )
 
 const (
-	// loanTime bounds the questions for one loan.
-	loanTime = 60 * time.Millisecond
-	// loanRest is how long a daemon that gave no answer is left alone.
-	loanRest = time.Second
-	// lineIdle is how long a connection is kept without a call: shorter than the lender
-	// keeps it.
-	lineIdle = quietTime / 2
+	// loanTimeout bounds all calls that are made for one loan.
+	loanTimeout = 60 * time.Millisecond
+	// loanBackoff is how long a daemon that failed to answer is not asked again.
+	loanBackoff = time.Second
+	// maxLoanIdle is how long an unused connection is reused. It is shorter than
+	// idleTimeout, after which the lender closes the connection.
+	maxLoanIdle = idleTimeout / 2
 )
 
 // LoanCall asks a daemon to lend units of an account.
 type LoanCall struct {
-	// Team, or Upstream and Life, name the account; see quota.Account.
+	// Team, or Upstream and Life, identify the account; see quota.Account.
 	Team     string `msgpack:"t"`
 	Upstream string `msgpack:"u,omitempty"`
 	Life     int64  `msgpack:"l,omitempty"`
-	// Limits are what the caller knows of the upstream's limit, and Rank which requests go
-	// before the one that waits: those of a lower rank.
+	// Limits are the rate limits of the upstream known to the borrower. Rank is the rank of
+	// the waiting request: requests of lower rank are served first.
 	Limits []ratelimit.Record `msgpack:"r,omitempty"`
 	Rank   int                `msgpack:"k,omitempty"`
-	// Needs is for a request that waits, and Wants with what is likely to come.
+	// Needs is the number of units for the waiting request; Wants also includes the demand
+	// expected soon.
 	Needs float64 `msgpack:"n"`
 	Wants float64 `msgpack:"w"`
-	// Whatever says that less than Needs is of use too.
+	// Whatever reports that fewer units than Needs are useful too.
 	Whatever bool `msgpack:"p,omitempty"`
-	// From is the daemon that asks, and Accrued time that it hands over.
+	// From is the borrower. Accrued is accrual time that it hands over to the lender (see
+	// TimeKeeper).
 	From    Peer       `msgpack:"f"`
 	Accrued quota.Span `msgpack:"a"`
-	// Terms are those of the account at the caller.
+	// Terms are the rate of the account and the lifetime of its units. The lender has its
+	// own; they are not sent.
 	Terms quota.Terms `msgpack:"-"`
 }
 
-// Account returns the account that is asked for.
+// Account returns the account to lend from.
 func (c *LoanCall) Account() quota.Account {
 	return quota.Account{Team: c.Team, Upstream: c.Upstream, Life: c.Life}
 }
 
-// SetAccount makes it the one that is asked for.
+// SetAccount sets the account to lend from.
 func (c *LoanCall) SetAccount(a quota.Account) {
 	c.Team, c.Upstream, c.Life = a.Team, a.Upstream, a.Life
 }
 
 // Loans borrows units of accounts from other daemons. It is safe for concurrent use.
 //
-// Load pattern: a team's requests come to few of many daemons, each of which accrues a small
-// part of the team's limit. One call brings what the callers of half a second need.
+// Load pattern: the requests of a team reach only a few of many daemons, each of which
+// accrues a small share of the team's limit. One call borrows the units that the requests
+// of half a second need.
 type Loans struct {
 	o LoansOptions
 
 	mu    sync.Mutex
-	lines map[string]*line // by address
+	conns map[string]*lenderConn // keyed by the lender's address
 }
 
-// LoansOptions wire Loans; all are required.
+// LoansOptions configure Loans; all fields are required.
 type LoansOptions struct {
 	Roster *Roster
 	Time   *TimeKeeper
@@ -75,34 +79,36 @@
 	Now    func() time.Time
 }
 
-// line is the connection to one lender, of which one call at a time is made.
-type line struct {
-	busy   chan struct{} // held by the caller
-	client client
-	rests  time.Time // until when it is left alone
-	used   time.Time // when it was asked last
+// lenderConn is the connection to one lender. It carries one call at a time.
+type lenderConn struct {
+	inUse        chan struct{} // semaphore held during a call
+	client       client
+	backoffUntil time.Time // no calls before this time
+	lastUsed     time.Time // start of the last call
 }
 
-// NewLoans returns loans of nobody.
-func NewLoans(o LoansOptions) *Loans { return &Loans{o: o, lines: map[string]*line{}} }
+// NewLoans returns Loans without connections.
+func NewLoans(o LoansOptions) *Loans { return &Loans{o: o, conns: map[string]*lenderConn{}} }
 
-// Answer is what came of asking other daemons.
+// Answer is the result of a loan request to other daemons.
 type Answer struct {
-	// Lent says that what was needed was lent, and Left is what all that were asked have left.
+	// Lent reports that the needed units were lent. Left is the sum of the units that the
+	// asked lenders have left.
 	Lent bool
 	Left float64
-	// Wait is the shortest time after which one of them will have what was lacking; 0 where
-	// none gave an answer.
+	// Wait is the shortest time after which one of the lenders will have accrued the
+	// missing units; 0 if no lender answered.
 	Wait time.Duration
 }
 
-// Borrow asks other daemons, until one has lent what is needed.
+// Borrow asks other daemons one after the other until the needed units are lent.
 func (l *Loans) Borrow(ctx context.Context, ask LoanCall) (out Answer) {
-	// The caller whose request it is may leave; the connection is not to end with it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loanTime)
+	// The call goes on if the caller of the request disconnects, because cancelling it
+	// would close the connection to the lender.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loanTimeout)
 	defer cancel()
-	for _, peer := range l.o.Roster.Keepers(l.o.Now(), l.o.Time.holder()) {
-		loan, ok := l.ask(ctx, peer, ask)
+	for _, peer := range l.o.Roster.Keepers(l.o.Now(), l.o.Time.lastRecipient()) {
+		loan, ok := l.borrowFrom(ctx, peer, ask)
 		if !ok {
 			continue
 		}
@@ -121,45 +127,46 @@
 	return out
 }
 
-// ask borrows from one daemon.
-func (l *Loans) ask(ctx context.Context, peer Peer, call LoanCall) (loan quota.Loan, ok bool) {
-	line := l.line(peer.Address)
+// borrowFrom borrows from one daemon; ok is false if it gave no answer.
+func (l *Loans) borrowFrom(ctx context.Context, peer Peer, call LoanCall) (loan quota.Loan, ok bool) {
+	conn := l.conn(peer.Address)
 	select {
-	case line.busy <- struct{}{}:
+	case conn.inUse <- struct{}{}:
 	case <-ctx.Done():
 		return loan, false
 	}
-	defer func() { <-line.busy }()
+	defer func() { <-conn.inUse }()
 	asked := l.o.Now()
-	if asked.Before(line.rests) {
+	if asked.Before(conn.backoffUntil) {
 		return loan, false
 	}
-	if asked.Sub(line.used) >= lineIdle {
-		line.client.close()
+	if asked.Sub(conn.lastUsed) >= maxLoanIdle {
+		conn.client.close()
 	}
-	line.used = asked
+	conn.lastUsed = asked
 	call.From, call.Accrued = l.o.Roster.Self(), l.o.Time.handOver(asked, peer)
-	err := line.client.call(ctx, peer.Address, wire.TypeLoan, loanTime, &call, &loan)
+	err := conn.client.call(ctx, peer.Address, wire.TypeLoan, loanTimeout, &call, &loan)
 	fields := l.o.Logger.WithFields(log.Fields{
 		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Left,
 	})
 	if err != nil {
-		line.rests = l.o.Now().Add(loanRest)
+		conn.backoffUntil = l.o.Now().Add(loanBackoff)
 		fields.WithError(err).Info("units not borrowed")
 		return loan, false
 	}
-	fields.Debug("units asked for")
+	fields.Debug("units requested")
 	l.o.Quota.Borrowed(l.o.Now(), call.Account(), call.Terms, asked, loan)
 	return loan, true
 }
 
-func (l *Loans) line(address string) *line {
+// conn returns the connection entry of the lender at an address.
+func (l *Loans) conn(address string) *lenderConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := l.lines[address]
+	found := l.conns[address]
 	if found == nil {
-		found = &line{busy: make(chan struct{}, 1), client: client{dial: l.o.Dial}}
-		l.lines[address] = found
+		found = &lenderConn{inUse: make(chan struct{}, 1), client: client{dial: l.o.Dial}}
+		l.conns[address] = found
 	}
 	return found
 }
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -11,17 +11,17 @@
 
 var loanTerms = quota.Bounds{Window: 8 * time.Second, Slack: 1000}.Terms(quota.Limit{Rate: 1000, Burst: 1000})
 
-// ledgerOf returns a ledger that has accrued a part of the rate for a second.
-func ledgerOf(part float64) *quota.Ledger {
+// newTestLedger returns a ledger that has accrued the given share of the rate for a second.
+func newTestLedger(share float64) *quota.Ledger {
 	now := time.Now()
 	l := quota.NewLedger(now.Add(-time.Second), true)
 	for ago := time.Second; ago >= 0; ago -= quota.TickEvery {
-		l.Tick(now.Add(-ago), part, true)
+		l.Tick(now.Add(-ago), share, true)
 	}
 	return l
 }
 
-// serveLoans runs the server of a reader that lends from a ledger.
+// serveLoans runs the server of a reader that lends units from a ledger.
 func serveLoans(t *testing.T, l *quota.Ledger, dataCentre string) Peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,98 +30,100 @@
 	}
 	p := peer(ln.Addr().String(), dataCentre, 800)
 	s := NewServer(ServerOptions{
-		Journal: journalOf(time.Now(), "a"), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: keeper(), Quota: l,
+		Journal: newTestJournal(time.Now(), "a"), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Quota: l,
 		LendUnits: func(c LoanCall) quota.Loan {
 			return l.Lend(time.Now(), c.Account(), loanTerms, c.Needs, c.Wants, 0, c.Whatever)
 		},
-		Pace: testPace, Logger: quiet, Now: time.Now,
+		Pace: testPace, Logger: discardLogger, Now: time.Now,
 	})
 	s.Listen(ln)
-	runUntilTheEnd(t, s.Run)
+	runUntilCleanup(t, s.Run)
 	return p
 }
 
-// borrowerOf returns the loans of a daemon of data centre a, and its ledger.
-func borrowerOf(t *testing.T, own Peer, others ...Peer) (*Loans, *quota.Ledger) {
+// newTestLoans returns the Loans and the ledger of a daemon of data centre a. own is its
+// reader, others are those of other data centres.
+func newTestLoans(t *testing.T, own Peer, others ...Peer) (*Loans, *quota.Ledger) {
 	t.Helper()
 	r := NewRoster(peer("me", "a", 1), []string{"a", "b"})
 	r.Told(Succession{Order: []Peer{own}, Others: others, Daemons: 20, Sharing: 20, Near: 10})
 	l := quota.NewLedger(time.Now(), false)
-	loans := NewLoans(LoansOptions{Roster: r, Time: NewTimeKeeper(l, r), Quota: l, Dial: DialTCP, Logger: quiet, Now: time.Now})
+	loans := NewLoans(LoansOptions{Roster: r, Time: NewTimeKeeper(l, r), Quota: l, Dial: DialTCP, Logger: discardLogger, Now: time.Now})
 	t.Cleanup(func() {
-		for _, line := range loans.lines {
+		for _, line := range loans.conns {
 			line.client.close()
 		}
 	})
 	return loans, l
 }
 
-// Guards against callers of one data centre that are refused while others have what they need.
+// Guards against requests that are refused in one data centre while daemons of another have
+// unused units.
 func TestLoansOfOtherDataCentres(t *testing.T) {
-	loans, l := borrowerOf(t, serveLoans(t, ledgerOf(0.1), "a"), serveLoans(t, ledgerOf(1), "b"))
+	loans, l := newTestLoans(t, serveLoans(t, newTestLedger(0.1), "a"), serveLoans(t, newTestLedger(1), "b"))
 	answer := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 500, Wants: 600})
 	if left := l.Left(time.Now(), quota.Account{Team: "red"}, loanTerms); !answer.Lent || left < 500 {
 		t.Errorf("%+v, %v left", answer, left)
 	}
 	answer = loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 5000, Wants: 5000})
 	if answer.Lent || answer.Left <= 0 || answer.Wait <= 0 {
-		t.Errorf("%+v of more than all have", answer)
+		t.Errorf("%+v for more units than all lenders have", answer)
 	}
 	if some := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: answer.Left * 0.95, Wants: answer.Left * 0.95, Whatever: true}); !some.Lent {
-		t.Errorf("%+v of what two have together", some)
+		t.Errorf("%+v for units that two lenders have together", some)
 	}
 }
 
-// Guards against each request of a team that waits for a daemon which gives no answer.
+// Guards against requests of a team that each wait for the same unreachable lender.
 func TestLenderThatIsGoneIsLeftAlone(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	loans, _ := borrowerOf(t, peer(gone.Addr().String(), "a", 1), serveLoans(t, ledgerOf(1), "b"))
+	loans, _ := newTestLoans(t, peer(gone.Addr().String(), "a", 1), serveLoans(t, newTestLedger(1), "b"))
 	gone.Close()
 	if answer := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}); !answer.Lent {
 		t.Errorf("%+v", answer)
 	}
-	if line := loans.line(gone.Addr().String()); !time.Now().Before(line.rests) {
-		t.Error("it is asked again at once")
+	if conn := loans.conn(gone.Addr().String()); !time.Now().Before(conn.backoffUntil) {
+		t.Error("an unreachable lender is asked again at once")
 	}
 }
 
-// Guards against a lender that is taken for gone because it closed a connection without calls,
-// and because a caller left.
+// Guards against lenders that count as unreachable because they closed an idle connection,
+// or because the caller of a request disconnected during the loan.
 func TestConnectionsOfLoansAreNotLost(t *testing.T) {
-	lender := serveLoans(t, ledgerOf(1), "a")
-	loans, _ := borrowerOf(t, lender)
+	lender := serveLoans(t, newTestLedger(1), "a")
+	loans, _ := newTestLoans(t, lender)
 	now := time.Now()
 	loans.o.Now = func() time.Time { return now }
 	ask := LoanCall{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}
 	if answer := loans.Borrow(t.Context(), ask); !answer.Lent {
 		t.Fatal("nothing lent")
 	}
-	line := loans.line(lender.Address)
-	line.client.conn.Close() // as the lender does with one that is quiet
-	now = now.Add(lineIdle)
+	conn := loans.conn(lender.Address)
+	conn.client.conn.Close() // a lender closes idle connections
+	now = now.Add(maxLoanIdle)
 	if answer := loans.Borrow(t.Context(), ask); !answer.Lent {
-		t.Error("the lender counts as gone after a quiet time")
+		t.Error("the lender counts as unreachable after an idle time")
 	}
-	left, leave := context.WithCancel(t.Context())
-	leave()
-	if answer := loans.Borrow(left, ask); !answer.Lent || now.Before(line.rests) {
-		t.Error("the lender counts as gone after a caller left")
+	ended, end := context.WithCancel(t.Context())
+	end()
+	if answer := loans.Borrow(ended, ask); !answer.Lent || now.Before(conn.backoffUntil) {
+		t.Error("the lender counts as unreachable after a caller disconnected")
 	}
 }
 
-// Guards against limits that are not used because the time of followers reaches no reader,
-// or a reader that is not asked for it.
+// Guards against limits that remain unused because followers do not hand their accrual time
+// over to the reader, or do not ask the reader for loans.
 func TestFollowersHandTheirTimeOver(t *testing.T) {
-	ledger := ledgerOf(0.1)
+	ledger := newTestLedger(0.1)
 	reader := serveLoans(t, ledger, "a")
-	d := newSingle(&source{}, reader, me)
+	d := newTestDaemon(&fakeFeedStore{}, reader, testSelf)
 	own := quota.NewLedger(d.now, true)
 	d.o.Time = NewTimeKeeper(own, d.o.Roster)
 	own.Tick(d.now, 0.1, false)
-	if _, err := d.readFrom(t, 0); err != nil { // it brings the reader's stamp
+	if _, err := d.readFrom(t, 0); err != nil { // the response contains the reader's stamp
 		t.Fatal(err)
 	}
 	before := ledger.Left(time.Now(), quota.Account{Team: "red"}, loanTerms)
@@ -133,29 +135,30 @@
 	if after := ledger.Left(time.Now(), quota.Account{Team: "red"}, loanTerms); after <= before {
 		t.Errorf("the reader has %v, %v before", after, before)
 	}
-	if got := d.o.Time.holder(); got.Address != reader.Address {
-		t.Errorf("the time is held by %v", got)
+	if got := d.o.Time.lastRecipient(); got.Address != reader.Address {
+		t.Errorf("the time was handed over to %v", got)
 	}
-	if keepers := d.o.Roster.Keepers(d.now, d.o.Time.holder()); len(keepers) == 0 || keepers[0].Address != reader.Address {
-		t.Errorf("asked are %v", keepers)
+	if keepers := d.o.Roster.Keepers(d.now, d.o.Time.lastRecipient()); len(keepers) == 0 || keepers[0].Address != reader.Address {
+		t.Errorf("the lenders are %v", keepers)
 	}
 	if span := d.o.Time.handOver(d.now, peer("other", "b", 1)); span.Length != 0 {
-		t.Error("time goes to another data centre, whose parts are others")
+		t.Error("time is handed over to another data centre")
 	}
 }
 
-// Guards against a reader that was started again and takes few followers for all.
+// Guards against a restarted reader that knows few of its followers and therefore accrues
+// too large a share for each.
 func TestPartOfAFollowerThatKnowsMore(t *testing.T) {
 	r := NewRoster(peer("r", "a", 1), []string{"a", "b", "c"})
 	if got := r.Part(t0); got != 0 {
-		t.Errorf("a part of %v before anybody is heard of", got)
+		t.Errorf("a share of %v before another daemon is known", got)
 	}
 	r.Heard(t0, peer("x", "a", 1))
 	if got := r.Part(t0); got != 1.0/6 {
-		t.Errorf("%v, want a half of a third", got)
+		t.Errorf("a share of %v, want half of a third", got)
 	}
 	r.NearKnown(24)
 	if got := r.Part(t0); got != 1.0/72 {
-		t.Errorf("%v, want a 24th of a third", got)
+		t.Errorf("a share of %v, want a 24th of a third", got)
 	}
 }
--- a/relay/message.go
+++ b/relay/message.go
@@ -14,101 +14,106 @@
 	"github.com/corianderturn/corianderturn/ratelimit"
 )
 
-// Peer is a daemon that may read the store for others.
+// Peer describes a daemon that may read the store for others.
 type Peer struct {
 	Instance   string `msgpack:"i"`
 	DataCentre string `msgpack:"d"`
-	// Address is where its Server listens, host:port.
+	// Address is the host:port on which the daemon's Server listens.
 	Address string `msgpack:"a"`
-	// Weight is what it can bear: thousandths of a processor, or tenths of its link's
-	// Mbit/s where these are fewer.
+	// Weight is the daemon's capacity: the smaller of its CPU in thousandths of a core and
+	// its link bandwidth in tenths of a Mbit/s.
 	Weight int `msgpack:"w,omitempty"`
 }
 
-// Succession says who reads for a data centre.
+// Succession lists the daemons that read the store for a data centre.
 type Succession struct {
-	// Order is the reader, then those who follow it when it is gone, in this order.
+	// Order is the reader, followed by its successors in failover order.
 	Order []Peer `msgpack:"o,omitempty"`
 	// Others are the readers of the other data centres.
 	Others []Peer `msgpack:"x,omitempty"`
-	// Daemons is how many daemons the whole fleet has, as far as it is known.
+	// Daemons is the number of known daemons in the whole fleet.
 	Daemons int `msgpack:"n"`
-	// Sharing is by how many what all daemons share is to be divided.
+	// Sharing is the number of daemons by which the fleet's shared limits are divided.
 	Sharing int `msgpack:"h"`
-	// Near is how many daemons the data centre has; 0 where that is not known.
+	// Near is the number of daemons in the data centre; 0 if unknown.
 	Near int `msgpack:"r,omitempty"`
 }
 
-// verdict is what a reader says of its own word.
-type verdict uint8
+// readStatus classifies the data that a reader can offer.
+type readStatus uint8
 
 const (
-	// fit: the batch is what the store holds, as of the age.
-	fit verdict = iota
-	// unfit: the reader's last word is too old, for a reason that it does not know yet.
-	unfit
-	// away: the reader asks the store, which refuses it or does not answer.
-	away
+	// statusFresh: the batch matches the store as of the given age.
+	statusFresh readStatus = iota
+	// statusStale: the reader's last contact with the store is too long ago, although none
+	// of its calls to the store has failed since.
+	statusStale
+	// statusStoreDown: the store refuses the reader's calls or does not answer them.
+	statusStoreDown
 )
 
-// readCall asks for the records of a feed.
-type readCall struct {
+// readRequest asks for the records of a feed.
+type readRequest struct {
 	Feed  fleet.Feed    `msgpack:"f"`
 	From  uint64        `msgpack:"o"`
-	Whole bool          `msgpack:"h,omitempty"` // the newest record of every key, whatever From
-	Wait  time.Duration `msgpack:"w"`           // for the first record
-	// Patient says that the caller has nobody else to ask, and wants no answer before
-	// there is a fresh word or its time is over.
+	Whole bool          `msgpack:"h,omitempty"` // asks for a snapshot and ignores From
+	Wait  time.Duration `msgpack:"w"`           // for the first new record
+	// Patient is set by a caller with no other daemon left to ask. The server then keeps
+	// the call until it has fresh data or Wait is over, and does not refuse it earlier.
 	Patient bool `msgpack:"p,omitempty"`
 	Self    Peer `msgpack:"s"`
-	// Known is the version of the succession that the caller has.
-	Known uint64 `msgpack:"k,omitempty"`
-	// Saw is what the caller has seen of engines, and Seen the number up to which it has
-	// been told what others saw.
-	Saw  []sample `msgpack:"e,omitempty"`
-	Seen uint64   `msgpack:"n,omitempty"`
-	// Told is the number up to which the caller has been told of the quarantine.
-	Told uint64 `msgpack:"t,omitempty"`
-	// Accrued is time that the caller hands over.
+	// KnownVersion is the version of the succession that the caller has.
+	KnownVersion uint64 `msgpack:"k,omitempty"`
+	// Samples are new samples from the caller. SamplesUpTo is the sequence number up to
+	// which the caller has received the samples of other daemons.
+	Samples     []sample `msgpack:"e,omitempty"`
+	SamplesUpTo uint64   `msgpack:"n,omitempty"`
+	// QuarantineUpTo is the sequence number up to which the caller has received quarantine
+	// records.
+	QuarantineUpTo uint64 `msgpack:"t,omitempty"`
+	// Accrued is accrual time that the caller hands over (see TimeKeeper).
 	Accrued quota.Span `msgpack:"a"`
-	// Limits are what the caller knows of the rate limits that upstreams name.
+	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
-// readReply answers it.
-type readReply struct {
-	Verdict verdict       `msgpack:"v,omitempty"`
-	Age     time.Duration `msgpack:"g,omitempty"` // of the reader's last word from the store
-	// Batch is a fleet.Batch, packed (see packBatch).
+// readResponse answers a readRequest.
+type readResponse struct {
+	Status readStatus    `msgpack:"v,omitempty"`
+	Age    time.Duration `msgpack:"g,omitempty"` // time since the reader's last contact with the store
+	// Batch is an encoded fleet.Batch (see encodeBatch).
 	Batch []byte `msgpack:"b,omitempty"`
-	// Succession is left out when the caller has this version of it.
+	// Succession is omitted if the caller already has this version of it.
 	Succession *Succession `msgpack:"c,omitempty"`
 	Version    uint64      `msgpack:"k,omitempty"`
-	// Saw is what others have seen of engines, up to the number Seen.
-	Saw  []sample `msgpack:"e,omitempty"`
-	Seen uint64   `msgpack:"n,omitempty"`
-	// Quarantine is what others have seen of requests under which upstreams ended, up to the
-	// number Told.
-	Quarantine []quarantine.Record `msgpack:"q,omitempty"`
-	Told       uint64              `msgpack:"t,omitempty"`
-	// Stamp is by which clock the caller is to hand its time over.
+	// Samples are samples from other daemons up to the sequence number SamplesUpTo.
+	Samples     []sample `msgpack:"e,omitempty"`
+	SamplesUpTo uint64   `msgpack:"n,omitempty"`
+	// Quarantine holds records of requests during which upstreams ended, up to the sequence
+	// number QuarantineUpTo.
+	Quarantine     []quarantine.Record `msgpack:"q,omitempty"`
+	QuarantineUpTo uint64              `msgpack:"t,omitempty"`
+	// Stamp is the reader's clock reading, which the caller needs to hand over accrual time.
 	Stamp quota.Stamp `msgpack:"y"`
-	// Limits are what this daemon knows of the rate limits that upstreams name.
+	// Limits are the upstreams' rate limits known to this daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
-// sample is an estimate.Sample on its way, without the names of its fields.
+// sample is the wire form of an estimate.Sample. It is encoded as an array, without field
+// names.
 type sample struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 
 	Model                  string
 	Prompt, Expected, Size int
-	// HeldMillis, PerTokenMicros and ReadNanos are in the units of their names.
+	// HeldMillis, PerTokenMicros and ReadNanos are durations in milliseconds, microseconds
+	// and nanoseconds. ReadNanos is the prefill time of one prompt token.
 	HeldMillis, PerTokenMicros, ReadNanos int64
 	ReadLost                              bool
 }
 
-func packSamples(list []estimate.Sample) []sample {
+// toWireSamples converts samples to their wire form.
+func toWireSamples(list []estimate.Sample) []sample {
 	var out []sample
 	for _, s := range list {
 		out = append(out, sample{
@@ -120,7 +125,8 @@
 	return out
 }
 
-func unpackSamples(list []sample) []estimate.Sample {
+// fromWireSamples converts samples from their wire form.
+func fromWireSamples(list []sample) []estimate.Sample {
 	var out []estimate.Sample
 	for _, s := range list {
 		out = append(out, estimate.Sample{
@@ -133,43 +139,46 @@
 	return out
 }
 
-// claim says that a daemon reads for its data centre.
+// claim announces that a daemon reads the store for its data centre.
 type claim struct {
 	Peer    Peer          `msgpack:"p"`
-	Daemons int           `msgpack:"n"` // of its data centre
-	Age     time.Duration `msgpack:"g"` // since it said so
+	Daemons int           `msgpack:"n"` // in the reader's data centre
+	Age     time.Duration `msgpack:"g"` // time since the reader made the claim
 }
 
-// meetCall introduces a daemon: one that looks for its reader, or a reader that tells
-// another one of itself.
-type meetCall struct {
+// discoverRequest asks for the readers of the caller's data centre. Readers also use it to
+// announce themselves to each other.
+type discoverRequest struct {
 	Self Peer `msgpack:"s"`
-	// Claims are the readers that the caller knows, itself among them if it is one.
+	// Claims are those of all readers known to the caller, including its own if it is a
+	// reader.
 	Claims []claim `msgpack:"c,omitempty"`
-	// Silent are the addresses that did not answer the caller.
-	Silent []string `msgpack:"q,omitempty"`
-	// Saw is what the daemons of a reader's data centre have seen of engines.
-	Saw []sample `msgpack:"e,omitempty"`
-	// Accrued is time that the caller hands over.
+	// Unreachable are the addresses of daemons that failed to answer the caller.
+	Unreachable []string `msgpack:"q,omitempty"`
+	// Samples are sent by readers and come from the daemons of their data centre.
+	Samples []sample `msgpack:"e,omitempty"`
+	// Accrued is accrual time that the caller hands over (see TimeKeeper).
 	Accrued quota.Span `msgpack:"a"`
-	// Limits are what the caller knows of the rate limits that upstreams name.
+	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
-// meetReply answers it with who reads for the caller's data centre.
-type meetReply struct {
+// discoverResponse answers a discoverRequest with the succession of the caller's data
+// centre.
+type discoverResponse struct {
 	Succession Succession `msgpack:"c"`
 	Claims     []claim    `msgpack:"r,omitempty"`
-	// Stamp is by which clock the caller is to hand its time over.
+	// Stamp is the reader's clock reading, which the caller needs to hand over accrual time.
 	Stamp quota.Stamp `msgpack:"y"`
-	// Limits are what this daemon knows of the rate limits that upstreams name.
+	// Limits are the upstreams' rate limits known to this daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
-// version tells successions apart that lead to other calls or other shares. The numbers of
-// daemons count by steps, so that each one that starts or ends is not news to all: a fifth,
-// and a twentieth of those that share, since so much less than the whole is shared out (see
-// package retry).
+// version returns a hash of what followers act on: the addresses of the readers and the
+// numbers of daemons. The numbers are rounded to logarithmic steps, so that a daemon that
+// starts or ends rarely changes the version. The steps are a factor of 1.2 for Daemons and
+// of 1.05 for Sharing and Near. An error of a twentieth in the latter does no harm because
+// the daemons' shares add up to that much less than the whole limit (see package retry).
 func (s Succession) version() uint64 {
 	h := xxhash.New()
 	for _, list := range [][]Peer{s.Order, s.Others} {
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Pace is how long readings are held, kept and believed. All of it follows from the
-// bound within which a change of the store has to be in force everywhere.
+// Pace holds the durations that control how long reads wait and how long their results
+// count as fresh. All of them derive from one bound, the time within which a change in the
+// store must be in force on all daemons.
 type Pace struct {
-	// AnswerWithin is how long a reader keeps a call for which there is nothing new, and
-	// Slack how much longer its answer may take. Shorter costs frames, of which one takes
-	// about 50 µs on each side; longer delays the discovery of a reader that is silent.
+	// AnswerWithin is how long a reader holds a call without new records, and Slack how
+	// much longer its answer may take. A shorter hold costs more frames, each of which
+	// takes about 50 µs of CPU time on both sides; a longer one delays the detection of an
+	// unreachable reader.
 	AnswerWithin, Slack time.Duration
-	// MaxAge is the age of a reader's last word from the store from which on its answers
-	// count for nothing. A follower of a reader that is cut off then still has half of
-	// the bound to ask another one.
+	// MaxAge is the age at which a reader's data becomes stale. The follower of a
+	// partitioned reader then has half of the bound left to ask another daemon.
 	MaxAge time.Duration
-	// Hold is how long a daemon that reads for others lets the store hold a reading of
-	// upstreams, and ConfigHold of the configuration: with its time-out and a retry an
-	// answer that was lost is made up for within the bound.
+	// Hold is the longest wait at the store for a read of the upstreams feed by a daemon
+	// with followers, and ConfigHold that of the configuration feed. Even if an answer is
+	// lost, the timeout and one retry fit in the bound.
 	Hold, ConfigHold time.Duration
-	// Gather is how long records are gathered after some have come, so that those of
-	// many upstreams that register or leave together come in few calls, and SharedGather
-	// the same for a daemon that reads for others.
+	// Gather is the pause before the next read after a read that returned records, so that
+	// the records of many upstreams that register or drain together are read in few calls.
+	// SharedGather is the same for a daemon with followers.
 	Gather, SharedGather time.Duration
 }
 
-// The parts of the bound. Hold and SharedGather together stay under MaxAge, so that a
-// reader that is well is never taken for one that is cut off.
+// The durations as fractions of the bound. Hold and SharedGather together stay below
+// MaxAge, so that a healthy reader never counts as partitioned.
 const (
-	answerPart       = 0.25
-	maxAgePart       = 0.5
-	holdPart         = 0.3
-	configHoldPart   = 0.4
-	gatherPart       = 0.25
-	sharedGatherPart = 0.1
-	// leastBound is the bound below which waits would only make calls: a reading and the
-	// way to a follower take some milliseconds, a slow store 0.3 s.
-	leastBound = 2 * time.Second
-	// answerSlack is how much longer than the wait a reader's answer may take: a reader
-	// on a fifth of a processor is at times this late.
+	answerFraction       = 0.25
+	maxAgeFraction       = 0.5
+	holdFraction         = 0.3
+	configHoldFraction   = 0.4
+	gatherFraction       = 0.25
+	sharedGatherFraction = 0.1
+	// minBound is the smallest bound used. With a smaller one the short waits would only
+	// add calls: a read and its way to a follower take some milliseconds, or 0.3 s with a
+	// slow store.
+	minBound = 2 * time.Second
+	// answerSlack is how much longer than its wait a reader's answer may take. A reader
+	// that is limited to a fifth of a core is sometimes this late.
 	answerSlack = 250 * time.Millisecond
 )
 
-// PaceOf returns the pace for a bound.
+// PaceOf returns the durations for a bound.
 func PaceOf(bound time.Duration) Pace {
-	bound = max(bound, leastBound)
-	part := func(p float64) time.Duration { return time.Duration(p * float64(bound)) }
+	bound = max(bound, minBound)
+	fraction := func(p float64) time.Duration { return time.Duration(p * float64(bound)) }
 	return Pace{
-		AnswerWithin: part(answerPart),
+		AnswerWithin: fraction(answerFraction),
 		Slack:        answerSlack,
-		MaxAge:       part(maxAgePart),
-		Hold:         part(holdPart),
-		ConfigHold:   part(configHoldPart),
-		Gather:       part(gatherPart),
-		SharedGather: part(sharedGatherPart),
+		MaxAge:       fraction(maxAgeFraction),
+		Hold:         fraction(holdFraction),
+		ConfigHold:   fraction(configHoldFraction),
+		Gather:       fraction(gatherFraction),
+		SharedGather: fraction(sharedGatherFraction),
 	}
 }
--- a/relay/pack.go
+++ b/relay/pack.go
@@ -13,67 +13,69 @@
 )
 
 const (
-	// packFrom is the size in bytes from which on a batch is compressed. A configuration
-	// of many routes, or the state of many upstreams, shrinks to a sixth; sixty followers
-	// of a reader on a link of 20 Mbit/s would else wait seconds for 280 KB each.
-	packFrom = 4 << 10
-	// maxBatch bounds a batch after it is unpacked, in bytes.
-	maxBatch = 64 << 20
+	// compressThreshold is the size in bytes from which on a batch is compressed. The
+	// configuration of many routes, or a snapshot of many upstreams, shrinks to a sixth.
+	// Without compression, sixty followers of a reader with a link of 20 Mbit/s would wait
+	// seconds for 280 KB each.
+	compressThreshold = 4 << 10
+	// maxBatchBytes bounds the size of a batch after decompression.
+	maxBatchBytes = 64 << 20
 )
 
-// The first byte of a packed batch.
+// The first byte of an encoded batch is its format.
 const (
-	packedPlain byte = iota
-	packedFlate
+	formatPlain byte = iota
+	formatFlate
 )
 
-// packBatch encodes a batch.
-func packBatch(b fleet.Batch) ([]byte, error) {
+// encodeBatch encodes a batch with MessagePack and compresses it if it is large.
+func encodeBatch(b fleet.Batch) ([]byte, error) {
 	var out bytes.Buffer
-	out.WriteByte(packedPlain)
+	out.WriteByte(formatPlain)
 	enc := msgpack.NewEncoder(&out)
 	enc.UseCompactInts(true)
 	if err := enc.Encode(&b); err != nil {
-		return nil, errors.Wrap(err, "encode records")
+		return nil, errors.Wrap(err, "encode batch")
 	}
-	if out.Len() < packFrom {
+	if out.Len() < compressThreshold {
 		return out.Bytes(), nil
 	}
 	return compress(out.Bytes()[1:])
 }
 
+// compress returns an encoded batch in the compressed format.
 func compress(raw []byte) ([]byte, error) {
 	var out bytes.Buffer
-	out.WriteByte(packedFlate)
+	out.WriteByte(formatFlate)
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	if _, err := w.Write(raw); err != nil {
-		return nil, errors.Wrap(err, "compress records")
+		return nil, errors.Wrap(err, "compress batch")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "compress records")
+		return nil, errors.Wrap(err, "compress batch")
 	}
 	return out.Bytes(), nil
 }
 
-// unpackBatch decodes what packBatch encoded.
-func unpackBatch(raw []byte) (b fleet.Batch, err error) {
+// decodeBatch decodes the output of encodeBatch.
+func decodeBatch(raw []byte) (b fleet.Batch, err error) {
 	if len(raw) == 0 {
-		return b, errors.New("records without a format")
+		return b, errors.New("empty batch without a format byte")
 	}
 	body := raw[1:]
 	switch raw[0] {
-	case packedPlain:
-	case packedFlate:
+	case formatPlain:
+	case formatFlate:
 		r := flate.NewReader(bytes.NewReader(body))
 		defer r.Close()
-		if body, err = io.ReadAll(io.LimitReader(r, maxBatch)); err != nil {
-			return b, errors.Wrap(err, "unpack records")
+		if body, err = io.ReadAll(io.LimitReader(r, maxBatchBytes)); err != nil {
+			return b, errors.Wrap(err, "decompress batch")
 		}
 	default:
-		return b, errors.Errorf("records of the unknown format %d", raw[0])
+		return b, errors.Errorf("unknown batch format %d", raw[0])
 	}
-	return b, errors.Wrap(safepack.Unmarshal(body, &b), "decode records")
+	return b, errors.Wrap(safepack.Unmarshal(body, &b), "decode batch")
 }
--- a/relay/pack_test.go
+++ b/relay/pack_test.go
@@ -9,6 +9,7 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
+// routes returns n routes with different names and prefixes.
 func routes(n int) []fleet.Route {
 	out := make([]fleet.Route, n)
 	for i := range out {
@@ -20,7 +21,7 @@
 	return out
 }
 
-// Records go through frames as they are, small ones and those that are compressed.
+// Small and compressed batches are unchanged after encoding and decoding.
 func TestPackIsWhole(t *testing.T) {
 	for name, b := range map[string]fleet.Batch{
 		"nothing": {Next: 7},
@@ -32,11 +33,11 @@
 			Version: 7, Routes: routes(1400), Services: map[string]fleet.Service{"s": {MaxConns: 3, Engine: &fleet.Engine{Slots: 12}}},
 		}}}},
 	} {
-		raw, err := packBatch(b)
+		raw, err := encodeBatch(b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := unpackBatch(raw)
+		got, err := decodeBatch(raw)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -47,9 +48,9 @@
 }
 
 // Load: a configuration of 1,400 routes for sixty followers of a reader whose link carries
-// 20 Mbit/s. 16 KB each take 0.4 s.
+// 20 Mbit/s. At 16 KB each they take 0.4 s.
 func TestPackIsSmall(t *testing.T) {
-	raw, err := packBatch(fleet.Batch{Changes: []fleet.Change{{Config: &fleet.Config{Routes: routes(1400)}}}})
+	raw, err := encodeBatch(fleet.Batch{Changes: []fleet.Change{{Config: &fleet.Config{Routes: routes(1400)}}}})
 	if err != nil || len(raw) > 40<<10 {
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
@@ -57,25 +58,25 @@
 
 func TestUnpackRefuses(t *testing.T) {
 	for name, raw := range map[string][]byte{
-		"nothing": nil, "another format": {9, 1}, "cut short": {packedFlate, 1, 2}, "no records": {packedPlain, 0xc1}, "too deep": append([]byte{packedPlain}, make([]byte, 3)...),
+		"nothing": nil, "another format": {9, 1}, "cut short": {formatFlate, 1, 2}, "no records": {formatPlain, 0xc1}, "too deep": append([]byte{formatPlain}, make([]byte, 3)...),
 	} {
-		if _, err := unpackBatch(raw); err == nil {
+		if _, err := decodeBatch(raw); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	raw, err := packBatch(puts(3, "a", "b"))
+	raw, err := encodeBatch(snapshotOf(3, "a", "b"))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	f.Add([]byte{packedFlate, 0x4b, 0x04, 0x00})
+	f.Add([]byte{formatFlate, 0x4b, 0x04, 0x00})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if b, err := unpackBatch(raw); err == nil {
-			if _, err := packBatch(b); err != nil {
-				t.Errorf("what was read cannot be written: %v", err)
+		if b, err := decodeBatch(raw); err == nil {
+			if _, err := encodeBatch(b); err != nil {
+				t.Errorf("a decoded batch cannot be encoded: %v", err)
 			}
 		}
 	})
--- a/relay/part.go
+++ b/relay/part.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// Part returns the part of one daemon of this data centre in what all daemons share: each
-// data centre has as much as any other, and in it each daemon that was ever known. It is 0
-// while this daemon has heard of no other.
+// Part returns this daemon's share of the fleet's shared limits: an equal share for each
+// data centre, divided by the largest number of daemons ever known in this data centre. It
+// is 0 while no other daemon is known.
 //
-// What goes wrong if parts follow the number of all daemons: a reader that has just started
-// knows few of the other data centres, and takes their part for its own.
+// The limits are not divided by the number of all daemons, because a reader that has just
+// started knows few daemons of the other data centres and would take their share as well.
 func (r *Roster) Part(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.daemons(now); len(r.entries) == 0 && r.most <= 1 {
+	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
 		return 0
 	}
-	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.near))
+	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.maxLocal))
 }
 
-// Near returns how many daemons this data centre has, as far as it was ever known in this
-// life.
+// Near returns the largest number of daemons known in this data centre since this process
+// started.
 func (r *Roster) Near(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.daemons(now)
-	return r.near
+	r.countDaemons(now)
+	return r.maxLocal
 }
 
-// NearKnown takes how many daemons of this data centre another one of it knows.
+// NearKnown raises the number of daemons known in this data centre to the number that
+// another daemon knows.
 //
-// What goes wrong otherwise: a reader that was started again has heard of few, and takes
-// the time of those who turn to it for a larger part than theirs.
+// Without it, a restarted reader, which knows few daemons, would accrue too large a share
+// for the time that its followers hand over.
 func (r *Roster) NearKnown(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.near = max(r.near, n)
+	r.maxLocal = max(r.maxLocal, n)
 }
 
-// Keepers returns the daemons that may hold what others have accrued, the likeliest first:
-// the one that holds this one's time, the reader of this data centre and those of the
-// others, and in a small fleet, in which each accrues for itself, all that are told of.
+// Keepers returns the daemons that may hold accrued units, in the order in which to ask
+// them: the one to which this daemon handed its accrual time last (holder), the reader of
+// this data centre, and the readers of the others. In a small fleet, where each daemon
+// accrues for itself, it returns all lenders.
 func (r *Roster) Keepers(now time.Time, holder Peer) []Peer {
 	lenders := r.Lenders(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.daemons(now) < minFleet {
+	if r.countDaemons(now) < minFleet {
 		return lenders
 	}
-	out := r.others(now)
-	if r.leads {
+	out := r.otherReaders(now)
+	if r.isReader {
 		return out
 	}
 	if len(lenders) > 0 && lenders[0].Address != holder.Address {
 		out = slices.Insert(out, 0, lenders[0])
 	}
-	if holder.Address != "" && !r.isSilent(now, holder.Address) {
+	if holder.Address != "" && !r.isUnreachable(now, holder.Address) {
 		out = slices.Insert(out, 0, holder)
 	}
 	return out
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -8,311 +8,329 @@
 )
 
 const (
-	// minFleet is the number of daemons from which on one reads for others. In a smaller
-	// fleet the calls saved are few, and each daemon that reads for itself is one fault
-	// less that reaches the others.
+	// minFleet is the number of daemons from which on readers are used. In a smaller fleet
+	// they would save few calls, and direct reads keep the fault of one daemon from
+	// affecting others.
 	minFleet = 10
-	// awayRest is how long a daemon that waits for the store itself is left alone, and
-	// unfitRest one whose word is too old.
-	awayRest  = time.Second
-	unfitRest = 2 * time.Second
-	// probeFirst is the pause after a first call to the store that failed; it doubles up
-	// to probeMost. What lapsed while the store was away is wanted back within 2 s of its
-	// return, of which a reader's probe may take a quarter. probeNext is the most for those
-	// who stand by to follow the reader: they find a store that refuses the reader alone.
-	probeFirst = 250 * time.Millisecond
-	probeMost  = 500 * time.Millisecond
-	probeNext  = 1500 * time.Millisecond
-	// probeShare is the pause between the probes of one follower, for each daemon that
-	// would do the same: together they make about one call a second in a data centre.
-	probeShare = time.Second
-	// aloneMost is the longest pause of a daemon that knows nobody.
-	aloneMost = time.Second
-	// lookAgain is the least time between two searches for a reader, which grows up to
-	// lookMost while none is found, and lookSmall that of a fleet which needs none so far.
-	lookAgain = 5 * time.Second
-	lookSmall = 20 * time.Second
-	lookMost  = time.Minute
-	// lookYoung is the same in the first youngTime of a daemon: when a whole fleet starts,
-	// who is asked first may not have heard of the others yet.
-	lookYoung = time.Second
-	youngTime = 8 * time.Second
-	// seedTime is how long a daemon that starts waits for those at which it looks first,
-	// and seedPause the pause between two tries: all daemons start within 0.3 s of each
-	// other, in any order, and a small one takes 0.1 s longer. Without it 292 of 295 began
-	// by asking the store, for 5 s.
-	seedTime  = 600 * time.Millisecond
-	seedPause = 100 * time.Millisecond
-	// jitter is the part by which pauses vary, so that daemons that lost something at the
-	// same moment do not come back at the same moment.
+	// storeDownBackoff is how long a peer is not asked after it answered that the store is
+	// unavailable, and staleBackoff after it answered that its data is stale.
+	storeDownBackoff = time.Second
+	staleBackoff     = 2 * time.Second
+	// minProbeInterval is the pause after the first failed call to the store; it doubles
+	// with each further failure. A reader's pause grows up to maxReaderProbeInterval,
+	// because registrations that expired during an outage must be restored within 2 s of
+	// its end, and the probe may take a quarter of that. The pause of a successor grows up
+	// to maxSuccessorProbeInterval; its probes are needed where the store refuses only the
+	// reader.
+	minProbeInterval          = 250 * time.Millisecond
+	maxReaderProbeInterval    = 500 * time.Millisecond
+	maxSuccessorProbeInterval = 1500 * time.Millisecond
+	// followerProbeInterval is multiplied by the average number of daemons in a data centre
+	// to get the pause between two probes of one follower. All followers of a data centre
+	// together then make about one call a second.
+	followerProbeInterval = time.Second
+	// maxIsolatedProbeInterval is the longest pause of a daemon without a known reader, or of
+	// one in a small fleet.
+	maxIsolatedProbeInterval = time.Second
+	// minSearchInterval is the shortest interval between two searches for a reader. It
+	// doubles up to maxSearchInterval while no reader is found. smallFleetSearchInterval is
+	// the interval in a fleet that is too small to need a reader.
+	minSearchInterval        = 5 * time.Second
+	smallFleetSearchInterval = 20 * time.Second
+	maxSearchInterval        = time.Minute
+	// startupSearchInterval is the interval during the startupPeriod of a daemon. When a
+	// whole fleet starts, the seeds may not know the other daemons yet.
+	startupSearchInterval = time.Second
+	startupPeriod         = 8 * time.Second
+	// seedWait is how long a starting daemon waits for one of the seeds to answer, and
+	// seedRetryInterval the pause between two attempts. The daemons of a fleet start within
+	// 0.3 s of each other, in any order, and a small one needs 0.1 s more. Without this
+	// wait, 292 of 295 daemons read the store directly for their first 5 s.
+	seedWait          = 600 * time.Millisecond
+	seedRetryInterval = 100 * time.Millisecond
+	// jitter is the fraction by which pauses vary at random, so that daemons that lost a
+	// connection at the same moment do not retry at the same moment.
 	jitter = 0.25
 )
 
-// Step is what a daemon does next to learn what is new.
+// Step is the next action of a daemon that reads a feed.
 type Step struct {
 	Do   Do
-	Peer Peer // of AskPeer and Meet
-	// Patient is set where nobody else is left to ask (see readCall).
+	Peer Peer // for AskPeer and Meet
+	// Patient is set if there is no other daemon left to ask (see readRequest).
 	Patient bool
-	// Probe is set where the store may give no answer: a reading that waits there could
-	// outlast its return.
+	// Probe is set if the store may be unavailable. The call then does not wait at the
+	// store for new records, so that it cannot last beyond the store's recovery.
 	Probe bool
-	Pause time.Duration // of Wait
+	Pause time.Duration // for Wait
 }
 
 // Do is the kind of a Step.
 type Do uint8
 
-// The kinds.
+// The kinds of steps.
 const (
 	AskStore Do = iota
 	AskPeer
-	Meet // ask a daemon who reads for this data centre
-	List // ask the store which daemons read
+	Meet // ask a daemon for the readers of this data centre
+	List // ask the store for the list of readers
 	Wait
 )
 
-// Plan decides whom a daemon asks for the store's feeds. It is not safe for concurrent
-// use.
+// Plan selects the source from which a daemon reads the store's feeds. It is not safe for
+// concurrent use.
 //
-// Load patterns, each for hundreds of daemons at once: a start, a restart of all, a
-// reader that is lost, a store that is away for all or refuses some, a cut data centre.
-// In each the calls to the store follow the number of data centres: one reader and the
-// few who stand in for it ask, everybody else asks them. A daemon that reaches nobody
-// asks the store itself, at growing pauses, so that it serves what only it can.
+// It is designed for events that affect hundreds of daemons at once: a start, a restart of
+// the whole fleet, the loss of a reader, a store that fails for all or for some daemons, a
+// network partition of a data centre. In each of them the number of calls to the store
+// follows the number of data centres: a reader and a few successors call the store and all
+// other daemons call them. A daemon that reaches no other daemon calls the store itself, at
+// growing intervals, so that it can go on serving.
 type Plan struct {
-	self   Peer
-	born   time.Time
-	roster *Roster
-	rng    *rand.Rand
-	// meets are the addresses at which to look for a reader: those in the settings, then
-	// those that the store listed.
-	seeds, meets []string
-	listed       time.Time // when the store was asked for readers
-	searched     time.Time
-	searches     int // in a row that found nobody
-	// resting are peers that answered without a fresh word, until when.
-	resting map[string]time.Time
-	// doubting says that no peer has a fresh word, so that this follower's own probes are
-	// due from store.next on.
-	doubting bool
-	store    gate
+	self      Peer
+	startedAt time.Time
+	roster    *Roster
+	rng       *rand.Rand
+	// seeds are the addresses from the settings. candidates are the addresses that the
+	// current search has yet to ask: the seeds, then the readers that the store listed.
+	seeds, candidates []string
+	listedAt          time.Time // when the store was last asked for its list of readers
+	searchedAt        time.Time
+	searches          int // consecutive searches without a result
+	// backoffUntil holds, by address, until when a peer without fresh data is not asked.
+	backoffUntil map[string]time.Time
+	// noFreshPeer reports that a peer has answered without fresh data and none with fresh
+	// data since. This follower then probes the store itself, first at store.nextProbe.
+	noFreshPeer bool
+	store       storeBackoff
 }
 
-// gate paces the calls to a store that does not answer.
-type gate struct {
-	failures int
-	next     time.Time
+// storeBackoff schedules the calls to a store that does not answer.
+type storeBackoff struct {
+	failures  int
+	nextProbe time.Time
 }
 
-// NewPlan returns the plan of a daemon that knows nobody but the addresses of others.
+// NewPlan returns the plan of a daemon that knows no other daemon yet, only the seeds'
+// addresses.
 func NewPlan(now time.Time, self Peer, seeds []string, roster *Roster, rng *rand.Rand) *Plan {
-	p := &Plan{self: self, born: now, roster: roster, rng: rng, seeds: seeds, resting: map[string]time.Time{}}
+	p := &Plan{self: self, startedAt: now, roster: roster, rng: rng, seeds: seeds, backoffUntil: map[string]time.Time{}}
 	for _, address := range seeds {
 		if address == self.Address {
-			roster.Lead() // whoever looks for a reader comes here first
+			roster.Lead() // starting daemons ask the seeds for their reader, so a seed leads at first
 		}
 	}
-	p.search(now)
+	p.startSearch(now)
 	return p
 }
 
-// search begins a new search for a reader.
-func (p *Plan) search(now time.Time) {
-	p.searched, p.meets = now, nil
+// startSearch begins a new search for a reader at the seeds.
+func (p *Plan) startSearch(now time.Time) {
+	p.searchedAt, p.candidates = now, nil
 	p.searches++
 	for _, address := range p.seeds {
 		if address != p.self.Address {
-			p.meets = append(p.meets, address)
+			p.candidates = append(p.candidates, address)
 		}
 	}
 }
 
-// Reads says whether this daemon reads the store itself for good, and not only while
-// those it follows give no answer.
+// Reads reports whether this daemon reads the store itself in normal operation, and not
+// only as a fallback while its reader fails.
 func (p *Plan) Reads(now time.Time) bool {
 	order := p.roster.Order(now)
 	if len(order) == 0 {
-		return !p.listed.IsZero() && len(p.meets) == 0 // the search is over
+		return !p.listedAt.IsZero() && len(p.candidates) == 0 // the search has found no reader
 	}
-	return order[0].Address == p.self.Address || p.small(now)
+	return order[0].Address == p.self.Address || p.smallFleet(now)
 }
 
-func (p *Plan) small(now time.Time) bool { return p.roster.Daemons(now) < minFleet }
+// smallFleet reports whether the fleet is too small for readers, so that each daemon reads
+// the store itself.
+func (p *Plan) smallFleet(now time.Time) bool { return p.roster.Daemons(now) < minFleet }
 
-// Next returns the next step for a feed; asked says that others rely on this daemon.
-func (p *Plan) Next(now time.Time, f fleet.Feed, asked bool) Step {
+// Next returns the next step for a feed. hasFollowers is set while other daemons read
+// through this one.
+func (p *Plan) Next(now time.Time, f fleet.Feed, hasFollowers bool) Step {
 	order := p.roster.Order(now)
-	if step, ok := p.look(now, order); ok {
+	if step, ok := p.searchStep(now, order); ok {
 		return step
 	}
 	leads := len(order) == 0 || order[0].Address == p.self.Address
-	if leads || asked || p.small(now) {
-		return p.lead(now, f, order)
+	if leads || hasFollowers || p.smallFleet(now) {
+		return p.readerStep(now, f, order)
 	}
-	return p.follow(now, f, order)
+	return p.followerStep(now, f, order)
 }
 
-// look returns the next step of a search, if one is due.
-func (p *Plan) look(now time.Time, order []Peer) (Step, bool) {
+// searchStep returns the next step of the search for a reader; ok is false if none is due.
+func (p *Plan) searchStep(now time.Time, order []Peer) (Step, bool) {
 	leads := len(order) > 0 && order[0].Address == p.self.Address
-	every := min(lookAgain<<max(0, min(p.searches, 8)-1), lookMost)
-	if len(order) > 0 && p.small(now) {
-		every = lookSmall
+	interval := min(minSearchInterval<<max(0, min(p.searches, 8)-1), maxSearchInterval)
+	if len(order) > 0 && p.smallFleet(now) {
+		interval = smallFleetSearchInterval
 	}
-	if now.Sub(p.born) < youngTime {
-		every = lookYoung
+	if now.Sub(p.startedAt) < startupPeriod {
+		interval = startupSearchInterval
 	}
-	known := leads || len(order) > 0 && !p.small(now)
+	known := leads || len(order) > 0 && !p.smallFleet(now)
 	if known {
-		p.meets, p.searches = nil, 0
+		p.candidates, p.searches = nil, 0
 	}
-	if !known && now.Sub(p.searched) >= p.vary(every) {
-		p.search(now)
+	if !known && now.Sub(p.searchedAt) >= p.withJitter(interval) {
+		p.startSearch(now)
 	}
-	if len(p.meets) > 0 {
-		next := p.meets[0]
-		p.meets = p.meets[1:]
+	if len(p.candidates) > 0 {
+		next := p.candidates[0]
+		p.candidates = p.candidates[1:]
 		return Step{Do: Meet, Peer: Peer{Address: next}}, true
 	}
-	if len(order) == 0 && len(p.seeds) > 0 && now.Sub(p.born) < seedTime {
-		p.search(now)
-		return Step{Do: Wait, Pause: p.vary(seedPause)}, true
+	if len(order) == 0 && len(p.seeds) > 0 && now.Sub(p.startedAt) < seedWait {
+		p.startSearch(now)
+		return Step{Do: Wait, Pause: p.withJitter(seedRetryInterval)}, true
 	}
-	if len(order) == 0 && now.Sub(p.listed) >= max(every, lookAgain) {
-		p.listed = now
+	if len(order) == 0 && now.Sub(p.listedAt) >= max(interval, minSearchInterval) {
+		p.listedAt = now
 		return Step{Do: List}, true
 	}
 	return Step{}, false
 }
 
-// lead returns the step of a daemon that reads itself: the store, or while that gives it
-// no answer, others who may have one.
-func (p *Plan) lead(now time.Time, f fleet.Feed, order []Peer) Step {
-	if p.open(now, f) {
-		return Step{Do: AskStore, Probe: p.doubting || p.store.failures > 0}
+// readerStep returns the step of a daemon that reads the store itself: a read of the store
+// or, while the store fails, of another daemon that may have fresh data.
+func (p *Plan) readerStep(now time.Time, f fleet.Feed, order []Peer) Step {
+	if p.storeDue(now, f) {
+		return Step{Do: AskStore, Probe: p.noFreshPeer || p.store.failures > 0}
 	}
 	for _, peer := range append(order, p.roster.Others(now)...) {
-		if peer.Address != p.self.Address && p.rested(now, peer) {
+		if peer.Address != p.self.Address && p.available(now, peer) {
 			return Step{Do: AskPeer, Peer: peer}
 		}
 	}
-	return Step{Do: Wait, Pause: p.pause(now)}
+	return Step{Do: Wait, Pause: p.idleTime(now)}
 }
 
-// follow returns the step of a daemon that has a reader.
-func (p *Plan) follow(now time.Time, f fleet.Feed, order []Peer) Step {
+// followerStep returns the step of a daemon that has a reader.
+func (p *Plan) followerStep(now time.Time, f fleet.Feed, order []Peer) Step {
 	for _, peer := range order {
 		if peer.Address == p.self.Address {
-			return p.lead(now, f, order) // those before it have no word
+			return p.readerStep(now, f, order) // no daemon earlier in the order has fresh data
 		}
-		if p.rested(now, peer) {
+		if p.available(now, peer) {
 			return Step{Do: AskPeer, Peer: peer}
 		}
 	}
-	if p.doubting && f == fleet.FeedUpstreams && !now.Before(p.store.next) {
+	if p.noFreshPeer && f == fleet.FeedUpstreams && !now.Before(p.store.nextProbe) {
 		return Step{Do: AskStore, Probe: true}
 	}
 	return Step{Do: AskPeer, Peer: order[0], Patient: true}
 }
 
-// open says whether the store is asked now. While it gives no answer the feed of
-// upstreams alone tries: the other one would only double the calls.
-func (p *Plan) open(now time.Time, f fleet.Feed) bool {
-	return p.store.failures == 0 || f == fleet.FeedUpstreams && !now.Before(p.store.next)
+// storeDue reports whether a call to the store is due. While the store fails, only the
+// upstreams feed makes calls; the configuration feed would only double them.
+func (p *Plan) storeDue(now time.Time, f fleet.Feed) bool {
+	return p.store.failures == 0 || f == fleet.FeedUpstreams && !now.Before(p.store.nextProbe)
 }
 
-// pause returns how long there is nothing to do.
-func (p *Plan) pause(now time.Time) time.Duration {
-	until := p.store.next
-	for _, rest := range p.resting {
-		if rest.After(now) && rest.Before(until) {
-			until = rest
+// idleTime returns the time until the store or a peer can be asked again.
+func (p *Plan) idleTime(now time.Time) time.Duration {
+	until := p.store.nextProbe
+	for _, retryAt := range p.backoffUntil {
+		if retryAt.After(now) && retryAt.Before(until) {
+			until = retryAt
 		}
 	}
-	return max(until.Sub(now), probeFirst/10)
+	return max(until.Sub(now), minProbeInterval/10)
 }
 
-func (p *Plan) rested(now time.Time, peer Peer) bool {
-	until, ok := p.resting[peer.Address]
+// available reports whether a peer may be asked, which it may not be for a time after an
+// answer without fresh data.
+func (p *Plan) available(now time.Time, peer Peer) bool {
+	until, ok := p.backoffUntil[peer.Address]
 	if ok && !now.Before(until) {
-		delete(p.resting, peer.Address)
+		delete(p.backoffUntil, peer.Address)
 		return true
 	}
 	return !ok
 }
 
-// Took notes that a peer gave a fresh word.
+// Took records that a peer returned fresh data.
 func (p *Plan) Took(now time.Time, peer Peer) {
-	delete(p.resting, peer.Address)
-	p.doubting = false
+	delete(p.backoffUntil, peer.Address)
+	p.noFreshPeer = false
 	p.roster.Served(now, peer)
 }
 
-// Silent notes that a peer gave no answer.
+// Silent records that a peer failed to answer.
 func (p *Plan) Silent(now time.Time, peer Peer) { p.roster.Silent(now, peer.Address) }
 
-// Waits notes that a peer answered that it waits for the store itself.
-func (p *Plan) Waits(now time.Time, peer Peer) { p.rest(now, peer, awayRest) }
+// Waits records that a peer answered that the store is unavailable.
+func (p *Plan) Waits(now time.Time, peer Peer) { p.backOff(now, peer, storeDownBackoff) }
 
-// Unfit notes that a peer answered without a fresh word.
-func (p *Plan) Unfit(now time.Time, peer Peer) { p.rest(now, peer, unfitRest) }
+// Unfit records that a peer answered that its data is stale.
+func (p *Plan) Unfit(now time.Time, peer Peer) { p.backOff(now, peer, staleBackoff) }
 
-func (p *Plan) rest(now time.Time, peer Peer, d time.Duration) {
-	p.resting[peer.Address] = now.Add(p.vary(d))
-	if !p.doubting && p.store.failures == 0 {
-		p.doubting = true
-		p.store.next = now.Add(time.Duration(2 * p.rng.Float64() * float64(p.probe(now))))
+// backOff keeps a peer without fresh data from being asked for about d. If it is the first
+// such peer, backOff also schedules the first probe of the store, at a random time so that
+// the followers do not probe together.
+func (p *Plan) backOff(now time.Time, peer Peer, d time.Duration) {
+	p.backoffUntil[peer.Address] = now.Add(p.withJitter(d))
+	if !p.noFreshPeer && p.store.failures == 0 {
+		p.noFreshPeer = true
+		p.store.nextProbe = now.Add(time.Duration(2 * p.rng.Float64() * float64(p.probeInterval(now))))
 	}
 }
 
-// Failed notes that the store gave this daemon no answer.
+// Failed records that the store failed to answer this daemon.
 func (p *Plan) Failed(now time.Time) {
 	p.store.failures++
-	p.store.next = now.Add(p.vary(p.probe(now)))
+	p.store.nextProbe = now.Add(p.withJitter(p.probeInterval(now)))
 }
 
-// Answered notes that the store answered this daemon.
-func (p *Plan) Answered() { p.store, p.doubting = gate{}, false }
+// Answered records that the store answered this daemon.
+func (p *Plan) Answered() { p.store, p.noFreshPeer = storeBackoff{}, false }
 
-// probe returns the pause before the next call to a store that gives no answer.
-func (p *Plan) probe(now time.Time) time.Duration {
-	d := probeFirst << max(0, min(p.store.failures, 8)-1)
+// probeInterval returns the pause before the next call to a failing store. It is shortest
+// for the reader and longer for successors; followers divide one call a second among them.
+func (p *Plan) probeInterval(now time.Time) time.Duration {
+	d := minProbeInterval << max(0, min(p.store.failures, 8)-1)
 	order := p.roster.Order(now)
 	for i, peer := range order {
 		switch {
 		case peer.Address != p.self.Address:
 		case i == 0:
-			return min(d, probeMost)
+			return min(d, maxReaderProbeInterval)
 		default:
-			return min(d, probeNext)
+			return min(d, maxSuccessorProbeInterval)
 		}
 	}
-	if len(order) == 0 || p.small(now) {
-		return min(d, aloneMost)
+	if len(order) == 0 || p.smallFleet(now) {
+		return min(d, maxIsolatedProbeInterval)
 	}
-	return probeShare * time.Duration(max(1, p.roster.Daemons(now)/max(1, 1+len(p.roster.Others(now)))))
+	return followerProbeInterval * time.Duration(max(1, p.roster.Daemons(now)/max(1, 1+len(p.roster.Others(now)))))
 }
 
-// vary spreads a pause.
-func (p *Plan) vary(d time.Duration) time.Duration {
+// withJitter returns d, changed at random by up to the fraction jitter.
+func (p *Plan) withJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + jitter*(2*p.rng.Float64()-1)))
 }
 
-// Met takes what the daemon at an address said of who reads. One that gives no answer may
-// only have started later than this one, and is not counted as silent.
+// Met stores the succession that the daemon at an address returned and ends the search. A
+// seed that does not answer may only have started later than this daemon, so it isn't
+// marked as unreachable.
 func (p *Plan) Met(address string, s Succession) {
 	p.roster.Answered(address)
 	p.roster.Told(s)
-	p.meets = nil
+	p.candidates = nil
 }
 
-// Listed takes the daemons that read by the store's word, nearest first.
+// Listed adds the readers that the store listed to the search: those of this data centre
+// first, at most maxSuccessors in all.
 func (p *Plan) Listed(peers []Peer) {
 	for _, near := range []bool{true, false} {
 		for _, peer := range peers {
-			if peer.Address != p.self.Address && (peer.DataCentre == p.self.DataCentre) == near && len(p.meets) < successors {
-				p.meets = append(p.meets, peer.Address)
+			if peer.Address != p.self.Address && (peer.DataCentre == p.self.DataCentre) == near && len(p.candidates) < maxSuccessors {
+				p.candidates = append(p.candidates, peer.Address)
 			}
 		}
 	}
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -10,9 +10,9 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// planOf returns the plan of daemon m in a large fleet, told of an order and of a reader
-// x of another data centre.
-func planOf(order ...string) *Plan {
+// newTestPlan returns the plan of daemon m in a large fleet. It has received an order, and
+// x as the reader of another data centre.
+func newTestPlan(order ...string) *Plan {
 	r := NewRoster(peer("m", "a", 192), nil)
 	var peers []Peer
 	for _, name := range order {
@@ -23,7 +23,7 @@
 	return NewPlan(t0, peer("m", "a", 192), []string{"seed"}, r, rand.New(rand.NewPCG(1, 1)))
 }
 
-// String names a step in a few letters.
+// String returns a short form of a step, which the tests compare.
 func (s Step) String() string {
 	switch s.Do {
 	case AskStore:
@@ -39,7 +39,7 @@
 	}
 }
 
-const up = fleet.FeedUpstreams
+const upstreamsFeed = fleet.FeedUpstreams
 
 func TestPlanFollowsTheSuccession(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -48,42 +48,42 @@
 		asked bool
 		want  string
 	}{
-		"the reader":                        {[]string{"r", "s"}, nil, false, "r"},
-		"itself":                            {[]string{"m", "s"}, nil, false, "store"},
-		"others rely on it":                 {[]string{"r", "s"}, nil, true, "store"},
-		"the reader is silent":              {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader is silent, it is next":  {[]string{"r", "m"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "store"},
-		"the reader waits for the store":    {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader has no word":            {[]string{"r", "s"}, func(p *Plan) { p.Unfit(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader waits, it is next":      {[]string{"r", "m"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "probe"},
-		"all wait":                          {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)); p.Waits(t0, peer("s", "a", 0)) }, false, "patient r"},
-		"all are silent":                    {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)); p.Silent(t0, peer("s", "a", 0)) }, false, "meet seed"},
-		"it reads, the store fails":         {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0) }, false, "s"},
-		"it reads, store and next fail":     {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)) }, false, "x"},
-		"it reads, the next has a word":     {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)); p.Took(t0, peer("s", "a", 192)) }, false, "s"},
-		"it reads, nobody has a word":       {[]string{"m"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("x", "b", 0)) }, false, "wait"},
-		"it reads, the store answers again": {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Answered() }, false, "store"},
+		"the reader":                             {[]string{"r", "s"}, nil, false, "r"},
+		"it is the reader":                       {[]string{"m", "s"}, nil, false, "store"},
+		"it has followers":                       {[]string{"r", "s"}, nil, true, "store"},
+		"the reader is unreachable":              {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader is unreachable, it is next":  {[]string{"r", "m"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "store"},
+		"the reader's store is down":             {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's data is stale":             {[]string{"r", "s"}, func(p *Plan) { p.Unfit(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's store is down, it is next": {[]string{"r", "m"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "probe"},
+		"the store is down for all":              {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)); p.Waits(t0, peer("s", "a", 0)) }, false, "patient r"},
+		"all are unreachable":                    {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)); p.Silent(t0, peer("s", "a", 0)) }, false, "meet seed"},
+		"it reads, the store fails":              {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0) }, false, "s"},
+		"it reads, store and next fail":          {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)) }, false, "x"},
+		"it reads, the next has fresh data":      {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)); p.Took(t0, peer("s", "a", 192)) }, false, "s"},
+		"it reads, no peer has fresh data":       {[]string{"m"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("x", "b", 0)) }, false, "wait"},
+		"it reads, the store answers again":      {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Answered() }, false, "store"},
 	} {
-		p := planOf(tc.order...)
+		p := newTestPlan(tc.order...)
 		if tc.event != nil {
 			tc.event(p)
 		}
-		if got := p.Next(t0, up, tc.asked).String(); got != tc.want {
+		if got := p.Next(t0, upstreamsFeed, tc.asked).String(); got != tc.want {
 			t.Errorf("%s: %s, want %s", name, got, tc.want)
 		}
 	}
 }
 
-// A daemon looks for its reader at the seeds, for a while again and again, then in the
-// store's list, and reads itself only then.
+// A daemon searches for its reader at the seeds, which it retries for a while, then among
+// the readers that the store lists. Only then does it read the store itself.
 func TestPlanLooksForAReader(t *testing.T) {
 	p := NewPlan(t0, peer("m", "a", 192), []string{"s1", "m2", "s2"}, NewRoster(peer("m", "a", 192), nil), rand.New(rand.NewPCG(1, 1)))
 	var got []string
 	now := t0
 	for len(got) == 0 || got[len(got)-1] != "store" {
-		step := p.Next(now, up, false)
-		if step.Do != AskStore && len(p.meets) > 0 && p.Reads(now) {
-			t.Error("counts as a reader while it looks")
+		step := p.Next(now, upstreamsFeed, false)
+		if step.Do != AskStore && len(p.candidates) > 0 && p.Reads(now) {
+			t.Error("counts as a reader during its search")
 		}
 		if step.Do == Wait {
 			now = now.Add(step.Pause)
@@ -102,31 +102,31 @@
 	if d := cmp.Diff([]string{"list", "meet near", "meet far", "store"}, got[len(got)-4:]); d != "" {
 		t.Error(d)
 	}
-	if now.Sub(t0) < seedTime || now.Sub(t0) > 2*seedTime {
+	if now.Sub(t0) < seedWait || now.Sub(t0) > 2*seedWait {
 		t.Errorf("asked the store after %v", now.Sub(t0))
 	}
 	if !p.Reads(now) {
-		t.Error("does not count as a reader after all")
+		t.Error("does not count as a reader after its search")
 	}
 }
 
-// A daemon that is itself one of those where others look first reads at once.
+// A daemon that is itself a seed reads the store at once.
 func TestPlanOfASeedReads(t *testing.T) {
 	p := NewPlan(t0, peer("m", "a", 192), []string{"m", "s"}, NewRoster(peer("m", "a", 192), nil), rand.New(rand.NewPCG(1, 1)))
-	if got := p.Next(t0, up, false).String(); got != "store" || !p.Reads(t0) {
+	if got := p.Next(t0, upstreamsFeed, false).String(); got != "store" || !p.Reads(t0) {
 		t.Error(got)
 	}
 }
 
-// Symptom: a store that is away is asked by each follower, every 250 ms.
-// Sequence: the store goes away for ten minutes; all of a data centre's readers wait for it.
-// Cause: no pause that grows with the number of those who would ask.
+// Guards against followers that each probe an unavailable store every 250 ms. During an
+// outage of ten minutes, which also affects the readers, the interval of a follower's
+// probes must grow with the number of daemons.
 func TestPlanProbesByTurns(t *testing.T) {
 	for order, most := range map[string]int{"r": 12, "m": 1400} {
-		p := planOf(order, "s")
+		p := newTestPlan(order, "s")
 		probes := 0
 		for at := time.Duration(0); at < 10*time.Minute; at += 50 * time.Millisecond {
-			switch step := p.Next(after(at), up, false); step.Do {
+			switch step := p.Next(after(at), upstreamsFeed, false); step.Do {
 			case AskStore:
 				probes++
 				p.Failed(after(at))
@@ -140,29 +140,29 @@
 	}
 }
 
-// While the store is away one feed asks for both.
+// While the store is unavailable, only the upstreams feed probes it.
 func TestPlanOneFeedProbes(t *testing.T) {
-	p := planOf("m")
+	p := newTestPlan("m")
 	p.Failed(t0)
 	p.Waits(t0, peer("x", "b", 0))
-	at := after(awayRest / 2)
+	at := after(storeDownBackoff / 2)
 	if got := p.Next(at, fleet.FeedConfig, false); got.Do != Wait || got.Pause <= 0 {
 		t.Errorf("the configuration's feed: %v", got)
 	}
-	if got := p.Next(at, up, false).String(); got != "probe" {
+	if got := p.Next(at, upstreamsFeed, false).String(); got != "probe" {
 		t.Errorf("the upstreams' feed: %s", got)
 	}
 }
 
 func TestPlanComesBackToItsReader(t *testing.T) {
-	p := planOf("r", "s")
+	p := newTestPlan("r", "s")
 	p.Silent(t0, peer("r", "a", 0))
-	if got := p.Next(after(silentTime), up, false).String(); got != "r" {
+	if got := p.Next(after(unreachableTTL), upstreamsFeed, false).String(); got != "r" {
 		t.Error(got)
 	}
-	p = planOf("r", "s")
+	p = newTestPlan("r", "s")
 	p.Unfit(t0, peer("r", "a", 0))
-	if got := p.Next(after(2*unfitRest), up, false).String(); got != "r" {
+	if got := p.Next(after(2*staleBackoff), upstreamsFeed, false).String(); got != "r" {
 		t.Error(got)
 	}
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -17,33 +17,33 @@
 	"github.com/corianderturn/corianderturn/quarantine"
 )
 
-// contactBound is the shortest time within which every daemon in touch has to know under
-// which request a third upstream ended.
-const contactBound = 3 * time.Second
+// quarantineBound is the time within which every daemon with a connection to others must
+// refuse a request after a third upstream has ended during it.
+const quarantineBound = 3 * time.Second
 
-// quarantineLog is the log of the quarantine as one daemon sees it.
-type quarantineLog struct{ storeView }
+// quarantineLog is one daemon's client of the quarantine log.
+type quarantineLog struct{ storeClient }
 
 // Append implements quarantine.Log.
 func (l quarantineLog) Append(ctx context.Context, list []quarantine.Record) error {
-	if err := l.s.call(ctx, l.who, 1); err != nil {
+	if err := l.store.serveCall(ctx, l.instance, 1); err != nil {
 		return err
 	}
-	l.s.update(func() { l.s.ends = append(l.s.ends, list...) })
+	l.store.update(func() { l.store.quarantineRecords = append(l.store.quarantineRecords, list...) })
 	return nil
 }
 
 // Read implements quarantine.Log.
 func (l quarantineLog) Read(ctx context.Context, from uint64, wait time.Duration) ([]quarantine.Record, uint64, error) {
-	if err := l.s.call(ctx, l.who, 1); err != nil {
+	if err := l.store.serveCall(ctx, l.instance, 1); err != nil {
 		return nil, from, err
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for over := wait == 0; ; {
-		l.s.mu.Lock()
-		list, refused, changed := l.s.ends[from:], l.s.down || l.s.refused[l.who], l.s.changed
-		l.s.mu.Unlock()
+		l.store.mu.Lock()
+		list, refused, changed := l.store.quarantineRecords[from:], l.store.down || l.store.refusedInstances[l.instance], l.store.changed
+		l.store.mu.Unlock()
 		switch {
 		case refused:
 			return nil, from, errRefused
@@ -60,87 +60,87 @@
 	}
 }
 
-// fatal is what a caller asks for, under which upstreams end.
-var fatal = quarantine.DigestOf("fatal")
+// testDigest is the digest of the request during which upstreams end.
+var testDigest = quarantine.DigestOf("fatal")
 
-// end puts the end of an upstream on the log.
-func (s *modelStore) end(name string) {
+// recordEnd appends the end of an upstream to the quarantine log.
+func (s *fakeStore) recordEnd(name string) {
 	s.update(func() {
-		s.ends = append(s.ends, quarantine.Record{Digest: fatal, Upstream: name, Millis: time.Now().UnixMilli()})
+		s.quarantineRecords = append(s.quarantineRecords, quarantine.Record{Digest: testDigest, Upstream: name, Millis: time.Now().UnixMilli()})
 	})
 }
 
-// sends counts the daemons that live and do not refuse the request.
-func (w *world) sends() (n int) {
-	for _, d := range w.living() {
-		if _, refused := d.keeper.Refuses(time.Now(), func() quarantine.Digest { return fatal }); !refused {
+// countNotRefusing returns how many running daemons do not refuse the request.
+func (w *testFleet) countNotRefusing() (n int) {
+	for _, d := range w.running() {
+		if _, refused := d.quarantine.Refuses(time.Now(), func() quarantine.Digest { return testDigest }); !refused {
 			n++
 		}
 	}
 	return n
 }
 
-// Symptom: a request that three upstreams have ended under is sent on by daemons that were
-// not there.
-// Sequence: three ends, half a second apart, around the trouble of the row.
-// Cause: news of ends that reach only who reads the store, or that wait behind each other.
+// Guards against daemons that still send a request after three upstreams have ended during
+// it. The three ends are half a second apart, and the fault of the test case occurs after
+// the first. Followers must receive the records too, and each record without delay by an
+// earlier one.
 func TestEndsAreTold(t *testing.T) {
-	refuse := func(w *world, which func(i int, d *daemon) bool) {
+	refuse := func(w *testFleet, which func(i int, d *daemon) bool) {
 		w.store.update(func() {
 			for i, d := range w.daemons {
-				w.store.refused[d.self.Instance] = which(i, d)
+				w.store.refusedInstances[d.self.Instance] = which(i, d)
 			}
 		})
 	}
 	for _, tc := range []struct {
 		name    string
-		trouble func(w *world)
+		trouble func(w *testFleet)
 	}{
-		{"none", func(*world) {}},
-		{"readers killed", func(w *world) { w.kill(w.readers()...) }},
-		{"readers refused by the store", func(w *world) {
+		{"none", func(*testFleet) {}},
+		{"readers killed", func(w *testFleet) { w.kill(w.readers()...) }},
+		{"readers refused by the store", func(w *testFleet) {
 			refuse(w, func(_ int, d *daemon) bool { return d.roster.Leads() })
 		}},
-		{"a third refused by the store", func(w *world) {
+		{"a third refused by the store", func(w *testFleet) {
 			refuse(w, func(i int, d *daemon) bool { return i%3 == 0 || d.roster.Leads() })
 		}},
-		{"all killed, and started again", func(w *world) {
+		{"all killed, and started again", func(w *testFleet) {
 			w.kill(w.daemons...)
 			w.startAll(w.daemons)
 		}},
-		{"the store refuses all, and is back", func(w *world) {
+		{"the store refuses all, and is back", func(w *testFleet) {
 			w.store.update(func() { w.store.down = true })
 			time.Sleep(10 * time.Second)
 			w.store.update(func() { w.store.down = false })
 		}},
-		{"a data centre cut off from the others", func(w *world) {
+		{"a data centre cut off from the others", func(w *testFleet) {
 			cut := map[string]bool{}
 			for _, d := range w.daemons {
 				cut[d.self.Address] = d.self.DataCentre == "dc0"
 			}
-			w.network.setCut(func(a, b string) bool { return cut[a] != cut[b] })
+			w.network.setPartition(func(a, b string) bool { return cut[a] != cut[b] })
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(t *testing.T, w *world) {
-				w.store.end("before")
+			runOnFleets(t, func(t *testing.T, w *testFleet) {
+				w.store.recordEnd("before")
 				time.Sleep(500 * time.Millisecond)
 				tc.trouble(w)
-				w.store.end("second")
+				w.store.recordEnd("second")
 				time.Sleep(500 * time.Millisecond)
-				w.store.end("third")
-				time.Sleep(contactBound)
-				if n := w.sends(); n > 0 {
-					t.Errorf("%d of %d daemons send it on %v after the third end", n, len(w.living()), contactBound)
+				w.store.recordEnd("third")
+				time.Sleep(quarantineBound)
+				if n := w.countNotRefusing(); n > 0 {
+					t.Errorf("%d of %d daemons still send the request %v after the third end", n, len(w.running()), quarantineBound)
 				}
 			})
 		})
 	}
 }
 
-// countedNews counts the answers that tell of the quarantine, and stops what runs when there
-// are more than any follower may bring about.
-type countedNews struct {
+// countingQuarantine counts the responses with quarantine records. It stops the test if
+// there are more than a follower may cause.
+type countingQuarantine struct {
 	*quarantine.Keeper
 	most    int64
 	stop    func()
@@ -148,32 +148,30 @@
 }
 
 // Since implements Quarantine.
-func (c *countedNews) Since(seen uint64) ([]quarantine.Record, uint64) {
+func (c *countingQuarantine) Since(seen uint64) ([]quarantine.Record, uint64) {
 	if c.answers.Add(1) > c.most {
 		c.stop()
 	}
 	return c.Keeper.Since(seen)
 }
 
-// teller returns a server that has a fresh word, holds an end against a request, and names
+// newQuarantineServer returns a server with fresh data and one quarantine record. It names
 // another daemon as the reader.
-func teller(self, reader Peer, news *countedNews, fresh time.Duration) *Server {
-	news.Keeper = keeper()
-	news.Take([]quarantine.Record{{Digest: fatal, Upstream: "u", Millis: time.Now().UnixMilli()}})
+func newQuarantineServer(self, reader Peer, news *countingQuarantine, freshFor time.Duration) *Server {
+	news.Keeper = newQuarantine()
+	news.Take([]quarantine.Record{{Digest: testDigest, Upstream: "u", Millis: time.Now().UnixMilli()}})
 	roster := NewRoster(self, nil)
 	roster.Told(Succession{Order: []Peer{reader}, Daemons: 300})
 	return NewServer(ServerOptions{
-		Journal: journalOf(time.Now().Add(fresh)), Roster: roster, Asked: NewAsked(), Samples: NewSamples(time.Now()),
-		Quarantine: news, Pace: testPace, Logger: quiet, Now: time.Now,
+		Journal: newTestJournal(time.Now().Add(freshFor)), Roster: roster, Asked: NewAsked(), Samples: NewSamples(time.Now()),
+		Quarantine: news, Pace: testPace, Logger: discardLogger, Now: time.Now,
 	})
 }
 
-// Symptom: a daemon and those that it follows are busy with each other, with thousands of
-// calls a second, for as long as the store is away.
-// Sequence: something is held against a request; the store is away, and two daemons each
-// name the other one as the reader, so that a follower asks them by turns.
-// Cause: the follower gives each the number up to which the other one has told it, which
-// none of them knows: it is told all anew, at once.
+// Guards against thousands of calls a second between a follower and two daemons that name
+// each other as the reader. This happens while the store is unavailable: the follower asks
+// both by turns. If it sent each of them the sequence number of the other one, which that
+// one does not recognize, each would answer at once with all records.
 func TestFollowerOfTwoByTurns(t *testing.T) {
 	const length = 20 * time.Second
 	most := 2 * int64(length/testPace.AnswerWithin)
@@ -182,23 +180,23 @@
 		defer cancel()
 		links := &network{listeners: map[string]*pipeListener{}}
 		first, second := peer("a:1", "a", 800), peer("b:1", "a", 800)
-		news := map[Peer]*countedNews{first: {most: most, stop: cancel}, second: {most: most, stop: cancel}}
+		news := map[Peer]*countingQuarantine{first: {most: most, stop: cancel}, second: {most: most, stop: cancel}}
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		for self, reader := range map[Peer]Peer{first: second, second: first} {
-			s := teller(self, reader, news[self], length)
+			s := newQuarantineServer(self, reader, news[self], length)
 			s.Listen(links.listen(self.Address))
 			wg.Go(func() {
 				if err := s.Run(ctx); err != nil {
 					t.Error(err)
 				}
 			})
-			time.Sleep(10 * time.Millisecond) // their numbers begin with their starts
+			time.Sleep(10 * time.Millisecond) // sequence numbers derive from start times, which must differ
 		}
-		d := newSingle(&source{down: true}, first, second)
+		d := newTestDaemon(&fakeFeedStore{down: true}, first, second)
 		d.o.Now = time.Now
 		for f := range d.clients {
-			d.clients[f].dial = func(ctx context.Context, to string) (net.Conn, error) { return links.dial(ctx, me.Address, to) }
+			d.clients[f].dial = func(ctx context.Context, to string) (net.Conn, error) { return links.dial(ctx, testSelf.Address, to) }
 		}
 		for ctx.Err() == nil {
 			if _, err := d.Read(ctx, fleet.FeedUpstreams, 1, 2*time.Second); err != nil && ctx.Err() == nil {
@@ -207,7 +205,7 @@
 		}
 		for p, c := range news {
 			if n := c.answers.Load(); n < 2 || n > most {
-				t.Errorf("%s has told %d times in %v, want 2 to %d", p.Address, n, length, most)
+				t.Errorf("%s has sent its records %d times in %v, want 2 to %d", p.Address, n, length, most)
 			}
 		}
 	})
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -10,176 +10,182 @@
 )
 
 const (
-	// heardLife is how long a daemon counts as alive after it was last heard. A follower
-	// asks its reader several times within it.
-	heardLife = 5 * time.Second
-	// claimLife is how long a reader's claim holds. Readers repeat theirs every
-	// exchangeEvery.
-	claimLife = 4 * time.Second
-	// countLife is how long a daemon is counted. Retries are divided by the count, for
-	// which too many are safe and too few are not.
-	countLife = 30 * time.Second
-	// silentTime is how long a daemon that gave no answer is left alone.
-	silentTime = 10 * time.Second
-	// settleTime is how long a daemon must have been heard of before it takes over from a
-	// lighter reader, and heavier how many times its weight it must have: each change of
-	// the reader costs a call of each follower.
-	settleTime = 5 * time.Second
-	heavier    = 1.5
-	// successors is how many daemons are told of to follow a reader. Of five, half of a
-	// fleet that is killed at once leaves one in 31 cases of 32.
-	successors = 4
+	// peerTTL is how long after its last contact a daemon counts as running. A follower
+	// calls its reader several times within it.
+	peerTTL = 5 * time.Second
+	// claimTTL is how long a reader's claim is valid. Readers repeat their claim every
+	// exchangeInterval.
+	claimTTL = 4 * time.Second
+	// countTTL is how long after its last call a daemon is counted. The fleet's retries are
+	// divided by the count. A count that is too large only makes the shares smaller; one
+	// that is too small would let the fleet exceed its limit.
+	countTTL = 30 * time.Second
+	// unreachableTTL is how long a daemon that failed to answer is not asked again.
+	unreachableTTL = 10 * time.Second
+	// A daemon replaces a reader of lower weight only after it has been known for
+	// takeoverDelay and if its weight is takeoverWeightRatio times the reader's. Each
+	// change of the reader costs one call of each follower.
+	takeoverDelay       = 5 * time.Second
+	takeoverWeightRatio = 1.5
+	// maxSuccessors is how many successors of a reader are announced. If a random half of
+	// the fleet is killed at once, one of the five daemons is left in 31 of 32 cases.
+	maxSuccessors = 4
 )
 
-// Roster knows the other daemons, and decides who reads the store for a data centre: who
-// does so already, else the one that can bear most. It is safe for concurrent use.
+// Roster holds the known daemons and elects the reader of a data centre: the daemon that
+// already is the reader, otherwise the one with the largest weight. It is safe for
+// concurrent use.
 //
 // Load pattern: hundreds of daemons that start, or lose their reader, at the same moment.
-// All must come to the same reader, from few messages, without asking the store.
+// They must agree on one reader with few messages and without calls to the store.
 type Roster struct {
 	self Peer
-	// dataCentres are those in which daemons may run.
+	// dataCentres are the data centres that may have daemons.
 	dataCentres []string
 
-	mu      sync.Mutex
-	entries map[string]*entry // by address
-	silent  map[string]time.Time
-	// told is what a reader or another daemon said last of this data centre.
-	told Succession
-	// leads says that this daemon reads for its data centre.
-	leads bool
-	// most is the largest number of daemons that was known in this life, and sharing the
-	// largest that those of which nothing is heard make likely. near is the largest of this
-	// data centre.
-	most, sharing, near int
+	mu          sync.Mutex
+	peers       map[string]*knownPeer // by address
+	unreachable map[string]time.Time  // by address, until when the daemon is not asked
+	// received is the last succession of this data centre that another daemon sent.
+	received Succession
+	// isReader reports that this daemon is the reader of its data centre.
+	isReader bool
+	// maxDaemons is the largest number of daemons known since this process started, and
+	// maxLocal the largest in this data centre. maxSharing also includes an estimate for
+	// data centres without any known daemon (see FleetSize).
+	maxDaemons, maxSharing, maxLocal int
 }
 
-type entry struct {
-	peer         Peer
-	first, heard time.Time
-	claimed      time.Time // zero when it is no reader
-	daemons      int       // of its data centre, as it claimed
+// knownPeer is another daemon, with the times of its last contact and of its last claim.
+type knownPeer struct {
+	peer                Peer
+	firstSeen, lastSeen time.Time
+	claimedAt           time.Time // zero for a daemon that has never been a reader
+	daemons             int       // number in its data centre, from its claim
 }
 
-// NewRoster returns a roster that knows this daemon alone, and the data centres in which
-// daemons may run.
+// NewRoster returns a roster that holds this daemon only. dataCentres are those that may
+// have daemons.
 func NewRoster(self Peer, dataCentres []string) *Roster {
-	return &Roster{self: self, dataCentres: dataCentres, entries: map[string]*entry{}, silent: map[string]time.Time{}}
+	return &Roster{self: self, dataCentres: dataCentres, peers: map[string]*knownPeer{}, unreachable: map[string]time.Time{}}
 }
 
-// Self returns this daemon as it tells others.
+// Self returns the description of this daemon.
 func (r *Roster) Self() Peer { return r.self }
 
-// Heard notes that a daemon asked this one.
+// Heard records that a daemon called this one.
 func (r *Roster) Heard(now time.Time, p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, p.Address)
-	r.note(now, p)
+	delete(r.unreachable, p.Address)
+	r.recordContact(now, p)
 }
 
-func (r *Roster) note(now time.Time, p Peer) *entry {
+// recordContact updates the last contact of a daemon and returns its entry, or nil for this
+// daemon itself. After peerTTL without contact, the entry is replaced by a new one.
+func (r *Roster) recordContact(now time.Time, p Peer) *knownPeer {
 	if p.Address == "" || p.Address == r.self.Address {
 		return nil
 	}
-	e := r.entries[p.Address]
-	if e == nil || now.Sub(e.heard) >= heardLife {
-		e = &entry{first: now, heard: now}
-		r.entries[p.Address] = e
+	e := r.peers[p.Address]
+	if e == nil || now.Sub(e.lastSeen) >= peerTTL {
+		e = &knownPeer{firstSeen: now, lastSeen: now}
+		r.peers[p.Address] = e
 	}
 	e.peer = p
-	if now.After(e.heard) {
-		e.heard = now
+	if now.After(e.lastSeen) {
+		e.lastSeen = now
 	}
 	return e
 }
 
-// Claimed notes the readers that another daemon knows.
+// Claimed adds the readers' claims that another daemon sent.
 func (r *Roster) Claimed(now time.Time, claims []claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range claims {
-		if c.Age >= claimLife {
+		if c.Age >= claimTTL {
 			continue
 		}
 		at := now.Add(-c.Age)
-		if e := r.entries[c.Peer.Address]; e != nil && at.Before(e.claimed) {
+		if e := r.peers[c.Peer.Address]; e != nil && at.Before(e.claimedAt) {
 			continue
 		}
-		if e := r.note(at, c.Peer); e != nil {
-			e.claimed, e.daemons = at, c.Daemons
+		if e := r.recordContact(at, c.Peer); e != nil {
+			e.claimedAt, e.daemons = at, c.Daemons
 		}
 	}
 }
 
-// Told takes what another daemon said of who reads for this one's data centre.
+// Told stores the succession of this data centre that another daemon sent.
 func (r *Roster) Told(s Succession) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = s
-	r.most = max(r.most, s.Daemons)
-	r.sharing = max(r.sharing, s.Sharing)
-	r.near = max(r.near, s.Near)
+	r.received = s
+	r.maxDaemons = max(r.maxDaemons, s.Daemons)
+	r.maxSharing = max(r.maxSharing, s.Sharing)
+	r.maxLocal = max(r.maxLocal, s.Near)
 }
 
-// Lead makes this daemon the reader of its data centre until one is heard of that goes
-// before it.
+// Lead makes this daemon the reader of its data centre until the roster elects another one.
 func (r *Roster) Lead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leads = true
+	r.isReader = true
 }
 
-// Leads says whether this daemon reads for its data centre.
+// Leads reports whether this daemon is the reader of its data centre.
 func (r *Roster) Leads() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leads
+	return r.isReader
 }
 
-// Silent notes that a daemon gave no answer.
+// Silent records that a daemon failed to answer.
 func (r *Roster) Silent(now time.Time, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent[address] = now.Add(silentTime)
-	delete(r.entries, address)
+	r.unreachable[address] = now.Add(unreachableTTL)
+	delete(r.peers, address)
 }
 
-// Answered notes that a daemon answered, and so is not silent.
+// Answered records that a daemon answered, and so is reachable.
 func (r *Roster) Answered(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, address)
+	delete(r.unreachable, address)
 }
 
-// Served notes that a daemon answered a call for records.
+// Served records that a daemon answered a read of this one.
 //
-// What goes wrong otherwise: a successor that reads for a reader which the store refuses
-// asks nobody, is not heard, and leaves the order after heardLife; the next ones are asked
-// in turn, each of which may be refused too, and a version is seconds late.
+// Suppose that the store refuses a reader, and that a successor reads the store for it. The
+// successor doesn't call the reader, so without Served it would drop out of the reader's
+// order after peerTTL. The reader would then try the next successors, which the store may
+// refuse as well, and a new configuration would arrive seconds late.
 func (r *Roster) Served(now time.Time, p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, p.Address)
-	r.note(now, p)
+	delete(r.unreachable, p.Address)
+	r.recordContact(now, p)
 }
 
-func (r *Roster) isSilent(now time.Time, address string) bool {
-	until, ok := r.silent[address]
+// isUnreachable reports whether a daemon failed to answer within the last unreachableTTL.
+func (r *Roster) isUnreachable(now time.Time, address string) bool {
+	until, ok := r.unreachable[address]
 	if ok && !now.Before(until) {
-		delete(r.silent, address)
+		delete(r.unreachable, address)
 		return false
 	}
 	return ok
 }
 
-// SilentOnes returns the addresses that gave no answer of late.
+// SilentOnes returns the addresses of the daemons that recently failed to answer.
 func (r *Roster) SilentOnes(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for address := range r.silent {
-		if r.isSilent(now, address) {
+	for address := range r.unreachable {
+		if r.isUnreachable(now, address) {
 			out = append(out, address)
 		}
 	}
@@ -187,219 +193,226 @@
 	return out
 }
 
-// Order returns who reads for this daemon's data centre, the reader first, without those
-// who are silent. Where it names this daemon first, this daemon leads from then on.
+// Order returns the reader of this data centre and its successors, without unreachable
+// daemons. If this daemon is the first, it becomes the reader.
 func (r *Roster) Order(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leads {
-		order := r.computed(now, r.self.DataCentre, nil)
+	if r.isReader {
+		order := r.electOrder(now, r.self.DataCentre, nil)
 		if order[0].Address == r.self.Address {
 			return order
 		}
-		r.leads, r.told.Order = false, order
+		r.isReader, r.received.Order = false, order
 	}
-	order := slices.DeleteFunc(slices.Clone(r.told.Order), func(p Peer) bool { return r.isSilent(now, p.Address) })
+	order := slices.DeleteFunc(slices.Clone(r.received.Order), func(p Peer) bool { return r.isUnreachable(now, p.Address) })
 	if len(order) > 0 && order[0].Address == r.self.Address {
-		r.leads = true
+		r.isReader = true
 	}
 	return order
 }
 
-// Others returns the readers of the other data centres that are not silent.
+// Others returns the reachable readers of the other data centres.
 func (r *Roster) Others(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.others(now)
+	return r.otherReaders(now)
 }
 
-// Lenders returns the daemons that may be asked for what the fleet shares: those of this
-// one's data centre that are told of, and the other readers in a small fleet, in which the
-// former are few.
+// Lenders returns the daemons that may be asked for a loan of the fleet's shared limits:
+// the reader and the successors of this data centre and, in a small fleet, where these are
+// few, also the readers of the others.
 func (r *Roster) Lenders(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := r.told.Order
-	if r.leads {
-		list = r.computed(now, r.self.DataCentre, nil)
+	list := r.received.Order
+	if r.isReader {
+		list = r.electOrder(now, r.self.DataCentre, nil)
 	}
 	out := slices.Clone(list)
-	if r.daemons(now) < minFleet {
-		out = append(out, r.others(now)...)
+	if r.countDaemons(now) < minFleet {
+		out = append(out, r.otherReaders(now)...)
 	}
-	return slices.DeleteFunc(out, func(p Peer) bool { return p.Address == r.self.Address || r.isSilent(now, p.Address) })
+	return slices.DeleteFunc(out, func(p Peer) bool { return p.Address == r.self.Address || r.isUnreachable(now, p.Address) })
 }
 
-func (r *Roster) others(now time.Time) []Peer {
-	out := slices.Clone(r.told.Others)
-	for _, e := range r.entries {
+// otherReaders is Others for callers that hold the lock.
+func (r *Roster) otherReaders(now time.Time) []Peer {
+	out := slices.Clone(r.received.Others)
+	for _, e := range r.peers {
 		known := slices.ContainsFunc(out, func(p Peer) bool { return p.Address == e.peer.Address })
-		if !known && e.claims(now) {
+		if !known && e.hasClaim(now) {
 			out = append(out, e.peer)
 		}
 	}
 	out = slices.DeleteFunc(out, func(p Peer) bool {
-		return p.DataCentre == r.self.DataCentre || r.isSilent(now, p.Address)
+		return p.DataCentre == r.self.DataCentre || r.isUnreachable(now, p.Address)
 	})
-	slices.SortFunc(out, before)
+	slices.SortFunc(out, byWeight)
 	return out
 }
 
-// Succession returns who reads for a data centre, for a caller to whom the daemons at
-// some addresses were silent.
-func (r *Roster) Succession(now time.Time, dataCentre string, silent []string) Succession {
+// Succession returns the succession of a data centre. It leaves out the daemons at the
+// addresses in unreachable, which failed to answer the caller.
+func (r *Roster) Succession(now time.Time, dataCentre string, unreachable []string) Succession {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Succession{Daemons: r.daemons(now)}
-	s.Sharing = r.sharing
+	s := Succession{Daemons: r.countDaemons(now)}
+	s.Sharing = r.maxSharing
 	if dataCentre == r.self.DataCentre {
-		s.Near = r.near
+		s.Near = r.maxLocal
 	}
-	for _, p := range r.others(now) {
+	for _, p := range r.otherReaders(now) {
 		if p.DataCentre != dataCentre {
 			s.Others = append(s.Others, p)
 		}
 	}
-	if r.leads && r.self.DataCentre != dataCentre {
+	if r.isReader && r.self.DataCentre != dataCentre {
 		s.Others = append(s.Others, r.self)
 	}
-	if s.Order = r.computed(now, dataCentre, silent); r.follows(dataCentre) {
-		s.Order = r.toldOrder(now, silent, s.Order)
+	if s.Order = r.electOrder(now, dataCentre, unreachable); r.followsReaderIn(dataCentre) {
+		s.Order = r.receivedOrder(now, unreachable, s.Order)
 	}
 	return s
 }
 
-// follows says whether this daemon has a reader of its own in a data centre.
-func (r *Roster) follows(dataCentre string) bool {
-	return dataCentre == r.self.DataCentre && !r.leads && len(r.told.Order) > 0
+// followsReaderIn reports whether this daemon is a follower in a data centre.
+func (r *Roster) followsReaderIn(dataCentre string) bool {
+	return dataCentre == r.self.DataCentre && !r.isReader && len(r.received.Order) > 0
 }
 
-// toldOrder returns the order that this daemon was told itself, if anybody is left of it.
-func (r *Roster) toldOrder(now time.Time, silent []string, otherwise []Peer) []Peer {
-	order := slices.DeleteFunc(slices.Clone(r.told.Order), func(p Peer) bool {
-		return r.isSilent(now, p.Address) || slices.Contains(silent, p.Address)
+// receivedOrder returns the reachable daemons of the order that this daemon received, or
+// fallback if there are none.
+func (r *Roster) receivedOrder(now time.Time, unreachable []string, fallback []Peer) []Peer {
+	order := slices.DeleteFunc(slices.Clone(r.received.Order), func(p Peer) bool {
+		return r.isUnreachable(now, p.Address) || slices.Contains(unreachable, p.Address)
 	})
 	if len(order) == 0 {
-		return otherwise
+		return fallback
 	}
 	return order
 }
 
-// computed returns the order of a data centre from what was heard: a reader that is one
-// already, unless a much heavier daemon has settled, then the heaviest others.
-func (r *Roster) computed(now time.Time, dataCentre string, silent []string) []Peer {
+// electOrder returns the failover order of a data centre. The first is the current reader,
+// unless a daemon of much larger weight has been known for takeoverDelay. The others follow
+// by weight.
+func (r *Roster) electOrder(now time.Time, dataCentre string, unreachable []string) []Peer {
 	var readers, all []Peer
-	var settled []Peer
-	add := func(p Peer, reads, old bool) {
-		if p.DataCentre != dataCentre || slices.Contains(silent, p.Address) || r.isSilent(now, p.Address) {
+	var eligible []Peer
+	add := func(p Peer, claims, known bool) {
+		if p.DataCentre != dataCentre || slices.Contains(unreachable, p.Address) || r.isUnreachable(now, p.Address) {
 			return
 		}
 		all = append(all, p)
-		if reads {
+		if claims {
 			readers = append(readers, p)
 		}
-		if old {
-			settled = append(settled, p)
+		if known {
+			eligible = append(eligible, p)
 		}
 	}
-	add(r.self, r.leads, true)
-	for _, e := range r.entries {
-		if clock.Elapsed(e.heard, now) < heardLife {
-			add(e.peer, e.claims(now), now.Sub(e.first) >= settleTime)
+	add(r.self, r.isReader, true)
+	for _, e := range r.peers {
+		if clock.Elapsed(e.lastSeen, now) < peerTTL {
+			add(e.peer, e.hasClaim(now), now.Sub(e.firstSeen) >= takeoverDelay)
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	slices.SortFunc(all, before)
-	slices.SortFunc(readers, before)
-	slices.SortFunc(settled, before)
+	slices.SortFunc(all, byWeight)
+	slices.SortFunc(readers, byWeight)
+	slices.SortFunc(eligible, byWeight)
 	first := all[0]
 	if len(readers) > 0 {
 		first = readers[0]
-		if len(settled) > 0 && float64(settled[0].Weight) >= heavier*float64(first.Weight) {
-			first = settled[0]
+		if len(eligible) > 0 && float64(eligible[0].Weight) >= takeoverWeightRatio*float64(first.Weight) {
+			first = eligible[0]
 		}
 	}
 	out := []Peer{first}
 	for _, p := range all {
-		if p.Address != first.Address && len(out) <= successors {
+		if p.Address != first.Address && len(out) <= maxSuccessors {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-func (e *entry) claims(now time.Time) bool {
-	return !e.claimed.IsZero() && clock.Elapsed(e.claimed, now) < claimLife
+// hasClaim reports whether the daemon has a valid claim, and so is a reader.
+func (e *knownPeer) hasClaim(now time.Time) bool {
+	return !e.claimedAt.IsZero() && clock.Elapsed(e.claimedAt, now) < claimTTL
 }
 
-// before orders daemons by what they can bear.
-func before(a, b Peer) int {
+// byWeight orders daemons by descending weight, then by address.
+func byWeight(a, b Peer) int {
 	return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Address, b.Address))
 }
 
-// Claims returns the readers that are known, this daemon among them if it leads.
+// Claims returns the claims of the known readers, including this daemon if it is a reader.
 func (r *Roster) Claims(now time.Time) []claim {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []claim
-	if r.leads {
-		out = append(out, claim{Peer: r.self, Daemons: r.heardIn(now, r.self.DataCentre)})
+	if r.isReader {
+		out = append(out, claim{Peer: r.self, Daemons: r.countIn(now, r.self.DataCentre)})
 	}
-	for _, e := range r.entries {
-		if e.claims(now) {
-			out = append(out, claim{Peer: e.peer, Daemons: e.daemons, Age: clock.Elapsed(e.claimed, now)})
+	for _, e := range r.peers {
+		if e.hasClaim(now) {
+			out = append(out, claim{Peer: e.peer, Daemons: e.daemons, Age: clock.Elapsed(e.claimedAt, now)})
 		}
 	}
 	return out
 }
 
-// Sharing returns by how many daemons what the fleet shares is to be divided: those that
-// were ever known in this life, and as many as are likely where nothing is heard. It is 0
-// while this daemon has heard of no other.
+// Sharing returns the number of daemons by which the fleet's shared limits are divided: the
+// largest number known since this process started, plus an estimate for data centres
+// without any known daemon. It is 0 while no other daemon is known.
 func (r *Roster) Sharing(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.daemons(now); len(r.entries) == 0 && r.most <= 1 {
+	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
 		return 0
 	}
-	return r.sharing
+	return r.maxSharing
 }
 
-// Daemons returns how many daemons the fleet has, as far as it was ever known in this
-// life.
+// Daemons returns the largest number of daemons of the fleet that was known since this
+// process started.
 func (r *Roster) Daemons(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.daemons(now)
+	return r.countDaemons(now)
 }
 
-func (r *Roster) daemons(now time.Time) int {
-	by := map[string]int{r.self.DataCentre: r.heardIn(now, r.self.DataCentre)}
-	for _, e := range r.entries {
+// countDaemons updates the largest numbers of daemons that were known and returns that of
+// the fleet.
+func (r *Roster) countDaemons(now time.Time) int {
+	counts := map[string]int{r.self.DataCentre: r.countIn(now, r.self.DataCentre)}
+	for _, e := range r.peers {
 		dc := e.peer.DataCentre
-		if _, ok := by[dc]; !ok {
-			by[dc] = r.heardIn(now, dc)
+		if _, ok := counts[dc]; !ok {
+			counts[dc] = r.countIn(now, dc)
 		}
-		by[dc] = max(by[dc], e.daemons)
+		counts[dc] = max(counts[dc], e.daemons)
 	}
-	r.most = max(r.most, FleetSize(by, nil))
-	r.sharing = max(r.sharing, FleetSize(by, r.dataCentres))
-	r.near = max(r.near, by[r.self.DataCentre])
-	return r.most
+	r.maxDaemons = max(r.maxDaemons, FleetSize(counts, nil))
+	r.maxSharing = max(r.maxSharing, FleetSize(counts, r.dataCentres))
+	r.maxLocal = max(r.maxLocal, counts[r.self.DataCentre])
+	return r.maxDaemons
 }
 
-// heardIn counts the daemons of a data centre that were heard of late, with this one.
-func (r *Roster) heardIn(now time.Time, dataCentre string) int {
+// countIn counts the daemons of a data centre with contact within countTTL, including this
+// one, and drops entries that are older.
+func (r *Roster) countIn(now time.Time, dataCentre string) int {
 	n := 0
 	if dataCentre == r.self.DataCentre {
 		n = 1
 	}
-	for address, e := range r.entries {
+	for address, e := range r.peers {
 		switch {
-		case clock.Elapsed(e.heard, now) >= countLife:
-			delete(r.entries, address)
+		case clock.Elapsed(e.lastSeen, now) >= countTTL:
+			delete(r.peers, address)
 		case e.peer.DataCentre == dataCentre:
 			n++
 		}
--- a/relay/roster_test.go
+++ b/relay/roster_test.go
@@ -7,6 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// peer returns a peer whose address is its name.
 func peer(name, dataCentre string, weight int) Peer {
 	return Peer{Instance: name, DataCentre: dataCentre, Address: name, Weight: weight}
 }
@@ -19,6 +20,7 @@
 	return out
 }
 
+// wantPeers checks the instances in a list of peers.
 func wantPeers(t *testing.T, what string, got []Peer, want ...string) {
 	t.Helper()
 	if d := cmp.Diff(want, instances(got)); d != "" {
@@ -26,7 +28,8 @@
 	}
 }
 
-// Where nobody reads yet, the one that can bear most is named, then the next ones.
+// If there is no reader yet, the daemon with the largest weight is elected; its successors
+// are ordered by weight.
 func TestRosterNamesTheHeaviest(t *testing.T) {
 	r := NewRoster(peer("seed", "a", 800), nil)
 	for _, p := range []Peer{peer("b3", "b", 192), peer("b1", "b", 192), peer("b2", "b", 800), peer("a1", "a", 192)} {
@@ -41,28 +44,27 @@
 	}
 }
 
-// Symptom: the reader of a data centre changes, and with it the calls of all followers, as
-// soon as another daemon is heard.
-// Cause: the best daemon is named each time, whoever reads.
+// Guards against a change of reader, and a call by each of its followers, whenever a daemon
+// of larger weight is heard of.
 func TestRosterKeepsWhoReads(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.Lead()
 	r.Heard(t0, peer("b", "a", 192))
 	r.Heard(t0, peer("z", "a", 800))
 	wantPeers(t, "at first", r.Order(t0), "m", "z", "b")
-	for at := time.Duration(0); at <= settleTime; at += time.Second {
+	for at := time.Duration(0); at <= takeoverDelay; at += time.Second {
 		r.Heard(after(at), peer("z", "a", 800))
 		r.Heard(after(at), peer("b", "a", 192))
 	}
-	wantPeers(t, "a much heavier one has settled", r.Order(after(settleTime)), "z", "b", "m")
+	wantPeers(t, "a much heavier one has settled", r.Order(after(takeoverDelay)), "z", "b", "m")
 	if r.Leads() {
-		t.Error("it leads on")
+		t.Error("it is still the reader")
 	}
 }
 
-// Symptom: two daemons read for one data centre for good.
-// Sequence: a reader stands still; the next one takes over; the first goes on.
-// Cause: neither hears of the other.
+// Guards against two daemons that both stay readers of one data centre. This state arises
+// if a reader freezes, a successor takes over, and the first one resumes. It ends when they
+// exchange claims.
 func TestRosterOneOfTwoReadersGivesWay(t *testing.T) {
 	a, b := peer("a1", "a", 192), peer("a2", "a", 192)
 	first, second := NewRoster(a, nil), NewRoster(b, nil)
@@ -73,22 +75,22 @@
 	wantPeers(t, "the first", first.Order(t0), "a1", "a2")
 	wantPeers(t, "the second", second.Order(t0), "a1", "a2")
 	if !first.Leads() || second.Leads() {
-		t.Errorf("first leads %t, second %t", first.Leads(), second.Leads())
+		t.Errorf("first is the reader: %t, second: %t", first.Leads(), second.Leads())
 	}
 }
 
-// Symptom: a data centre whose reader ended is sent to it for good.
-// Cause: a claim that others pass on and on.
+// Guards against daemons that are sent to a reader that has ended. A claim must expire even
+// if other daemons pass it on to each other.
 func TestRosterClaimsLapse(t *testing.T) {
 	reader, x, y := NewRoster(peer("b1", "b", 800), nil), NewRoster(peer("x", "a", 192), nil), NewRoster(peer("y", "c", 192), nil)
 	reader.Lead()
 	x.Claimed(t0, reader.Claims(t0))
-	for at := time.Duration(0); at < 2*claimLife; at += time.Second {
+	for at := time.Duration(0); at < 2*claimTTL; at += time.Second {
 		y.Claimed(after(at), x.Claims(after(at)))
 		x.Claimed(after(at), y.Claims(after(at)))
 	}
-	wantPeers(t, "others", x.Others(after(claimLife-1)), "b1")
-	wantPeers(t, "others later", y.Others(after(claimLife)))
+	wantPeers(t, "others", x.Others(after(claimTTL-1)), "b1")
+	wantPeers(t, "others later", y.Others(after(claimTTL)))
 }
 
 func TestRosterFollowsWhatItIsTold(t *testing.T) {
@@ -104,7 +106,7 @@
 	r.Silent(t0, "r")
 	wantPeers(t, "the reader is gone", r.Order(t0), "m", "s")
 	if !r.Leads() {
-		t.Error("the next in the succession does not lead")
+		t.Error("the next daemon in the succession is not the reader")
 	}
 }
 
@@ -117,15 +119,14 @@
 	if d := cmp.Diff([]string{"r"}, r.SilentOnes(t0)); d != "" {
 		t.Error(d)
 	}
-	wantPeers(t, "after its time", r.Order(after(silentTime)), "r", "s")
+	wantPeers(t, "after its time", r.Order(after(unreachableTTL)), "r", "s")
 	r.Silent(t0, "r")
 	r.Heard(t0, peer("r", "a", 800))
 	wantPeers(t, "heard again", r.Order(t0), "r", "s")
 }
 
-// Symptom: retries over the fleet's bound, where a data centre is cut off.
-// Sequence: a daemon knows of 300; a cut; it hears of sixty.
-// Cause: the shared retries divided by those who are heard now.
+// Guards against retries above the fleet's limit during a network partition. A daemon that
+// knew 300 daemons and now hears of sixty must go on dividing the limit by 300.
 func TestRosterCountNeverShrinks(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.Lead()
@@ -135,12 +136,12 @@
 		t.Errorf("%d daemons", n)
 	}
 	if n := r.Daemons(after(time.Hour)); n != 60 {
-		t.Errorf("%d daemons after an hour without a word", n)
+		t.Errorf("%d daemons after an hour without contact", n)
 	}
 }
 
-// A succession has a new version when other daemons are to be asked, or much fewer or
-// more are known of, and not each time a daemon starts.
+// A succession gets a new version if its daemons change or if their number changes
+// considerably, but not with each daemon that starts.
 func TestSuccessionVersion(t *testing.T) {
 	base := Succession{Order: []Peer{peer("a", "a", 1), peer("b", "a", 1)}, Others: []Peer{peer("x", "x", 1)}, Daemons: 300, Sharing: 300}
 	same, order, others, count, sharing := base, base, base, base, base
@@ -150,7 +151,7 @@
 	count.Daemons = 400
 	sharing.Sharing = 320
 	if base.version() != same.version() {
-		t.Error("one daemon more is news to all")
+		t.Error("one more daemon changes the version")
 	}
 	for name, s := range map[string]Succession{"order": order, "others": others, "count": count, "sharing": sharing} {
 		if s.version() == base.version() {
@@ -159,16 +160,16 @@
 	}
 }
 
-// Symptom: a version is three seconds late in a data centre whose reader the store refuses.
-// Sequence: the next in the succession reads for the reader, and so asks nobody; five
-// seconds pass; the reader turns to the one after it, which the store refuses too.
-// Cause: only those who ask count as alive.
+// Guards against a configuration that arrives three seconds late in a data centre whose
+// reader the store refuses. A successor that serves the reader makes no calls to it. If it
+// counted as ended after peerTTL, the reader would turn to the next successor, which the
+// store may refuse too.
 func TestRosterKeepsWhoServesIt(t *testing.T) {
 	r := NewRoster(peer("m", "a", 800), nil)
 	r.Lead()
-	for at := time.Duration(0); at <= 2*heardLife; at += time.Second {
+	for at := time.Duration(0); at <= 2*peerTTL; at += time.Second {
 		r.Heard(after(at), peer("c", "a", 192))
 		r.Served(after(at), peer("b", "a", 800))
 	}
-	wantPeers(t, "order", r.Order(after(2*heardLife)), "m", "b", "c")
+	wantPeers(t, "order", r.Order(after(2*peerTTL)), "m", "b", "c")
 }
