--- a/relay/samples.go
+++ b/relay/samples.go
@@ -8,91 +8,95 @@
 )
 
 const (
-	// callSamples bounds the samples in one call or answer of a follower, about 30 bytes
-	// each: sixty followers then cost their reader 7 KB/s. A daemon that sees one request
-	// in 300 learns the length of answers within 6 s by these, and not at all in a minute
-	// by its own.
-	callSamples = 4
-	// exchangeSamples bounds those in one call between readers.
-	exchangeSamples = 64
-	// keptSamples is how many samples are kept for followers that are yet to see them, and
-	// firstSamples how many of them a new follower gets at once.
-	keptSamples  = 256
-	firstSamples = 24
-	// sampleLife is how long a sample is passed on. What it shows changes within minutes.
-	sampleLife = 15 * time.Second
+	// maxSamplesPerCall bounds the samples in one request of a follower and in its
+	// response. A sample takes about 30 bytes, so that the samples of sixty followers cost
+	// their reader 7 KB/s. A daemon that handles one request in 300 learns the length of
+	// answers from these samples within 6 s; from its own requests it would not do so
+	// within a minute.
+	maxSamplesPerCall = 4
+	// maxSamplesPerExchange bounds the samples in one call between readers.
+	maxSamplesPerExchange = 64
+	// maxKeptSamples bounds the samples that are kept for followers, and maxSamplesAtStart
+	// those that a new follower is sent at once.
+	maxKeptSamples    = 256
+	maxSamplesAtStart = 24
+	// sampleTTL is how long a sample is passed on. What it measures changes within minutes.
+	sampleTTL = 15 * time.Second
 )
 
-// Samples passes on what daemons have seen of engines: from followers to their reader,
-// between readers, and from there to all followers. It is safe for concurrent use.
+// Samples distributes the measurements that daemons take of completions on engines: from
+// followers to their reader, between readers, and from readers to their followers. It is
+// safe for concurrent use.
 //
-// What goes wrong without it: of 295 daemons the one that orders engines sees 22
-// completions of 6,600 and never learns what they cost; engines that read prompts four
-// times slower than it assumes get a pool that is half of what they need, for good.
+// Without it, in a fleet of 295 daemons, the daemon that assigns roles to engines sees 22
+// of 6,600 completions and never learns their cost. If the engines prefill four times
+// slower than it assumes, their prefill pool then stays at half of the size that is needed.
 //
-// Load pattern: a fleet of hundreds in which each daemon sees a request every two seconds.
-// Where there are more samples than are passed on, the newest go.
+// Load pattern: a fleet of hundreds of daemons, each of which sees a request every two
+// seconds. If there are more samples than may be passed on, the newest ones are.
 type Samples struct {
 	mu sync.Mutex
-	// out are this daemon's own that its reader has not seen, across those that the other
-	// readers have not.
-	out, across []estimate.Sample
-	// kept are the last ones, of which the first has the number base.
+	// toReader are this daemon's own samples that have not been sent to its reader, and
+	// toOtherReaders the samples that have not been sent to the readers of other data
+	// centres.
+	toReader, toOtherReaders []estimate.Sample
+	// kept are the most recent samples. The first of them has the sequence number base.
 	kept []keptSample
 	base uint64
 }
 
+// keptSample is a sample that is kept for followers.
 type keptSample struct {
 	at     time.Time
-	from   string // the address of the follower that has sent it
+	from   string // address of the follower that sent it, "" for other sources
 	sample estimate.Sample
 }
 
-// NewSamples returns an empty memory. Numbers begin with the time of its start, so that
-// those of two lives, or of two daemons, are told apart.
+// NewSamples returns an empty Samples. Its sequence numbers begin at a number derived from
+// the start time, so that they differ from those of other daemons and of earlier processes.
 func NewSamples(now time.Time) *Samples {
 	const perMilli = 1 << 20
 	return &Samples{base: uint64(now.UnixMilli()) * perMilli}
 }
 
-// Saw takes what this daemon has seen itself.
+// Saw adds a sample taken by this daemon.
 func (s *Samples) Saw(now time.Time, sample estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = last(append(s.out, sample), callSamples)
-	s.across = last(append(s.across, sample), exchangeSamples)
+	s.toReader = lastN(append(s.toReader, sample), maxSamplesPerCall)
+	s.toOtherReaders = lastN(append(s.toOtherReaders, sample), maxSamplesPerExchange)
 	s.keep(now, "", sample)
 }
 
-// Take returns what is to be told to this daemon's reader.
+// Take returns and removes the samples to send to this daemon's reader.
 func (s *Samples) Take() []estimate.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.out
-	s.out = nil
+	out := s.toReader
+	s.toReader = nil
 	return out
 }
 
-// TakeAcross returns what is to be told to the other readers.
+// TakeAcross returns and removes the samples to send to the other readers.
 func (s *Samples) TakeAcross() []estimate.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := s.across
-	s.across = nil
+	out := s.toOtherReaders
+	s.toOtherReaders = nil
 	return out
 }
 
-// FromFollower takes what a follower told.
+// FromFollower adds the samples sent by a follower.
 func (s *Samples) FromFollower(now time.Time, address string, list []estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sample := range list {
-		s.across = last(append(s.across, sample), exchangeSamples)
+		s.toOtherReaders = lastN(append(s.toOtherReaders, sample), maxSamplesPerExchange)
 		s.keep(now, address, sample)
 	}
 }
 
-// FromReader takes what the reader of another data centre told.
+// FromReader adds the samples sent by the reader of another data centre.
 func (s *Samples) FromReader(now time.Time, list []estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,31 +105,33 @@
 	}
 }
 
+// keep adds a sample for followers and drops the oldest one if there are too many.
 func (s *Samples) keep(now time.Time, from string, sample estimate.Sample) {
 	s.kept = append(s.kept, keptSample{at: now, from: from, sample: sample})
-	if n := len(s.kept) - keptSamples; n > 0 {
+	if n := len(s.kept) - maxKeptSamples; n > 0 {
 		s.kept = append(s.kept[:0], s.kept[n:]...)
 		s.base += uint64(n)
 	}
 }
 
-// Since returns the newest samples for the follower at an address that has seen those up
-// to a number, and the number up to which it has seen them then.
+// Since returns the newest samples for the follower at an address that has received those
+// up to the sequence number seen, and the number to use in the next call. Samples that the
+// follower sent itself are left out.
 func (s *Samples) Since(now time.Time, address string, seen uint64) (out []estimate.Sample, next uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next = s.base + uint64(len(s.kept))
-	first, most := s.base, firstSamples
+	first, limit := s.base, maxSamplesAtStart
 	if seen >= s.base && seen <= next {
-		first, most = seen, callSamples
+		first, limit = seen, maxSamplesPerCall
 	}
 	for _, k := range s.kept[first-s.base:] {
-		if k.from != address && now.Sub(k.at) < sampleLife {
+		if k.from != address && now.Sub(k.at) < sampleTTL {
 			out = append(out, k.sample)
 		}
 	}
-	return last(out, most), next
+	return lastN(out, limit), next
 }
 
-// last returns at most the n last elements.
-func last[T any](list []T, n int) []T { return list[max(0, len(list)-n):] }
+// lastN returns the last n elements, or all if there are fewer.
+func lastN[T any](list []T, n int) []T { return list[max(0, len(list)-n):] }
--- a/relay/samples_test.go
+++ b/relay/samples_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderturn/corianderturn/estimate"
 )
 
-func sampleOf(size int) estimate.Sample { return estimate.Sample{Model: "m", AnswerTokens: size} }
+func newSample(size int) estimate.Sample { return estimate.Sample{Model: "m", AnswerTokens: size} }
 
 func sizes(list []estimate.Sample) []int {
 	var out []int
@@ -19,6 +19,7 @@
 	return out
 }
 
+// wantSizes checks the answer lengths in a list of samples.
 func wantSizes(t *testing.T, what string, got []estimate.Sample, want ...int) {
 	t.Helper()
 	if d := cmp.Diff(want, sizes(got)); d != "" {
@@ -28,9 +29,9 @@
 
 func TestSamplesGoOnceToEach(t *testing.T) {
 	s := NewSamples(t0)
-	s.Saw(t0, sampleOf(1))
-	s.FromFollower(t0, "f", []estimate.Sample{sampleOf(2)})
-	s.FromReader(t0, []estimate.Sample{sampleOf(3)})
+	s.Saw(t0, newSample(1))
+	s.FromFollower(t0, "f", []estimate.Sample{newSample(2)})
+	s.FromReader(t0, []estimate.Sample{newSample(3)})
 	wantSizes(t, "to the reader", s.Take(), 1)
 	wantSizes(t, "to the reader again", s.Take())
 	wantSizes(t, "to other readers", s.TakeAcross(), 1, 2)
@@ -39,38 +40,37 @@
 	wantSizes(t, "to the follower that saw one itself", got, 1, 3)
 	got, _ = s.Since(t0, "f", seen)
 	wantSizes(t, "again", got)
-	s.FromReader(t0, []estimate.Sample{sampleOf(4)})
+	s.FromReader(t0, []estimate.Sample{newSample(4)})
 	got, _ = s.Since(t0, "f", seen)
 	wantSizes(t, "one more", got, 4)
 }
 
-// A follower whose reader changed has seen numbers of another daemon: it is told as a new
-// one.
+// A follower with a sequence number of another reader is treated as a new one.
 func TestSamplesOfAnotherReader(t *testing.T) {
 	a, b := NewSamples(t0), NewSamples(after(time.Second))
-	for i := range 2 * firstSamples {
-		b.Saw(t0, sampleOf(i))
+	for i := range 2 * maxSamplesAtStart {
+		b.Saw(t0, newSample(i))
 	}
 	_, seen := a.Since(t0, "f", 0)
-	if got, _ := b.Since(t0, "f", seen); len(got) != firstSamples {
-		t.Errorf("told of %d", len(got))
+	if got, _ := b.Since(t0, "f", seen); len(got) != maxSamplesAtStart {
+		t.Errorf("received %d samples", len(got))
 	}
 }
 
 func TestSamplesAreBounded(t *testing.T) {
 	s := NewSamples(t0)
-	for i := range 3 * keptSamples {
-		s.Saw(t0, sampleOf(i))
+	for i := range 3 * maxKeptSamples {
+		s.Saw(t0, newSample(i))
 	}
-	if n := len(s.kept); n != keptSamples {
-		t.Errorf("%d kept", n)
+	if n := len(s.kept); n != maxKeptSamples {
+		t.Errorf("%d samples kept", n)
 	}
 	wantSizes(t, "to the reader", s.Take(), 764, 765, 766, 767)
-	if n := len(s.TakeAcross()); n != exchangeSamples {
-		t.Errorf("%d to other readers", n)
+	if n := len(s.TakeAcross()); n != maxSamplesPerExchange {
+		t.Errorf("%d samples to other readers", n)
 	}
-	if got, _ := s.Since(after(sampleLife), "f", 0); len(got) != 0 {
-		t.Errorf("%d old ones", len(got))
+	if got, _ := s.Since(after(sampleTTL), "f", 0); len(got) != 0 {
+		t.Errorf("%d expired samples", len(got))
 	}
 }
 
@@ -79,7 +79,7 @@
 		Model: "m", PromptTokens: 3000, ExpectedTokens: 500, AnswerTokens: 700,
 		Held: 3500 * time.Millisecond, PerToken: 5 * time.Millisecond, ReadPerToken: 30 * time.Microsecond, ReadLost: true,
 	}}
-	if d := cmp.Diff(want, unpackSamples(packSamples(want))); d != "" {
+	if d := cmp.Diff(want, fromWireSamples(toWireSamples(want))); d != "" {
 		t.Error(d)
 	}
 }
--- a/relay/server.go
+++ b/relay/server.go
@@ -19,40 +19,44 @@
 )
 
 const (
-	// maxConns bounds the connections of followers, two for each daemon of a data centre,
-	// and of daemons that look for their reader, all of a fleet at a start.
+	// maxConns bounds the open connections. Each follower opens two, one for each feed. A
+	// daemon that searches for its reader opens one, and when a whole fleet starts, all of
+	// its daemons do.
 	maxConns = 768
-	// quietTime is how long a connection without a call is kept.
-	quietTime = 10 * time.Second
-	// freshWait is how long a call waits for a word from a store that this daemon has only
-	// begun to ask. A slow store takes 0.3 s.
-	freshWait = 300 * time.Millisecond
-	// meetWait is how long after its start a daemon lets others wait for the answer who
-	// reads: when a whole fleet starts, daemons come 0.3 s apart, and who comes last may be
-	// the one that can bear most. Without it the readers of two data centres of five were
-	// small daemons and changed 5 s later.
-	meetWait = 400 * time.Millisecond
-	// recountEvery is how often the succession that followers are told is made anew.
-	recountEvery = 250 * time.Millisecond
+	// idleTimeout is how long a connection without calls is kept open.
+	idleTimeout = 10 * time.Second
+	// freshDataWait is how long a call waits for fresh data when this daemon has only just
+	// begun to read the store. A slow store takes 0.3 s.
+	freshDataWait = 300 * time.Millisecond
+	// startupDiscoverWait is how long after its start a daemon delays answers about which
+	// daemon is the reader. When a whole fleet starts, the daemons start within 0.3 s, and
+	// the last one may have the largest capacity. Without the delay, two of five data
+	// centres first got a small daemon as reader, which was replaced 5 s later.
+	startupDiscoverWait = 400 * time.Millisecond
+	// successionTTL is how long a computed succession is used for answers to followers.
+	successionTTL = 250 * time.Millisecond
 )
 
-// ServerOptions wire a Server; all but Limits, Lend, Quota and LendUnits are required.
+// ServerOptions configure a Server; all fields but Limits, Lend, Quota and LendUnits are
+// required.
 type ServerOptions struct {
 	Journal *Journal
 	Roster  *Roster
 	Asked   *Asked
 	Samples *Samples
-	// Quarantine is what followers are told of beside the records of upstreams.
+	// Quarantine supplies the quarantine records that followers are sent with the upstreams
+	// feed.
 	Quarantine Quarantine
-	// Limits are told of and heard of in all calls; nil does neither.
+	// Limits supplies and receives the upstreams' rate limits of all calls; nil does
+	// neither.
 	Limits Limits
-	// Learned is told of what other daemons have seen of engines.
+	// Learned receives samples that other daemons have taken of completions on engines.
 	Learned func(list []estimate.Sample)
-	// Lend gives up n retries of this daemon to a target, or says that it has not so many;
-	// nil gives none.
+	// Lend deducts n retries for a target from this daemon's budget, or returns false if
+	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
-	// Quota holds what followers hand over, and LendUnits gives up units of an account; nil
-	// takes and gives none.
+	// Quota receives the accrual time that followers hand over (see TimeKeeper); with nil
+	// the time is lost. LendUnits lends units of an account; with nil nothing is lent.
 	Quota     *quota.Ledger
 	LendUnits func(ask LoanCall) quota.Loan
 	Pace      Pace
@@ -60,47 +64,48 @@
 	Now       func() time.Time
 }
 
-// Quarantine holds under which requests upstreams ended. quarantine.Keeper implements it.
-// Implementations are safe for concurrent use.
+// Quarantine holds records of requests during which upstreams ended. quarantine.Keeper
+// implements it. Implementations are safe for concurrent use.
 type Quarantine interface {
-	// News says whether there is anything to tell to one who has been told up to a number,
-	// and returns a channel that is closed when there is more.
+	// News reports whether there are records after the sequence number seen, and returns a
+	// channel that is closed when records are added.
 	News(seen uint64) (more bool, changed <-chan struct{})
-	// Since returns what to tell to one who has been told up to a number.
+	// Since returns the records after the sequence number seen, and the number to use in
+	// the next call.
 	Since(seen uint64) (list []quarantine.Record, next uint64)
-	// Take takes what another daemon told.
+	// Take adds records received from another daemon.
 	Take(list []quarantine.Record)
 }
 
-// Server answers other daemons from the journal and the roster. It is a
+// Server answers the calls of other daemons from the journal and the roster. It is a
 // supervise.Service.
 type Server struct {
 	o       ServerOptions
 	started time.Time
 	ln      net.Listener
 
-	mu     sync.Mutex // guards the fields below
-	conns  map[net.Conn]bool
-	packed [feeds]packed
-	told   map[string]told // by data centre
+	mu          sync.Mutex // guards the fields below
+	conns       map[net.Conn]bool
+	encoded     [feedCount]encodedBatch
+	successions map[string]cachedSuccession // keyed by data centre
 }
 
-// packed is the last batch that was encoded of a feed, for the followers that ask for
-// the same.
-type packed struct {
+// encodedBatch caches the last encoded batch of a feed for followers that ask for the same
+// records.
+type encodedBatch struct {
 	from, next uint64
 	whole      bool
 	body       []byte
 }
 
-// told is the succession of a data centre as followers are told of it.
-type told struct {
+// cachedSuccession is a succession as computed at a time, with its version.
+type cachedSuccession struct {
 	at         time.Time
 	succession Succession
 	version    uint64
 }
 
-// NewServer returns a server that is yet to listen.
+// NewServer returns a server that has no listener yet.
 func NewServer(o ServerOptions) *Server {
 	if o.Quota == nil {
 		o.Quota = quota.NewLedger(o.Now(), false)
@@ -108,17 +113,17 @@
 	if o.Limits == nil {
 		o.Limits = noLimits{}
 	}
-	return &Server{o: o, started: o.Now(), conns: map[net.Conn]bool{}, told: map[string]told{}}
+	return &Server{o: o, started: o.Now(), conns: map[net.Conn]bool{}, successions: map[string]cachedSuccession{}}
 }
 
 // Name implements supervise.Service.
 func (s *Server) Name() string { return "relay" }
 
-// Listen takes the listener on which others call.
+// Listen sets the listener for the calls of other daemons. It must be called before Run.
 func (s *Server) Listen(ln net.Listener) { s.ln = netutil.LimitListener(ln, maxConns) }
 
-// Run implements supervise.Service. Its end closes the followers' connections, so that
-// they turn to the next in the succession at once.
+// Run implements supervise.Service. When it ends it closes the followers' connections, so
+// that they turn to the next daemon of the succession at once.
 func (s *Server) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -130,16 +135,17 @@
 		case ctx.Err() != nil:
 			return nil
 		case err != nil:
-			return errors.Wrap(err, "accept a follower")
+			return errors.Wrap(err, "accept connection")
 		}
-		if s.keep(ctx, c) {
+		if s.track(ctx, c) {
 			wg.Go(func() { s.serve(ctx, c) })
 		}
 	}
 }
 
-// keep notes a connection, unless the server ends.
-func (s *Server) keep(ctx context.Context, c net.Conn) bool {
+// track registers a connection so that close can close it; it returns false if the server
+// is stopping.
+func (s *Server) track(ctx context.Context, c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if ctx.Err() != nil {
@@ -150,6 +156,7 @@
 	return true
 }
 
+// close closes the listener and all connections.
 func (s *Server) close() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -159,7 +166,7 @@
 	}
 }
 
-// serve answers the calls of one connection, one after the other.
+// serve answers the calls of one connection one after the other.
 func (s *Server) serve(ctx context.Context, c net.Conn) {
 	defer func() {
 		c.Close()
@@ -169,45 +176,47 @@
 	}()
 	r := wire.NewReader(c, wire.MaxFrame)
 	for {
-		if err := s.answer(ctx, c, r); err != nil {
-			s.o.Logger.WithError(err).Debug("follower left")
+		if err := s.handleNext(ctx, c, r); err != nil {
+			s.o.Logger.WithError(err).Debug("follower disconnected")
 			return
 		}
 	}
 }
 
-func (s *Server) answer(ctx context.Context, c net.Conn, r *wire.Reader) error {
-	if err := c.SetDeadline(time.Now().Add(quietTime)); err != nil {
+// handleNext reads one request and writes its response.
+func (s *Server) handleNext(ctx context.Context, c net.Conn, r *wire.Reader) error {
+	if err := c.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return errors.WithStack(err)
 	}
 	env, _, err := r.Read()
 	if err != nil {
 		return err
 	}
-	reply, err := s.reply(ctx, env)
+	reply, err := s.handle(ctx, env)
 	if err != nil {
 		return err
 	}
-	return send(c, wire.Envelope{Type: env.Type, ID: env.ID, Reply: true}, reply)
+	return writeMessage(c, wire.Envelope{Type: env.Type, ID: env.ID, Reply: true}, reply)
 }
 
-func (s *Server) reply(ctx context.Context, env *wire.Envelope) (any, error) {
+// handle returns the response to a request.
+func (s *Server) handle(ctx context.Context, env *wire.Envelope) (any, error) {
 	switch env.Type {
 	case wire.TypeFeedRead:
-		var call readCall
+		var call readRequest
 		if err := wire.Decode(env.Body, &call); err != nil {
 			return nil, err
 		}
-		if int(call.Feed) >= feeds {
-			return nil, errors.Errorf("a call for the unknown feed %d", call.Feed)
+		if int(call.Feed) >= feedCount {
+			return nil, errors.Errorf("read of unknown feed %d", call.Feed)
 		}
-		return s.read(ctx, call)
+		return s.handleRead(ctx, call)
 	case wire.TypePermit:
-		var call permitCall
+		var call borrowRequest
 		if err := wire.Decode(env.Body, &call); err != nil {
 			return nil, err
 		}
-		return &permitReply{Given: s.o.Lend != nil && call.Needs > 0 && s.o.Lend(call.Target, call.Needs)}, nil
+		return &borrowResponse{Given: s.o.Lend != nil && call.Needs > 0 && s.o.Lend(call.Target, call.Needs)}, nil
 	case wire.TypeLoan:
 		var call LoanCall
 		if err := wire.Decode(env.Body, &call); err != nil {
@@ -216,43 +225,43 @@
 		if s.o.LendUnits == nil {
 			return &quota.Loan{}, nil
 		}
-		s.takeTime(call.From, call.Accrued)
+		s.acceptAccrual(call.From, call.Accrued)
 		s.o.Limits.Told(call.Limits)
 		loan := s.o.LendUnits(call)
 		return &loan, nil
 	case wire.TypeReaders:
-		var call meetCall
+		var call discoverRequest
 		if err := wire.Decode(env.Body, &call); err != nil {
 			return nil, err
 		}
-		return s.meet(ctx, call), nil
+		return s.handleDiscover(ctx, call), nil
 	default:
-		return nil, errors.Errorf("unexpected call of type %d", env.Type)
+		return nil, errors.Errorf("unexpected request of type %d", env.Type)
 	}
 }
 
-// meet answers who reads for the caller's data centre.
-func (s *Server) meet(ctx context.Context, call meetCall) *meetReply {
+// handleDiscover answers with the succession of the caller's data centre.
+func (s *Server) handleDiscover(ctx context.Context, call discoverRequest) *discoverResponse {
 	s.o.Roster.Heard(s.o.Now(), call.Self)
 	s.o.Roster.Claimed(s.o.Now(), call.Claims)
-	if saw := unpackSamples(call.Saw); len(saw) > 0 {
-		s.o.Samples.FromReader(s.o.Now(), saw)
-		s.o.Learned(saw)
+	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
+		s.o.Samples.FromReader(s.o.Now(), samples)
+		s.o.Learned(samples)
 	}
-	s.takeTime(call.Self, call.Accrued)
+	s.acceptAccrual(call.Self, call.Accrued)
 	s.o.Limits.Told(call.Limits)
-	s.settle(ctx)
+	s.awaitStartup(ctx)
 	now := s.o.Now()
-	return &meetReply{
-		Succession: s.o.Roster.Succession(now, call.Self.DataCentre, call.Silent),
+	return &discoverResponse{
+		Succession: s.o.Roster.Succession(now, call.Self.DataCentre, call.Unreachable),
 		Claims:     s.o.Roster.Claims(now),
 		Stamp:      s.o.Quota.Stamp(now),
 		Limits:     s.o.Limits.News(s.o.Roster.Daemons(now) < minFleet),
 	}
 }
 
-// takeTime accrues what a daemon of this data centre hands over.
-func (s *Server) takeTime(from Peer, span quota.Span) {
+// acceptAccrual credits the accrual time that a daemon of this data centre hands over.
+func (s *Server) acceptAccrual(from Peer, span quota.Span) {
 	if span.Length > 0 && from.DataCentre == s.o.Roster.Self().DataCentre {
 		now := s.o.Now()
 		s.o.Roster.NearKnown(span.Near)
@@ -260,9 +269,10 @@
 	}
 }
 
-// settle waits until this daemon may know who there is.
-func (s *Server) settle(ctx context.Context) {
-	left := s.started.Add(meetWait).Sub(s.o.Now())
+// awaitStartup waits until startupDiscoverWait after the start, when most other daemons
+// have called this one.
+func (s *Server) awaitStartup(ctx context.Context) {
+	left := s.started.Add(startupDiscoverWait).Sub(s.o.Now())
 	if left <= 0 {
 		return
 	}
@@ -274,115 +284,116 @@
 	}
 }
 
-// read answers a call for records, at the latest when it has waited for its time.
-func (s *Server) read(ctx context.Context, call readCall) (*readReply, error) {
+// handleRead answers a read as soon as there is fresh data with something new, or at the
+// latest when the wait of the request is over.
+func (s *Server) handleRead(ctx context.Context, call readRequest) (*readResponse, error) {
 	s.o.Roster.Heard(s.o.Now(), call.Self)
 	s.o.Asked.Note(s.o.Now())
-	s.takeTime(call.Self, call.Accrued)
+	s.acceptAccrual(call.Self, call.Accrued)
 	s.o.Limits.Told(call.Limits)
-	if saw := unpackSamples(call.Saw); len(saw) > 0 {
-		s.o.Samples.FromFollower(s.o.Now(), call.Self.Address, saw)
-		s.o.Learned(saw)
+	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
+		s.o.Samples.FromFollower(s.o.Now(), call.Self.Address, samples)
+		s.o.Learned(samples)
 	}
-	limit := time.NewTimer(min(max(call.Wait, 0), s.o.Pace.AnswerWithin))
-	defer limit.Stop()
-	stale := time.NewTimer(freshWait)
-	defer stale.Stop()
-	for over, late := false, false; ; {
+	waitTimer := time.NewTimer(min(max(call.Wait, 0), s.o.Pace.AnswerWithin))
+	defer waitTimer.Stop()
+	freshTimer := time.NewTimer(freshDataWait)
+	defer freshTimer.Stop()
+	for timedOut, freshWaitOver := false, false; ; {
 		look := s.o.Journal.Look(s.o.Now(), call.Feed, call.From, call.Whole)
 		fresh := look.Known && look.Age < s.o.Pace.MaxAge
-		untold, more := s.o.Quarantine.News(call.Told)
-		news := call.Whole || look.Batch.Whole || look.Batch.Next > call.From || call.Feed == fleet.FeedUpstreams && untold
+		hasQuarantineNews, quarantineChanged := s.o.Quarantine.News(call.QuarantineUpTo)
+		hasNews := call.Whole || look.Batch.Whole || look.Batch.Next > call.From || call.Feed == fleet.FeedUpstreams && hasQuarantineNews
 		switch {
-		case fresh && (news || over):
-			return s.give(call, look)
-		case !fresh && look.Away && (over || !call.Patient):
-			return s.withNews(call, &readReply{Verdict: away}), nil
-		case !fresh && (over || late && !call.Patient):
-			return s.withNews(call, &readReply{Verdict: unfit}), nil
+		case fresh && (hasNews || timedOut):
+			return s.respondWithBatch(call, look)
+		case !fresh && look.Away && (timedOut || !call.Patient):
+			return s.addNews(call, &readResponse{Status: statusStoreDown}), nil
+		case !fresh && (timedOut || freshWaitOver && !call.Patient):
+			return s.addNews(call, &readResponse{Status: statusStale}), nil
 		}
-		var fits <-chan time.Time
+		var expired <-chan time.Time
 		if fresh {
 			timer := time.NewTimer(s.o.Pace.MaxAge - look.Age)
 			defer timer.Stop()
-			fits = timer.C
+			expired = timer.C
 		}
 		select {
 		case <-look.Changed:
-		case <-more:
-		case <-fits:
-		case <-limit.C:
-			over = true
-		case <-stale.C:
-			late = true
+		case <-quarantineChanged:
+		case <-expired:
+		case <-waitTimer.C:
+			timedOut = true
+		case <-freshTimer.C:
+			freshWaitOver = true
 		case <-ctx.Done():
 			return nil, errors.WithStack(ctx.Err())
 		}
 	}
 }
 
-// give answers with records.
-func (s *Server) give(call readCall, look Look) (*readReply, error) {
-	body, err := s.pack(call.Feed, call.From, look.Batch)
+// respondWithBatch returns a response with records.
+func (s *Server) respondWithBatch(call readRequest, look Look) (*readResponse, error) {
+	body, err := s.encode(call.Feed, call.From, look.Batch)
 	if err != nil {
 		return nil, err
 	}
-	return s.withNews(call, &readReply{Verdict: fit, Age: look.Age, Batch: body}), nil
+	return s.addNews(call, &readResponse{Status: statusFresh, Age: look.Age, Batch: body}), nil
 }
 
-// pack encodes a batch once for all followers that ask for the same.
-func (s *Server) pack(f fleet.Feed, from uint64, b fleet.Batch) ([]byte, error) {
+// encode encodes a batch, reusing the result for all followers that ask for the same
+// records.
+func (s *Server) encode(f fleet.Feed, from uint64, b fleet.Batch) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := &s.packed[f]
+	p := &s.encoded[f]
 	if b.Whole {
 		from = 0
 	}
 	if p.body != nil && p.from == from && p.next == b.Next && p.whole == b.Whole {
 		return p.body, nil
 	}
-	body, err := packBatch(b)
+	body, err := encodeBatch(b)
 	if err == nil {
-		*p = packed{from: from, next: b.Next, whole: b.Whole, body: body}
+		*p = encodedBatch{from: from, next: b.Next, whole: b.Whole, body: body}
 	}
 	return body, err
 }
 
-// withNews adds the succession where the caller has another one, and what others
-// have seen of engines.
-func (s *Server) withNews(call readCall, reply *readReply) *readReply {
-	t := s.succession(call.Self.DataCentre)
+// addNews adds the succession, if the caller has another version of it. For the upstreams
+// feed it also adds samples, quarantine records and limits.
+func (s *Server) addNews(call readRequest, reply *readResponse) *readResponse {
+	current := s.succession(call.Self.DataCentre)
 	reply.Stamp = s.o.Quota.Stamp(s.o.Now())
-	if reply.Version = t.version; t.version != call.Known {
-		reply.Succession = &t.succession
+	if reply.Version = current.version; current.version != call.KnownVersion {
+		reply.Succession = &current.succession
 	}
-	if call.Feed == fleet.FeedUpstreams { // one of the two is enough
-		saw, seen := s.o.Samples.Since(s.o.Now(), call.Self.Address, call.Seen)
-		reply.Saw, reply.Seen = packSamples(saw), seen
-		reply.Quarantine, reply.Told = s.o.Quarantine.Since(call.Told)
+	if call.Feed == fleet.FeedUpstreams { // followers read both feeds, so one of them is enough
+		samples, upTo := s.o.Samples.Since(s.o.Now(), call.Self.Address, call.SamplesUpTo)
+		reply.Samples, reply.SamplesUpTo = toWireSamples(samples), upTo
+		reply.Quarantine, reply.QuarantineUpTo = s.o.Quarantine.Since(call.QuarantineUpTo)
 		reply.Limits = s.o.Limits.News(call.Whole)
 	}
 	return reply
 }
 
-// succession returns the succession of a data centre, of which a version tells the
-// daemons that are to be asked, and about how many there are.
-func (s *Server) succession(dataCentre string) told {
+// succession returns the succession of a data centre, computed at most successionTTL ago.
+func (s *Server) succession(dataCentre string) cachedSuccession {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, ok := s.told[dataCentre]
-	if ok && now.Sub(t.at) < recountEvery {
-		return t
+	cached, ok := s.successions[dataCentre]
+	if ok && now.Sub(cached.at) < successionTTL {
+		return cached
 	}
-	t.at, t.succession = now, s.o.Roster.Succession(now, dataCentre, nil)
-	t.version = t.succession.version()
-	s.told[dataCentre] = t
-	return t
+	cached.at, cached.succession = now, s.o.Roster.Succession(now, dataCentre, nil)
+	cached.version = cached.succession.version()
+	s.successions[dataCentre] = cached
+	return cached
 }
 
-// send writes one message.
-func send(c net.Conn, e wire.Envelope, msg any) error {
+// writeMessage writes one message to a connection.
+func writeMessage(c net.Conn, e wire.Envelope, msg any) error {
 	f, err := wire.Encode(e, msg, wire.MaxFrame)
 	if err != nil {
 		return err
--- a/relay/size.go
+++ b/relay/size.go
@@ -1,11 +1,11 @@
 package relay
 
-// FleetSize returns how many daemons a fleet has, from those that are heard of in each data
-// centre. One of which nothing is heard is taken to be as large as the largest that is
-// known.
+// FleetSize returns the number of daemons of a fleet from the numbers heard of in each data
+// centre. A data centre of which nothing is heard is assumed to be as large as the largest
+// known one.
 //
-// What goes wrong otherwise: all daemons are killed while a data centre is cut off, each
-// side counts itself alone afterwards, and each takes what all share for its own.
+// Otherwise, if all daemons are restarted while a data centre is partitioned, each side
+// counts only itself, and each uses the whole of the fleet's shared limits.
 func FleetSize(heard map[string]int, dataCentres []string) int {
 	sum, largest := 0, 0
 	for _, n := range heard {
--- a/relay/size_test.go
+++ b/relay/size_test.go
@@ -15,7 +15,7 @@
 		{map[string]int{"a": 3, "b": 2, "c": 2}, 7},
 		{map[string]int{"a": 3, "c": 2}, 8},
 		{map[string]int{"a": 59}, 177},
-		{map[string]int{"a": 1, "z": 4}, 13}, // daemons may run where the settings do not say so
+		{map[string]int{"a": 1, "z": 4}, 13}, // daemons may run in data centres that the settings do not list
 	} {
 		if got := FleetSize(tc.heard, all); got != tc.want {
 			t.Errorf("%v: %d daemons, want %d", tc.heard, got, tc.want)
@@ -26,28 +26,27 @@
 	}
 }
 
-// Symptom: each of the daemons that start behind a cut takes all that the fleet shares.
-// Sequence: a daemon starts and hears of nobody, then of those on its side.
-// Cause: silence of the others taken for their absence.
+// Guards against daemons that start during a network partition and use the whole of the
+// fleet's shared limits. A data centre that is not heard of must not count as empty.
 func TestSilenceIsNoCount(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), []string{"a", "b"})
 	if n := r.Sharing(t0); n != 0 {
-		t.Errorf("counted %d daemons before any was heard of", n)
+		t.Errorf("counted %d daemons before any was known", n)
 	}
 	r.Heard(t0, peer("o", "a", 192))
 	if n := r.Sharing(t0.Add(time.Second)); n != 4 {
-		t.Errorf("counted %d daemons, want those of a twice", n)
+		t.Errorf("counted %d daemons, want twice those of data centre a", n)
 	}
 	r.Heard(t0, peer("x", "b", 192))
 	if n := r.Sharing(t0.Add(time.Second)); n != 4 {
-		t.Errorf("counted %d daemons: what was ever known in a life counts", n)
+		t.Errorf("counted %d daemons, want the largest number known so far", n)
 	}
 	if n := r.Daemons(t0.Add(time.Second)); n != 3 {
-		t.Errorf("heard of %d daemons, want 3", n)
+		t.Errorf("%d daemons known, want 3", n)
 	}
 	follower := NewRoster(peer("f", "b", 192), []string{"a", "b"})
 	follower.Told(r.Succession(t0, "b", nil))
 	if n := follower.Sharing(t0.Add(time.Second)); n != 4 {
-		t.Errorf("one that was told counts %d daemons, want 4", n)
+		t.Errorf("a follower counts %d daemons, want 4", n)
 	}
 }
--- a/relay/store.go
+++ b/relay/store.go
@@ -14,12 +14,12 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Directory tells which daemons read the store, by the store's own word.
+// Directory lists the daemons that are registered in the store as readers.
 type Directory interface {
 	Readers(ctx context.Context) ([]Peer, error)
 }
 
-// Options wire a Store; all but Limits, Time and Counted are required.
+// Options configure a Store; all fields but Limits, Time and Counted are required.
 type Options struct {
 	Direct    fleet.Store
 	Directory Directory
@@ -29,113 +29,118 @@
 	Dial      Dialer
 	Pace      Pace
 	Samples   *Samples
-	// Quarantine takes what a reader tells of beside the records of upstreams.
+	// Quarantine receives the quarantine records that come with reads of the upstreams
+	// feed.
 	Quarantine Quarantine
-	// Limits are told of and heard of beside them too; nil does neither.
+	// Limits supplies and receives the rate limits that go with these reads; nil does
+	// neither.
 	Limits Limits
-	// Learned is told of what other daemons have seen of engines.
+	// Learned receives samples that other daemons have taken of completions on engines.
 	Learned func(list []estimate.Sample)
-	// Time hands the daemon's time over to the reader that it asks; nil hands none over.
+	// Time hands accrual time over to the reader that is asked; nil hands none over.
 	Time *TimeKeeper
-	// Self is this daemon as it tells others, and Seeds the addresses of daemons at which
-	// to look for a reader first.
+	// Self describes this daemon. Seeds are the addresses of the daemons that are asked for
+	// a reader first.
 	Self   Peer
 	Seeds  []string
 	Random *rand.Rand
 	Logger log.Interface
 	Now    func() time.Time
-	// Counted is told of each reading; nil tells nobody.
+	// Counted is called after each read; nil is allowed.
 	Counted func(f fleet.Feed, w Way)
 }
 
-// Way says how a reading went.
+// Way is the source of a read, or Failed.
 type Way uint8
 
-// The ways.
+// The outcomes of a read.
 const (
-	Direct  Way = iota // the store itself answered
-	Through            // another daemon answered
-	Failed             // neither did
+	Direct  Way = iota // answered by the store
+	Through            // answered by another daemon
+	Failed             // the call to the store failed
 )
 
 const (
-	// listTime bounds a look for readers at the store: as long as one answer of a store
-	// that is slow.
-	listTime = 300 * time.Millisecond
-	// meetTime bounds the answer of a daemon that was asked who reads; youngMeetTime does
-	// so for one that starts, as may the daemon that it asks (see meetWait). Both feeds wait
-	// for it, and one that stands still accepts connections as ever.
-	meetTime      = 200 * time.Millisecond
-	youngMeetTime = meetWait + meetTime
+	// listTimeout bounds the call that asks the store for its list of readers. It is as
+	// long as one answer of a slow store.
+	listTimeout = 300 * time.Millisecond
+	// discoverTimeout bounds the call that asks another daemon for the reader.
+	// startupDiscoverTimeout does so while this daemon starts, because the other one may be
+	// starting too and delay its answer (see startupDiscoverWait). Both feeds wait for the
+	// answer, and a frozen daemon still accepts connections.
+	discoverTimeout        = 200 * time.Millisecond
+	startupDiscoverTimeout = startupDiscoverWait + discoverTimeout
 )
 
-// Store reads the feeds as its Plan says. It implements fleet.Store; each feed must be
-// read by one goroutine at a time.
+// Store reads the feeds as its Plan says: from another daemon or from the store itself. It
+// implements fleet.Store. Each feed must be read by one goroutine at a time.
 type Store struct {
-	o       Options
-	started time.Time
-	clients [feeds]*client
-	finder  *client
-	// finding is held by the goroutine that looks for a reader; the other one waits for
-	// what it finds.
-	finding chan struct{}
-
-	mu      sync.Mutex // guards the fields below
-	plan    *Plan
-	away    [feeds]bool
-	news    [feeds]time.Time // when a call to the store last brought records
-	version uint64           // of the succession that this daemon was told
-	marks   map[string]marks // by the address of the daemon that told
-	source  string           // the daemon that is asked, as the log was last told
-	itself  bool             // the store itself was asked last
+	o              Options
+	started        time.Time
+	clients        [feedCount]*client // one for each feed
+	discoverClient *client
+	// searchLock is a semaphore held by the goroutine that searches for a reader. The
+	// goroutine of the other feed waits for the result.
+	searchLock chan struct{}
+
+	mu                sync.Mutex // guards the fields below
+	plan              *Plan
+	storeDown         [feedCount]bool        // the last call to the store for the feed failed
+	lastRecords       [feedCount]time.Time   // when the store last returned records
+	successionVersion uint64                 // version of the last succession received
+	cursors           map[string]newsCursors // keyed by the address of the reader
+	loggedSource      string                 // the daemon last logged as the source of reads, "" for the store
+	readsStore        bool                   // the last read was made at the store itself
 }
 
-// marks are the numbers up to which a daemon has told this one: of what others saw of
-// engines, and of the quarantine.
+// newsCursors are the sequence numbers up to which one reader has sent its samples and its
+// quarantine records to this daemon.
 //
-// Each daemon numbers by itself. What goes wrong with one number for all: two daemons name
-// each other as the reader while the store is away, and this one asks them by turns; each
-// is shown the other's number, takes it for one that was told nothing, and answers at once,
-// thousands of times a second.
-type marks struct{ seen, told uint64 }
+// Each reader has its own sequence. Suppose that one cursor were used for all of them, and
+// that two daemons name each other as the reader while the store is unavailable. A follower
+// asks them by turns and would send each the cursor of the other. Each would take it for
+// that of a new follower and answer at once, thousands of times a second.
+type newsCursors struct{ samples, quarantine uint64 }
 
-// maxMarks bounds the daemons whose numbers are kept; a succession names a few.
-const maxMarks = 64
+// maxCursors bounds the readers whose cursors are kept. A succession names only a few
+// daemons.
+const maxCursors = 64
 
-// NewStore returns a store that has found no reader yet.
+// NewStore returns a store that has not searched for a reader yet.
 func NewStore(o Options) *Store {
 	if o.Limits == nil {
 		o.Limits = noLimits{}
 	}
 	s := &Store{
-		o: o, started: o.Now(), plan: NewPlan(o.Now(), o.Self, o.Seeds, o.Roster, o.Random), finding: make(chan struct{}, 1),
-		marks: map[string]marks{},
+		o: o, started: o.Now(), plan: NewPlan(o.Now(), o.Self, o.Seeds, o.Roster, o.Random), searchLock: make(chan struct{}, 1),
+		cursors: map[string]newsCursors{},
 	}
 	for f := range s.clients {
 		s.clients[f] = &client{dial: o.Dial}
 	}
-	s.finder = &client{dial: o.Dial}
+	s.discoverClient = &client{dial: o.Dial}
 	return s
 }
 
-// Reads says whether this daemon reads the store itself for good.
+// Reads reports whether this daemon reads the store itself in normal operation.
 func (s *Store) Reads() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.plan.Reads(s.o.Now())
 }
 
-// Provides says whether this daemon asks the store itself now and does so for others, or
-// for good.
+// Provides reports whether this daemon reads the store itself at present, and does so
+// either in normal operation or for followers. Only a daemon that provides reads the
+// quarantine log.
 //
-// What goes wrong where all read the quarantine who ask the store: a data centre whose
-// reader is gone is without one for a second, each of its daemons asks the store meanwhile,
-// and each reads the quarantine too.
+// If every daemon that reads the store also read the quarantine log, the loss of a reader
+// would cause a burst of calls: for about a second all daemons of its data centre read the
+// store, and each would read the quarantine log too.
 func (s *Store) Provides() bool {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.itself && (s.plan.Reads(now) || s.o.Asked.Lately(now))
+	return s.readsStore && (s.plan.Reads(now) || s.o.Asked.Lately(now))
 }
 
 // Newest implements fleet.Store.
@@ -148,7 +153,7 @@
 	return s.read(ctx, query{feed: f, from: from, wait: wait})
 }
 
-// query is what a reading wants.
+// query holds the parameters of a read.
 type query struct {
 	feed  fleet.Feed
 	from  uint64
@@ -157,16 +162,17 @@
 	probe bool // see Step
 }
 
-// read takes steps until one brings an answer, or the store itself gives none.
+// read follows the steps of the plan until another daemon returns fresh data or the store
+// is called.
 func (s *Store) read(ctx context.Context, q query) (fleet.Batch, error) {
 	for ctx.Err() == nil {
 		step := s.next(ctx, q.feed)
 		switch step.Do {
 		case AskStore:
 			q.probe = step.Probe
-			return s.direct(ctx, q)
+			return s.readFromStore(ctx, q)
 		case AskPeer:
-			if b, ok := s.through(ctx, q, step); ok {
+			if b, ok := s.readFromPeer(ctx, q, step); ok {
 				return b, nil
 			}
 		case Wait:
@@ -176,21 +182,22 @@
 	return fleet.Batch{}, errors.WithStack(ctx.Err())
 }
 
-// next returns the next step that is no look for a reader; such steps are taken here.
+// next returns the next step that isn't part of a search for a reader. It carries out the
+// steps of a search itself.
 func (s *Store) next(ctx context.Context, f fleet.Feed) Step {
 	select {
-	case s.finding <- struct{}{}:
+	case s.searchLock <- struct{}{}:
 	case <-ctx.Done():
 		return Step{Do: Wait}
 	}
-	defer func() { <-s.finding }()
+	defer func() { <-s.searchLock }()
 	for {
 		step := s.step(f)
 		switch step.Do {
 		case Meet:
-			s.meet(ctx, step.Peer.Address)
+			s.discover(ctx, step.Peer.Address)
 		case List:
-			s.list(ctx)
+			s.listReaders(ctx)
 		default:
 			return step
 		}
@@ -200,6 +207,7 @@
 	}
 }
 
+// step returns the next step of the plan for a feed.
 func (s *Store) step(f fleet.Feed) Step {
 	now := s.o.Now()
 	s.mu.Lock()
@@ -207,34 +215,34 @@
 	return s.plan.Next(now, f, s.o.Asked.Lately(now))
 }
 
-// meet asks a daemon who reads for this one's data centre.
-func (s *Store) meet(ctx context.Context, address string) {
-	call := meetCall{Self: s.o.Self, Limits: s.o.Limits.News(false), Silent: s.o.Roster.SilentOnes(s.o.Now())}
-	within := meetTime
-	if s.o.Now().Sub(s.started) < youngTime {
-		within = youngMeetTime
+// discover asks the daemon at an address for the readers of this data centre.
+func (s *Store) discover(ctx context.Context, address string) {
+	call := discoverRequest{Self: s.o.Self, Limits: s.o.Limits.News(false), Unreachable: s.o.Roster.SilentOnes(s.o.Now())}
+	within := discoverTimeout
+	if s.o.Now().Sub(s.started) < startupPeriod {
+		within = startupDiscoverTimeout
 	}
-	reply, err := s.finder.meet(ctx, address, call, within)
-	s.finder.close()
+	reply, err := s.discoverClient.discover(ctx, address, call, within)
+	s.discoverClient.close()
 	if err != nil {
-		s.o.Logger.WithField("daemon", address).WithError(err).Debug("no word of who reads")
+		s.o.Logger.WithField("daemon", address).WithError(err).Debug("reader query unanswered")
 		return
 	}
 	s.o.Roster.Claimed(s.o.Now(), reply.Claims)
 	s.o.Limits.Told(reply.Limits)
-	s.o.Time.stamped(s.o.Now(), address, reply.Stamp)
+	s.o.Time.recordStamp(s.o.Now(), address, reply.Stamp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.Met(address, reply.Succession)
 }
 
-// list asks the store which daemons read.
-func (s *Store) list(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, listTime)
+// listReaders asks the store for its list of readers.
+func (s *Store) listReaders(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	peers, err := s.o.Directory.Readers(ctx)
 	if err != nil {
-		s.o.Logger.WithError(err).Debug("readers not looked up")
+		s.o.Logger.WithError(err).Debug("reader listing failed")
 		return
 	}
 	s.mu.Lock()
@@ -242,33 +250,33 @@
 	s.plan.Listed(peers)
 }
 
-// through asks another daemon; ok is false when it has no fresh word.
-func (s *Store) through(ctx context.Context, q query, step Step) (b fleet.Batch, ok bool) {
-	s.tell(step.Peer.Instance)
-	call := s.call(q, step)
-	asking, cancel := context.WithCancel(ctx) // until others begin to rely on this daemon
+// readFromPeer reads from another daemon; ok is false if that one has no fresh data.
+func (s *Store) readFromPeer(ctx context.Context, q query, step Step) (b fleet.Batch, ok bool) {
+	s.setSource(step.Peer.Instance)
+	call := s.buildRequest(q, step)
+	callCtx, cancel := context.WithCancel(ctx) // cancelled when a follower calls this daemon
 	defer cancel()
 	defer s.o.Asked.OnFirst(cancel)()
-	reply, b, err := s.clients[q.feed].read(asking, step.Peer.Address, call, s.o.Pace.Slack)
-	if asking.Err() != nil {
-		return b, false // this daemon is to read itself, or to end
+	reply, b, err := s.clients[q.feed].read(callCtx, step.Peer.Address, call, s.o.Pace.Slack)
+	if callCtx.Err() != nil {
+		return b, false // this daemon is to read the store itself, or is stopping
 	}
 	now := s.o.Now()
-	s.heard(step.Peer, reply, err)
+	s.recordPeerReply(step.Peer, reply, err)
 	if err == nil {
-		s.o.Time.stamped(now, step.Peer.Address, reply.Stamp)
-		s.learn(q.feed, step.Peer.Address, reply)
+		s.o.Time.recordStamp(now, step.Peer.Address, reply.Stamp)
+		s.applyNews(q.feed, step.Peer.Address, reply)
 	}
-	if err != nil || reply.Verdict != fit {
+	if err != nil || reply.Status != statusFresh {
 		return b, false
 	}
 	s.o.Journal.Add(now.Add(-reply.Age), q.feed, q.from, b)
-	s.count(q.feed, Through)
+	s.countRead(q.feed, Through)
 	return b, true
 }
 
-// heard takes a peer's answer into the plan.
-func (s *Store) heard(peer Peer, reply readReply, err error) {
+// recordPeerReply updates the plan with the response or error of a peer.
+func (s *Store) recordPeerReply(peer Peer, reply readResponse, err error) {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,65 +285,66 @@
 		s.plan.Silent(now, peer)
 		s.o.Logger.WithField("reader", peer.Instance).WithError(err).Info("reader lost")
 		return
-	case reply.Verdict == away:
+	case reply.Status == statusStoreDown:
 		s.plan.Waits(now, peer)
-	case reply.Verdict == unfit:
+	case reply.Status == statusStale:
 		s.plan.Unfit(now, peer)
 	default:
 		s.plan.Took(now, peer)
 	}
 	if reply.Succession != nil && !s.o.Roster.Leads() {
 		s.o.Roster.Told(*reply.Succession)
-		s.version = reply.Version
+		s.successionVersion = reply.Version
 	}
 }
 
-// call returns the call to a peer.
-func (s *Store) call(q query, step Step) readCall {
+// buildRequest returns the request to send to a peer.
+func (s *Store) buildRequest(q query, step Step) readRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	call := readCall{
+	call := readRequest{
 		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Pace.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
-		Known: s.version, Accrued: s.o.Time.handOver(s.o.Now(), step.Peer),
+		KnownVersion: s.successionVersion, Accrued: s.o.Time.handOver(s.o.Now(), step.Peer),
 	}
 	if q.feed == fleet.FeedUpstreams {
-		m := s.marks[step.Peer.Address]
-		call.Saw = packSamples(s.o.Samples.Take())
-		call.Seen, call.Told = m.seen, m.told
+		cursors := s.cursors[step.Peer.Address]
+		call.Samples = toWireSamples(s.o.Samples.Take())
+		call.SamplesUpTo, call.QuarantineUpTo = cursors.samples, cursors.quarantine
 		call.Limits = s.o.Limits.News(q.whole)
 	}
 	return call
 }
 
-// learn takes what others have seen, as the daemon at an address told.
-func (s *Store) learn(f fleet.Feed, address string, reply readReply) {
+// applyNews stores the samples, quarantine records and limits in the response of the daemon
+// at an address.
+func (s *Store) applyNews(f fleet.Feed, address string, reply readResponse) {
 	if f != fleet.FeedUpstreams {
 		return
 	}
-	s.mark(address, marks{seen: reply.Seen, told: reply.Told})
+	s.setCursors(address, newsCursors{samples: reply.SamplesUpTo, quarantine: reply.QuarantineUpTo})
 	s.o.Limits.Told(reply.Limits)
 	if len(reply.Quarantine) > 0 {
 		s.o.Quarantine.Take(reply.Quarantine)
 	}
-	if len(reply.Saw) > 0 {
-		s.o.Learned(unpackSamples(reply.Saw))
+	if len(reply.Samples) > 0 {
+		s.o.Learned(fromWireSamples(reply.Samples))
 	}
 }
 
-// mark notes up to which numbers the daemon at an address has told this one.
-func (s *Store) mark(address string, m marks) {
+// setCursors stores the cursors of the reader at an address.
+func (s *Store) setCursors(address string, cursors newsCursors) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.marks[address]; !known && len(s.marks) >= maxMarks {
-		clear(s.marks) // each is told anew once
+	if _, known := s.cursors[address]; !known && len(s.cursors) >= maxCursors {
+		clear(s.cursors) // each reader then sends its news again, once
 	}
-	s.marks[address] = m
+	s.cursors[address] = cursors
 }
 
-// direct reads the store itself.
-func (s *Store) direct(ctx context.Context, q query) (fleet.Batch, error) {
-	s.tell("")
-	if !clock.Sleep(ctx, s.pause(q.feed)) {
+// readFromStore reads the store itself.
+func (s *Store) readFromStore(ctx context.Context, q query) (fleet.Batch, error) {
+	s.setSource("")
+	if !clock.Sleep(ctx, s.gatherDelay(q.feed)) {
 		return fleet.Batch{}, errors.WithStack(ctx.Err())
 	}
 	var b fleet.Batch
@@ -344,45 +353,46 @@
 		b, err = s.o.Direct.Newest(ctx, q.feed)
 		b.Whole = true
 	} else {
-		b, err = s.o.Direct.Read(ctx, q.feed, q.from, s.bound(q))
+		b, err = s.o.Direct.Read(ctx, q.feed, q.from, s.storeWait(q))
 	}
 	if ctx.Err() != nil {
 		return b, err
 	}
-	s.answered(q, &b, err)
+	s.recordStoreReply(q, &b, err)
 	return b, err
 }
 
-// answered takes what a call to the store came to. The first reading after one that
-// failed is marked: what it shows as gone may only have lapsed while the store was away,
-// for followers too.
-func (s *Store) answered(q query, b *fleet.Batch, err error) {
+// recordStoreReply updates the plan and the journal with the result of a call to the store.
+// It marks the first batch after a failure with Away, for followers too: a registration
+// that is missing from it may only have expired during the outage.
+func (s *Store) recordStoreReply(q query, b *fleet.Batch, err error) {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case errors.Is(err, fleet.ErrTrimmed):
-		s.count(q.feed, Direct)
+		s.countRead(q.feed, Direct)
 		s.plan.Answered()
 		return
 	case err != nil:
-		s.count(q.feed, Failed)
-		s.away[q.feed] = true
+		s.countRead(q.feed, Failed)
+		s.storeDown[q.feed] = true
 		s.plan.Failed(now)
 		s.o.Journal.Away()
 		return
 	}
-	s.count(q.feed, Direct)
+	s.countRead(q.feed, Direct)
 	s.plan.Answered()
-	b.Away, s.away[q.feed] = s.away[q.feed], false
+	b.Away, s.storeDown[q.feed] = s.storeDown[q.feed], false
 	if b.Next > q.from {
-		s.news[q.feed] = now
+		s.lastRecords[q.feed] = now
 	}
 	s.o.Journal.Add(now, q.feed, q.from, *b)
 }
 
-// pause returns how long records are still gathered before the next call.
-func (s *Store) pause(f fleet.Feed) time.Duration {
+// gatherDelay returns how long to go on gathering records before the next call to the
+// store.
+func (s *Store) gatherDelay(f fleet.Feed) time.Duration {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -390,17 +400,18 @@
 	if s.o.Asked.Lately(now) {
 		gather = s.o.Pace.SharedGather
 	}
-	return max(0, s.news[f].Add(gather).Sub(now))
+	return max(0, s.lastRecords[f].Add(gather).Sub(now))
 }
 
-// bound shortens the wait of a reading while others rely on its answer. One after a
-// failure does not wait at all: what it shows as gone may only have lapsed, and what is
-// withdrawn long after the store's return must not be among it.
-func (s *Store) bound(q query) time.Duration {
+// storeWait returns how long the store may hold a read. The wait is shortened while this
+// daemon has followers. After a failure it is zero: the first batch after an outage is
+// marked with Away, and a long wait would add to it registrations that were removed on
+// purpose after the recovery.
+func (s *Store) storeWait(q query) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.away[q.feed], q.probe:
+	case s.storeDown[q.feed], q.probe:
 		return 0
 	case !s.o.Asked.Lately(s.o.Now()):
 		return q.wait
@@ -410,21 +421,23 @@
 	return min(q.wait, s.o.Pace.Hold)
 }
 
-func (s *Store) count(f fleet.Feed, w Way) {
+// countRead reports a read to Options.Counted.
+func (s *Store) countRead(f fleet.Feed, w Way) {
 	if s.o.Counted != nil {
 		s.o.Counted(f, w)
 	}
 }
 
-// tell logs a change of whom this daemon asks; "" is the store.
-func (s *Store) tell(source string) {
+// setSource records the daemon that this one is going to read through, "" for the store
+// itself, and logs a change.
+func (s *Store) setSource(source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.itself = source == ""
-	if s.source == source {
+	s.readsStore = source == ""
+	if s.loggedSource == source {
 		return
 	}
-	s.source = source
+	s.loggedSource = source
 	if source == "" {
 		s.o.Logger.Info("store read by this instance")
 		return
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -20,89 +20,92 @@
 	"github.com/corianderturn/corianderturn/quarantine"
 )
 
-var quiet = &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
+var discardLogger = &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
 
-// source is a store of one feed. It answers at once.
-type source struct {
+// fakeFeedStore is a store with a single feed. It answers at once.
+type fakeFeedStore struct {
 	mu      sync.Mutex
 	records []string
 	down    bool
-	waits   []time.Duration // of the calls
+	waits   []time.Duration // the waits of all calls
 }
 
-func (s *source) setDown(down bool) {
+// setDown makes the store fail all calls, or serve them again.
+func (s *fakeFeedStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-func (s *source) calls() []time.Duration {
+// calls returns the waits of the calls so far.
+func (s *fakeFeedStore) calls() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Duration{}, s.waits...)
 }
 
-func (s *source) Newest(context.Context, fleet.Feed) (fleet.Batch, error) { return s.read(0, 0) }
+func (s *fakeFeedStore) Newest(context.Context, fleet.Feed) (fleet.Batch, error) { return s.read(0, 0) }
 
-func (s *source) Read(_ context.Context, _ fleet.Feed, from uint64, wait time.Duration) (fleet.Batch, error) {
+func (s *fakeFeedStore) Read(_ context.Context, _ fleet.Feed, from uint64, wait time.Duration) (fleet.Batch, error) {
 	return s.read(from, wait)
 }
 
-func (s *source) read(from uint64, wait time.Duration) (fleet.Batch, error) {
+func (s *fakeFeedStore) read(from uint64, wait time.Duration) (fleet.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waits = append(s.waits, wait)
 	if s.down {
 		return fleet.Batch{}, errors.New("the store is down")
 	}
-	return gone(uint64(len(s.records)), s.records[from:]...), nil
+	return removals(uint64(len(s.records)), s.records[from:]...), nil
 }
 
-// directory lists no reader.
-type directory struct{}
+// emptyDirectory lists no readers.
+type emptyDirectory struct{}
 
-func (directory) Readers(context.Context) ([]Peer, error) { return nil, nil }
+func (emptyDirectory) Readers(context.Context) ([]Peer, error) { return nil, nil }
 
-// single is one daemon's reading of the store, at a time that stands still.
-type single struct {
+// testDaemon is a Store with the parts of one daemon and a clock that only the test moves.
+type testDaemon struct {
 	*Store
 	journal *Journal
 	asked   *Asked
-	source  *source
+	source  *fakeFeedStore
 	now     time.Time
 }
 
 var (
-	testPace = PaceOf(leastBound)
-	me       = peer("me", "a", 192)
+	testPace = PaceOf(minBound)
+	testSelf = peer("me", "a", 192)
 )
 
-// newSingle returns a daemon of a large fleet that was told of an order.
-func newSingle(s *source, order ...Peer) *single {
-	out := &single{journal: NewJournal(), asked: NewAsked(), source: s, now: time.Now()}
-	roster := NewRoster(me, nil)
+// newTestDaemon returns a daemon of a large fleet that has received an order.
+func newTestDaemon(s *fakeFeedStore, order ...Peer) *testDaemon {
+	out := &testDaemon{journal: NewJournal(), asked: NewAsked(), source: s, now: time.Now()}
+	roster := NewRoster(testSelf, nil)
 	roster.Told(Succession{Order: order, Daemons: 300})
 	out.Store = NewStore(Options{
-		Direct: s, Directory: directory{}, Journal: out.journal, Roster: roster, Asked: out.asked, Dial: DialTCP, Pace: testPace,
-		Quarantine: keeper(), Samples: NewSamples(out.now), Learned: func([]estimate.Sample) {}, Self: me, Random: rand.New(rand.NewPCG(1, 1)), Logger: quiet, Now: func() time.Time { return out.now },
+		Direct: s, Directory: emptyDirectory{}, Journal: out.journal, Roster: roster, Asked: out.asked, Dial: DialTCP, Pace: testPace,
+		Quarantine: newQuarantine(), Samples: NewSamples(out.now), Learned: func([]estimate.Sample) {}, Self: testSelf, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return out.now },
 	})
 	return out
 }
 
-// follower returns a daemon whose reader listens at an address, and which is next itself.
-func follower(s *source, reader string) *single {
-	return newSingle(s, Peer{Instance: "reader", DataCentre: "a", Address: reader}, me)
+// newFollower returns a daemon whose reader listens at an address. It is the first
+// successor itself.
+func newFollower(s *fakeFeedStore, reader string) *testDaemon {
+	return newTestDaemon(s, Peer{Instance: "reader", DataCentre: "a", Address: reader}, testSelf)
 }
 
-// serve runs a reader's server over a journal and returns its address.
-func serve(t *testing.T, j *Journal) string {
+// serveJournal runs a reader's server with a journal and returns its address.
+func serveJournal(t *testing.T, j *Journal) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := ln.Addr().String()
-	s := NewServer(ServerOptions{Journal: j, Roster: NewRoster(peer(address, "a", 800), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: keeper(), Pace: testPace, Logger: quiet, Now: time.Now})
+	s := NewServer(ServerOptions{Journal: j, Roster: NewRoster(peer(address, "a", 800), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Pace: testPace, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -116,83 +119,82 @@
 	return address
 }
 
-// readFrom reads and ends the connection that was kept.
-func (d *single) readFrom(t *testing.T, from uint64) (fleet.Batch, error) {
+// readFrom reads the upstreams feed and closes the connection at the end of the test.
+func (d *testDaemon) readFrom(t *testing.T, from uint64) (fleet.Batch, error) {
 	t.Helper()
 	t.Cleanup(d.clients[fleet.FeedUpstreams].close)
 	return d.Read(t.Context(), fleet.FeedUpstreams, from, 2*time.Second)
 }
 
-// journalOf returns a journal whose state is of offset 1, as of a time, with records
-// after it.
-func journalOf(heard time.Time, records ...string) *Journal {
+// newTestJournal returns a journal with a snapshot at offset 1, followed by removals of the
+// given names, both read at the given time.
+func newTestJournal(readAt time.Time, removed ...string) *Journal {
 	j := NewJournal()
-	j.Add(heard, fleet.FeedUpstreams, 0, puts(1, "a", "b", "z"))
-	if len(records) > 0 {
-		j.Add(heard, fleet.FeedUpstreams, 1, gone(uint64(1+len(records)), records...))
+	j.Add(readAt, fleet.FeedUpstreams, 0, snapshotOf(1, "a", "b", "z"))
+	if len(removed) > 0 {
+		j.Add(readAt, fleet.FeedUpstreams, 1, removals(uint64(1+len(removed)), removed...))
 	}
 	return j
 }
 
 func TestFollowersLeaveTheStoreAlone(t *testing.T) {
-	d := follower(&source{}, serve(t, journalOf(time.Now(), "a", "b")))
+	d := newFollower(&fakeFeedStore{}, serveJournal(t, newTestJournal(time.Now(), "a", "b")))
 	b, err := d.readFrom(t, 1)
 	if err != nil || b.Next != 3 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	if diff := cmp.Diff([]string{"a", "b"}, names(b)); diff != "" {
+	if diff := cmp.Diff([]string{"a", "b"}, recordNames(b)); diff != "" {
 		t.Error(diff)
 	}
 	t.Cleanup(d.clients[fleet.FeedUpstreams].close)
 	all, err := d.Newest(t.Context(), fleet.FeedUpstreams)
 	if err != nil || !all.Whole || all.Next != 3 {
-		t.Errorf("as a whole: %+v, %v", all, err)
+		t.Errorf("snapshot: %+v, %v", all, err)
 	}
 	if calls := d.source.calls(); len(calls) != 0 {
 		t.Errorf("calls to the store: %v", calls)
 	}
 }
 
-// Symptom: a daemon in touch gives new work to upstreams that left, as its reader is
-// not in touch.
-// Sequence: the reader is cut from the store, stands still, ends, or never was one; a
-// record comes; the follower asks.
-// Cause: an answer, or a silence, that is taken for nothing new.
+// Guards against requests sent to draining upstreams by a daemon that could reach the store
+// but whose reader can't. The reader is partitioned, frozen, stopped, or faulty. The
+// follower must not take a stale or missing answer to mean that there are no new records,
+// and must read the store itself.
 func TestFollowersDoWithoutTheirReader(t *testing.T) {
 	for name, reader := range map[string]func(*testing.T) string{
 		"cut from the store": func(t *testing.T) string {
-			return serve(t, journalOf(time.Now().Add(-testPace.MaxAge)))
+			return serveJournal(t, newTestJournal(time.Now().Add(-testPace.MaxAge)))
 		},
 		"cut while it is asked": func(t *testing.T) string {
-			return serve(t, journalOf(time.Now().Add(testPace.AnswerWithin/2-testPace.MaxAge)))
+			return serveJournal(t, newTestJournal(time.Now().Add(testPace.AnswerWithin/2-testPace.MaxAge)))
 		},
 		"waits for the store": func(t *testing.T) string {
-			j := journalOf(time.Now().Add(-testPace.MaxAge))
+			j := newTestJournal(time.Now().Add(-testPace.MaxAge))
 			j.Away()
-			return serve(t, j)
+			return serveJournal(t, j)
 		},
-		"not read yet": func(t *testing.T) string { return serve(t, NewJournal()) },
+		"not read yet": func(t *testing.T) string { return serveJournal(t, NewJournal()) },
 		"records missing": func(t *testing.T) string {
-			j := journalOf(time.Now())
-			j.Add(time.Now(), fleet.FeedUpstreams, 5, gone(6, "z"))
-			return serve(t, j)
+			j := newTestJournal(time.Now())
+			j.Add(time.Now(), fleet.FeedUpstreams, 5, removals(6, "z"))
+			return serveJournal(t, j)
 		},
-		"stands still": func(t *testing.T) string { return listen(t, func(net.Conn) {}) },
+		"stands still": func(t *testing.T) string { return listenAndHandle(t, func(net.Conn) {}) },
 		"gone":         func(*testing.T) string { return "127.0.0.1:1" },
-		"ends":         func(t *testing.T) string { return listen(t, func(c net.Conn) { c.Close() }) },
+		"ends":         func(t *testing.T) string { return listenAndHandle(t, func(c net.Conn) { c.Close() }) },
 		"garbled": func(t *testing.T) string {
-			return listen(t, func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) })
+			return listenAndHandle(t, func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 400 Bad Request\r\n\r\n")) })
 		},
 		"answers something else": func(t *testing.T) string {
-			return listen(t, func(c net.Conn) {
-				if err := send(c, wire.Envelope{Type: wire.TypeBoard, ID: 1, Reply: true}, &readReply{}); err != nil {
+			return listenAndHandle(t, func(c net.Conn) {
+				if err := writeMessage(c, wire.Envelope{Type: wire.TypeBoard, ID: 1, Reply: true}, &readResponse{}); err != nil {
 					t.Error(err)
 				}
 			})
 		},
 		"records garbled": func(t *testing.T) string {
-			return listen(t, func(c net.Conn) {
-				if err := send(c, wire.Envelope{Type: wire.TypeFeedRead, ID: 1, Reply: true}, &readReply{Batch: []byte{9}}); err != nil {
+			return listenAndHandle(t, func(c net.Conn) {
+				if err := writeMessage(c, wire.Envelope{Type: wire.TypeFeedRead, ID: 1, Reply: true}, &readResponse{Batch: []byte{9}}); err != nil {
 					t.Error(err)
 				}
 			})
@@ -200,7 +202,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := follower(&source{records: []string{"a", "b"}}, reader(t))
+			d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, reader(t))
 			b, err := d.readFrom(t, 1)
 			if err != nil || b.Next != 2 {
 				t.Fatalf("%+v, %v", b, err)
@@ -212,8 +214,9 @@
 	}
 }
 
-// listen accepts connections, hands each to f and closes them at the test's end.
-func listen(t *testing.T, f func(net.Conn)) string {
+// listenAndHandle accepts connections until the end of the test, calls f with each and
+// closes them then.
+func listenAndHandle(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -235,16 +238,16 @@
 	return ln.Addr().String()
 }
 
-// Symptom: a record reaches followers seconds late.
-// Sequence: a follower's call waits at the reader; the reader reads the record.
-// Cause: a call that waits until its time is over.
+// Guards against records that reach followers seconds late. A follower's call that waits at
+// the reader must be answered as soon as the reader gets a record, not when the wait is
+// over.
 func TestServerAnswersWithTheRecord(t *testing.T) {
-	j := journalOf(time.Now())
-	d := follower(&source{}, serve(t, j))
+	j := newTestJournal(time.Now())
+	d := newFollower(&fakeFeedStore{}, serveJournal(t, j))
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { j.Add(time.Now(), fleet.FeedUpstreams, 1, gone(2, "b")) })
-	for from := uint64(1); from < 2; { // an answer without a record may come first
+	wg.Go(func() { j.Add(time.Now(), fleet.FeedUpstreams, 1, removals(2, "b")) })
+	for from := uint64(1); from < 2; { // the first answer may be empty
 		b, err := d.readFrom(t, from)
 		if err != nil {
 			t.Fatal(err)
@@ -256,11 +259,10 @@
 	}
 }
 
-// Symptom: nobody reads the store.
-// Sequence: each of two daemons takes the other for the reader.
-// Cause: a daemon that is asked went on asking.
+// Guards against two daemons that take each other for the reader, so that neither reads the
+// store. A daemon with followers must read the store itself.
 func TestWhoIsAskedReadsItself(t *testing.T) {
-	d := follower(&source{records: []string{"a", "b"}}, serve(t, journalOf(time.Now())))
+	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, serveJournal(t, newTestJournal(time.Now())))
 	d.asked.Note(d.now)
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
@@ -268,19 +270,18 @@
 	if diff := cmp.Diff([]time.Duration{testPace.Hold}, d.source.calls()); diff != "" {
 		t.Error(diff)
 	}
-	d.now = d.now.Add(askedTime)
+	d.now = d.now.Add(followerTimeout)
 	if step := d.step(fleet.FeedUpstreams); step.Do != AskPeer {
-		t.Error("it reads itself for ever")
+		t.Error("it still reads the store itself after followerTimeout")
 	}
 }
 
-// Symptom: a follower whose reader was lost waits for one that waits itself.
-// Sequence: the reader stands still; a second follower asks the next in the succession,
-// whose own call to the reader is under way.
-// Cause: the next one waits for the reader's answer to the end.
+// Guards against a follower that waits for a successor which itself waits for the frozen
+// reader. When a follower calls the successor, that one must cancel its own call to the
+// reader.
 func TestWhoIsAskedGivesItsOwnCallUp(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	d := follower(&source{records: []string{"a", "b"}}, listen(t, func(net.Conn) { arrived <- struct{}{} }))
+	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, listenAndHandle(t, func(net.Conn) { arrived <- struct{}{} }))
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
@@ -291,45 +292,44 @@
 		t.Errorf("%+v, %v", b, err)
 	}
 	if len(d.o.Roster.SilentOnes(d.now)) != 0 {
-		t.Error("the reader counts as silent")
+		t.Error("the reader counts as unreachable")
 	}
 }
 
-// Symptom: upstreams that live are dropped after an outage of the store.
-// Sequence: the store is away while the reader reads; it returns with records of
-// leases that ran out; a follower that read nothing meanwhile takes them.
-// Cause: records that were passed on as any others.
+// Guards against running upstreams that are dropped after an outage of the store. The first
+// batch after the outage contains removals of expired leases. It must be marked with Away,
+// also for followers that made no reads during the outage.
 func TestFirstReadingAfterAnOutageSaysSo(t *testing.T) {
-	s := &source{records: []string{"a"}}
-	d := newSingle(s, me)
-	d.journal.Add(d.now, fleet.FeedUpstreams, 0, puts(0, "a"))
+	s := &fakeFeedStore{records: []string{"a"}}
+	d := newTestDaemon(s, testSelf)
+	d.journal.Add(d.now, fleet.FeedUpstreams, 0, snapshotOf(0, "a"))
 	s.setDown(true)
 	if _, err := d.readFrom(t, 0); err == nil {
 		t.Fatal("no error from a store that is down")
 	}
 	if !d.journal.Look(d.now, fleet.FeedUpstreams, 0, false).Away {
-		t.Error("followers are not told that the store is away")
+		t.Error("the journal does not report that the store is unavailable")
 	}
 	s.setDown(false)
-	d.now = d.now.Add(2 * probeMost)
+	d.now = d.now.Add(2 * maxReaderProbeInterval)
 	first, err := d.readFrom(t, 0)
 	if err != nil || !first.Away {
-		t.Errorf("first reading: away %t, %v", first.Away, err)
+		t.Errorf("first read: away %t, %v", first.Away, err)
 	}
 	if diff := cmp.Diff([]time.Duration{2 * time.Second, 0}, s.calls()); diff != "" {
-		t.Errorf("the first reading after a failure waits: %s", diff)
+		t.Errorf("the first read after a failure waits: %s", diff)
 	}
 	if l := d.journal.Look(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.Away {
-		t.Errorf("followers are told %+v", l)
+		t.Errorf("followers are sent %+v", l)
 	}
 	if next, err := d.readFrom(t, 1); err != nil || next.Away {
-		t.Errorf("second reading: away %t, %v", next.Away, err)
+		t.Errorf("second read: away %t, %v", next.Away, err)
 	}
 }
 
 // Load: fifty upstreams register within seconds, each with a record of its own.
 func TestRecordsAreGathered(t *testing.T) {
-	d := newSingle(&source{records: []string{"a"}}, me)
+	d := newTestDaemon(&fakeFeedStore{records: []string{"a"}}, testSelf)
 	if _, err := d.readFrom(t, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -342,28 +342,28 @@
 		{100 * time.Millisecond, true, testPace.SharedGather - 100*time.Millisecond},
 		{testPace.Gather, false, 0},
 	} {
-		d.now = d.news[fleet.FeedUpstreams].Add(tc.later)
+		d.now = d.lastRecords[fleet.FeedUpstreams].Add(tc.later)
 		d.asked = NewAsked()
 		d.o.Asked = d.asked
 		if tc.asked {
 			d.asked.Note(d.now)
 		}
-		if got := d.pause(fleet.FeedUpstreams); got != tc.want {
-			t.Errorf("%v after records, asked %t: pause of %v, want %v", tc.later, tc.asked, got, tc.want)
+		if got := d.gatherDelay(fleet.FeedUpstreams); got != tc.want {
+			t.Errorf("%v after records, with followers %t: pause of %v, want %v", tc.later, tc.asked, got, tc.want)
 		}
 	}
 }
 
-// The times leave a follower of a reader that is cut off half of the bound, and a reader
-// that is well is never taken for one that is cut off.
+// The timeouts leave the follower of a partitioned reader half of the bound, and the data
+// of a healthy reader never becomes stale.
 func TestPace(t *testing.T) {
 	for _, bound := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 4 * time.Second, 14 * time.Second} {
 		p := PaceOf(bound)
 		if p.Hold+p.SharedGather >= p.MaxAge {
-			t.Errorf("%v: a word may be %v old, of at most %v", bound, p.Hold+p.SharedGather, p.MaxAge)
+			t.Errorf("%v: data may be %v old, of at most %v", bound, p.Hold+p.SharedGather, p.MaxAge)
 		}
-		if late := max(p.MaxAge, p.AnswerWithin+p.Slack); late > max(bound, leastBound)/2 {
-			t.Errorf("%v: a lost reader is noticed after %v", bound, late)
+		if late := max(p.MaxAge, p.AnswerWithin+p.Slack); late > max(bound, minBound)/2 {
+			t.Errorf("%v: the loss of a reader is detected after %v", bound, late)
 		}
 	}
 }
@@ -373,17 +373,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerOptions{Journal: journalOf(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: keeper(), Pace: testPace, Logger: quiet, Now: time.Now})
+	s := NewServer(ServerOptions{Journal: newTestJournal(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Pace: testPace, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = s.Run(ctx) })
-	d := follower(&source{records: []string{"a", "b"}}, ln.Addr().String())
+	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, ln.Addr().String())
 	if b, err := d.readFrom(t, 1); err != nil || len(b.Changes) != 1 {
 		t.Fatalf("%+v, %v", b, err)
 	}
 	stop()
-	wg.Wait() // would hang with a connection that is kept
+	wg.Wait() // blocks if the server keeps a connection open
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
@@ -392,10 +392,10 @@
 	}
 }
 
-// A call that waits at its reader ends with its context, and so does its connection.
+// When its context ends, a call that waits at the reader fails and closes its connection.
 func TestCallEndsWithItsContext(t *testing.T) {
 	arrived := make(chan struct{}, 1)
-	address := listen(t, func(net.Conn) { arrived <- struct{}{} })
+	address := listenAndHandle(t, func(net.Conn) { arrived <- struct{}{} })
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &client{dial: DialTCP}
 	var wg conc.WaitGroup
@@ -404,15 +404,15 @@
 		<-arrived
 		cancel()
 	})
-	if _, _, err := c.read(ctx, address, readCall{Feed: fleet.FeedUpstreams, Wait: 2 * time.Second}, time.Second); err == nil {
-		t.Error("an answer of a reader that says nothing")
+	if _, _, err := c.read(ctx, address, readRequest{Feed: fleet.FeedUpstreams, Wait: 2 * time.Second}, time.Second); err == nil {
+		t.Error("no error from a reader that does not answer")
 	}
 	if c.conn != nil {
-		t.Error("the connection is kept")
+		t.Error("the connection is still open")
 	}
 }
 
-// keeper returns the quarantine of a daemon of which nothing is known.
-func keeper() *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.Options{Logger: quiet, Now: time.Now})
+// newQuarantine returns an empty quarantine.
+func newQuarantine() *quarantine.Keeper {
+	return quarantine.NewKeeper(quarantine.Options{Logger: discardLogger, Now: time.Now})
 }
--- a/relay/time.go
+++ b/relay/time.go
@@ -7,34 +7,41 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// TimeKeeper hands this daemon's time over to the reader of its data centre, with calls
-// that are made anyway (see package quota). It is safe for concurrent use.
+// TimeKeeper hands the accrual time of a follower over to the reader of its data centre.
+//
+// A daemon's share of a limit accrues over time. A follower does not add it to its own
+// ledger: with the calls that it makes anyway it sends the reader the span of time for
+// which its share is not accrued yet, and the reader accrues the share in its ledger (see
+// package quota). Followers then borrow from the reader. A TimeKeeper is safe for
+// concurrent use.
 type TimeKeeper struct {
 	quota  *quota.Ledger
 	roster *Roster
 
 	mu     sync.Mutex
-	stamps map[string]stamped // by the address of the daemon that gave it
-	// last is the daemon that was given time last.
-	last Peer
+	stamps map[string]receivedStamp // keyed by the address of the daemon that issued the stamp
+	// recipient is the daemon that was last sent accrual time.
+	recipient Peer
 }
 
-// stamped is a stamp and when it came.
-type stamped struct {
-	stamp quota.Stamp
-	got   time.Time
+// receivedStamp is a reading of the recipient's clock and the time of its receipt.
+type receivedStamp struct {
+	stamp      quota.Stamp
+	receivedAt time.Time
 }
 
-// maxStamps bounds the daemons of which a stamp is kept; a succession names a few.
+// maxStamps bounds the daemons whose stamps are kept. A succession names only a few
+// daemons.
 const maxStamps = 16
 
-// NewTimeKeeper returns a keeper that has no stamp of anybody.
+// NewTimeKeeper returns a TimeKeeper without stamps.
 func NewTimeKeeper(l *quota.Ledger, r *Roster) *TimeKeeper {
-	return &TimeKeeper{quota: l, roster: r, stamps: map[string]stamped{}}
+	return &TimeKeeper{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
 
-// handOver returns the time that goes with a call to a daemon: none to one of another data
-// centre, whose parts are others, and none of a daemon that others hand theirs to.
+// handOver returns the accrual time to send with a call to a daemon. It is empty if this
+// daemon is a reader itself, or if the recipient is in another data centre, where the
+// daemons' shares differ.
 func (k *TimeKeeper) handOver(now time.Time, to Peer) quota.Span {
 	if k == nil || to.DataCentre != k.roster.Self().DataCentre || k.roster.Leads() {
 		return quota.Span{}
@@ -45,23 +52,24 @@
 	if !ok {
 		return quota.Span{}
 	}
-	k.last = to
-	return k.quota.HandOver(now, s.stamp, s.got, k.roster.Near(now))
+	k.recipient = to
+	return k.quota.HandOver(now, s.stamp, s.receivedAt, k.roster.Near(now))
 }
 
-// holder returns the daemon that has this one's time.
+// lastRecipient returns the daemon to which this one handed its accrual time over last.
 //
-// What goes wrong otherwise: followers whose reader has no fresh word turn to its
-// successor, hand their time to it, and ask the reader for loans, which has nothing; all
-// callers of a data centre are refused for seconds while their limits are not used.
-func (k *TimeKeeper) holder() Peer {
+// Followers ask that daemon for loans first. After a failover they hand their time over to
+// a successor; if they went on asking the reader for loans, it would have nothing to lend,
+// and all requests of the data centre would be refused for seconds although the limits are
+// not used up.
+func (k *TimeKeeper) lastRecipient() Peer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.last
+	return k.recipient
 }
 
-// stamped takes the stamp that came with an answer.
-func (k *TimeKeeper) stamped(now time.Time, address string, stamp quota.Stamp) {
+// recordStamp stores the stamp of a response from the daemon at an address.
+func (k *TimeKeeper) recordStamp(now time.Time, address string, stamp quota.Stamp) {
 	if k == nil {
 		return
 	}
@@ -70,5 +78,5 @@
 	if _, known := k.stamps[address]; !known && len(k.stamps) >= maxStamps {
 		clear(k.stamps)
 	}
-	k.stamps[address] = stamped{stamp, now}
+	k.stamps[address] = receivedStamp{stamp, now}
 }
--- a/relay/world_network_test.go
+++ b/relay/world_network_test.go
@@ -17,10 +17,12 @@
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
-	// cut tells whether two addresses do not reach each other; nil is never.
-	cut func(a, b string) bool
+	// partitioned reports whether two addresses are partitioned from each other; nil means no
+	// partition.
+	partitioned func(a, b string) bool
 }
 
+// pipeListener is the listener of one daemon. Its connections are pipes in memory.
 type pipeListener struct {
 	address string
 	conns   chan net.Conn
@@ -28,31 +30,31 @@
 	once    sync.Once
 }
 
-// link is one end of a connection, which a test may silence.
-type link struct {
+// pipeConn is one end of a connection. It is subject to partitions of its network.
+type pipeConn struct {
 	net.Conn
 	network *network
 	a, b    string
 }
 
-// Write drops what crosses a cut.
-func (l *link) Write(p []byte) (int, error) {
-	if l.network.isCut(l.a, l.b) {
+// Write discards data sent across a partition.
+func (l *pipeConn) Write(p []byte) (int, error) {
+	if l.network.isPartitioned(l.a, l.b) {
 		return len(p), nil
 	}
 	return l.Conn.Write(p)
 }
 
-func (n *network) isCut(a, b string) bool {
+func (n *network) isPartitioned(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != nil && n.cut(a, b)
+	return n.partitioned != nil && n.partitioned(a, b)
 }
 
-func (n *network) setCut(cut func(a, b string) bool) {
+func (n *network) setPartition(partitioned func(a, b string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = partitioned
 }
 
 func (n *network) listen(address string) net.Listener {
@@ -63,7 +65,7 @@
 	return l
 }
 
-func (n *network) unlisten(address string) {
+func (n *network) removeListener(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.listeners, address)
@@ -73,19 +75,19 @@
 	n.mu.Lock()
 	l := n.listeners[to]
 	n.mu.Unlock()
-	if n.isCut(from, to) {
-		time.Sleep(dialTime)
+	if n.isPartitioned(from, to) {
+		time.Sleep(dialTimeout)
 		return nil, errors.New("no answer")
 	}
 	if l == nil {
 		return nil, errors.New("refused")
 	}
 	near, far := net.Pipe()
-	timer := time.NewTimer(dialTime)
+	timer := time.NewTimer(dialTimeout)
 	defer timer.Stop()
 	select {
-	case l.conns <- &link{far, n, to, from}:
-		return &link{near, n, from, to}, nil
+	case l.conns <- &pipeConn{far, n, to, from}:
+		return &pipeConn{near, n, from, to}, nil
 	case <-l.done:
 	case <-timer.C:
 	case <-ctx.Done():
--- a/relay/world_store_test.go
+++ b/relay/world_store_test.go
@@ -18,35 +18,37 @@
 	"github.com/corianderturn/corianderturn/roles"
 )
 
-// modelStore is the store of all daemons. Its two feeds keep all records.
-type modelStore struct {
+// fakeStore is the store that all daemons of a test share. Its two feeds keep all records.
+type fakeStore struct {
 	began time.Time
 
-	mu      sync.Mutex
-	feeds   [2][]fleet.Change
-	first   [2]uint64
-	ends    []quarantine.Record
-	down    bool // refuses all calls
-	silent  bool // answers none
-	refused map[string]bool
-	dead    map[string]bool // what these ask is lost
-	killed  map[string]bool // these ask nothing
-	members []groupMember
-	perSec  map[int]float64
-	changed chan struct{}
-	gen     uint64
-}
-
-type groupMember struct {
+	mu                sync.Mutex
+	feeds             [2][]fleet.Change
+	firstOffset       [2]uint64
+	quarantineRecords []quarantine.Record
+	down              bool // refuses all calls
+	unresponsive      bool // answers no calls
+	refusedInstances  map[string]bool
+	unreachable       map[string]bool // instances whose calls are lost
+	killed            map[string]bool // instances whose calls fail at once and are not counted
+	members           []fakeGroupMember
+	callsPerSecond    map[int]float64
+	changed           chan struct{}
+	generation        uint64
+}
+
+// fakeGroupMember is a member of the roles group, with the end of its lease.
+type fakeGroupMember struct {
 	peer    Peer
 	expires time.Time
 }
 
-func newModelStore(began time.Time) *modelStore {
-	return &modelStore{began: began, refused: map[string]bool{}, dead: map[string]bool{}, killed: map[string]bool{}, perSec: map[int]float64{}, changed: make(chan struct{})}
+func newFakeStore(began time.Time) *fakeStore {
+	return &fakeStore{began: began, refusedInstances: map[string]bool{}, unreachable: map[string]bool{}, killed: map[string]bool{}, callsPerSecond: map[int]float64{}, changed: make(chan struct{})}
 }
 
-func (s *modelStore) update(f func()) {
+// update changes the store and wakes the calls that wait for a change.
+func (s *fakeStore) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -54,94 +56,97 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *modelStore) setDead(instance string, dead bool) {
-	s.update(func() { s.dead[instance] = dead })
+func (s *fakeStore) setUnreachable(instance string, unreachable bool) {
+	s.update(func() { s.unreachable[instance] = unreachable })
 }
 
-func (s *modelStore) setKilled(instance string, killed bool) {
+func (s *fakeStore) setKilled(instance string, killed bool) {
 	s.update(func() { s.killed[instance] = killed })
 }
 
-func (s *modelStore) put(f fleet.Feed, c fleet.Change) time.Time {
+// put appends a record to a feed and returns the time.
+func (s *fakeStore) put(f fleet.Feed, c fleet.Change) time.Time {
 	s.update(func() { s.feeds[f] = append(s.feeds[f], c) })
 	return time.Now()
 }
 
-func (s *modelStore) configure(version uint64) time.Time {
+func (s *fakeStore) putConfig(version uint64) time.Time {
 	return s.put(fleet.FeedConfig, fleet.Change{Config: &fleet.Config{Version: version}})
 }
 
+// upstream returns the registration of upstream i.
 func upstream(i int) fleet.Registration {
 	return fleet.Registration{Name: fmt.Sprintf("u%d", i), Service: "s", Address: fmt.Sprintf("10.9.0.%d:1", i), DataCentre: "dc0"}
 }
 
-func (s *modelStore) register(i int) {
+func (s *fakeStore) register(i int) {
 	r := upstream(i)
 	s.put(fleet.FeedUpstreams, fleet.Change{Put: &r})
 }
 
-// calls returns the calls from one time of the test to another, and the most in a second.
-func (s *modelStore) calls(from, to time.Duration) (sum, most float64) {
+// calls returns the number of calls between two times of the test, and the largest number
+// in one second.
+func (s *fakeStore) calls(from, to time.Duration) (sum, maxPerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for second, n := range s.perSec {
+	for second, n := range s.callsPerSecond {
 		if at := time.Duration(second) * time.Second; at >= from && at < to {
-			sum, most = sum+n, max(most, n)
+			sum, maxPerSecond = sum+n, max(maxPerSecond, n)
 		}
 	}
-	return sum, most
+	return sum, maxPerSecond
 }
 
 var errRefused = errors.New("the store answered 503")
 
-// call counts a call of so much and says whether it is served.
-func (s *modelStore) call(ctx context.Context, who string, weight float64) error {
+// serveCall counts a call with a weight and returns an error if the call is not served.
+func (s *fakeStore) serveCall(ctx context.Context, instance string, weight float64) error {
 	s.mu.Lock()
-	if s.killed[who] {
+	if s.killed[instance] {
 		s.mu.Unlock()
 		return errors.New("killed")
 	}
-	if s.dead[who] {
+	if s.unreachable[instance] {
 		s.mu.Unlock()
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	s.perSec[int(time.Since(s.began)/time.Second)] += weight
+	s.callsPerSecond[int(time.Since(s.began)/time.Second)] += weight
 	s.mu.Unlock()
-	time.Sleep(storeTime)
+	time.Sleep(storeLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent {
+	if s.unresponsive {
 		s.mu.Unlock()
 		<-ctx.Done()
 		s.mu.Lock()
 		return ctx.Err()
 	}
-	if s.down || s.refused[who] {
+	if s.down || s.refusedInstances[instance] {
 		return errRefused
 	}
 	return ctx.Err()
 }
 
-// storeView is the store as one daemon reaches it.
-type storeView struct {
-	s   *modelStore
-	who string
+// storeClient is one daemon's client of the store.
+type storeClient struct {
+	store    *fakeStore
+	instance string
 }
 
-func (v storeView) Newest(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
-	v.s.mu.Lock()
-	pages := 1 + len(v.s.feeds[f])/pageItems
-	v.s.mu.Unlock()
+func (v storeClient) Newest(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
+	v.store.mu.Lock()
+	pages := 1 + len(v.store.feeds[f])/pageSize
+	v.store.mu.Unlock()
 	for range pages {
-		if err := v.s.call(ctx, v.who, 1); err != nil {
+		if err := v.store.serveCall(ctx, v.instance, 1); err != nil {
 			return fleet.Batch{}, err
 		}
 	}
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
 	last := map[string]fleet.Change{}
-	for _, c := range v.s.feeds[f] {
+	for _, c := range v.store.feeds[f] {
 		switch {
 		case c.Gone != "":
 			delete(last, c.Gone)
@@ -151,23 +156,23 @@
 			last[""] = c
 		}
 	}
-	b := fleet.Batch{Next: uint64(len(v.s.feeds[f]))}
+	b := fleet.Batch{Next: uint64(len(v.store.feeds[f]))}
 	for _, c := range last {
 		b.Changes = append(b.Changes, c)
 	}
 	return b, nil
 }
 
-func (v storeView) Read(ctx context.Context, f fleet.Feed, from uint64, wait time.Duration) (fleet.Batch, error) {
-	if err := v.s.call(ctx, v.who, 1); err != nil {
+func (v storeClient) Read(ctx context.Context, f fleet.Feed, from uint64, wait time.Duration) (fleet.Batch, error) {
+	if err := v.store.serveCall(ctx, v.instance, 1); err != nil {
 		return fleet.Batch{}, err
 	}
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	for over := wait == 0; ; {
-		v.s.mu.Lock()
-		all, first, refused, changed := v.s.feeds[f], v.s.first[f], v.s.down || v.s.refused[v.who], v.s.changed
-		v.s.mu.Unlock()
+		v.store.mu.Lock()
+		all, first, refused, changed := v.store.feeds[f], v.store.firstOffset[f], v.store.down || v.store.refusedInstances[v.instance], v.store.changed
+		v.store.mu.Unlock()
 		switch {
 		case refused:
 			return fleet.Batch{}, errRefused
@@ -187,14 +192,14 @@
 }
 
 // Readers implements Directory.
-func (v storeView) Readers(ctx context.Context) ([]Peer, error) {
-	if err := v.s.call(ctx, v.who, 1); err != nil {
+func (v storeClient) Readers(ctx context.Context) ([]Peer, error) {
+	if err := v.store.serveCall(ctx, v.instance, 1); err != nil {
 		return nil, err
 	}
-	v.s.mu.Lock()
-	defer v.s.mu.Unlock()
+	v.store.mu.Lock()
+	defer v.store.mu.Unlock()
 	var out []Peer
-	for _, m := range v.s.members {
+	for _, m := range v.store.members {
 		if time.Now().Before(m.expires) {
 			out = append(out, m.peer)
 		}
@@ -202,41 +207,42 @@
 	return out, nil
 }
 
-// member is a daemon's membership of the group: who joined first holds the lease.
-type member struct {
-	view storeView
+// fakeGroup is a daemon's membership of the roles group. The member that joined first owns
+// the lease.
+type fakeGroup struct {
+	view storeClient
 	self Peer
 }
 
-func (m member) Join(ctx context.Context, _ uint64, ttl time.Duration) (roles.Holding, error) {
-	s := m.view.s
-	if err := s.call(ctx, m.view.who, 0.1); err != nil {
+func (m fakeGroup) Join(ctx context.Context, _ uint64, ttl time.Duration) (roles.Holding, error) {
+	s := m.view.store
+	if err := s.serveCall(ctx, m.view.instance, 0.1); err != nil {
 		return roles.Holding{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	before := len(s.members)
-	s.members = slices.DeleteFunc(s.members, func(g groupMember) bool { return !now.Before(g.expires) })
-	i := slices.IndexFunc(s.members, func(g groupMember) bool { return g.peer.Address == m.self.Address })
+	s.members = slices.DeleteFunc(s.members, func(g fakeGroupMember) bool { return !now.Before(g.expires) })
+	i := slices.IndexFunc(s.members, func(g fakeGroupMember) bool { return g.peer.Address == m.self.Address })
 	if i < 0 {
-		s.members = append(s.members, groupMember{peer: m.self})
+		s.members = append(s.members, fakeGroupMember{peer: m.self})
 		i = len(s.members) - 1
-		s.gen++
+		s.generation++
 	} else if before != len(s.members) {
-		s.gen++
+		s.generation++
 	}
 	s.members[i].expires = now.Add(ttl)
-	return roles.Holding{Generation: s.gen, Owner: i == 0}, nil
+	return roles.Holding{Generation: s.generation, Owner: i == 0}, nil
 }
 
-func (m member) Leave(ctx context.Context) error {
-	s := m.view.s
-	if err := s.call(ctx, m.view.who, 0.1); err != nil {
+func (m fakeGroup) Leave(ctx context.Context) error {
+	s := m.view.store
+	if err := s.serveCall(ctx, m.view.instance, 0.1); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members = slices.DeleteFunc(s.members, func(g groupMember) bool { return g.peer.Address == m.self.Address })
+	s.members = slices.DeleteFunc(s.members, func(g fakeGroupMember) bool { return g.peer.Address == m.self.Address })
 	return nil
 }
