--- a/board/bench_test.go
+++ b/board/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// benchBoard returns a board over n replicas, three quarters on decode, and their
-// names in order.
+// benchBoard returns a board with n upstreams, three quarters of them in the decode
+// pool, and their sorted names.
 func benchBoard(n int) (*Board, []string) {
 	v := version(1, "", nil)
 	v.Bundle.Pools["p"] = bundle.Pool{Role: bundle.RolePrefill}
@@ -29,7 +29,7 @@
 	return b, b.names
 }
 
-// BenchmarkSnapshot is one load report and the snapshot that shows it.
+// BenchmarkSnapshot applies one load report and builds the snapshot that contains it.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{20, 200, 1500, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// BenchmarkApply is a full board from peers and the snapshot that shows it.
+// BenchmarkApply applies one row from a peer for every upstream and builds the snapshot
+// that contains them.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{20, 200, 1500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// BenchmarkSetVersion is a version that changes no upstream, as most do, and the
-// snapshot that shows it.
+// BenchmarkSetVersion applies a bundle version that changes no upstream, as most
+// versions do, and builds the next snapshot.
 func BenchmarkSetVersion(b *testing.B) {
 	for _, n := range []int{200, 1500, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -78,8 +79,8 @@
 	}
 }
 
-// BenchmarkCacheEvents is a batch of 100 events for one of 1,500 replicas and the
-// snapshot that shows it.
+// BenchmarkCacheEvents applies a batch of 100 cache events of one of 1,500 replicas and
+// builds the snapshot that contains them.
 func BenchmarkCacheEvents(b *testing.B) {
 	board, names := benchBoard(1500)
 	events := make([]engineapi.CacheEvent, 100)
@@ -95,8 +96,8 @@
 	}
 }
 
-// BenchmarkInflight is the start and end of one request, in parallel, with 20
-// others on the upstream.
+// BenchmarkInflight starts and ends one request, in parallel, while 20 others are in
+// flight on the upstream.
 func BenchmarkInflight(b *testing.B) {
 	f := NewInflight()
 	for range 20 {
@@ -113,8 +114,8 @@
 	})
 }
 
-// BenchmarkTell is what a steward asks of the board for each message of rows, and
-// each daemon for each round of heartbeats.
+// BenchmarkTell measures what a steward reads from the board for one message of 32
+// rows, and what each daemon reads for one round of heartbeats.
 func BenchmarkTell(b *testing.B) {
 	board, names := benchBoard(12000)
 	for i, name := range names {
--- a/board/blocks.go
+++ b/board/blocks.go
@@ -2,22 +2,24 @@
 
 import "slices"
 
-// bucketWays is the number of blocks in a bucket: one cache line of 8-byte hashes.
+// bucketWays is the number of 8-byte block hashes in a bucket: one 64-byte cache line.
 const bucketWays = 8
 
-// blockSet is a set of block hashes in bounded memory: buckets of bucketWays,
-// newest first; a full bucket drops its oldest. The hash 0 marks a free place.
+// blockSet is a set of prefix block hashes in bounded memory. It is a hash table of
+// buckets with bucketWays places each, the most recently stored block first; storing
+// into a full bucket drops its oldest block. A hash of 0 marks an empty place.
 type blockSet struct {
 	buckets [][bucketWays]uint64
 	count   int
-	// suspect says that the set is only half believed.
-	suspect bool
-	// frozen says that a snapshot may read the set, so that it must be copied
-	// before a change.
+	// unreliable is set when many entries may be wrong because cache events were lost.
+	// countLeading then returns half of what it finds.
+	unreliable bool
+	// frozen is set once snapshots may read the set. It must then be copied before a
+	// change.
 	frozen bool
 }
 
-// newBlockSet returns a set for at least n blocks.
+// newBlockSet returns an empty set with capacity for at least n blocks.
 func newBlockSet(n int) *blockSet {
 	buckets := 1
 	for buckets*bucketWays < n {
@@ -26,26 +28,27 @@
 	return &blockSet{buckets: make([][bucketWays]uint64, buckets)}
 }
 
-// capacity returns how many blocks the set can hold.
+// capacity returns the largest number of blocks that the set can hold.
 func (s *blockSet) capacity() int { return len(s.buckets) * bucketWays }
 
-// writable returns the set itself, or a copy when a snapshot may read it.
+// writable returns the set itself, or a copy if the set is frozen.
 func (s *blockSet) writable() *blockSet {
 	if !s.frozen {
 		return s
 	}
-	return &blockSet{buckets: slices.Clone(s.buckets), count: s.count, suspect: s.suspect}
+	return &blockSet{buckets: slices.Clone(s.buckets), count: s.count, unreliable: s.unreliable}
 }
 
 func (s *blockSet) bucket(block uint64) *[bucketWays]uint64 {
 	return &s.buckets[block&uint64(len(s.buckets)-1)]
 }
 
-func (s *blockSet) has(block uint64) bool {
+func (s *blockSet) contains(block uint64) bool {
 	return block != 0 && slices.Contains(s.bucket(block)[:], block)
 }
 
-// store puts block in front of its bucket.
+// store adds block to its bucket, or moves it to the front of the bucket if it is
+// already there.
 func (s *blockSet) store(block uint64) {
 	if block == 0 {
 		return
@@ -62,7 +65,7 @@
 	b[0] = block
 }
 
-// evict takes block out of its bucket.
+// evict removes block from the set.
 func (s *blockSet) evict(block uint64) {
 	b := s.bucket(block)
 	at := slices.Index(b[:], block)
@@ -74,14 +77,14 @@
 	s.count--
 }
 
-// leading returns how many leading blocks of prefix the set holds, less for a
-// suspect set.
-func (s *blockSet) leading(prefix []uint64) int {
+// countLeading returns how many leading blocks of prefix are in the set; for an
+// unreliable set, half of that number.
+func (s *blockSet) countLeading(prefix []uint64) int {
 	n := 0
-	for n < len(prefix) && s.has(prefix[n]) {
+	for n < len(prefix) && s.contains(prefix[n]) {
 		n++
 	}
-	if s.suspect {
+	if s.unreliable {
 		return n / 2
 	}
 	return n
--- a/board/board.go
+++ b/board/board.go
@@ -10,57 +10,66 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Board is not safe for concurrent use; Holder wraps it.
+// Board holds the state of all upstreams and builds snapshots of it. It is not safe for
+// concurrent use; Holder adds the locking.
 type Board struct {
 	cfg     Config
 	version *bundle.Version
 	entries map[string]*entry
-	// names are the bundle's upstreams in order, the index of wire.BoardRow, and
-	// namesSince the lowest version known to have had the same ones.
+	// names are the sorted names of the bundle's upstreams. wire.BoardRow refers to an
+	// upstream by its index in this list. namesSince is the lowest bundle number seen
+	// with this list.
 	names      []string
 	namesSince uint64
 	pools      map[string]*poolState
-	learned    map[string]*learned // by pool
-	built      map[string]*policy.Pool
+	estimates  map[string]*modelEstimates // by pool name
+	builtPools map[string]*policy.Pool
 	meanWeight float64
 	prefix     *prefixIndex
 	peers      peerNotices
-	// cutOff names the data centres that were taken as cut off and not heard of since.
-	cutOff map[string]bool
-	// urgent is set by changes of who may take new work: those must be seen by
-	// the next decision, while a change of load may wait a few milliseconds.
-	urgent, dirty bool
-	// wake is the next time at which a snapshot changes without an event.
-	wake time.Time
+	// unreachableDCs is the set of data centres that are considered unreachable. A data
+	// centre is removed when one of its upstreams answers.
+	unreachableDCs map[string]bool
+	// availabilityChanged is set when an upstream may take new requests from now on or
+	// no longer may, because of a notice, an ejection or a restart. The next snapshot
+	// must contain such a change, while a change of load, which sets only dirty, may
+	// wait a few milliseconds.
+	availabilityChanged, dirty bool
+	// nextChange is the next time at which a snapshot changes without an event; zero
+	// for never.
+	nextChange time.Time
 }
 
-// poolState is one pool and whether its part of the next snapshot must be built.
+// poolState holds the entries of one pool. dirty is set when the pool must be rebuilt
+// for the next snapshot.
 type poolState struct {
 	members []*entry
 	dirty   bool
-	// wake is when the pool changes without an event: an ejection or a notice ends,
-	// or a weight has grown.
-	wake time.Time
+	// nextChange is when the pool changes without an event: an ejection ends, a notice
+	// or an estimate expires, or the weight of a replica in slow start has grown. Zero
+	// for never.
+	nextChange time.Time
 }
 
-// New returns an empty board. Nothing can be planned on its snapshots before
+// New returns an empty board. Its snapshots contain no upstreams before the first
 // SetVersion.
 func New(cfg Config) *Board {
 	return &Board{
-		cfg:        cfg.withDefaults(),
-		entries:    map[string]*entry{},
-		pools:      map[string]*poolState{},
-		built:      map[string]*policy.Pool{},
-		meanWeight: 1,
-		prefix:     newPrefixIndex(),
-		peers:      peerNotices{},
-		cutOff:     map[string]bool{},
+		cfg:            cfg.withDefaults(),
+		entries:        map[string]*entry{},
+		pools:          map[string]*poolState{},
+		builtPools:     map[string]*policy.Pool{},
+		meanWeight:     1,
+		prefix:         newPrefixIndex(),
+		peers:          peerNotices{},
+		unreachableDCs: map[string]bool{},
 	}
 }
 
-// SetVersion puts a bundle version in force. Upstreams which are gone are
-// forgotten, and so are those whose address changed; the others keep what is
-// known of them. A version that is not newer is ignored.
+// SetVersion makes v the bundle version in force. Entries of upstreams that v no longer
+// contains are removed, and those of upstreams whose address or incarnation changed
+// start empty; all others keep their state. A version that is not newer than the
+// current one is ignored.
 func (b *Board) SetVersion(now time.Time, v *bundle.Version) {
 	if v == nil || (b.version != nil && v.Number <= b.version.Number) {
 		return
@@ -68,34 +77,34 @@
 	old := b.version
 	b.version = v
 	b.meanWeight = policy.MeanWeight(v.Bundle)
-	b.urgent, b.dirty = true, true
-	if changed, ok := b.changedOnly(old, v); ok {
-		b.change(now, v, changed)
+	b.availabilityChanged, b.dirty = true, true
+	if changed, ok := b.changedUpstreams(old, v); ok {
+		b.applyChanges(now, v, changed)
 		return
 	}
 	if old != nil && sameUpstreams(old.Bundle, v.Bundle) {
 		return
 	}
-	b.learned = learnedByPool(v.Bundle, b.learned)
+	b.estimates = estimatesByPool(v.Bundle, b.estimates)
 	entries := make(map[string]*entry, len(v.Bundle.Upstreams))
 	for name, up := range v.Bundle.Upstreams {
 		entries[name] = b.entryFor(now, name, up, v)
 	}
 	b.entries = entries
 	b.setNames(slices.Sorted(maps.Keys(entries)), v.Number)
-	b.sortPools()
-	b.prefix = b.prefix.keep(entries)
+	b.groupByPool()
+	b.prefix = b.prefix.forEntries(entries)
 }
 
-// sameUpstreams says that two versions differ in nothing that entries and pools
-// are made of. Most versions change teams or targets only, and come every two
-// seconds at the design size.
+// sameUpstreams reports whether two bundles have the same upstreams, pools and policy,
+// so that entries and pools need no update. Most versions change only teams or targets;
+// in a fleet of the largest supported size one arrives every two seconds.
 func sameUpstreams(a, b *bundle.Bundle) bool {
 	return samePolicy(a, b) && maps.Equal(a.Upstreams, b.Upstreams)
 }
 
-// samePolicy says that two versions differ in nothing but upstreams that entries and
-// pools are made of.
+// samePolicy reports whether two bundles agree in everything that entries and pools are
+// built from, except the upstreams themselves.
 func samePolicy(a, b *bundle.Bundle) bool {
 	return a.Policy.UrgentHeadroom == b.Policy.UrgentHeadroom &&
 		maps.EqualFunc(a.Models, b.Models, samePools) &&
@@ -106,21 +115,21 @@
 	return a.DecodePool == b.DecodePool && a.PrefillPool == b.PrefillPool
 }
 
-// entryFor returns the entry of an upstream under a new version. One that has another
-// address or was started again knows nothing of before, and neither is anything known of
-// it.
+// entryFor returns the entry of an upstream, updated to a new bundle version. An
+// upstream that is new, restarted (its Life differs) or has another address gets an
+// empty entry, because its earlier load, health and cache say nothing about it.
 func (b *Board) entryFor(now time.Time, name string, up bundle.Upstream, v *bundle.Version) *entry {
 	e := b.entries[name]
 	if e == nil || e.spec.Address != up.Address || e.spec.Life != up.Life {
 		e = &entry{name: name, spec: up}
-		b.prefix.forget(name)
+		b.prefix.reset(name)
 	}
 	if e.spec != up && up.State == bundle.StateServing {
 		e.notices.clear()
 	}
 	e.spec = up
 	e.pool = v.Bundle.Pools[up.Pool]
-	e.learned = b.learned[up.Pool]
+	e.estimates = b.estimates[up.Pool]
 	e.replica = nil
 	e.expireNotices(now, b.cfg)
 	return e
@@ -132,7 +141,7 @@
 	}
 }
 
-func (b *Board) sortPools() {
+func (b *Board) groupByPool() {
 	b.pools = map[string]*poolState{}
 	for _, name := range b.names {
 		e := b.entries[name]
@@ -143,110 +152,114 @@
 		}
 		p.members = append(p.members, e)
 	}
-	b.built = map[string]*policy.Pool{}
+	b.builtPools = map[string]*policy.Pool{}
 }
 
-// touch marks what is known of e as changed; urgent when it may or may not take
-// new work from now on.
-func (b *Board) touch(e *entry, urgent bool) {
+// markChanged marks e for inclusion in the next snapshot. availability says that e may
+// take new requests from now on or no longer may.
+func (b *Board) markChanged(e *entry, availability bool) {
 	e.replica = nil
 	b.pools[e.spec.Pool].dirty = true
 	b.dirty = true
-	b.urgent = b.urgent || urgent
+	b.availabilityChanged = b.availabilityChanged || availability
 }
 
-// Report takes a load that an upstream itself told, in an answer or to this
-// daemon as its steward; age is how long ago that was. A report that is not
-// newer than what is known is ignored.
+// Report applies a load report that came from the upstream itself, either with an
+// answer or because this daemon polls it as its steward. age is the time since the
+// report was made. A report that is not newer than the current one is ignored.
 func (b *Board) Report(now time.Time, upstream string, l engineapi.Load, age time.Duration) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
 	}
-	restarted := e.heard && l.Incarnation != e.incarnation
-	if restarted && l.Incarnation == e.former {
+	restarted := e.reported && l.Incarnation != e.incarnation
+	if restarted && l.Incarnation == e.previousIncarnation {
 		return
 	}
 	if restarted {
-		b.restart(now, e)
+		b.resetAfterRestart(now, e)
 	}
 	if l.Leaving {
 		b.Leaving(now, upstream, FromUpstream)
 	}
 	at := now.Add(-max(0, age) - b.cfg.ReportLag)
-	if e.heard && !restarted && !e.newer(l, at) {
+	if e.reported && !restarted && !e.newer(l, at) {
 		return
 	}
 	e.setLoad(l, at)
-	b.touch(e, restarted)
+	b.markChanged(e, restarted)
 }
 
-// restart forgets what was true of an upstream's former life: notices that it is
-// leaving, its failures and its cache. It returns slowly, its caches being cold.
-func (b *Board) restart(now time.Time, e *entry) {
-	e.former = e.incarnation
+// resetAfterRestart clears what applied only to an upstream's previous incarnation:
+// leaving notices, failures and cached prefixes. The upstream goes through a slow start
+// because its caches are empty.
+func (b *Board) resetAfterRestart(now time.Time, e *entry) {
+	e.previousIncarnation = e.incarnation
 	e.loadAt = time.Time{}
 	e.notices.clear()
-	e.health = health{recovering: now}
-	clear(e.spoilt)
-	b.prefix.forget(e.name)
+	e.health = health{rampStart: now}
+	clear(e.failedHandoffs)
+	b.prefix.reset(e.name)
 }
 
-// Failed takes the failure of a call to an upstream that does not tell a
-// request's fault: a connection refused or broken, a timeout, an internal error.
+// Failed records a failed call to an upstream. Only failures that are not caused by the
+// request count: a refused or broken connection, a timeout, an internal error.
 func (b *Board) Failed(now time.Time, upstream string) {
-	if e := b.entries[upstream]; e != nil && e.health.failed(now, b.cfg) {
-		b.touch(e, true)
+	if e := b.entries[upstream]; e != nil && e.health.recordFailure(now, b.cfg) {
+		b.markChanged(e, true)
 	}
 }
 
-// Succeeded takes the success of a call to an upstream.
+// Succeeded records a successful call to an upstream.
 func (b *Board) Succeeded(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil {
-		b.answered(now, e)
-		e.health.succeeded(now, b.cfg)
+		b.markAnswered(now, e)
+		e.health.recordSuccess(now, b.cfg)
 	}
 }
 
-// Observation is what one prefill showed of an engine.
+// Observation is the result of one prefill call.
 type Observation struct {
-	// PrefillTokens are the prompt tokens that were computed, without the cached.
+	// PrefillTokens is the number of prompt tokens computed, excluding cached ones.
 	PrefillTokens int
-	// AheadTokens is the plan's AheadTokens: the prompt tokens that were computed
-	// before these while the call waited.
+	// AheadTokens is the plan's AheadTokens: the prompt tokens of other requests that
+	// the engine computed first while the call waited.
 	AheadTokens int
-	// PrefillTime is how long the prefill call took.
+	// PrefillTime is the duration of the prefill call, including time in the engine's
+	// queue.
 	PrefillTime time.Duration
-	// Prefix holds the block hashes of the prompt, which the engine now holds, and
-	// CachedTokens is what it held before. Both may be left out.
+	// Prefix holds the hashes of the prompt's blocks, all of which the engine has
+	// cached now. CachedTokens is how many of the prompt's tokens it had cached before
+	// the call. Both are optional.
 	Prefix       []uint64
 	CachedTokens int
 }
 
-// Observed takes what a finished prefill showed: the engine's speed, and that it
-// holds the prompt's blocks. The second is what most daemons know of a cache,
-// since events reach only the engine's steward.
+// Observed records a finished prefill: it updates the estimate of the engine's speed
+// and adds the prompt's blocks to the engine's prefix set. For most daemons the latter
+// is the only source for the prefix set, because cache events are sent only to the
+// engine's steward.
 func (b *Board) Observed(now time.Time, upstream string, o Observation) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
 	}
 	if len(o.Prefix) > 0 {
-		b.prefix.of(upstream, b.cfg).observed(o.Prefix, o.CachedTokens, b.cfg.PrefixBlocks)
+		b.prefix.writableCache(upstream, b.cfg).recordPrompt(o.Prefix, o.CachedTokens, b.cfg.PrefixBlocks)
 		b.dirty = true
 	}
-	if e.learnPrefill(now, o) {
-		b.touch(e, false)
+	if e.updatePrefill(now, o) {
+		b.markChanged(e, false)
 	}
-	if o.AheadTokens == 0 && o.PrefillTokens >= minLearnTokens {
-		b.learnModel(now, e, func(l *learned) { l.prefill.Add(now, o.PrefillTime/time.Duration(o.PrefillTokens)) })
+	if o.AheadTokens == 0 && o.PrefillTokens >= minPrefillSample {
+		b.updateEstimates(now, e, func(l *modelEstimates) { l.prefill.Add(now, o.PrefillTime/time.Duration(o.PrefillTokens)) })
 	}
-	b.answered(now, e)
-	e.health.succeeded(now, b.cfg)
+	b.markAnswered(now, e)
+	e.health.recordSuccess(now, b.cfg)
 }
 
-// Snapshot returns what is known as an immutable snapshot. Pools that did not
-// change since the last one are shared with it.
+// Snapshot returns an immutable snapshot of the board. Pools that have not changed
+// since the previous snapshot are shared with it.
 func (b *Board) Snapshot(now time.Time) *policy.Snapshot {
 	content, number := &bundle.Bundle{}, uint64(0)
 	if b.version != nil {
@@ -254,43 +267,43 @@
 	}
 	b.buildPools(now, content.Policy.UrgentHeadroom)
 	b.prefix.publish()
-	b.urgent, b.dirty = false, false
-	return policy.AssembleSnapshot(content, number, now, b.built, b.prefix, b.meanWeight)
+	b.availabilityChanged, b.dirty = false, false
+	return policy.AssembleSnapshot(content, number, now, b.builtPools, b.prefix, b.meanWeight)
 }
 
 func (b *Board) buildPools(now time.Time, headroom float64) {
 	cloned := false
-	b.wake = time.Time{}
+	b.nextChange = time.Time{}
 	for name, p := range b.pools {
-		if p.dirty || due(p.wake, now) {
+		if p.dirty || due(p.nextChange, now) {
 			if !cloned {
-				b.built = maps.Clone(b.built)
+				b.builtPools = maps.Clone(b.builtPools)
 				cloned = true
 			}
-			b.built[name] = p.build(now, b.cfg, headroom)
+			b.builtPools[name] = p.build(now, b.cfg, headroom)
 		}
-		b.wake = earlier(b.wake, p.wake)
+		b.nextChange = earlier(b.nextChange, p.nextChange)
 	}
 }
 
 func (p *poolState) build(now time.Time, cfg Config, headroom float64) *policy.Pool {
 	list := make([]*policy.Replica, 0, len(p.members))
-	p.dirty, p.wake = false, time.Time{}
+	p.dirty, p.nextChange = false, time.Time{}
 	for _, e := range p.members {
-		if e.expireNotices(now, cfg); !e.takesNewWork() {
-			p.wake = earlier(p.wake, e.notices.lapses(cfg))
+		if e.expireNotices(now, cfg); !e.serving() {
+			p.nextChange = earlier(p.nextChange, e.notices.peerExpiry(cfg))
 			continue
 		}
 		list = append(list, e.asReplica(now, cfg))
-		p.wake = earlier(p.wake, earlier(e.health.changes(now, cfg), e.lapses))
+		p.nextChange = earlier(p.nextChange, earlier(e.health.nextChange(now, cfg), e.replicaExpiry))
 	}
 	return policy.NewPool(list, now, headroom)
 }
 
-// due says whether a set time has come.
+// due reports whether t is set and has been reached.
 func due(t, now time.Time) bool { return !t.IsZero() && !now.Before(t) }
 
-// earlier returns the earlier of two times, of which zero means never.
+// earlier returns the earlier of two times. The zero time means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -13,8 +13,8 @@
 
 func after(d time.Duration) time.Time { return t0.Add(d) }
 
-// version returns bundle version n with serving upstreams of pool "d", changed by
-// edit.
+// version returns bundle version n, in which each letter of names is a serving upstream
+// of pool "d". If edit is set, it changes the upstreams before use.
 func version(n uint64, names string, edit func(map[string]bundle.Upstream)) *bundle.Version {
 	ups := map[string]bundle.Upstream{}
 	for _, r := range names {
@@ -29,15 +29,16 @@
 	}}
 }
 
-// newBoard returns a board with version 1 over the named upstreams, no report lag.
+// newBoard returns a board at version 1 with the named upstreams and almost no
+// ReportLag (zero would mean the default).
 func newBoard(names string) *Board {
 	b := New(Config{ReportLag: time.Nanosecond})
 	b.SetVersion(t0, version(1, names, nil))
 	return b
 }
 
-// find returns the replica a snapshot offers for new work, or nil.
-func find(s *policy.Snapshot, name string) *policy.Replica {
+// findReplica returns the named replica if the snapshot lists it in pool "d", else nil.
+func findReplica(s *policy.Snapshot, name string) *policy.Replica {
 	for _, r := range s.Pool("d").Replicas() {
 		if r.Name == name {
 			return r
@@ -46,7 +47,8 @@
 	return nil
 }
 
-// offered returns the names a snapshot offers, in order.
+// offered returns the concatenated names of the replicas that a snapshot lists in pool
+// "d".
 func offered(b *Board, now time.Time) string {
 	out := ""
 	for _, r := range b.Snapshot(now).Pool("d").Replicas() {
@@ -69,32 +71,31 @@
 	}{
 		{"first", load(1, 5, 3), time.Second, 0, 3},
 		{"older sequence", load(1, 4, 9), 2 * time.Second, 0, 3},
-		{"told again", load(1, 5, 3), 3 * time.Second, 0, 3},
+		{"repeated", load(1, 5, 3), 3 * time.Second, 0, 3},
 		{"newer", load(1, 6, 4), 4 * time.Second, 0, 4},
-		{"new life starts over", load(2, 1, 0), 5 * time.Second, 0, 0},
-		{"late report of the former life", load(1, 9, 15), 6 * time.Second, 0, 0},
-		{"newer sequence but truly older", load(2, 2, 7), 7 * time.Second, 3 * time.Second, 0},
+		{"restarted, sequence starts over", load(2, 1, 0), 5 * time.Second, 0, 0},
+		{"late report of the previous incarnation", load(1, 9, 15), 6 * time.Second, 0, 0},
+		{"newer sequence but older load", load(2, 2, 7), 7 * time.Second, 3 * time.Second, 0},
 	}
 	b := newBoard("a")
 	for _, s := range steps {
 		b.Report(after(s.at), "a", s.l, s.age)
-		if got := find(b.Snapshot(after(s.at)), "a").Active; got != s.want {
+		if got := findReplica(b.Snapshot(after(s.at)), "a").Active; got != s.want {
 			t.Errorf("%s: active %d, want %d", s.name, got, s.want)
 		}
 	}
 	if got := b.Upstreams(after(6 * time.Second))[0]; got.LoadSource != LoadFromUpstream || got.LoadAge.Round(time.Millisecond) != time.Second || got.Health != HealthReturning {
 		t.Errorf("%+v", got)
 	}
-	if got := find(b.Snapshot(after(time.Minute)), "a").LoadAt; got.Sub(after(5*time.Second)).Abs() > time.Millisecond {
-		t.Errorf("load is of %v", got)
+	if got := findReplica(b.Snapshot(after(time.Minute)), "a").LoadAt; got.Sub(after(5*time.Second)).Abs() > time.Millisecond {
+		t.Errorf("load is from %v, want 5s after t0", got)
 	}
 }
 
-// Symptom: an engine that was started again is left alone, or is believed to hold prompts
-// that it has lost.
-// Sequence: it fails, is ejected, and registers again under its name and address, as
-// another life.
-// Cause: what was known of a name was taken for that of its present life.
+// Guards against applying the state of an upstream's previous process to its restarted
+// one: the restarted engine would stay ejected, or be credited with prompts that it no
+// longer has in its cache. It happens when an engine fails, is ejected, and registers
+// again under the same name and address.
 func TestAnotherLifeOfANameIsUnknown(t *testing.T) {
 	version := func(number uint64, life int64) *bundle.Version {
 		return &bundle.Version{Number: number, Bundle: &bundle.Bundle{
@@ -112,10 +113,10 @@
 	}
 	b.SetVersion(t0, version(2, 1000))
 	if n := b.Snapshot(t0).Pool("d").Len(); n != 0 {
-		t.Fatalf("%d engines after three failures", n)
+		t.Fatalf("%d engines listed after three failures, want 0", n)
 	}
 	b.SetVersion(t0, version(3, 2000))
 	if n := b.Snapshot(t0).Pool("d").Len(); n != 1 {
-		t.Errorf("%d engines after the restart", n)
+		t.Errorf("%d engines listed after the restart, want 1", n)
 	}
 }
--- a/board/change.go
+++ b/board/change.go
@@ -8,61 +8,64 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// changedOnly returns the upstreams in which a version differs from the one in force, when
-// the version tells them and nothing else that entries are made of differs.
-func (b *Board) changedOnly(old, v *bundle.Version) ([]string, bool) {
+// changedUpstreams returns the names of the upstreams that differ between two versions.
+// It returns false if v does not list its changes relative to old, or if pools or
+// policy differ as well.
+func (b *Board) changedUpstreams(old, v *bundle.Version) ([]string, bool) {
 	if old == nil || v.Changes == nil || v.Changes.Since != old.Number {
 		return nil, false
 	}
 	return v.Changes.Upstreams, samePolicy(old.Bundle, v.Bundle)
 }
 
-// change puts a version in force that differs in few upstreams. The pools of the others
-// are neither sorted nor built anew.
+// applyChanges updates the entries and pools of the changed upstreams only; all other
+// pools stay as they are.
 //
-// Load pattern: registrations that come one by one, each with a version of its own, at a
-// start or while upstreams are replaced in turn. With everything built anew for each, 295
-// daemons did little else in their first seconds.
-func (b *Board) change(now time.Time, v *bundle.Version, changed []string) {
+// At startup and during a rolling replacement, upstreams register one by one, each with
+// a bundle version of its own. Rebuilding all pools for every version kept 295 daemons
+// busy with little else in their first seconds.
+func (b *Board) applyChanges(now time.Time, v *bundle.Version, changed []string) {
 	names := b.names
 	for _, name := range changed {
-		before := b.entries[name]
-		if before != nil {
-			b.leavePool(before)
+		previous := b.entries[name]
+		if previous != nil {
+			b.removeFromPool(previous)
 			delete(b.entries, name)
 		}
 		if up, ok := v.Bundle.Upstreams[name]; ok {
-			e := b.changedEntry(now, name, up, v, before)
+			e := b.updatedEntry(now, name, up, v, previous)
 			b.entries[name] = e
-			b.joinPool(e)
+			b.addToPool(e)
 		}
 		if at, known := slices.BinarySearch(names, name); known != (b.entries[name] != nil) {
-			names = withName(names, at, name, !known)
+			names = withOrWithout(names, at, name, !known)
 		}
 	}
 	if !slices.Equal(names, b.names) {
 		b.setNames(names, v.Number)
-		b.prefix = b.prefix.keep(b.entries)
+		b.prefix = b.prefix.forEntries(b.entries)
 	}
 }
 
-// changedEntry is entryFor of an upstream whose entry was taken out of the board.
-func (b *Board) changedEntry(now time.Time, name string, up bundle.Upstream, v *bundle.Version, before *entry) *entry {
-	if before != nil {
-		b.entries[name] = before
+// updatedEntry returns entryFor of an upstream whose previous entry, if any, has been
+// removed from the board.
+func (b *Board) updatedEntry(now time.Time, name string, up bundle.Upstream, v *bundle.Version, previous *entry) *entry {
+	if previous != nil {
+		b.entries[name] = previous
 	}
 	return b.entryFor(now, name, up, v)
 }
 
-// withName returns a copy of sorted names with one more, or without one.
-func withName(names []string, at int, name string, more bool) []string {
-	if more {
-		return slices.Insert(slices.Clone(names), at, name)
+// withOrWithout returns a copy of the sorted names in which name is inserted at the
+// given index, or the name at that index is removed.
+func withOrWithout(names []string, index int, name string, insert bool) []string {
+	if insert {
+		return slices.Insert(slices.Clone(names), index, name)
 	}
-	return slices.Delete(slices.Clone(names), at, at+1)
+	return slices.Delete(slices.Clone(names), index, index+1)
 }
 
-func (b *Board) leavePool(e *entry) {
+func (b *Board) removeFromPool(e *entry) {
 	p := b.pools[e.spec.Pool]
 	at, ok := slices.BinarySearchFunc(p.members, e.name, byName)
 	if ok {
@@ -71,11 +74,11 @@
 	p.dirty = true
 	if len(p.members) == 0 {
 		delete(b.pools, e.spec.Pool)
-		delete(b.built, e.spec.Pool)
+		delete(b.builtPools, e.spec.Pool)
 	}
 }
 
-func (b *Board) joinPool(e *entry) {
+func (b *Board) addToPool(e *entry) {
 	p := b.pools[e.spec.Pool]
 	if p == nil {
 		p = &poolState{}
--- a/board/change_test.go
+++ b/board/change_test.go
@@ -14,9 +14,9 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// step returns the next version with some upstreams added, changed, moved to another pool
-// or taken away, and says which.
-func step(rng *rand.Rand, v *bundle.Version) *bundle.Version {
+// nextVersion returns a successor of v in which some upstreams are added, changed,
+// moved to another pool or removed. Its Changes list them.
+func nextVersion(rng *rand.Rand, v *bundle.Version) *bundle.Version {
 	content := *v.Bundle
 	content.Upstreams = maps.Clone(content.Upstreams)
 	changed := map[string]bool{}
@@ -38,34 +38,34 @@
 	}
 }
 
-// Symptom: a daemon plans on an upstream that is gone, or in the pool that it has left.
-// Cause: a version that was put in force by its changes and differs from the same one put
-// in force as a whole.
+// Guards against a difference between a version applied by its list of changes and the
+// same version applied as a whole. A daemon would then plan on an upstream that no
+// longer exists, or on one in its previous pool.
 func TestChangesLeadToTheSameBoard(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		v := version(1, "", nil)
 		v.Bundle.Pools["p"] = bundle.Pool{Role: bundle.RolePrefill}
-		quick, slow := New(Config{}), New(Config{})
-		quick.SetVersion(t0, v)
-		slow.SetVersion(t0, v)
+		incremental, full := New(Config{}), New(Config{})
+		incremental.SetVersion(t0, v)
+		full.SetVersion(t0, v)
 		for i := range 30 {
 			now := after(time.Duration(i) * time.Millisecond)
-			v = step(rng, v)
+			v = nextVersion(rng, v)
 			whole := *v
 			whole.Changes = nil
-			quick.SetVersion(now, v)
-			slow.SetVersion(now, &whole)
-			for name := range v.Bundle.Upstreams { // what is known of an upstream is kept alike
+			incremental.SetVersion(now, v)
+			full.SetVersion(now, &whole)
+			for name := range v.Bundle.Upstreams { // both boards must keep the load
 				if rng.IntN(4) == 0 {
-					quick.Report(now, name, load(1, uint64(i+1), i), 0)
-					slow.Report(now, name, load(1, uint64(i+1), i), 0)
+					incremental.Report(now, name, load(1, uint64(i+1), i), 0)
+					full.Report(now, name, load(1, uint64(i+1), i), 0)
 				}
 			}
-			if d := cmp.Diff(slow.Upstreams(now), quick.Upstreams(now)); d != "" {
+			if d := cmp.Diff(full.Upstreams(now), incremental.Upstreams(now)); d != "" {
 				t.Fatalf("seed %d, version %d: %s", seed, v.Number, d)
 			}
-			a, b := slow.Snapshot(now), quick.Snapshot(now)
+			a, b := full.Snapshot(now), incremental.Snapshot(now)
 			for _, pool := range []string{"p", "d", "none"} {
 				if d := cmp.Diff(poolNames(a.Pool(pool)), poolNames(b.Pool(pool))); d != "" {
 					t.Fatalf("seed %d, version %d, pool %s: %s", seed, v.Number, pool, d)
@@ -75,12 +75,13 @@
 	}
 }
 
-// BenchmarkOneUpstream is a version in which one upstream differs, and the snapshot that
-// shows it, with the changes told and as a whole.
+// BenchmarkOneUpstream applies a version in which one upstream differs and builds the
+// next snapshot, with the version's list of changes (told=true in the benchmark's name)
+// and without it.
 func BenchmarkOneUpstream(b *testing.B) {
 	for _, n := range []int{133, 1500, 12000} {
-		for _, told := range []bool{true, false} {
-			b.Run(fmt.Sprintf("%d/told=%t", n, told), func(b *testing.B) {
+		for _, withChanges := range []bool{true, false} {
+			b.Run(fmt.Sprintf("%d/told=%t", n, withChanges), func(b *testing.B) {
 				board, names := benchBoard(n)
 				content := *board.version.Bundle
 				b.ReportAllocs()
@@ -92,7 +93,7 @@
 					next.Upstreams = maps.Clone(content.Upstreams)
 					next.Upstreams[name] = up
 					v := &bundle.Version{Number: i, Bundle: &next}
-					if told {
+					if withChanges {
 						v.Changes = &bundle.Changes{Since: i - 1, Upstreams: []string{name}}
 					}
 					board.SetVersion(t0, v)
@@ -104,7 +105,7 @@
 	}
 }
 
-// poolNames returns the upstreams of a snapshot's pool.
+// poolNames returns the names of the replicas in p.
 func poolNames(p *policy.Pool) []string {
 	if p == nil {
 		return nil
--- a/board/config.go
+++ b/board/config.go
@@ -1,42 +1,54 @@
-// Package board remembers what is known of upstreams: their load and its age,
-// health, link bookings, cached prefixes and who is leaving. It builds the
-// immutable snapshots that package policy decides on.
+// Package board tracks the state of all upstreams: their load and its age, health,
+// cached prefixes, and which of them are leaving, that is, shutting down. From it the
+// package builds the immutable snapshots that package policy uses to place requests.
 //
-// Board takes events and the time, does no I/O and reads no clock. Holder makes
-// it safe for concurrent use and Inflight counts the daemon's own work.
+// A board is fed with bundle versions (package bundle: the configuration that lists the
+// upstreams), load reports, call results and the messages of other daemons, called
+// peers. Each upstream is polled by one daemon, its steward, which sends the load to
+// the peers.
+//
+// Board does no I/O and reads no clock; the time is an argument of its methods. Holder
+// makes it safe for concurrent use. Inflight counts this daemon's own requests and its
+// bookings of KV links.
 package board
 
 import "time"
 
-// Config holds the board's constants. A field that is zero takes its default.
+// Config configures a Board. Zero fields take their defaults, which are given with each
+// field.
 type Config struct {
-	// FailureThreshold is how many failures in a row eject an upstream. Default 3.
+	// FailureThreshold is the number of consecutive failures after which an upstream is
+	// ejected, that is, gets no requests for a while. Default 3.
 	FailureThreshold int
-	// EjectBase is the first ejection; each further one lasts twice as long, up
-	// to EjectMax. Defaults 500 ms and 30 s.
+	// EjectBase is the duration of the first ejection. Each further one lasts twice as
+	// long as the previous, up to EjectMax. Defaults 500 ms and 30 s.
 	EjectBase, EjectMax time.Duration
-	// EjectUnanswered ejects an upstream that gives no sign of life at the first time.
+	// EjectUnanswered makes a single call to Unanswered eject an upstream. It also
+	// ejects all upstreams of a remote data centre together once the data centre is
+	// considered unreachable. Default false.
 	EjectUnanswered bool
-	// DataCentre is the daemon's own, which no cut takes from it as a whole.
+	// DataCentre is the daemon's own data centre. It is never considered unreachable as
+	// a whole.
 	DataCentre string
-	// SlowReturn is how long an upstream's weight takes to grow back to 1 after an
-	// ejection or a restart. Default 5 s.
+	// SlowReturn is the duration of the slow start: the time in which an upstream's
+	// weight grows back to 1 after an ejection or a restart. Default 5 s.
 	SlowReturn time.Duration
-	// ReportLag is added to the age of every load heard from an upstream, because
-	// engines report with a lag that they do not state. Default 100 ms.
+	// ReportLag is added to the age of every load report from an upstream, because
+	// engines report with a delay that they do not state. Default 100 ms.
 	ReportLag time.Duration
-	// PrefixBlocks bounds the blocks remembered of one upstream; 8 bytes each.
-	// Default 4096, which is 65,536 tokens.
+	// PrefixBlocks is the number of prefix blocks remembered for each upstream, at 8
+	// bytes each. Default 4096, which covers 65,536 tokens.
 	PrefixBlocks int
-	// PrefixSets bounds the upstreams of which blocks are remembered; beyond it
-	// the one that was heard of least lately is forgotten. Default 1024: 32 MiB.
+	// PrefixSets is the number of upstreams for which prefix blocks are remembered.
+	// When it is reached, the least recently updated set is dropped. Default 1024,
+	// which takes 32 MiB.
 	PrefixSets int
-	// PeerNoticeLife is how long a peer's notice that an upstream is leaving holds
-	// after it was last repeated. Default 60 s.
+	// PeerNoticeLife is how long a peer's notice that an upstream is leaving remains
+	// valid after the peer last repeated it. Default 60 s.
 	PeerNoticeLife time.Duration
-	// RestartSlack is how much later than an upstream's own notice that it is
-	// leaving a steward must have heard it serve to show that it restarted. It
-	// must exceed the lag of loads. Default 5 s.
+	// RestartSlack is the least time between an upstream's own notice that it is
+	// leaving and a later report of its steward that shows it serving, for the report
+	// to prove a restart. It must exceed the delay of load reports. Default 5 s.
 	RestartSlack time.Duration
 }
 
--- a/board/entry.go
+++ b/board/entry.go
@@ -9,19 +9,23 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// entry is all that is known of one upstream.
+// entry is the state of one upstream.
 type entry struct {
 	name string
 	spec bundle.Upstream
 	pool bundle.Pool
 
-	// heard says that the upstream itself told its load; incarnation and seq are
-	// of its last report, former the incarnation before.
-	heard       bool
-	incarnation uint64
-	former      uint64
-	seq         uint64
+	// reported is set once the upstream itself has reported its load. incarnation and
+	// seq are those of its last report, and previousIncarnation is the incarnation
+	// before its last restart.
+	reported            bool
+	incarnation         uint64
+	previousIncarnation uint64
+	seq                 uint64
 
+	// The last load, reported by the upstream itself or by a peer. step is the time
+	// between output tokens, 0 if the upstream does not report it. linkFreeAt is when
+	// its KV link becomes free, and loadAt the time at which the load was true.
 	slots        int
 	active       int
 	queued       int
@@ -29,41 +33,46 @@
 	step         time.Duration
 	linkFreeAt   time.Time
 	loadAt       time.Time
-	source       LoadSource
+	loadSource   LoadSource
 
+	// prefillPerToken is the estimated time to compute one prompt token, 0 if unknown,
+	// and prefillAt the time of its last sample.
 	prefillPerToken time.Duration
-	learnedAt       time.Time
-	// pace is the time between the tokens of the answers that it streamed, in
-	// nanoseconds; learned is shared with the other engines of its model, nil for plain
-	// services.
-	pace    estimate.Mean
-	learned *learned
-	health  health
-	// silent is when a word due from the upstream did not come, zero when one came since;
-	// answered is when one came last. cutOff says that the upstream is ejected for its
-	// data centre's silence.
-	silent, answered time.Time
-	cutOff           bool
-	notices          notices
-	// spoilt names the engines with which handoffs have failed since the last that did not.
-	spoilt map[string]bool
-	// replica is the entry as last built; nil when it must be built again. lapses is when
-	// something that it rests on lapses.
-	replica *policy.Replica
-	lapses  time.Time
+	prefillAt       time.Time
+	// tokenInterval is the mean time between output tokens, in nanoseconds, measured on
+	// the answers that this upstream streamed. estimates is shared with the other
+	// engines of the same model; nil for plain services.
+	tokenInterval estimate.Mean
+	estimates     *modelEstimates
+	health        health
+	// unansweredAt is when the upstream last failed to answer in time; zero if it has
+	// answered since. answeredAt is the time of its last answer. ejectedWithDC is set
+	// while the upstream is ejected because its whole data centre is considered
+	// unreachable.
+	unansweredAt, answeredAt time.Time
+	ejectedWithDC            bool
+	notices                  notices
+	// failedHandoffs is the set of engines with which handoffs have failed since this
+	// engine's last successful handoff.
+	failedHandoffs map[string]bool
+	// replica caches the entry's last replica; nil when it must be rebuilt.
+	// replicaExpiry is when an estimate used in it expires.
+	replica       *policy.Replica
+	replicaExpiry time.Time
 }
 
 func (e *entry) setLoad(l engineapi.Load, at time.Time) {
-	e.heard, e.incarnation, e.seq = true, l.Incarnation, l.Seq
+	e.reported, e.incarnation, e.seq = true, l.Incarnation, l.Seq
 	e.slots = l.Slots
 	e.active, e.queued, e.queuedTokens = l.Active, l.Queued, l.QueuedTokens
 	e.step = time.Duration(l.StepMS * float64(time.Millisecond))
 	e.linkFreeAt = at.Add(time.Duration(l.LinkBusyMS) * time.Millisecond)
-	e.loadAt, e.source = at, LoadFromUpstream
+	e.loadAt, e.loadSource = at, LoadFromUpstream
 }
 
-// newer says whether a load of the same life is newer than what is known. A load
-// told twice keeps its first age. A Seq of 0 is not known.
+// newer reports whether a load report of the same incarnation is newer than the current
+// one. A repeated report (same Seq) is not newer, so the load keeps its original age.
+// Seq 0 means that the engine does not number its reports.
 func (e *entry) newer(l engineapi.Load, at time.Time) bool {
 	if l.Seq != 0 && l.Seq <= e.seq {
 		return false
@@ -71,26 +80,27 @@
 	return at.After(e.loadAt)
 }
 
-// takesNewWork says whether requests may go to the upstream at all; an ejected
-// one does not lose that.
-func (e *entry) takesNewWork() bool {
+// serving reports whether the upstream is in state serving and has no notice that it is
+// leaving. It ignores ejections, which are stored in the replica instead.
+func (e *entry) serving() bool {
 	return e.spec.State == bundle.StateServing && !e.notices.any()
 }
 
-// asReplica returns the entry for a snapshot.
+// asReplica returns the entry as a replica for a snapshot. It rebuilds the replica only
+// if something has changed.
 func (e *entry) asReplica(now time.Time, cfg Config) *policy.Replica {
-	if due(e.lapses, now) {
+	if due(e.replicaExpiry, now) {
 		e.replica = nil
 	}
-	if due(e.forgets(), now) {
+	if due(e.prefillExpiry(), now) {
 		e.prefillPerToken = 0
 	}
 	weight := e.health.weight(now, cfg)
 	if e.replica != nil && e.replica.Weight == weight {
 		return e.replica
 	}
-	e.lapses = e.nextLapse(now)
-	step, seen := e.stepNow(now)
+	e.replicaExpiry = e.nextExpiry(now)
+	step, seen := e.stepEstimate(now)
 	e.replica = &policy.Replica{
 		Name:               e.name,
 		Address:            e.spec.Address,
@@ -104,18 +114,18 @@
 		QueuedTokens:       e.queuedTokens,
 		Step:               step,
 		StepSeen:           seen,
-		PrefillPerToken:    e.prefillNow(now),
+		PrefillPerToken:    e.prefillEstimate(now),
 		LinkBytesPerSecond: e.pool.LinkBytesPerSecond,
 		LinkFreeAt:         e.linkFreeAt,
 		LoadAt:             e.loadAt,
-		NotBefore:          e.health.notBefore,
+		NotBefore:          e.health.ejectedUntil,
 		Weight:             weight,
 	}
 	return e.replica
 }
 
-// slotCount returns the upstream's own number of slots, or the bundle's bound
-// when that is lower or all that is known.
+// slotCount returns the number of slots that the upstream reported, limited to the
+// number configured for its pool. If either is missing, it returns the other.
 func (e *entry) slotCount() int {
 	if e.slots <= 0 {
 		return e.pool.Slots
@@ -127,46 +137,47 @@
 }
 
 const (
-	// minLearnTokens is the least prefill to learn from; calls of fewer tokens
-	// are mostly overhead.
-	minLearnTokens = 64
-	// learnDown and learnUp are the parts of a difference that one observation
-	// moves the estimate. A call may have waited longer than was known, never
-	// computed faster than the engine can; so quick calls count for more.
-	learnDown, learnUp = 0.5, 0.1
-	// learnLife is how long an estimate holds without an observation. One that is
-	// too high makes admission refuse all that could correct it; so it must lapse.
-	learnLife = 30 * time.Second
+	// minPrefillSample is the least number of computed tokens in a prefill that updates
+	// the estimate. The duration of shorter calls is mostly overhead.
+	minPrefillSample = 64
+	// decreaseWeight and increaseWeight are the weights of a new sample that is below
+	// or above the estimate. A call may have waited in a queue unknown to this daemon,
+	// but it is never faster than the engine, so faster samples get more weight.
+	decreaseWeight, increaseWeight = 0.5, 0.1
+	// prefillLifetime is how long an estimate is valid after its last sample. While an
+	// estimate is too high, admission control refuses the requests that would correct
+	// it, so it must expire.
+	prefillLifetime = 30 * time.Second
 )
 
-// learnPrefill moves the estimate of prefill time per token towards an
-// observation and says whether it did.
-func (e *entry) learnPrefill(now time.Time, o Observation) bool {
-	if o.PrefillTokens < minLearnTokens || o.PrefillTime <= 0 {
+// updatePrefill updates the estimate of the prefill time per token. It returns false if
+// the observation is too small to be used.
+func (e *entry) updatePrefill(now time.Time, o Observation) bool {
+	if o.PrefillTokens < minPrefillSample || o.PrefillTime <= 0 {
 		return false
 	}
-	got := o.PrefillTime / time.Duration(o.PrefillTokens+max(0, o.AheadTokens))
-	if due(e.forgets(), now) {
+	sample := o.PrefillTime / time.Duration(o.PrefillTokens+max(0, o.AheadTokens))
+	if due(e.prefillExpiry(), now) {
 		e.prefillPerToken = 0
 	}
-	e.learnedAt = now
+	e.prefillAt = now
 	if e.prefillPerToken == 0 {
-		e.prefillPerToken = got
+		e.prefillPerToken = sample
 		return true
 	}
-	part := learnUp
-	if got < e.prefillPerToken {
-		part = learnDown
+	weight := increaseWeight
+	if sample < e.prefillPerToken {
+		weight = decreaseWeight
 	}
-	e.prefillPerToken += time.Duration(part * float64(got-e.prefillPerToken))
+	e.prefillPerToken += time.Duration(weight * float64(sample-e.prefillPerToken))
 	return true
 }
 
-// forgets returns when the estimate of prefill time lapses; zero when there is
+// prefillExpiry returns when the estimate of the prefill time expires; zero if there is
 // none.
-func (e *entry) forgets() time.Time {
+func (e *entry) prefillExpiry() time.Time {
 	if e.prefillPerToken == 0 {
 		return time.Time{}
 	}
-	return e.learnedAt.Add(learnLife)
+	return e.prefillAt.Add(prefillLifetime)
 }
--- a/board/handoff.go
+++ b/board/handoff.go
@@ -2,54 +2,58 @@
 
 import "time"
 
-// suspectPartners is how many others an engine must have failed a handoff with for it to
-// be the one at fault: with one, either end may be.
-const suspectPartners = 2
+// minFailedPartners is the number of different partners with which an engine's handoffs
+// must have failed for the engine to be at fault. With one partner, either of the two
+// may be at fault.
+const minFailedPartners = 2
 
-// HandedOff takes whether a decode engine took the result of a prefill engine's reading,
-// for which it had granted a reservation. A refusal may be the fault of either: of a
-// prefill engine whose results lapse, or of a decode engine that is changing its role.
-// The one that has failed with more others since it last succeeded is ejected.
+// HandedOff records the result of a handoff, in which a decode engine takes over the
+// result of a prefill. from and to name the prefill and the decode engine; accepted
+// says whether the decode engine accepted the result, for which it had granted a
+// reservation. Either engine may be at fault for a refusal: the results of the prefill
+// engine may have expired, or the decode engine may be changing its role. The engine
+// that has failed with more partners since its last success is ejected.
 //
-// Load pattern: one engine of a dozen is ordered to another role under load. Until it has
-// registered with it, seconds later, it grants reservations and refuses what they are for,
-// and being empty it is asked by all. Forty of six hundred prompts were read in vain so.
-func (b *Board) HandedOff(now time.Time, from, to string, taken bool) {
+// A typical case is a decode engine that is assigned another role under load. For the
+// seconds until it registers with the new role, it still grants reservations but
+// refuses the handoffs, and all daemons prefer it because it is empty. Without the
+// ejection, 40 of 600 prompts were prefilled in vain.
+func (b *Board) HandedOff(now time.Time, from, to string, accepted bool) {
 	prefill, decode := b.entries[from], b.entries[to]
 	if prefill == nil || decode == nil {
 		return
 	}
-	if taken {
-		clear(prefill.spoilt)
-		clear(decode.spoilt)
+	if accepted {
+		clear(prefill.failedHandoffs)
+		clear(decode.failedHandoffs)
 		return
 	}
-	prefill.spoil(to)
-	decode.spoil(from)
-	switch n, m := len(prefill.spoilt), len(decode.spoilt); {
-	case m >= suspectPartners && m > n:
-		b.ejectFor(now, decode)
-	case n >= suspectPartners && n > m:
-		b.ejectFor(now, prefill)
+	prefill.recordFailedHandoff(to)
+	decode.recordFailedHandoff(from)
+	switch n, m := len(prefill.failedHandoffs), len(decode.failedHandoffs); {
+	case m >= minFailedPartners && m > n:
+		b.ejectForHandoffs(now, decode)
+	case n >= minFailedPartners && n > m:
+		b.ejectForHandoffs(now, prefill)
 	}
 }
 
-func (e *entry) spoil(partner string) {
-	if e.spoilt == nil {
-		e.spoilt = map[string]bool{}
+func (e *entry) recordFailedHandoff(partner string) {
+	if e.failedHandoffs == nil {
+		e.failedHandoffs = map[string]bool{}
 	}
-	e.spoilt[partner] = true
+	e.failedHandoffs[partner] = true
 }
 
-// ejectFor ejects an engine that is at fault for as long as any may be. Those that have
-// failed with it are cleared of that.
-func (b *Board) ejectFor(now time.Time, e *entry) {
-	for partner := range e.spoilt {
+// ejectForHandoffs ejects an engine that is at fault for EjectMax, and removes it from
+// the failed handoffs of its partners.
+func (b *Board) ejectForHandoffs(now time.Time, e *entry) {
+	for partner := range e.failedHandoffs {
 		if o := b.entries[partner]; o != nil {
-			delete(o.spoilt, e.name)
+			delete(o.failedHandoffs, e.name)
 		}
 	}
-	clear(e.spoilt)
+	clear(e.failedHandoffs)
 	e.health.eject(now.Add(b.cfg.EjectMax))
-	b.touch(e, true)
+	b.markChanged(e, true)
 }
--- a/board/handoff_test.go
+++ b/board/handoff_test.go
@@ -7,8 +7,8 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// handing returns a board of two prefill and three decode engines.
-func handing() *Board {
+// newHandoffBoard returns a board with two prefill engines and three decode engines.
+func newHandoffBoard() *Board {
 	ups := map[string]bundle.Upstream{}
 	for _, name := range []string{"p0", "p1"} {
 		ups[name] = bundle.Upstream{Pool: "p", DataCentre: "dc", Address: name, State: bundle.StateServing}
@@ -25,10 +25,10 @@
 	return b
 }
 
-// Symptom: prompts are read again and again for an engine that takes none of them.
-// Sequence: a decode engine is ordered to prefill; it still grants reservations, and
-// refuses every request for which it has granted one.
-// Cause: the prefill engine alone was blamed, whose result might have lapsed.
+// Guards against prompts being prefilled again and again for a decode engine that
+// accepts none of them. A decode engine that is changing to the prefill role still
+// grants reservations but refuses the handoffs. If only the prefill engine were blamed,
+// whose result might have expired, requests would continue to go to that decode engine.
 func TestTheEndThatFailsWithOthersIsBlamed(t *testing.T) {
 	type handoff struct {
 		from, to string
@@ -47,20 +47,20 @@
 		{"others that took theirs do not clear it", []handoff{{"p0", "d0", false}, {"p1", "d1", true}, {"p1", "d0", false}}, "d0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := handing()
+			b := newHandoffBoard()
 			for _, h := range c.handoffs {
 				b.HandedOff(t0, h.from, h.to, h.taken)
 			}
 			s := b.Snapshot(t0)
-			there := map[string]bool{}
+			listed := map[string]bool{}
 			for _, pool := range []string{"p", "d"} {
 				for _, r := range s.Pool(pool).Replicas() {
-					there[r.Name] = true
+					listed[r.Name] = true
 				}
 			}
 			for _, name := range []string{"p0", "p1", "d0", "d1", "d2"} {
-				if there[name] == (name == c.ejected) {
-					t.Errorf("%s is there: %v", name, there[name])
+				if listed[name] == (name == c.ejected) {
+					t.Errorf("%s is listed: %v", name, listed[name])
 				}
 			}
 		})
--- a/board/health.go
+++ b/board/health.go
@@ -3,48 +3,53 @@
 import "time"
 
 const (
-	// leastWeight is the weight with which an upstream starts its slow return.
-	leastWeight = 0.1
-	// weightStep is how often a growing weight is put into a snapshot.
-	weightStep = 250 * time.Millisecond
+	// initialWeight is the weight of an upstream at the beginning of its slow start.
+	initialWeight = 0.1
+	// weightInterval is the time between updates of a growing weight in the snapshots.
+	weightInterval = 250 * time.Millisecond
 )
 
-// health ejects an upstream that fails again and again, for longer each time,
-// and lets it return slowly, so that what is broken is asked seldom and what
-// comes back is not flooded at once.
+// health implements outlier ejection for one upstream. An upstream that keeps failing
+// is ejected for exponentially longer times, so that few requests go to it; afterwards
+// a slow start protects it from a burst.
 type health struct {
-	// failures counts those in a row, ejections those since it was last well.
-	failures  int
-	ejections int
-	notBefore time.Time
-	// recovering is when the slow return began or will begin; zero when well.
-	recovering time.Time
+	// failures is the number of consecutive failures. ejections is the number of
+	// ejections since the last success after a complete slow start. ejectedUntil is the
+	// end of the current or last ejection.
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	// rampStart is the beginning of the slow start, which may be in the future; zero if
+	// there is none.
+	rampStart time.Time
 }
 
-// failed takes a failure and says whether it ejected the upstream. During a slow
-// return one failure is enough. Failures of calls that were under way when it
-// was ejected do not count again.
-func (h *health) failed(now time.Time, cfg Config) bool {
-	if now.Before(h.notBefore) {
+// recordFailure counts a failure and reports whether it ejected the upstream. During a
+// slow start one failure is enough. Failures during an ejection are ignored: they are
+// of calls that started before it.
+func (h *health) recordFailure(now time.Time, cfg Config) bool {
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
 	h.failures++
-	if h.failures < cfg.FailureThreshold && h.recovering.IsZero() {
+	if h.failures < cfg.FailureThreshold && h.rampStart.IsZero() {
 		return false
 	}
 	h.failures = 0
 	h.ejections++
-	h.notBefore = now.Add(ejectionTime(h.ejections, cfg))
-	h.recovering = h.notBefore
+	h.ejectedUntil = now.Add(ejectionTime(h.ejections, cfg))
+	h.rampStart = h.ejectedUntil
 	return true
 }
 
-// eject ejects the upstream until a time, for a reason that is not its own failure.
+// eject ejects the upstream until the given time for a reason other than its own
+// consecutive failures. The ejection does not lengthen later ones.
 func (h *health) eject(until time.Time) {
-	h.notBefore, h.recovering = until, until
+	h.ejectedUntil, h.rampStart = until, until
 }
 
-// ejectionTime doubles with each ejection up to the bound.
+// ejectionTime returns the duration of the nth ejection. It doubles each time, up to
+// EjectMax.
 func ejectionTime(n int, cfg Config) time.Duration {
 	d := cfg.EjectBase
 	for range n - 1 {
@@ -56,40 +61,43 @@
 	return min(d, cfg.EjectMax)
 }
 
-// succeeded takes a success. One that comes after the slow return makes the
-// upstream well again; one that comes earlier only ends a row of failures.
-func (h *health) succeeded(now time.Time, cfg Config) {
-	if now.Before(h.notBefore) {
+// recordSuccess resets the count of consecutive failures. After the slow start it also
+// resets the count of ejections, so that the next one is short again.
+func (h *health) recordSuccess(now time.Time, cfg Config) {
+	if now.Before(h.ejectedUntil) {
 		return
 	}
 	h.failures = 0
-	if !h.recoversAt(now, cfg) {
+	if !h.ramping(now, cfg) {
 		h.ejections = 0
-		h.recovering = time.Time{}
+		h.rampStart = time.Time{}
 	}
 }
 
-// recoversAt says whether the weight is still growing.
-func (h *health) recoversAt(now time.Time, cfg Config) bool {
-	return !h.recovering.IsZero() && now.Before(h.recovering.Add(cfg.SlowReturn+weightStep))
+// ramping reports whether the slow start has not ended yet. It includes one more
+// weightInterval so that a snapshot gets the full weight.
+func (h *health) ramping(now time.Time, cfg Config) bool {
+	return !h.rampStart.IsZero() && now.Before(h.rampStart.Add(cfg.SlowReturn+weightInterval))
 }
 
-// weight grows from leastWeight to 1 over the slow return.
+// weight returns the upstream's weight, which grows linearly from initialWeight to 1
+// during the slow start.
 func (h *health) weight(now time.Time, cfg Config) float64 {
-	if h.recovering.IsZero() {
+	if h.rampStart.IsZero() {
 		return 1
 	}
-	part := float64(now.Sub(h.recovering)) / float64(cfg.SlowReturn)
-	return min(1, max(0, part)*(1-leastWeight)+leastWeight)
+	part := float64(now.Sub(h.rampStart)) / float64(cfg.SlowReturn)
+	return min(1, max(0, part)*(1-initialWeight)+initialWeight)
 }
 
-// changes returns when the upstream's part of a snapshot changes by itself.
-func (h *health) changes(now time.Time, cfg Config) time.Time {
-	if now.Before(h.notBefore) {
-		return h.notBefore
+// nextChange returns when the upstream's health will change its replica without an
+// event; zero for never.
+func (h *health) nextChange(now time.Time, cfg Config) time.Time {
+	if now.Before(h.ejectedUntil) {
+		return h.ejectedUntil
 	}
-	if h.recoversAt(now, cfg) {
-		return now.Add(weightStep)
+	if h.ramping(now, cfg) {
+		return now.Add(weightInterval)
 	}
 	return time.Time{}
 }
--- a/board/inflight.go
+++ b/board/inflight.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Inflight counts what this daemon has in flight, per upstream and per team, and
-// its bookings on KV links. It implements policy.Inflight and is safe for
-// concurrent use. Begin and BeginTeam allocate nothing once an upstream has had
-// as much in flight before.
+// Inflight counts the requests that this daemon has in flight, per upstream and per
+// team, and holds its bookings of KV links, over which KV caches are transferred. It
+// implements policy.Inflight and is safe for concurrent use. Begin and BeginTeam
+// allocate nothing once an upstream or team has had as many requests in flight before.
 //
-// Of the work on an upstream a decision counts what began after the time of the
-// load it knows, so that nothing is counted in both. That is exact but for the
-// way: work that left here just before the load was true and arrived after it is
-// in neither. Config.ReportLag makes loads older than stated by more than that
-// way, at the price of counting twice, until the next load, what arrived within
-// the lag. Work that ended since the load is still in the load; so a replica is
-// taken to be fuller than it is, not emptier.
+// A load report already includes the requests that the upstream had received by then.
+// So a decision adds only those that began after the time of the report. A request that
+// was sent just before that time and arrived just after it would be missing from both
+// counts; Config.ReportLag dates reports back by more than the network delay to prevent
+// this. In return, requests that arrived within the lag are counted twice until the
+// next report. Requests that ended after the report are still included in it, so errors
+// make an upstream look fuller than it is, not emptier.
 type Inflight struct {
 	clock func() time.Time
 
 	mu    sync.RWMutex
 	works map[string]*upstreamWork
 
-	teamMu sync.RWMutex
-	teams  map[string]*teamWork
-	total  int
-	active int
+	teamMu        sync.RWMutex
+	teams         map[string]*teamWork
+	totalRequests int
+	activeTeams   int
 }
 
-// NewInflight returns counters by the system's clock.
+// NewInflight returns an Inflight that uses the system clock.
 func NewInflight() *Inflight { return NewInflightClock(time.Now) }
 
-// NewInflightClock returns counters by the given clock, which must agree with the
+// NewInflightClock returns an Inflight with a given clock, which must agree with the
 // times passed to Board.
 func NewInflightClock(clock func() time.Time) *Inflight {
 	return &Inflight{
@@ -43,32 +43,35 @@
 	}
 }
 
-// upstreamWork is this daemon's work on one upstream.
+// upstreamWork holds this daemon's requests on one upstream.
 type upstreamWork struct {
 	mu sync.Mutex
-	// active holds the work in flight in no order, spare what may be used again.
-	active, spare []*work
-	link          link
-	// fullUntil is the end of the time for which the upstream is left alone after a
-	// refusal, and pause that time after the last refused prompt; 0 when it took one since.
-	fullUntil time.Time
-	pause     time.Duration
-	pausable  atomic.Int64
+	// inFlight holds the requests in flight in no particular order. free holds ended
+	// ones for reuse.
+	inFlight, free []*work
+	link           link
+	// fullUntil is when the backoff after a refused reservation or prompt ends; no
+	// requests are sent to the upstream before. promptBackoff is the last backoff after
+	// a refused prompt; 0 once the upstream has accepted one.
+	fullUntil     time.Time
+	promptBackoff time.Duration
+	pausable      atomic.Int64
 }
 
-// work is one piece of work in flight.
+// work is one request in flight.
 type work struct {
-	on     *upstreamWork
-	began  time.Time
-	tokens int
-	// at is the position in active; -1 when not in flight.
-	at   int
-	done func()
+	upstream *upstreamWork
+	began    time.Time
+	tokens   int
+	// index is the position in upstream.inFlight; -1 after the request has ended.
+	index int
+	done  func()
 }
 
-// Begin counts a request on an upstream, with the tokens that wait for prefill or
-// are held there, until done is called. Call done exactly once, for a prefill when
-// the prefill ends.
+// Begin counts a request on an upstream until done is called. tokens is the number of
+// prompt tokens to compute or, on a decode engine, the number of tokens that its KV
+// cache is expected to hold for the request. done must be called exactly once; for a
+// prefill, when the prefill ends.
 func (f *Inflight) Begin(upstream string, tokens int) (done func()) {
 	return f.upstream(upstream).begin(f.clock(), tokens)
 }
@@ -92,36 +95,36 @@
 func (u *upstreamWork) begin(now time.Time, tokens int) func() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	w := u.take()
-	w.began, w.tokens, w.at = now, tokens, len(u.active)
-	u.active = append(u.active, w)
+	w := u.newWork()
+	w.began, w.tokens, w.index = now, tokens, len(u.inFlight)
+	u.inFlight = append(u.inFlight, w)
 	return w.done
 }
 
-func (u *upstreamWork) take() *work {
-	if n := len(u.spare); n > 0 {
-		w := u.spare[n-1]
-		u.spare = u.spare[:n-1]
+func (u *upstreamWork) newWork() *work {
+	if n := len(u.free); n > 0 {
+		w := u.free[n-1]
+		u.free = u.free[:n-1]
 		return w
 	}
-	w := &work{on: u}
+	w := &work{upstream: u}
 	w.done = w.end
 	return w
 }
 
 func (w *work) end() {
-	u := w.on
+	u := w.upstream
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if w.at < 0 {
+	if w.index < 0 {
 		return
 	}
-	last := len(u.active) - 1
-	u.active[w.at] = u.active[last]
-	u.active[w.at].at = w.at
-	u.active = u.active[:last]
-	w.at = -1
-	u.spare = append(u.spare, w)
+	last := len(u.inFlight) - 1
+	u.inFlight[w.index] = u.inFlight[last]
+	u.inFlight[w.index].index = w.index
+	u.inFlight = u.inFlight[:last]
+	w.index = -1
+	u.free = append(u.free, w)
 }
 
 // Upstream implements policy.Inflight.
@@ -134,7 +137,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, w := range u.active {
+	for _, w := range u.inFlight {
 		if w.began.After(since) {
 			requests++
 			tokens += w.tokens
@@ -143,31 +146,31 @@
 	return requests, tokens
 }
 
-// fullTime is how long an upstream that refused a reservation is left alone by
-// later decisions. It spares a burst of requests a round trip each to learn the
-// same; a slot of a batch of twelve frees every few tens of milliseconds, so
-// little room is missed.
-const fullTime = 20 * time.Millisecond
+// fullBackoff is how long no requests are sent to an upstream after it refused a
+// reservation. It saves a burst of requests one round trip each to get the same
+// refusal. In a batch of twelve, a slot becomes free every few tens of milliseconds, so
+// a longer backoff would leave slots unused.
+const fullBackoff = 20 * time.Millisecond
 
-// MarkFull notes that an upstream refused a reservation for want of room.
+// MarkFull records that an upstream refused a reservation for lack of capacity.
 func (f *Inflight) MarkFull(upstream string) {
 	u := f.upstream(upstream)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.fullUntil = f.clock().Add(fullTime)
+	u.fullUntil = f.clock().Add(fullBackoff)
 }
 
-// shutMin and shutMax bound how long a prefill engine that refused a prompt is left
-// alone; each refusal in a row doubles it. One that is full has read the next prompt
-// in about a tenth of a second; one that is changing its role refuses for seconds,
-// while its registration still says prefill.
+// minPromptBackoff and maxPromptBackoff limit the exponential backoff after a prefill
+// engine refused a prompt. A full engine finishes its next prompt in about a tenth of a
+// second. An engine that is changing its role refuses prompts for seconds, while it is
+// still registered as a prefill engine.
 const (
-	shutMin = 100 * time.Millisecond
-	shutMax = 2 * time.Second
+	minPromptBackoff = 100 * time.Millisecond
+	maxPromptBackoff = 2 * time.Second
 )
 
-// MarkShut notes that a prefill engine refused a prompt. Refusals of prompts that were
-// sent together count as one.
+// MarkShut records that a prefill engine refused a prompt. Further refusals during the
+// backoff are of prompts that were sent before it, and are ignored.
 func (f *Inflight) MarkShut(upstream string) {
 	u := f.upstream(upstream)
 	now := f.clock()
@@ -176,16 +179,16 @@
 	if now.Before(u.fullUntil) {
 		return
 	}
-	u.pause = min(max(2*u.pause, shutMin), shutMax)
-	u.fullUntil = now.Add(u.pause)
+	u.promptBackoff = min(max(2*u.promptBackoff, minPromptBackoff), maxPromptBackoff)
+	u.fullUntil = now.Add(u.promptBackoff)
 }
 
-// MarkOpen notes that a prefill engine took a prompt.
+// MarkOpen records that a prefill engine accepted a prompt, and ends the backoff.
 func (f *Inflight) MarkOpen(upstream string) {
 	u := f.upstream(upstream)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.pause, u.fullUntil = 0, time.Time{}
+	u.promptBackoff, u.fullUntil = 0, time.Time{}
 }
 
 // Full implements policy.Inflight.
@@ -201,9 +204,9 @@
 	return now.Before(u.fullUntil)
 }
 
-// AddPausable changes by delta the number of drafts of this daemon on an upstream
-// that run now and can be paused: +1 when a draft starts to decode or is resumed,
-// -1 when it is paused or ends.
+// AddPausable adds delta to the number of this daemon's drafts (requests of class
+// draft) on an upstream that are decoding and can be paused: +1 when a draft starts to
+// decode or is resumed, -1 when it is paused or ends.
 func (f *Inflight) AddPausable(upstream string, delta int) {
 	f.upstream(upstream).pausable.Add(int64(delta))
 }
@@ -219,14 +222,14 @@
 	return max(0, int(u.pausable.Load()))
 }
 
-// teamWork counts one team's requests.
+// teamWork counts the requests of one team.
 type teamWork struct {
-	n    int
-	done func()
+	requests int
+	done     func()
 }
 
-// BeginTeam counts a request of a team until done is called. Call done exactly
-// once.
+// BeginTeam counts a request of a team until done is called. done must be called
+// exactly once.
 func (f *Inflight) BeginTeam(team string) (done func()) {
 	f.teamMu.Lock()
 	defer f.teamMu.Unlock()
@@ -236,21 +239,21 @@
 		t.done = func() { f.endTeam(t) }
 		f.teams[team] = t
 	}
-	if t.n == 0 {
-		f.active++
+	if t.requests == 0 {
+		f.activeTeams++
 	}
-	t.n++
-	f.total++
+	t.requests++
+	f.totalRequests++
 	return t.done
 }
 
 func (f *Inflight) endTeam(t *teamWork) {
 	f.teamMu.Lock()
 	defer f.teamMu.Unlock()
-	t.n--
-	f.total--
-	if t.n == 0 {
-		f.active--
+	t.requests--
+	f.totalRequests--
+	if t.requests == 0 {
+		f.activeTeams--
 	}
 }
 
@@ -259,7 +262,7 @@
 	f.teamMu.RLock()
 	defer f.teamMu.RUnlock()
 	if t := f.teams[name]; t != nil {
-		team = t.n
+		team = t.requests
 	}
-	return team, f.total, f.active
+	return team, f.totalRequests, f.activeTeams
 }
--- a/board/inflight_test.go
+++ b/board/inflight_test.go
@@ -12,79 +12,75 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// manual is a clock that a test moves.
-type manual struct{ now time.Time }
+// manualClock is a clock that is set by the test.
+type manualClock struct{ now time.Time }
 
-func (m *manual) clock() time.Time { return m.now }
+func (m *manualClock) clock() time.Time { return m.now }
 
-// TestWorkIsCountedOnce
-//
-// Symptom: an engine with free slots gets nothing, or a full one is asked again.
-// Sequence: this daemon starts work on an upstream, then hears a load that shows
-// that work, then starts more.
-// Cause: counting all own work on top of every load, or none of it.
+// TestWorkIsCountedOnce guards against counting a request both in Inflight and in the
+// upstream's load report, or in neither. An engine with free slots would then get no
+// requests, or a full one would get more. The daemon starts one request before the time
+// of a load report and one after it.
 func TestWorkIsCountedOnce(t *testing.T) {
-	clock := &manual{now: after(time.Second)}
+	clock := &manualClock{now: after(time.Second)}
 	f := NewInflightClock(clock.clock)
 	first := f.Begin("a", 100)
 	clock.now = after(3 * time.Second)
 	second := f.Begin("a", 20)
 	type counts struct{ Requests, Tokens int }
-	see := func(since time.Time) counts {
+	count := func(since time.Time) counts {
 		r, p := f.Upstream("a", since)
 		return counts{r, p}
 	}
-	got := []counts{see(time.Time{}), see(after(time.Second)), see(after(3 * time.Second))}
+	got := []counts{count(time.Time{}), count(after(time.Second)), count(after(3 * time.Second))}
 	first()
-	got = append(got, see(time.Time{}))
-	third := f.Begin("a", 7) // takes the place of the first
+	got = append(got, count(time.Time{}))
+	third := f.Begin("a", 7) // reuses the work of the first
 	second()
-	got = append(got, see(time.Time{}))
+	got = append(got, count(time.Time{}))
 	third()
-	got = append(got, see(time.Time{}))
+	got = append(got, count(time.Time{}))
 	want := []counts{{2, 120}, {1, 20}, {0, 0}, {1, 20}, {1, 7}, {0, 0}}
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestLinkBookingsLeaveGaps
-//
-// Symptom: urgent requests are refused although the link is idle.
-// Sequence: a draft books the link for the end of a long prefill queue; an urgent
-// request, ahead of that queue, asks for the link now.
-// Cause: a link known only by the end of its last booking.
+// TestLinkBookingsLeaveGaps guards against urgent requests being refused while the KV
+// link is idle. A draft books the link for the end of a long prefill queue, and an
+// urgent request ahead of that queue needs the link now. If only the end of the last
+// booking were stored, the link would look busy until then.
 func TestLinkBookingsLeaveGaps(t *testing.T) {
-	clock := &manual{now: t0}
+	clock := &manualClock{now: t0}
 	f := NewInflightClock(clock.clock)
 	const ms = time.Millisecond
 	free := func(from, d time.Duration) time.Duration { return f.LinkFree("a", after(from), d).Sub(t0) }
 	got := []time.Duration{free(0, 300*ms)}
 	f.Book("a", after(2000*ms), 300*ms)
-	f.Book("a", after(2000*ms), 200*ms) // queues up
+	f.Book("a", after(2000*ms), 200*ms) // goes behind the first booking
 	f.Book("a", after(2000*ms), 0)
 	got = append(got, free(0, 300*ms), free(1800*ms, 200*ms), free(1800*ms, 201*ms), free(2400*ms, ms))
-	f.Book("a", after(100*ms), 100*ms) // takes the gap
+	f.Book("a", after(100*ms), 100*ms) // fits into the gap
 	got = append(got, free(0, 300*ms), free(0, 100*ms))
 	clock.now = after(2400 * ms)
-	f.Book("a", after(2600*ms), 100*ms) // drops what has ended
+	f.Book("a", after(2600*ms), 100*ms) // drops the bookings that have ended
 	got = append(got, free(2400*ms, 200*ms))
-	if n := len(f.works["a"].link.spans); n != 2 {
-		t.Errorf("%d bookings are kept", n)
+	if n := len(f.works["a"].link.bookings); n != 2 {
+		t.Errorf("%d bookings kept, want 2", n)
 	}
-	for range 2 * maxSpans {
+	for range 2 * maxBookings {
 		f.Book("a", after(9000*ms), 10*ms)
 	}
 	got = append(got, free(9000*ms, ms))
-	want := []time.Duration{0, 0, 1800 * ms, 2500 * ms, 2500 * ms, 200 * ms, 0, 2700 * ms, 9000*ms + 2*maxSpans*10*ms}
-	if d := cmp.Diff(want, got); d != "" || len(f.works["a"].link.spans) > maxSpans {
+	want := []time.Duration{0, 0, 1800 * ms, 2500 * ms, 2500 * ms, 200 * ms, 0, 2700 * ms, 9000*ms + 2*maxBookings*10*ms}
+	if d := cmp.Diff(want, got); d != "" || len(f.works["a"].link.bookings) > maxBookings {
 		t.Error(d)
 	}
 }
 
 func TestTeamsAndConcurrentWork(t *testing.T) {
 	f := NewInflight()
-	keep := []func(){f.BeginTeam("x"), f.BeginTeam("x"), f.BeginTeam("y")}
+	dones := []func(){f.BeginTeam("x"), f.BeginTeam("x"), f.BeginTeam("y")}
 	var wg conc.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -105,9 +101,9 @@
 	if d := cmp.Diff([]int{2, 3, 2, 0, 0, 0, 0}, got); d != "" {
 		t.Error(d)
 	}
-	keep[2]()
+	dones[2]()
 	if _, total, teams := f.Team("y"); total != 2 || teams != 1 {
-		t.Errorf("%d requests of %d teams", total, teams)
+		t.Errorf("%d requests of %d teams, want 2 of 1", total, teams)
 	}
 }
 
@@ -125,11 +121,9 @@
 	}
 }
 
-// TestNextDecisionSeesOwnWork
-//
-// Symptom: a burst that reaches one daemon lands on one upstream.
-// Sequence: several requests are decided between two load reports.
-// Cause: decisions on the last report alone.
+// TestNextDecisionSeesOwnWork guards against a burst on one daemon being sent to a
+// single upstream. Several requests are placed between two load reports; each decision
+// must include the requests placed before it.
 func TestNextDecisionSeesOwnWork(t *testing.T) {
 	v := version(1, "abc", nil)
 	v.Bundle.Services = map[string]bundle.Service{"s": {Pool: "d"}}
@@ -152,7 +146,7 @@
 }
 
 func TestHolderBuildsWhenItMust(t *testing.T) {
-	clock := &manual{now: t0}
+	clock := &manualClock{now: t0}
 	h := NewHolderClock(newBoard("ab"), clock.clock)
 	last := h.Snapshot()
 	seq := uint64(0)
@@ -163,10 +157,10 @@
 		do   func()
 		want bool
 	}{
-		{"nothing happened", 10 * time.Millisecond, func() {}, false},
-		{"a load after a while", 0, report, true},
+		{"no event", 10 * time.Millisecond, func() {}, false},
+		{"a load later than buildInterval after a build", 0, report, true},
 		{"a load just after a build", time.Millisecond, report, false},
-		{"that load a little later", 5 * time.Millisecond, func() {}, true},
+		{"buildInterval after that build", 5 * time.Millisecond, func() {}, true},
 		{"an event that changes nothing", 10 * time.Millisecond, func() { h.Update(func(b *Board) { b.Succeeded(clock.now, "a") }) }, false},
 		{"a notice just after a build", 0, func() { h.Update(func(b *Board) { b.Leaving(clock.now, "b", FromUpstream) }) }, true},
 		{"an ejection just after a build", 0, func() {
@@ -176,25 +170,26 @@
 				}
 			})
 		}, true},
-		{"the ejection goes on", 499 * time.Millisecond, func() {}, false},
+		{"during the ejection", 499 * time.Millisecond, func() {}, false},
 		{"the ejection ends", time.Millisecond, func() {}, true},
-		{"the weight grows", weightStep, func() {}, true},
+		{"the weight grows", weightInterval, func() {}, true},
 	}
 	for _, s := range steps {
 		clock.now = clock.now.Add(s.pass)
 		s.do()
 		got := h.Snapshot()
 		if (got != last) != s.want {
-			t.Errorf("%s: built is %v", s.name, got != last)
+			t.Errorf("%s: new snapshot: %v", s.name, got != last)
 		}
 		last = got
 	}
-	if find(last, "b") != nil || find(last, "a") == nil {
-		t.Error("offers what is leaving, or not what is back")
+	if findReplica(last, "b") != nil || findReplica(last, "a") == nil {
+		t.Error("snapshot lists the leaving upstream b, or not the returned upstream a")
 	}
 }
 
-// TestSnapshotsDoNotChange keeps a snapshot while the board goes on.
+// TestSnapshotsDoNotChange checks that later changes of the board do not modify an
+// existing snapshot.
 func TestSnapshotsDoNotChange(t *testing.T) {
 	b := newBoard("ab")
 	b.Report(t0, "a", load(1, 1, 3), 0)
@@ -204,8 +199,8 @@
 	b.Snapshot(after(time.Second))
 	b.SetVersion(after(time.Second), version(2, "a", nil))
 	b.Snapshot(after(time.Second))
-	if find(s, "a").Active != 3 || find(s, "b") == nil || s.Number != 1 {
-		t.Errorf("version %d, a %+v", s.Number, find(s, "a"))
+	if findReplica(s, "a").Active != 3 || findReplica(s, "b") == nil || s.Number != 1 {
+		t.Errorf("version %d, a %+v", s.Number, findReplica(s, "a"))
 	}
 }
 
@@ -213,23 +208,22 @@
 	now := t0
 	f := NewInflightClock(func() time.Time { return now })
 	if f.Full("a", now) {
-		t.Error("full before anything was refused")
+		t.Error("full before any refusal")
 	}
 	f.MarkFull("a")
-	if !f.Full("a", now.Add(fullTime-1)) || f.Full("b", now) {
-		t.Error("not full right after a refusal, or another one is")
+	if !f.Full("a", now.Add(fullBackoff-1)) || f.Full("b", now) {
+		t.Error("not full during the backoff, or another upstream is full")
 	}
-	if f.Full("a", now.Add(fullTime)) {
-		t.Error("full for ever")
+	if f.Full("a", now.Add(fullBackoff)) {
+		t.Error("still full after the backoff")
 	}
 }
 
-// Symptom: one in seven requests of a large fleet ends refused in its first seconds,
-// beside idle prefill engines.
-// Sequence: engines are ordered from prefill to decode; for six seconds they refuse
-// prompts while their registrations say prefill; each daemon sends them prompt after
-// prompt and spends its retries on them.
-// Cause: a refused prompt taught nothing.
+// Guards against repeated prompts to prefill engines that refuse them. Engines that
+// change their role from prefill to decode refuse prompts for six seconds while they
+// are still registered for prefill. Without a backoff, daemons spent their retries on
+// them, and one in seven requests of a large fleet failed in its first seconds although
+// other prefill engines were idle.
 func TestMarkShut(t *testing.T) {
 	now := t0
 	f := NewInflightClock(func() time.Time { return now })
@@ -238,16 +232,16 @@
 		if !f.Full("turning", now) {
 			sent++
 			f.MarkShut("turning")
-			f.MarkShut("turning") // sent together with the first
+			f.MarkShut("turning") // sent at the same time, must not count again
 		}
 	}
 	if sent > 8 {
-		t.Errorf("%d prompts sent in vain", sent)
+		t.Errorf("%d refused prompts sent in 6 s, want at most 8", sent)
 	}
-	now = now.Add(shutMax)
+	now = now.Add(maxPromptBackoff)
 	f.MarkOpen("turning")
 	f.MarkShut("turning")
-	if !f.Full("turning", now) || f.Full("turning", now.Add(shutMin)) {
-		t.Error("one refusal after a prompt was taken does not count as the first")
+	if !f.Full("turning", now) || f.Full("turning", now.Add(minPromptBackoff)) {
+		t.Error("the backoff after an accepted prompt does not start at the minimum")
 	}
 }
--- a/board/learned.go
+++ b/board/learned.go
@@ -8,54 +8,56 @@
 	"github.com/corianderturn/corianderturn/estimate"
 )
 
-// learned is what the engines of one model have shown together. An engine of which
-// little is known is taken to be like the others: one that is new, was restarted, or
-// has just changed its role would otherwise be judged by nothing.
-type learned struct {
-	// step is the time between tokens, in nanoseconds, and prefill that to compute one
-	// prompt token.
+// modelEstimates holds the estimates shared by all engines of one model. They are used
+// for an engine that has too few samples of its own because it is new, has restarted or
+// has just changed its role.
+type modelEstimates struct {
+	// step is the time between output tokens, in nanoseconds, and prefill the time to
+	// compute one prompt token.
 	step    estimate.Mean
 	prefill estimate.Speed
-	// toldStep and toldPrefill are the values with which the engines' replicas were last
-	// built; 0 for one that was not known.
-	toldStep, toldPrefill float64
+	// builtStep and builtPrefill are the estimates with which the engines' replicas
+	// were last rebuilt, in nanoseconds; 0 for an unknown one.
+	builtStep, builtPrefill float64
 }
 
-// tellChange is the relative change of a learned value from which on all engines of the
-// model are built anew. Each answer moves the mean a little; at 12,000 engines and 26
-// answers a second, a daemon would do little else.
-const tellChange = 0.05
+// rebuildThreshold is the relative change of an estimate at which the replicas of all
+// engines of the model are rebuilt. Every answer changes the mean a little; at 12,000
+// engines and 26 answers a second, rebuilding for each would take most of a daemon's
+// time.
+const rebuildThreshold = 0.05
 
-// moved says whether a value is far from the one last told, or has become known or
-// unknown, and notes it then.
-func moved(told *float64, value float64, known bool) bool {
+// significantChange reports whether value differs from built by more than
+// rebuildThreshold, or has become known or unknown. If so, it stores value in built.
+func significantChange(built *float64, value float64, known bool) bool {
 	if !known {
 		value = 0
 	}
-	if math.Abs(value-*told) <= tellChange**told {
+	if math.Abs(value-*built) <= rebuildThreshold**built {
 		return false
 	}
-	*told = value
+	*built = value
 	return true
 }
 
-// news says whether the engines of the model should be built anew.
-func (l *learned) news(now time.Time) bool {
+// outdated reports whether an estimate has changed so much that the replicas of the
+// model must be rebuilt.
+func (l *modelEstimates) outdated(now time.Time) bool {
 	step, stepKnown := l.step.Value(now)
 	prefill, prefillKnown := l.prefill.Value(now)
-	one := moved(&l.toldStep, step, stepKnown)
-	other := moved(&l.toldPrefill, float64(prefill), prefillKnown)
+	one := significantChange(&l.builtStep, step, stepKnown)
+	other := significantChange(&l.builtPrefill, float64(prefill), prefillKnown)
 	return one || other
 }
 
-// learnedByPool returns what is known of each pool's model; pools of the same model
-// share it. What was known of a model goes on.
-func learnedByPool(b *bundle.Bundle, before map[string]*learned) map[string]*learned {
-	out := map[string]*learned{}
+// estimatesByPool returns the estimates of each pool's model. Pools of the same model
+// share them. Estimates of models that existed before are kept.
+func estimatesByPool(b *bundle.Bundle, previous map[string]*modelEstimates) map[string]*modelEstimates {
+	out := map[string]*modelEstimates{}
 	for _, m := range b.Models {
-		l := before[m.DecodePool]
+		l := previous[m.DecodePool]
 		if l == nil {
-			l = &learned{}
+			l = &modelEstimates{}
 		}
 		out[m.DecodePool] = l
 		if m.PrefillPool != "" {
@@ -65,99 +67,103 @@
 	return out
 }
 
-// Paced takes the mean time between the tokens of an answer that an upstream has
-// streamed.
+// Paced records the mean time between the output tokens of an answer that an upstream
+// has streamed.
 func (b *Board) Paced(now time.Time, upstream string, perToken time.Duration) {
 	e := b.entries[upstream]
 	if e == nil || perToken <= 0 {
 		return
 	}
-	e.pace.Add(now, float64(perToken))
-	b.touch(e, false)
-	b.learnModel(now, e, func(l *learned) { l.step.Add(now, float64(perToken)) })
+	e.tokenInterval.Add(now, float64(perToken))
+	b.markChanged(e, false)
+	b.updateEstimates(now, e, func(l *modelEstimates) { l.step.Add(now, float64(perToken)) })
 }
 
-// Shown takes what another daemon has seen of a model's engines: the time between tokens
-// of an answer, and that to read one token of a prompt; 0 where it saw none.
-func (b *Board) Shown(now time.Time, model string, perToken, readPerToken time.Duration) {
+// Shown records a sample that another daemon measured on an engine of a model: the mean
+// time between output tokens, and the prefill time per prompt token. Either is 0 if it
+// was not measured.
+func (b *Board) Shown(now time.Time, model string, perToken, prefillPerToken time.Duration) {
 	if b.version == nil {
 		return
 	}
-	l := b.learned[b.version.Bundle.Models[model].DecodePool]
+	l := b.estimates[b.version.Bundle.Models[model].DecodePool]
 	if l == nil {
 		return
 	}
 	if perToken > 0 {
 		l.step.Add(now, float64(perToken))
 	}
-	l.prefill.Add(now, readPerToken)
-	if l.news(now) {
-		b.touchAll(l)
+	l.prefill.Add(now, prefillPerToken)
+	if l.outdated(now) {
+		b.markModelChanged(l)
 	}
 }
 
-// learnModel changes what is known of an engine's model, and marks all of its engines when
-// that is news.
-func (b *Board) learnModel(now time.Time, e *entry, change func(l *learned)) {
-	if e.learned == nil {
+// updateEstimates calls update with the estimates of the engine's model. If they have
+// changed significantly, all engines of the model are marked as changed.
+func (b *Board) updateEstimates(now time.Time, e *entry, update func(l *modelEstimates)) {
+	if e.estimates == nil {
 		return
 	}
-	change(e.learned)
-	if !e.learned.news(now) {
+	update(e.estimates)
+	if !e.estimates.outdated(now) {
 		return
 	}
-	b.touchAll(e.learned)
+	b.markModelChanged(e.estimates)
 }
 
-// touchAll marks the engines of which something is learned together.
-func (b *Board) touchAll(l *learned) {
+// markModelChanged marks all engines that share the estimates l as changed.
+func (b *Board) markModelChanged(l *modelEstimates) {
 	for _, e := range b.entries {
-		if e.learned == l {
-			b.touch(e, false)
+		if e.estimates == l {
+			b.markChanged(e, false)
 		}
 	}
 }
 
-// nextLapse returns when something lapses that the entry's replica rests on. Without it
-// an estimate that is too high would keep away for good all that could correct it.
-func (e *entry) nextLapse(now time.Time) time.Time {
-	out := future(e.forgets(), now)
-	out = earlier(out, future(e.pace.Lapses(), now))
-	if e.learned != nil {
-		out = earlier(out, future(e.learned.step.Lapses(), now))
-		out = earlier(out, future(e.learned.prefill.Lapses(), now))
+// nextExpiry returns the next time at which an estimate used in the entry's replica
+// expires. The replica must be rebuilt then: an estimate that is too high would
+// otherwise keep away the requests that could correct it.
+func (e *entry) nextExpiry(now time.Time) time.Time {
+	out := futureOrZero(e.prefillExpiry(), now)
+	out = earlier(out, futureOrZero(e.tokenInterval.Lapses(), now))
+	if e.estimates != nil {
+		out = earlier(out, futureOrZero(e.estimates.step.Lapses(), now))
+		out = earlier(out, futureOrZero(e.estimates.prefill.Lapses(), now))
 	}
 	return out
 }
 
-// future returns t, or zero when it has passed.
-func future(t, now time.Time) time.Time {
+// futureOrZero returns t, or zero if t has passed.
+func futureOrZero(t, now time.Time) time.Time {
 	if due(t, now) {
 		return time.Time{}
 	}
 	return t
 }
 
-// oddPace is how many times slower or faster than its model's engines together an engine
-// must be for its own pace to count. Answers take a few tenths more or less with the
-// others in their batch; told apart by that, engines that happened to be idle draw all
-// work to them.
-const oddPace = 1.5
-
-// stepNow returns the time between tokens: what the engine itself told, else what its
-// model's engines have shown, or the engine alone where it is unlike them. seen is false
-// for the bundle's expectation, by which nothing may be refused.
-func (e *entry) stepNow(now time.Time) (step time.Duration, seen bool) {
+// outlierFactor is how many times slower or faster than the model's estimate an engine
+// must be for its own estimate to be used. Smaller differences come from the number of
+// other requests in the same batch; if they counted, engines that happened to be idle
+// would attract all requests.
+const outlierFactor = 1.5
+
+// stepEstimate returns the time between output tokens. It uses the first of these that
+// is known: the time that the engine reported; the engine's own estimate, if it is an
+// outlier or the model has none; the model's estimate; the value configured for the
+// pool. seen is false for the configured value, which must not be a reason to refuse a
+// request.
+func (e *entry) stepEstimate(now time.Time) (step time.Duration, seen bool) {
 	if e.step > 0 {
 		return e.step, true
 	}
-	own, ownSeen := e.pace.Value(now)
+	own, ownSeen := e.tokenInterval.Value(now)
 	shared, seen := 0.0, false
-	if e.learned != nil {
-		shared, seen = e.learned.step.Value(now)
+	if e.estimates != nil {
+		shared, seen = e.estimates.step.Value(now)
 	}
 	switch {
-	case ownSeen && (!seen || own > shared*oddPace || own*oddPace < shared):
+	case ownSeen && (!seen || own > shared*outlierFactor || own*outlierFactor < shared):
 		return time.Duration(own), true
 	case seen:
 		return time.Duration(shared), true
@@ -165,13 +171,14 @@
 	return time.Duration(e.pool.StepMillis * float64(time.Millisecond)), false
 }
 
-// prefillNow returns the time to compute one prompt token, by the engine's own calls or
-// else its model's; 0 while neither is known.
-func (e *entry) prefillNow(now time.Time) time.Duration {
-	if e.prefillPerToken > 0 || e.learned == nil {
+// prefillEstimate returns the time to compute one prompt token, estimated from the
+// engine's own calls or else from those of all engines of its model; 0 if neither is
+// known.
+func (e *entry) prefillEstimate(now time.Time) time.Duration {
+	if e.prefillPerToken > 0 || e.estimates == nil {
 		return e.prefillPerToken
 	}
-	v, ok := e.learned.prefill.Value(now)
+	v, ok := e.estimates.prefill.Value(now)
 	if !ok {
 		return 0
 	}
--- a/board/learned_test.go
+++ b/board/learned_test.go
@@ -7,10 +7,11 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Symptom: one idle engine gets most of the work, or a slow one as much as the others.
-// Sequence: answers stream at a pace that differs by how full each engine is, and one
-// engine is three times as slow as all others.
-// Cause: each engine was judged by its own pace alone, or by the others' alone.
+// Guards against two errors in the choice between an engine's own token interval and
+// that of its model. If each engine used only its own, small differences in load would
+// send most requests to one idle engine; if each used only the model's, a slow engine
+// would get as many requests as the others. Here one engine is three times as slow as
+// the rest.
 func TestPaceIsTheModelsUnlessAnEngineIsOdd(t *testing.T) {
 	const ms = time.Millisecond
 	b := New(Config{})
@@ -18,11 +19,11 @@
 	v.Bundle.Models = map[string]bundle.Model{"m": {DecodePool: "d"}}
 	b.SetVersion(t0, v)
 	step := func(name string) (time.Duration, bool) {
-		r := find(b.Snapshot(after(time.Second)), name)
+		r := findReplica(b.Snapshot(after(time.Second)), name)
 		return r.Step, r.StepSeen
 	}
 	if got, seen := step("a"); got != 0 || seen {
-		t.Errorf("before any answer: %v, seen %v", got, seen)
+		t.Errorf("step before any answer: %v, seen %v", got, seen)
 	}
 	for range 20 {
 		b.Paced(t0, "a", 10*ms)
@@ -30,24 +31,25 @@
 	}
 	a, seen := step("a")
 	if c, _ := step("c"); c < a*95/100 || c > a*105/100 || !seen || a < 10*ms || a > 11*ms {
-		t.Errorf("a %v, c %v of which nothing is known, seen %v", a, c, seen)
+		t.Errorf("step of a: %v; of c, which has no samples: %v; seen %v", a, c, seen)
 	}
 	for range 4 {
 		b.Paced(t0, "c", 30*ms)
 	}
 	if c, _ := step("c"); c < 29*ms || c > 31*ms {
-		t.Errorf("an engine that is three times as slow: %v", c)
+		t.Errorf("step of c, which is three times as slow: %v", c)
 	}
 	if a, _ := step("a"); a > 12*ms {
-		t.Errorf("one slow engine makes the others %v", a)
+		t.Errorf("step of a with one slow engine in the pool: %v", a)
 	}
-	if r := find(b.Snapshot(after(time.Minute)), "a"); r.StepSeen {
-		t.Error("a pace that lapsed is still taken as seen")
+	if r := findReplica(b.Snapshot(after(time.Minute)), "a"); r.StepSeen {
+		t.Error("an expired estimate still counts as measured")
 	}
 }
 
-// Load: twelve thousand engines, of which one ends an answer every few milliseconds at the
-// pace that all have. Building every engine anew for each would be all that a daemon does.
+// Guards against rebuilding the replicas of all engines for every answer. With 12,000
+// engines an answer ends every few milliseconds, nearly always with the same token
+// interval, and a daemon would be busy with nothing else.
 func TestAnAnswerLikeTheOthersLeavesOtherEnginesAlone(t *testing.T) {
 	b := New(Config{})
 	v := version(1, "ab", nil)
@@ -56,15 +58,15 @@
 	for range 10 {
 		b.Paced(t0, "a", 10*time.Millisecond)
 	}
-	before := find(b.Snapshot(t0), "b")
+	before := findReplica(b.Snapshot(t0), "b")
 	b.Paced(t0, "a", 10*time.Millisecond+100*time.Microsecond)
-	if find(b.Snapshot(t0), "b") != before {
-		t.Error("an engine of which nothing is new was built anew")
+	if findReplica(b.Snapshot(t0), "b") != before {
+		t.Error("the replica of b was rebuilt after an insignificant change")
 	}
 	for range 60 {
 		b.Paced(t0, "a", 14*time.Millisecond)
 	}
-	if got := find(b.Snapshot(t0), "b").Step; got < 13*time.Millisecond {
-		t.Errorf("the others keep a step of %v", got)
+	if got := findReplica(b.Snapshot(t0), "b").Step; got < 13*time.Millisecond {
+		t.Errorf("the step of b is still %v", got)
 	}
 }
--- a/board/leaving.go
+++ b/board/leaving.go
@@ -2,43 +2,48 @@
 
 import "time"
 
-// LeavingSource says who told that an upstream is leaving.
+// LeavingSource is the origin of a notice that an upstream is leaving.
 type LeavingSource uint8
 
-// The sources besides the bundle itself, whose state needs no notice.
+// The sources of notices. An upstream whose state is leaving in the bundle in force
+// needs no notice.
 const (
-	// FromBundle is a bundle record seen before it is in force.
+	// FromBundle is a record of a bundle version that is not in force yet.
 	FromBundle LeavingSource = iota
 	// FromInstances is the platform's instance list.
 	FromInstances
-	// FromUpstream is the upstream's own answer or load.
+	// FromUpstream is an answer or a load report of the upstream itself.
 	FromUpstream
-	// FromPeer is another daemon's heartbeat.
+	// FromPeer is a heartbeat or a board row of another daemon.
 	FromPeer
 
-	sources = 4
+	sourceCount = 4
 )
 
-// String returns the name used for operators.
+// String returns the name shown to operators.
 func (s LeavingSource) String() string {
-	return [sources]string{"bundle", "instances", "upstream", "peer"}[s]
+	return [sourceCount]string{"bundle", "instances", "upstream", "peer"}[s]
 }
 
-// notices are the times at which each source said that an upstream is
-// leaving, the first time for the bundle and the instance list, the last time for
-// the upstream and peers; zero when it did not. They hold until the bundle in force says serving
-// with an entry that changed, or the upstream's incarnation changes; only a
-// peer's notice also lapses when it is not repeated. A version that changes
-// something else clears nothing: versions come every few seconds, and each
-// would otherwise send new work to every leaving upstream until it refused.
-type notices [sources]time.Time
+// notices holds, for each source, the time of its notice that the upstream is leaving;
+// zero if there is none. For the bundle and the instance list this is the first notice,
+// for the upstream and the peers the last.
+//
+// All notices are cleared when a new bundle version changes the upstream's entry and
+// its state there is serving, or when the upstream's incarnation changes. A peer's
+// notice also ends when peers withdraw it or stop repeating it (HeardPeer,
+// expireNotices), and the upstream's own when a later load report shows a restart
+// (clearAfterRestart). Bundle versions that change something else must not clear
+// notices: they come every few seconds, and each would send new requests to every
+// leaving upstream until it refused them.
+type notices [sourceCount]time.Time
 
 func (n *notices) any() bool { return *n != notices{} }
 
 func (n *notices) clear() { *n = notices{} }
 
-// first returns the source of the oldest notice, or false without one.
-func (n *notices) first() (source LeavingSource, ok bool) {
+// earliest returns the source of the oldest notice, or false if there is none.
+func (n *notices) earliest() (source LeavingSource, ok bool) {
 	for s, at := range n {
 		if !at.IsZero() && (!ok || at.Before(n[source])) {
 			source, ok = LeavingSource(s), true
@@ -47,67 +52,69 @@
 	return source, ok
 }
 
-// firstHand says whether this daemon has a notice that is not from a peer.
-func (n *notices) firstHand() bool {
+// direct reports whether there is a notice from a source other than a peer.
+func (n *notices) direct() bool {
 	return !n[FromBundle].IsZero() || !n[FromInstances].IsZero() || !n[FromUpstream].IsZero()
 }
 
-// lapses returns when the peers' notice will lapse; zero when there is none.
-func (n *notices) lapses(cfg Config) time.Time {
+// peerExpiry returns when the peers' notice expires; zero if there is none.
+func (n *notices) peerExpiry(cfg Config) time.Time {
 	if n[FromPeer].IsZero() {
 		return time.Time{}
 	}
 	return n[FromPeer].Add(cfg.PeerNoticeLife)
 }
 
-// expireNotices drops the peers' notice when it was not repeated. Without that,
-// one that a peer sent once, from before a restart that this daemon has seen,
-// would keep the upstream idle here for good.
+// expireNotices drops the peers' notice if it was not repeated in time. A peer may have
+// sent it only once, before a restart of the upstream that this daemon has already
+// seen; without an expiry, this daemon would never use the upstream again.
 func (e *entry) expireNotices(now time.Time, cfg Config) {
-	if due(e.notices.lapses(cfg), now) {
+	if due(e.notices.peerExpiry(cfg), now) {
 		e.notices[FromPeer] = time.Time{}
 	}
 }
 
-// Leaving takes a notice that an upstream is leaving. Snapshots leave it out from
-// then on.
+// Leaving records a notice that an upstream is leaving. Snapshots no longer list it
+// from then on.
 func (b *Board) Leaving(now time.Time, upstream string, source LeavingSource) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
 	}
-	news := !e.notices.any()
+	first := !e.notices.any()
 	if e.notices[source].IsZero() || source == FromPeer || source == FromUpstream {
 		e.notices[source] = now
 	}
-	if news {
-		b.touch(e, true)
+	if first {
+		b.markChanged(e, true)
 	}
 }
 
-// LeavingNotices returns, in order, the upstreams that this daemon itself heard
-// are leaving, for its heartbeats. Notices of peers are not passed on: two
-// daemons would keep telling each other what its source took back. Neither are
-// states of the bundle in force, which spreads by itself.
+// LeavingNotices returns the sorted names of the upstreams for which this daemon has a
+// notice from a source other than a peer. They are sent with its heartbeats. Notices of
+// peers are not forwarded, because two daemons would keep renewing each other's notice
+// after its source has withdrawn it. Upstreams that are leaving in the bundle in force
+// are omitted, because every daemon gets the bundle itself.
 func (b *Board) LeavingNotices() []string {
 	var out []string
 	for _, name := range b.names {
-		if b.entries[name].notices.firstHand() {
+		if b.entries[name].notices.direct() {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// servedSince takes a steward's row that shows an upstream serving at a time. An
-// upstream that says it is leaving does not take that back in the same life; so
-// when it served well after its own notice, it restarted, which a daemon that
-// sends it nothing would never hear from it directly.
-func (b *Board) servedSince(e *entry, at time.Time) {
+// clearAfterRestart processes a steward's report that an upstream was serving at the
+// given time. An upstream never withdraws its own notice within one incarnation, so if
+// it served more than RestartSlack after the notice, it has restarted, and the notice
+// is cleared. A daemon that sends the upstream no requests would not learn of the
+// restart otherwise.
+func (b *Board) clearAfterRestart(e *entry, at time.Time) {
 	own := e.notices[FromUpstream]
 	if own.IsZero() || !at.After(own.Add(b.cfg.RestartSlack)) {
 		return
 	}
 	e.notices[FromUpstream] = time.Time{}
-	b.touch(e, true)
+	b.markChanged(e, true)
 }
--- a/board/link.go
+++ b/board/link.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// maxSpans bounds the bookings kept of one link; further ones extend the last.
-const maxSpans = 64
+// maxBookings is the largest number of bookings kept for one link. Further bookings
+// extend the last one.
+const maxBookings = 64
 
-// span is one booking in nanoseconds since the epoch.
-type span struct{ from, to int64 }
+// booking is the time range of one transfer, in nanoseconds since the Unix epoch.
+type booking struct{ from, to int64 }
 
-// link holds the bookings of one KV link, in order and apart from each other. One
-// time of "free at" would not do: a transfer booked for the end of a long prefill
-// queue would make the link look taken until then, and a request that is ahead of
-// that queue would wait for nothing, or be refused.
-type link struct{ spans []span }
+// link holds the bookings of one KV link, sorted and without overlap. Storing only the
+// end of the last booking would not be enough: a transfer booked for the end of a long
+// prefill queue would make the link look busy until then, and a request ahead of that
+// queue would wait for no reason, or be refused.
+type link struct{ bookings []booking }
 
-// fit returns the earliest time from `from` on at which d nanoseconds are free,
-// and the place of such a booking.
-func (l *link) fit(from, d int64) (at int64, place int) {
+// fit returns the earliest start, not before from, of d free nanoseconds, and the index
+// at which to insert a booking for them.
+func (l *link) fit(from, d int64) (at int64, index int) {
 	at = from
-	for i, s := range l.spans {
+	for i, s := range l.bookings {
 		if at+d <= s.from {
 			return at, i
 		}
 		at = max(at, s.to)
 	}
-	return at, len(l.spans)
+	return at, len(l.bookings)
 }
 
-// book books d nanoseconds from `from` on, where they fit first.
+// book books the first d free nanoseconds that start at from or later.
 func (l *link) book(now, from, d int64) {
-	l.drop(now)
+	l.dropEnded(now)
 	at, i := l.fit(from, d)
-	if len(l.spans) == maxSpans {
-		last := &l.spans[maxSpans-1]
+	if len(l.bookings) == maxBookings {
+		last := &l.bookings[maxBookings-1]
 		last.to = max(last.to, at) + d
 		return
 	}
-	l.spans = append(l.spans, span{})
-	copy(l.spans[i+1:], l.spans[i:])
-	l.spans[i] = span{at, at + d}
+	l.bookings = append(l.bookings, booking{})
+	copy(l.bookings[i+1:], l.bookings[i:])
+	l.bookings[i] = booking{at, at + d}
 }
 
-// drop forgets the bookings that have ended.
-func (l *link) drop(now int64) {
+// dropEnded removes the bookings that have ended.
+func (l *link) dropEnded(now int64) {
 	n := 0
-	for n < len(l.spans) && l.spans[n].to <= now {
+	for n < len(l.bookings) && l.bookings[n].to <= now {
 		n++
 	}
-	l.spans = append(l.spans[:0], l.spans[n:]...)
+	l.bookings = append(l.bookings[:0], l.bookings[n:]...)
 }
 
-// Book books an upstream's KV link for a transfer that takes d, at the given time
-// or the first time after it when the link is free for that long. A booking is
-// not taken back when its transfer fails: it ends by itself soon.
+// Book books an upstream's KV link for a transfer of duration d, at the given time or
+// at the first later time at which the link is free for that long. Bookings of failed
+// transfers are not cancelled; they end soon by themselves.
 func (f *Inflight) Book(upstream string, from time.Time, d time.Duration) {
 	if d <= 0 {
 		return
--- a/board/peernotices.go
+++ b/board/peernotices.go
@@ -7,7 +7,8 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// peerNotices is what each life of each peer last said of leaving upstreams.
+// peerNotices holds the last notices of each peer about leaving upstreams. A restarted
+// peer counts as a new one, because wire.NodeID includes the incarnation.
 type peerNotices map[wire.NodeID]peerNotice
 
 type peerNotice struct {
@@ -15,30 +16,31 @@
 	names []string
 }
 
-// HeardPeer takes the notices of one heartbeat of a peer, all that it has. What the
-// same life of the peer said before and leaves out now is taken back, unless another
-// peer still says it.
+// HeardPeer processes the notices in one heartbeat of a peer; names is its complete
+// list of leaving upstreams. An upstream that the same incarnation of the peer listed
+// before and omits now is no longer leaving, unless another peer still lists it.
 //
-// What goes wrong otherwise: an upstream leaves and restarts within seconds; the
-// peer that heard of the leaving sees the restart and stops telling, but its last
-// word holds here for PeerNoticeLife. One would notice no-upstream for a minute in
-// front of upstreams that serve. A peer that is silent takes nothing back: its word
-// must outlive it, as it may have been the only one that knew.
+// Without this withdrawal, an upstream that left and restarted within seconds would get
+// no requests from this daemon until its notice expired after PeerNoticeLife, a minute
+// by default, although the peer had already seen the restart. Callers would get
+// no-upstream errors while the upstreams are serving. A peer that sends no heartbeats
+// withdraws nothing: its notice must outlive it, because it may have been the only
+// daemon to receive it.
 func (b *Board) HeardPeer(now time.Time, peer wire.NodeID, names []string) {
 	for _, name := range names {
 		b.Leaving(now, name, FromPeer)
 	}
-	before := b.peers[peer].names
+	previous := b.peers[peer].names
 	b.peers.set(now, peer, names, b.cfg.PeerNoticeLife)
-	for _, name := range before {
-		if e := b.entries[name]; e != nil && !b.peers.any(name) {
+	for _, name := range previous {
+		if e := b.entries[name]; e != nil && !b.peers.contains(name) {
 			e.notices[FromPeer] = time.Time{}
-			b.touch(e, true)
+			b.markChanged(e, true)
 		}
 	}
 }
 
-// set replaces a peer's notices and forgets those that have lapsed.
+// set replaces the notices of a peer and removes those of all peers that have expired.
 func (p peerNotices) set(now time.Time, peer wire.NodeID, names []string, life time.Duration) {
 	if len(names) == 0 {
 		delete(p, peer)
@@ -52,8 +54,8 @@
 	}
 }
 
-// any says whether some peer tells that an upstream is leaving.
-func (p peerNotices) any(name string) bool {
+// contains reports whether any peer lists the upstream as leaving.
+func (p peerNotices) contains(name string) bool {
 	for _, n := range p {
 		if slices.Contains(n.names, name) {
 			return true
--- a/board/prefix.go
+++ b/board/prefix.go
@@ -8,49 +8,57 @@
 )
 
 const (
-	// suspectShare is the share of a set that may be wrong from which on it is
-	// only half believed, and uselessShare that from which on it is cleared.
-	// A prefix is a chain, so that few wrong blocks spoil much of it.
-	suspectShare, uselessShare = 1.0 / 16, 1.0 / 4
+	// unreliableShare is the estimated share of wrong blocks at which a set counts as
+	// unreliable. At resetShare the set is emptied. The limits are low because every
+	// wrong block also affects the blocks that follow it in a prefix.
+	unreliableShare, resetShare = 1.0 / 16, 1.0 / 4
 )
 
-// prefixIndex is the prefix index of all upstreams. It implements
+// prefixIndex records which prefix blocks each upstream has cached. It implements
 // policy.PrefixIndex.
 //
-// Error. Of what events tell, each lost or not yet delivered one leaves at most
-// one block believed that is not in the replica's cache, or one in it that is
-// not believed; blocks dropped for want of memory, and sets cleared, add to the
-// second kind only. Blocks that this daemon's own prefills showed are believed
-// until an eviction is told, which reaches only daemons that read the replica's
-// events; the next prefill there shows the mistake. As a prefix is a chain,
-// one wrong block may hide or feign all that follow it. So the lost events are
-// counted: a replica's set is half believed when they are over 1/16 of it, and
-// cleared when they are over 1/4. The count fades as events renew the set.
+// Its sources are cache events, which only the upstream's steward receives, and the
+// prompts that this daemon itself sent for prefill. Each event that is lost or not yet
+// delivered causes at most one error: a block that is recorded but not cached, or
+// cached but not recorded. Blocks dropped to limit memory, and emptied sets, cause only
+// errors of the second kind. Blocks of this daemon's own prefills stay recorded until
+// an eviction event arrives, which daemons other than the steward never receive; for
+// them the next prefill of such a prompt reveals the error.
 //
-// The map is immutable. A set is replaced when a snapshot is built, so that an
-// older snapshot may see a newer set, never a set while it changes.
+// A prefix matches only up to its first missing block, so one wrong block can hide or
+// wrongly add all blocks after it. Therefore the number of wrong blocks of each set is
+// estimated, mainly from lost events. At 1/16 of the set it counts as unreliable, and
+// half of each match is ignored; at 1/4 it is emptied. The estimate decays as new
+// events replace blocks of the set.
+//
+// The map is never modified while snapshots use it. The sets are published when a
+// snapshot is built: an older snapshot may therefore see a newer set, but never one
+// that is being changed.
 type prefixIndex struct {
 	caches map[string]*replicaCache
-	// changed lists the caches whose sets are not public yet.
+	// changed lists the caches with changes that are not published yet.
 	changed []*replicaCache
-	// turn grows with each use of a set.
-	turn uint64
+	// uses counts the calls of writableCache and serves as a clock for lastUse.
+	uses uint64
 }
 
-// replicaCache is what is believed of one replica's cache.
+// replicaCache is the recorded content of one upstream's prefix cache. Snapshots read
+// only published.
 type replicaCache struct {
-	public atomic.Pointer[blockSet]
+	published atomic.Pointer[blockSet]
 
-	// The rest belongs to the board.
+	// The fields below are used by the board alone, never by snapshots.
 	set         *blockSet
 	dirty       bool
 	incarnation uint64
-	// next is the sequence number expected of the next event; 0 before the first.
+	// next is the expected sequence number of the next event; 0 before the first one.
 	next uint64
-	// lost estimates how many blocks of the set are wrong.
-	lost float64
-	// used is the index's turn when the set was last changed.
-	used uint64
+	// wrongBlocks estimates how many blocks of the set are wrong. It grows by one for
+	// each lost event and for each wrong block found by a prefill, and decays with each
+	// event applied.
+	wrongBlocks float64
+	// lastUse is the value of prefixIndex.uses when the set was last changed.
+	lastUse uint64
 }
 
 func newPrefixIndex() *prefixIndex {
@@ -63,17 +71,17 @@
 	if c == nil {
 		return 0
 	}
-	set := c.public.Load()
+	set := c.published.Load()
 	if set == nil {
 		return 0
 	}
-	return set.leading(prefix)
+	return set.countLeading(prefix)
 }
 
-// keep returns an index over the given upstreams, with a cache for each, so that
-// its map never changes while snapshots read it.
-func (x *prefixIndex) keep(entries map[string]*entry) *prefixIndex {
-	out := &prefixIndex{caches: make(map[string]*replicaCache, len(entries)), changed: x.changed, turn: x.turn}
+// forEntries returns an index with a cache for each of the given upstreams. It is a new
+// index because snapshots may still read the map of x.
+func (x *prefixIndex) forEntries(entries map[string]*entry) *prefixIndex {
+	out := &prefixIndex{caches: make(map[string]*replicaCache, len(entries)), changed: x.changed, uses: x.uses}
 	for name := range entries {
 		c := x.caches[name]
 		if c == nil {
@@ -84,26 +92,28 @@
 	return out
 }
 
-// of returns the cache of an upstream that the board knows, ready to be changed.
-func (x *prefixIndex) of(name string, cfg Config) *replicaCache {
+// writableCache returns the cache of an upstream with a set that may be changed, and
+// marks it as changed. The upstream must be in the index.
+func (x *prefixIndex) writableCache(name string, cfg Config) *replicaCache {
 	c := x.caches[name]
 	if c.set == nil {
-		x.makeRoom(cfg.PrefixSets)
+		x.evictLeastRecentlyUsed(cfg.PrefixSets)
 		c.set = newBlockSet(cfg.PrefixBlocks)
 	}
-	x.turn++
-	c.used = x.turn
+	x.uses++
+	c.lastUse = x.uses
 	c.set = c.set.writable()
-	x.mark(c)
+	x.markChanged(c)
 	return c
 }
 
-// makeRoom forgets the set used least lately when there are as many as allowed.
+// evictLeastRecentlyUsed drops the least recently changed set if the index has reached
+// its limit of sets.
 //
-// What goes wrong: a daemon that now and then sends a prompt to other data
-// centres ends up with a set for every prefill engine of the fleet. One would
-// notice its memory grow for hours, at 3,000 engines past 256 MB.
-func (x *prefixIndex) makeRoom(sets int) {
+// Without the limit, a daemon that occasionally sends a prompt to another data centre
+// would end up with a set for every prefill engine of the fleet. Its memory would grow
+// for hours, to more than 256 MB at 3,000 engines.
+func (x *prefixIndex) evictLeastRecentlyUsed(sets int) {
 	var oldest string
 	n := 0
 	for name, c := range x.caches {
@@ -111,67 +121,68 @@
 			continue
 		}
 		n++
-		if oldest == "" || c.used < x.caches[oldest].used {
+		if oldest == "" || c.lastUse < x.caches[oldest].lastUse {
 			oldest = name
 		}
 	}
 	if n >= sets {
-		x.forget(oldest)
+		x.reset(oldest)
 	}
 }
 
-func (x *prefixIndex) mark(c *replicaCache) {
+func (x *prefixIndex) markChanged(c *replicaCache) {
 	if !c.dirty {
 		c.dirty = true
 		x.changed = append(x.changed, c)
 	}
 }
 
-// forget drops what is believed of an upstream's cache.
-func (x *prefixIndex) forget(name string) {
+// reset removes all recorded blocks and the event position of an upstream.
+func (x *prefixIndex) reset(name string) {
 	if c := x.caches[name]; c != nil {
-		c.set, c.lost = nil, 0
+		c.set, c.wrongBlocks = nil, 0
 		c.next, c.incarnation = 0, 0
-		x.mark(c)
+		x.markChanged(c)
 	}
 }
 
-// publish shows the present sets to snapshots.
+// publish makes the current sets visible to snapshots.
 func (x *prefixIndex) publish() {
 	for _, c := range x.changed {
 		c.dirty = false
 		if c.set != nil {
 			c.set.frozen = true
 		}
-		c.public.Store(c.set)
+		c.published.Store(c.set)
 	}
 	x.changed = x.changed[:0]
 }
 
-// CacheEvents takes cache events of an upstream, in the order of their sequence
-// numbers, late, repeated or with gaps.
+// CacheEvents applies cache events of an upstream. They must be sorted by sequence
+// number, but may be late, repeated or incomplete.
 func (b *Board) CacheEvents(_ time.Time, upstream string, r engineapi.EventsReply) {
 	known := b.prefix.caches[upstream]
-	if known == nil || known.nothingNew(r) {
+	if known == nil || known.skipUnchanged(r) {
 		return
 	}
-	c := b.prefix.of(upstream, b.cfg)
+	c := b.prefix.writableCache(upstream, b.cfg)
 	if c.incarnation != r.Incarnation && c.incarnation != 0 {
-		b.prefix.forget(upstream)
-		c = b.prefix.of(upstream, b.cfg)
+		b.prefix.reset(upstream)
+		c = b.prefix.writableCache(upstream, b.cfg)
 	}
 	c.incarnation = r.Incarnation
 	for _, ev := range r.Events {
 		c.apply(ev)
 	}
-	c.reach(r.Next)
-	c.judge(b.cfg.PrefixBlocks)
+	c.advance(r.Next)
+	c.updateReliability(b.cfg.PrefixBlocks)
 	b.dirty = true
 }
 
-// nothingNew says that a reply tells nothing. It notes where to go on from for an
-// engine that keeps no prefixes, so that such an engine needs no set.
-func (c *replicaCache) nothingNew(r engineapi.EventsReply) bool {
+// skipUnchanged reports whether a reply contains nothing to apply. If the upstream has
+// no set, it stores the position of the next event, so that an engine without prefix
+// caching never needs a set.
+func (c *replicaCache) skipUnchanged(r engineapi.EventsReply) bool {
 	if len(r.Events) > 0 {
 		return false
 	}
@@ -182,8 +193,8 @@
 	return r.Incarnation == c.incarnation && r.Next <= c.next
 }
 
-// EventsFrom returns the sequence number from which to ask an upstream for
-// cache events.
+// EventsFrom returns the sequence number of the first cache event to request from an
+// upstream.
 func (b *Board) EventsFrom(upstream string) uint64 {
 	if c := b.prefix.caches[upstream]; c != nil {
 		return c.next
@@ -195,46 +206,48 @@
 	if ev.Seq < c.next {
 		return
 	}
-	c.reach(ev.Seq)
+	c.advance(ev.Seq)
 	c.next = ev.Seq + 1
 	if ev.Evicted {
 		c.set.evict(ev.Block)
 	} else {
 		c.set.store(ev.Block)
 	}
-	c.lost -= c.lost / float64(c.set.capacity())
+	c.wrongBlocks -= c.wrongBlocks / float64(c.set.capacity())
 }
 
-// reach moves on to seq and counts what was skipped as lost. The events before
-// the first one heard are not: nothing is believed yet that they could make wrong.
-func (c *replicaCache) reach(seq uint64) {
+// advance sets the expected sequence number to seq and counts the skipped events as
+// lost. Events before the first one received do not count: the set was empty then, so
+// they cannot have made any of it wrong.
+func (c *replicaCache) advance(seq uint64) {
 	if seq <= c.next {
 		return
 	}
 	if c.next != 0 {
-		c.lost += float64(seq - c.next)
+		c.wrongBlocks += float64(seq - c.next)
 	}
 	c.next = seq
 }
 
-// judge says how far the set is believed, by the share of it that may be wrong.
-func (c *replicaCache) judge(blocks int) {
-	wrong := c.lost / float64(max(1, c.set.count))
-	if wrong >= uselessShare {
-		c.set, c.lost = newBlockSet(blocks), 0
+// updateReliability sets or clears the set's unreliable flag, or replaces the set by an
+// empty one, depending on the estimated share of wrong blocks.
+func (c *replicaCache) updateReliability(blocks int) {
+	share := c.wrongBlocks / float64(max(1, c.set.count))
+	if share >= resetShare {
+		c.set, c.wrongBlocks = newBlockSet(blocks), 0
 		return
 	}
-	c.set.suspect = wrong >= suspectShare
+	c.set.unreliable = share >= unreliableShare
 }
 
-// observed takes a prompt that the replica has just computed, of which it held
-// cachedTokens before. What was believed beyond that was wrong; the blocks are
-// there now all the same.
-func (c *replicaCache) observed(prefix []uint64, cachedTokens, blocks int) {
+// recordPrompt adds the blocks of a prompt that the replica has just computed.
+// cachedTokens is how many of its tokens the replica had cached before; if more blocks
+// were recorded, the excess counts as wrong.
+func (c *replicaCache) recordPrompt(prefix []uint64, cachedTokens, blocks int) {
 	held := cachedTokens / engineapi.BlockTokens
-	if believed := c.set.leading(prefix); believed > held {
-		c.lost += float64(believed - held)
-		c.judge(blocks)
+	if recorded := c.set.countLeading(prefix); recorded > held {
+		c.wrongBlocks += float64(recorded - held)
+		c.updateReliability(blocks)
 	}
 	for _, block := range prefix {
 		c.set.store(block)
--- a/board/property_test.go
+++ b/board/property_test.go
@@ -10,32 +10,34 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// barred is why an upstream must not be chosen, kept beside the board.
-type barred struct {
+// exclusion holds the reasons why an upstream must not be chosen. The test tracks them
+// independently of the board.
+type exclusion struct {
 	state    bundle.UpstreamState
 	notice   bool
 	failures int
 	life     uint64
 }
 
-func (u barred) any() bool { return u.state != bundle.StateServing || u.notice || u.failures >= 3 }
+func (u exclusion) any() bool { return u.state != bundle.StateServing || u.notice || u.failures >= 3 }
 
-// TestNoPolicyPicksWhatIsBarred drives a board by any sequence of events at one
-// moment and lets every policy pick after each.
+// TestNoPolicyPicksWhatIsBarred applies random sequences of events to a board, all at
+// the same time t0, and checks after each event that no policy picks an excluded
+// upstream.
 func TestNoPolicyPicksWhatIsBarred(t *testing.T) {
 	const names = "abcd"
 	rapid.Check(t, func(t *rapid.T) {
-		h, f := NewHolderClock(New(Config{}), (&manual{t0}).clock), NewInflightClock((&manual{t0}).clock)
-		model := map[string]*barred{}
+		h, f := NewHolderClock(New(Config{}), (&manualClock{t0}).clock), NewInflightClock((&manualClock{t0}).clock)
+		exclusions := map[string]*exclusion{}
 		for _, r := range names {
-			model[string(r)] = &barred{state: bundle.StateServing, life: 1}
+			exclusions[string(r)] = &exclusion{state: bundle.StateServing, life: 1}
 		}
 		number, seq := uint64(0), uint64(0)
 		adopt := func() {
 			number++
 			v := version(number, names, func(ups map[string]bundle.Upstream) {
 				for name, u := range ups {
-					u.State = model[name].state
+					u.State = exclusions[name].state
 					ups[name] = u
 				}
 			})
@@ -45,7 +47,7 @@
 		adopt()
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			name := string(rapid.SampledFrom([]rune(names)).Draw(t, "upstream"))
-			u := model[name]
+			u := exclusions[name]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				state := rapid.SampledFrom([]bundle.UpstreamState{bundle.StateJoining, bundle.StateServing, bundle.StateLeaving}).Draw(t, "state")
@@ -54,7 +56,7 @@
 				adopt()
 			case 1:
 				u.notice = true
-				source := LeavingSource(rapid.IntRange(0, sources-1).Draw(t, "source"))
+				source := LeavingSource(rapid.IntRange(0, sourceCount-1).Draw(t, "source"))
 				h.Update(func(b *Board) { b.Leaving(t0, name, source) })
 			case 2:
 				u.failures++
@@ -68,19 +70,19 @@
 				seq++
 				h.Update(func(b *Board) { b.Report(t0, name, load(u.life, seq, 0), 0) })
 			}
-			checkPicks(t, h, f, model)
+			checkPicks(t, h, f, exclusions)
 		}
 	})
 }
 
-func checkPicks(t *rapid.T, h *Holder, f *Inflight, model map[string]*barred) {
+func checkPicks(t *rapid.T, h *Holder, f *Inflight, exclusions map[string]*exclusion) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, name := range []string{policy.NameReserve, policy.NameRoundRobin, policy.NameLeastLoaded} {
 		p, _ := policy.ByName(name)
 		for range 4 {
 			plan, err := p.PickService(h.Snapshot(), f, "s", policy.Query{Now: t0, DataCentre: "dc0"}, rng)
-			if err == nil && model[plan.Replica.Name].any() {
-				t.Fatalf("%s picks %s: %+v", name, plan.Replica.Name, *model[plan.Replica.Name])
+			if err == nil && exclusions[plan.Replica.Name].any() {
+				t.Fatalf("policy %s picked the excluded upstream %s: %+v", name, plan.Replica.Name, *exclusions[plan.Replica.Name])
 			}
 		}
 	}
--- a/board/rows.go
+++ b/board/rows.go
@@ -6,27 +6,29 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// The units and bounds of wire.BoardRow.
+// Units and limits of wire.BoardRow. rowTokenUnit is the number of tokens per unit of
+// QueuedKTok.
 const (
 	rowTokenUnit = 256
-	// rowMaxAge is the oldest load worth telling; a row could not state a larger age.
+	// rowMaxAge is the largest age of a load that is sent. A row cannot encode more
+	// than 4.08 s.
 	rowMaxAge = 4 * time.Second
 )
 
-// Rows returns what this daemon knows of the upstreams in mine, those it is
-// steward of, for its peers. Loads older than 4 s are left out.
-func (b *Board) Rows(now time.Time, mine []string) []wire.BoardRow {
+// Rows returns the rows to send to peers: the loads of the upstreams that this daemon
+// is the steward of. Loads older than 4 s are omitted.
+func (b *Board) Rows(now time.Time, stewarded []string) []wire.BoardRow {
 	if b.version == nil {
 		return nil
 	}
-	own := make(map[string]bool, len(mine))
-	for _, name := range mine {
+	own := make(map[string]bool, len(stewarded))
+	for _, name := range stewarded {
 		own[name] = true
 	}
-	rows := make([]wire.BoardRow, 0, len(mine))
+	rows := make([]wire.BoardRow, 0, len(stewarded))
 	for i, name := range b.names {
 		e := b.entries[name]
-		if !own[name] || !e.heard || i > wire.MaxBoardIndex || now.Sub(e.loadAt) > rowMaxAge {
+		if !own[name] || !e.reported || i > wire.MaxBoardIndex || now.Sub(e.loadAt) > rowMaxAge {
 			continue
 		}
 		rows = append(rows, b.row(now, e, uint16(i)))
@@ -44,7 +46,7 @@
 		LinkBusyMS:   millis16(e.linkFreeAt.Sub(now)),
 		QueuedKTok:   saturate8((e.queuedTokens + rowTokenUnit - 1) / rowTokenUnit),
 		AgeMS:        millis16(now.Sub(e.loadAt)),
-		Leaving:      e.notices.firstHand(),
+		Leaving:      e.notices.direct(),
 	}
 }
 
@@ -54,10 +56,11 @@
 	return uint16(min(max(d.Milliseconds(), 0), 1<<16-1))
 }
 
-// Apply takes rows that a peer told. The age of a load is the age that the row
-// states, plus the time the row is kept here; the time on the way, about a
-// millisecond, is not known and not counted. The newest load wins. Rows of a
-// version with other upstreams are dropped, their indexes meaning others.
+// Apply applies rows received from a peer. A load's age is the age in its row plus the
+// time since the row arrived; the network delay, about a millisecond, is unknown and
+// ignored. For each upstream the newest load wins. Rows of a bundle version with a
+// different list of upstreams are dropped, because their indexes refer to other
+// upstreams.
 func (b *Board) Apply(now time.Time, rows []wire.BoardRow) {
 	if b.version == nil {
 		return
@@ -76,7 +79,7 @@
 	if row.Leaving {
 		b.Leaving(now, e.name, FromPeer)
 	} else {
-		b.servedSince(e, at)
+		b.clearAfterRestart(e, at)
 	}
 	if !at.After(e.loadAt) {
 		return
@@ -85,6 +88,6 @@
 	e.queuedTokens = int(row.QueuedKTok) * rowTokenUnit
 	e.step = time.Duration(row.StepMS) * time.Millisecond
 	e.linkFreeAt = now.Add(time.Duration(row.LinkBusyMS) * time.Millisecond)
-	e.loadAt, e.source = at, LoadFromPeer
-	b.touch(e, false)
+	e.loadAt, e.loadSource = at, LoadFromPeer
+	b.markChanged(e, false)
 }
--- a/board/rules_test.go
+++ b/board/rules_test.go
@@ -14,11 +14,12 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// TestLeaving has a row for each way in which a notice holds or ends. Each starts
-// with upstreams a and b serving in version 1; the row says which are offered.
+// TestLeaving has a case for each way in which a leaving notice is kept or cleared.
+// Each starts with upstreams a and b serving in version 1 and checks which of them
+// snapshots list afterwards.
 func TestLeaving(t *testing.T) {
-	leaves := func(s LeavingSource) func(*Board) { return func(b *Board) { b.Leaving(t0, "a", s) } }
-	adopt := func(n uint64, edit func(map[string]bundle.Upstream)) func(*Board) {
+	notice := func(s LeavingSource) func(*Board) { return func(b *Board) { b.Leaving(t0, "a", s) } }
+	setVersion := func(n uint64, edit func(map[string]bundle.Upstream)) func(*Board) {
 		return func(b *Board) { b.SetVersion(after(time.Second), version(n, "ab", edit)) }
 	}
 	state := func(s bundle.UpstreamState) func(map[string]bundle.Upstream) {
@@ -36,7 +37,7 @@
 			b.Apply(after(at), []wire.BoardRow{{BundleNumber: 1, Index: 0, Leaving: leaving, AgeMS: 100}})
 		}
 	}
-	said := engineapi.Load{Incarnation: 1, Seq: 2, Leaving: true}
+	leavingLoad := engineapi.Load{Incarnation: 1, Seq: 2, Leaving: true}
 	rows := []struct {
 		name    string
 		steps   []func(*Board)
@@ -44,23 +45,23 @@
 		notices []string
 	}{
 		{"nobody", nil, "ab", nil},
-		{"the instance list", []func(*Board){leaves(FromInstances)}, "b", []string{"a"}},
-		{"the upstream", []func(*Board){leaves(FromUpstream)}, "b", []string{"a"}},
-		{"the upstream's load, an old one too", []func(*Board){report(load(1, 3, 0)), report(said)}, "b", []string{"a"}},
-		{"a bundle record not yet in force", []func(*Board){leaves(FromBundle)}, "b", []string{"a"}},
-		{"a peer, whose notice is not passed on", []func(*Board){leaves(FromPeer)}, "b", nil},
+		{"the instance list", []func(*Board){notice(FromInstances)}, "b", []string{"a"}},
+		{"the upstream", []func(*Board){notice(FromUpstream)}, "b", []string{"a"}},
+		{"the upstream's load, an old one too", []func(*Board){report(load(1, 3, 0)), report(leavingLoad)}, "b", []string{"a"}},
+		{"a bundle record not yet in force", []func(*Board){notice(FromBundle)}, "b", []string{"a"}},
+		{"a peer, whose notice is not passed on", []func(*Board){notice(FromPeer)}, "b", nil},
 		{"a steward's row", []func(*Board){row(time.Second, true)}, "b", nil},
-		{"the bundle in force", []func(*Board){adopt(2, state(bundle.StateLeaving))}, "b", nil},
-		{"joining", []func(*Board){adopt(2, state(bundle.StateJoining))}, "b", nil},
-		{"holds while another report says nothing", []func(*Board){report(said), report(load(1, 3, 0))}, "b", []string{"a"}},
-		{"holds in a newer version that changes something else", []func(*Board){leaves(FromInstances), adopt(2, nil)}, "b", []string{"a"}},
-		{"holds against the version in force told again", []func(*Board){leaves(FromInstances), adopt(1, state(bundle.StateServing))}, "b", []string{"a"}},
-		{"ends when the bundle takes it back", []func(*Board){leaves(FromInstances), adopt(2, state(bundle.StateLeaving)), adopt(3, nil)}, "ab", nil},
-		{"ends when it restarted", []func(*Board){report(said), report(load(2, 1, 0))}, "ab", nil},
-		{"holds against a late report of the life before", []func(*Board){report(load(1, 1, 0)), report(load(2, 1, 0)), leaves(FromUpstream), report(load(1, 9, 0))}, "b", []string{"a"}},
-		{"ends when its steward heard it serve well after", []func(*Board){leaves(FromUpstream), row(6*time.Second, false)}, "ab", nil},
-		{"holds when its steward heard it serve about then", []func(*Board){leaves(FromUpstream), row(2*time.Second, false)}, "b", []string{"a"}},
-		{"the list's notice holds against a steward's row", []func(*Board){leaves(FromInstances), row(6*time.Second, false)}, "b", []string{"a"}},
+		{"the bundle in force", []func(*Board){setVersion(2, state(bundle.StateLeaving))}, "b", nil},
+		{"joining", []func(*Board){setVersion(2, state(bundle.StateJoining))}, "b", nil},
+		{"holds while another report says nothing", []func(*Board){report(leavingLoad), report(load(1, 3, 0))}, "b", []string{"a"}},
+		{"holds in a newer version that changes something else", []func(*Board){notice(FromInstances), setVersion(2, nil)}, "b", []string{"a"}},
+		{"holds against the version in force told again", []func(*Board){notice(FromInstances), setVersion(1, state(bundle.StateServing))}, "b", []string{"a"}},
+		{"ends when the bundle takes it back", []func(*Board){notice(FromInstances), setVersion(2, state(bundle.StateLeaving)), setVersion(3, nil)}, "ab", nil},
+		{"ends when it restarted", []func(*Board){report(leavingLoad), report(load(2, 1, 0))}, "ab", nil},
+		{"holds against a late report of the life before", []func(*Board){report(load(1, 1, 0)), report(load(2, 1, 0)), notice(FromUpstream), report(load(1, 9, 0))}, "b", []string{"a"}},
+		{"ends when its steward heard it serve well after", []func(*Board){notice(FromUpstream), row(6*time.Second, false)}, "ab", nil},
+		{"holds when its steward heard it serve about then", []func(*Board){notice(FromUpstream), row(2*time.Second, false)}, "b", []string{"a"}},
+		{"the list's notice holds against a steward's row", []func(*Board){notice(FromInstances), row(6*time.Second, false)}, "b", []string{"a"}},
 	}
 	for _, r := range rows {
 		t.Run(r.name, func(t *testing.T) {
@@ -69,7 +70,7 @@
 				step(b)
 			}
 			if got := offered(b, after(10*time.Second)); got != r.want {
-				t.Errorf("offers %q, want %q", got, r.want)
+				t.Errorf("listed %q, want %q", got, r.want)
 			}
 			if d := cmp.Diff(r.notices, b.LeavingNotices()); d != "" {
 				t.Error(d)
@@ -81,12 +82,10 @@
 	}
 }
 
-// TestPeersNoticeLapses
-//
-// Symptom: an upstream stays idle on one daemon for good.
-// Sequence: a peer tells that it is leaving, it restarts, the peer sees that and
-// stops telling, this daemon sends it nothing and so never hears of the restart.
-// Cause: a notice of a peer held without end.
+// TestPeersNoticeLapses guards against an upstream that one daemon never uses again. A
+// peer reports that the upstream is leaving; the upstream restarts; the peer sees the
+// restart and stops reporting. The daemon sends the upstream no requests, so it does
+// not learn of the restart, and the peer's notice must expire.
 func TestPeersNoticeLapses(t *testing.T) {
 	b := newBoard("ab")
 	b.Leaving(t0, "a", FromPeer)
@@ -97,36 +96,34 @@
 	}
 }
 
-// TestPeersTakeNoticesBack
-//
-// Symptom: upstreams that serve get nothing for a minute after a restart.
-// Sequence: an upstream says that it is leaving and restarts; the peer that heard it
-// tells of it for a few heartbeats more and then stops.
-// Cause: a peer's last word held although the peer itself had taken it back.
+// TestPeersTakeNoticesBack guards against upstreams that get no requests for a minute
+// after a restart. An upstream announces that it is leaving and restarts; the peer that
+// received the notice repeats it for a few heartbeats and then omits it, which must
+// clear the notice before it expires.
 func TestPeersTakeNoticesBack(t *testing.T) {
 	one, next, other := wire.NodeID{Instance: "one", Incarnation: 1}, wire.NodeID{Instance: "one", Incarnation: 2}, wire.NodeID{Instance: "other", Incarnation: 1}
-	type word struct {
+	type heartbeat struct {
 		peer  wire.NodeID
 		names []string
 	}
 	for name, tc := range map[string]struct {
-		words []word
-		want  string
+		heartbeats []heartbeat
+		want       string
 	}{
-		"taken back":                    {[]word{{one, []string{"a"}}, {one, nil}}, "ab"},
-		"one of two taken back":         {[]word{{one, []string{"a", "b"}}, {one, []string{"b"}}}, "a"},
-		"another peer still says it":    {[]word{{one, []string{"a"}}, {other, []string{"a"}}, {one, nil}}, "b"},
-		"both take it back":             {[]word{{one, []string{"a"}}, {other, []string{"a"}}, {one, nil}, {other, nil}}, "ab"},
-		"a silent peer takes none back": {[]word{{one, []string{"a"}}, {other, nil}}, "b"},
-		"nor does its next life":        {[]word{{one, []string{"a"}}, {next, nil}}, "b"},
+		"taken back":                    {[]heartbeat{{one, []string{"a"}}, {one, nil}}, "ab"},
+		"one of two taken back":         {[]heartbeat{{one, []string{"a", "b"}}, {one, []string{"b"}}}, "a"},
+		"another peer still says it":    {[]heartbeat{{one, []string{"a"}}, {other, []string{"a"}}, {one, nil}}, "b"},
+		"both take it back":             {[]heartbeat{{one, []string{"a"}}, {other, []string{"a"}}, {one, nil}, {other, nil}}, "ab"},
+		"a silent peer takes none back": {[]heartbeat{{one, []string{"a"}}, {other, nil}}, "b"},
+		"nor does its next life":        {[]heartbeat{{one, []string{"a"}}, {next, nil}}, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBoard("ab")
-			for i, w := range tc.words {
-				b.HeardPeer(after(time.Duration(i)*time.Second), w.peer, w.names)
+			for i, h := range tc.heartbeats {
+				b.HeardPeer(after(time.Duration(i)*time.Second), h.peer, h.names)
 			}
 			if got := offered(b, after(10*time.Second)); got != tc.want {
-				t.Errorf("offered %q, want %q", got, tc.want)
+				t.Errorf("listed %q, want %q", got, tc.want)
 			}
 		})
 	}
@@ -148,7 +145,7 @@
 	same.Bundle.Upstreams = b.version.Bundle.Upstreams
 	same.Bundle.Pools = map[string]bundle.Pool{"d": {Role: bundle.RoleDecode, Slots: 9}}
 	b.SetVersion(after(time.Second), same)
-	if got := find(b.Snapshot(after(time.Second)), "a").Slots; got != 9 {
+	if got := findReplica(b.Snapshot(after(time.Second)), "a").Slots; got != 9 {
 		t.Errorf("%d slots after the pool changed", got)
 	}
 	pool := func(n uint64, headroom float64) *policy.Pool {
@@ -158,24 +155,22 @@
 		return b.Snapshot(after(time.Second)).Pool("d")
 	}
 	if first := pool(4, 0); pool(5, 0) != first || pool(6, 0.5) == first {
-		t.Error("a pool is built again for nothing, or keeps an old headroom")
+		t.Error("the pool is rebuilt without a change, or not rebuilt after the headroom changed")
 	}
 	if got := offered(b, after(time.Second)); got != "acd" {
-		t.Fatalf("offers %q", got)
+		t.Fatalf("listed %q, want acd", got)
 	}
 	s := b.Snapshot(after(time.Second))
-	got := []int{find(s, "a").Active, find(s, "c").Active, find(s, "d").Active}
+	got := []int{findReplica(s, "a").Active, findReplica(s, "c").Active, findReplica(s, "d").Active}
 	if d := cmp.Diff([]int{7, 0, 0}, got); d != "" || s.Number != 6 {
 		t.Errorf("version %d: %s", s.Number, d)
 	}
 }
 
-// TestEjection
-//
-// Symptom: every third request fails while one of three upstreams is broken, and
-// later, when it is back, it fails again under the load of all at once.
-// Sequence: calls fail in a row; calls go on.
-// Cause: no ejection, one that never grows, or a return at full weight.
+// TestEjection guards against three errors in outlier ejection: a broken upstream is
+// not ejected, so that one of three upstreams fails every third request; repeated
+// ejections do not get longer; or the upstream returns at full weight and fails again
+// under the load.
 func TestEjection(t *testing.T) {
 	b := newBoard("a")
 	fail := func(at time.Duration, n int) {
@@ -184,7 +179,7 @@
 		}
 	}
 	weight := func(at time.Duration) float64 {
-		if r := find(b.Snapshot(after(at)), "a"); r != nil {
+		if r := findReplica(b.Snapshot(after(at)), "a"); r != nil {
 			return math.Round(100*r.Weight) / 100
 		}
 		return 0
@@ -199,13 +194,13 @@
 		{"two failures", func() { fail(0, 2) }, 0, 1},
 		{"a success between", func() { b.Succeeded(t0, "a"); fail(0, 2) }, 0, 1},
 		{"three in a row", func() { fail(0, 1) }, 0, 0},
-		{"failures of calls under way", func() { fail(100*ms, 9) }, 499 * ms, 0},
-		{"returns slowly", nil, 500 * ms, 0.1},
-		{"a success does not end that", func() { b.Succeeded(after(time.Second), "a") }, 3000 * ms, 0.55},
+		{"failures during the ejection", func() { fail(100*ms, 9) }, 499 * ms, 0},
+		{"slow start", nil, 500 * ms, 0.1},
+		{"a success does not end the slow start", func() { b.Succeeded(after(time.Second), "a") }, 3000 * ms, 0.55},
 		{"one failure ejects for twice as long", func() { fail(3000*ms, 1) }, 3999 * ms, 0},
-		{"returns again", nil, 4000 * ms, 0.1},
-		{"well after the slow return", func() { b.Succeeded(after(10*time.Second), "a") }, 10 * time.Second, 1},
-		{"and then needs three again", func() { fail(11*time.Second, 2) }, 11 * time.Second, 1},
+		{"second slow start", nil, 4000 * ms, 0.1},
+		{"a success after the slow start", func() { b.Succeeded(after(10*time.Second), "a") }, 10 * time.Second, 1},
+		{"two failures do not eject", func() { fail(11*time.Second, 2) }, 11 * time.Second, 1},
 		{"the first ejection is short again", func() { fail(11*time.Second, 1) }, 11500 * ms, 0.1},
 	}
 	for _, s := range steps {
@@ -217,97 +212,97 @@
 		}
 	}
 	if got := ejectionTime(99, Config{}.withDefaults()); got != 30*time.Second {
-		t.Errorf("the 99th ejection lasts %v", got)
+		t.Errorf("the 99th ejection lasts %v, want 30s", got)
 	}
 	if got := b.Snapshot(after(12 * time.Second)).Pool("d").Returns(); !got.IsZero() {
-		t.Errorf("returns at %v", got)
+		t.Errorf("ejection ends at %v, want none", got)
 	}
 }
 
 func TestRowsCarryLoadsWithTheirAge(t *testing.T) {
-	told, heard := newBoard("abc"), newBoard("abc")
-	told.Report(t0, "b", engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 300, Queued: 2, QueuedTokens: 700, StepMS: 41, LinkBusyMS: 500}, 200*time.Millisecond)
-	told.Report(after(-9*time.Second), "c", load(1, 1, 5), 0)
-	rows := told.Rows(after(300*time.Millisecond), []string{"a", "b", "c"})
+	sender, receiver := newBoard("abc"), newBoard("abc")
+	sender.Report(t0, "b", engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 300, Queued: 2, QueuedTokens: 700, StepMS: 41, LinkBusyMS: 500}, 200*time.Millisecond)
+	sender.Report(after(-9*time.Second), "c", load(1, 1, 5), 0)
+	rows := sender.Rows(after(300*time.Millisecond), []string{"a", "b", "c"})
 	want := []wire.BoardRow{{BundleNumber: 1, Index: 1, Active: 255, Queued: 2, StepMS: 41, LinkBusyMS: 0, QueuedKTok: 3, AgeMS: 500}}
 	if d := cmp.Diff(want, rows); d != "" {
 		t.Fatal(d)
 	}
-	heard.Report(after(-time.Second), "b", load(1, 1, 9), 0)
-	heard.Apply(after(time.Second), rows)
-	r := find(heard.Snapshot(after(time.Second)), "b")
+	receiver.Report(after(-time.Second), "b", load(1, 1, 9), 0)
+	receiver.Apply(after(time.Second), rows)
+	r := findReplica(receiver.Snapshot(after(time.Second)), "b")
 	if r.Active != 255 || r.QueuedTokens != 768 || !r.LoadAt.Equal(after(500*time.Millisecond)) {
 		t.Errorf("%+v", r)
 	}
 	rows[0].AgeMS, rows[0].Active = 900, 1
-	heard.Apply(after(time.Second), rows)
+	receiver.Apply(after(time.Second), rows)
 	for _, other := range []wire.BoardRow{{BundleNumber: 0, Index: 1, Active: 2}, {BundleNumber: 2, Index: 1, Active: 3}, {BundleNumber: 1, Index: 3}} {
-		heard.Apply(after(2*time.Second), []wire.BoardRow{other})
+		receiver.Apply(after(2*time.Second), []wire.BoardRow{other})
 	}
-	heard.SetVersion(t0, version(2, "abc", func(ups map[string]bundle.Upstream) {
+	receiver.SetVersion(t0, version(2, "abc", func(ups map[string]bundle.Upstream) {
 		u := ups["c"]
 		u.State = bundle.StateLeaving
 		ups["c"] = u
-	})) // the same names: version 1's indexes still hold
-	heard.Apply(after(3*time.Second), []wire.BoardRow{{BundleNumber: 1, Index: 0, Active: 4}})
-	s := heard.Snapshot(after(3 * time.Second))
-	if got := []int{find(s, "a").Active, find(s, "b").Active}; !cmp.Equal(got, []int{4, 255}) {
+	})) // the same names, so the indexes of version 1 remain valid
+	receiver.Apply(after(3*time.Second), []wire.BoardRow{{BundleNumber: 1, Index: 0, Active: 4}})
+	s := receiver.Snapshot(after(3 * time.Second))
+	if got := []int{findReplica(s, "a").Active, findReplica(s, "b").Active}; !cmp.Equal(got, []int{4, 255}) {
 		t.Errorf("active %v", got)
 	}
 }
 
 func TestPrefillSpeedIsLearnedAndLapses(t *testing.T) {
 	b := newBoard("a")
-	see := func(at time.Duration, tokens, ahead int, took time.Duration) {
+	observe := func(at time.Duration, tokens, ahead int, took time.Duration) {
 		b.Observed(after(at), "a", Observation{PrefillTokens: tokens, AheadTokens: ahead, PrefillTime: took})
 	}
-	speed := func(at time.Duration) time.Duration { return find(b.Snapshot(after(at)), "a").PrefillPerToken }
-	see(0, 10, 0, time.Second) // too short to learn from
-	steps := []time.Duration{speed(0)}
-	see(0, 1000, 1000, 200*time.Millisecond)
-	steps = append(steps, speed(0))
-	see(0, 1000, 0, 300*time.Millisecond) // it waited for something unknown
-	steps = append(steps, speed(0))
-	see(0, 1000, 0, 60*time.Millisecond)
-	steps = append(steps, speed(0), speed(29*time.Second), speed(30*time.Second))
+	speed := func(at time.Duration) time.Duration { return findReplica(b.Snapshot(after(at)), "a").PrefillPerToken }
+	observe(0, 10, 0, time.Second) // below minPrefillSample
+	got := []time.Duration{speed(0)}
+	observe(0, 1000, 1000, 200*time.Millisecond)
+	got = append(got, speed(0))
+	observe(0, 1000, 0, 300*time.Millisecond) // slower sample, as after an unknown wait
+	got = append(got, speed(0))
+	observe(0, 1000, 0, 60*time.Millisecond)
+	got = append(got, speed(0), speed(29*time.Second), speed(30*time.Second))
 	const us = time.Microsecond
-	if d := cmp.Diff([]time.Duration{0, 100 * us, 120 * us, 90 * us, 90 * us, 0}, steps); d != "" {
+	if d := cmp.Diff([]time.Duration{0, 100 * us, 120 * us, 90 * us, 90 * us, 0}, got); d != "" {
 		t.Error(d)
 	}
 }
 
-// TestPrefixIndexErrsWithinItsBound drives an engine's cache and loses some of
-// its events: at most one block is believed wrongly for each lost event.
+// TestPrefixIndexErrsWithinItsBound simulates an engine's cache and drops some of its
+// events. The index may contain at most one wrong block for each lost event.
 func TestPrefixIndexErrsWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{PrefixBlocks: 64})
 		b.SetVersion(t0, version(1, "a", nil))
-		real, lost, seq := map[uint64]bool{}, 0, uint64(0)
-		var told []engineapi.CacheEvent
+		cached, lost, seq := map[uint64]bool{}, 0, uint64(0)
+		var delivered []engineapi.CacheEvent
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			seq++
 			block := rapid.Uint64Range(1, 40).Draw(t, "block")
-			real[block] = !real[block]
+			cached[block] = !cached[block]
 			if seq > 1 && rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
 				lost++
 				continue
 			}
-			ev := engineapi.CacheEvent{Seq: seq, Block: block, Evicted: !real[block]}
-			told = append(told, ev)
-			again := rapid.SampledFrom(told).Draw(t, "again")
-			b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: seq + 1, Events: []engineapi.CacheEvent{ev, again}})
+			ev := engineapi.CacheEvent{Seq: seq, Block: block, Evicted: !cached[block]}
+			delivered = append(delivered, ev)
+			repeated := rapid.SampledFrom(delivered).Draw(t, "again")
+			b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: seq + 1, Events: []engineapi.CacheEvent{ev, repeated}})
 		}
 		set, wrong := b.prefix.caches["a"].set, 0
 		for block := range uint64(41) {
-			if set.has(block) && !real[block] {
+			if set.contains(block) && !cached[block] {
 				wrong++
 			}
 		}
 		if wrong > lost {
-			t.Fatalf("%d blocks wrongly believed after %d lost events", wrong, lost)
+			t.Fatalf("%d wrong blocks after %d lost events", wrong, lost)
 		}
-		if lost == 0 && set.suspect {
-			t.Fatal("suspect without a gap")
+		if lost == 0 && set.unreliable {
+			t.Fatal("unreliable without a lost event")
 		}
 	})
 }
@@ -327,7 +322,7 @@
 	b := newBoard("a")
 	b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: 900})
 	if b.EventsFrom("a") != 900 || b.prefix.caches["a"].set != nil {
-		t.Error("a reply without events takes memory, or is forgotten")
+		t.Error("a reply without events allocates a set, or its position is not stored")
 	}
 	old := b.Snapshot(t0)
 	steps := []struct {
@@ -335,19 +330,19 @@
 		do   func()
 		want int
 	}{
-		{"nothing heard", func() {}, 0},
+		{"no events", func() {}, 0},
 		{"first events", func() { b.CacheEvents(t0, "a", store(1, 900, 0)) }, 32},
-		{"told again", func() { b.CacheEvents(t0, "a", store(1, 900, 0)) }, 32},
-		{"an old one told again", func() {
+		{"repeated events", func() { b.CacheEvents(t0, "a", store(1, 900, 0)) }, 32},
+		{"a late eviction", func() {
 			b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: 932, Events: []engineapi.CacheEvent{{Seq: 900, Block: 1, Evicted: true}}})
 		}, 32},
 		{"one event of 32 lost", func() { b.CacheEvents(t0, "a", store(1, 932, 1)) }, 32},
 		{"four lost", func() { b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: 968}) }, 16},
-		{"a prompt was cached as believed", func() {
+		{"a prompt was cached as recorded", func() {
 			b.Observed(t0, "a", Observation{Prefix: prefix[:20], CachedTokens: 20 * engineapi.BlockTokens})
 		}, 16},
-		{"a prompt was not", func() { b.Observed(t0, "a", Observation{Prefix: prefix[:20]}) }, 20},
-		{"it restarted", func() { b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 2, Next: 9}) }, 0},
+		{"a prompt was not cached", func() { b.Observed(t0, "a", Observation{Prefix: prefix[:20]}) }, 20},
+		{"the engine restarted", func() { b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 2, Next: 9}) }, 0},
 	}
 	for _, s := range steps {
 		s.do()
@@ -358,16 +353,15 @@
 	shown := b.Snapshot(t0)
 	b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 2, Next: 10, Events: []engineapi.CacheEvent{{Seq: 9, Block: 1}}})
 	if got := shown.Prefix.CachedBlocks("a", prefix); got != 0 {
-		t.Errorf("a snapshot sees a change that is not published: %d blocks", got)
+		t.Errorf("an existing snapshot shows an unpublished change: %d blocks", got)
 	}
 	if got := b.EventsFrom("a"); got != 10 || old.Prefix.CachedBlocks("x", prefix) != 0 {
-		t.Errorf("asks from %d", got)
+		t.Errorf("next event is %d, want 10, or blocks of an unknown upstream are cached", got)
 	}
 }
 
-// Symptom: a daemon's memory grows for hours, past its budget.
-// Sequence: now and then a prompt goes to one more engine.
-// Cause: each engine that ever got one has a set of its own.
+// Guards against unbounded memory growth over hours: when prompts occasionally go to
+// further engines, each engine that ever got one would keep a prefix set.
 func TestPrefixSetsAreBounded(t *testing.T) {
 	b := newBoard("abcdefgh")
 	b.cfg.PrefixSets = 3
@@ -382,15 +376,14 @@
 		}
 	}
 	if kept != "aef" {
-		t.Errorf("sets are kept of %q, want those used last, aef", kept)
+		t.Errorf("sets kept for %q, want the most recently used, aef", kept)
 	}
 }
 
-// Symptom: in a cut every request of the cut-off daemons is late for seconds although
-// the engines of the own data centre are idle.
-// Sequence: one upstream of a data centre after the other gives no sign of life, each
-// to another request, which waits for its timeout.
-// Cause: each had to fail several times by itself to be left out.
+// Guards against slow requests when a data centre becomes unreachable. If each of its
+// upstreams has to fail several times before it is ejected, every request waits for the
+// timeout of one upstream after the other, for seconds in all, although the engines of
+// the daemon's own data centre are idle.
 func TestSilentUpstreamsAreEjected(t *testing.T) {
 	offeredAt := func(b *Board, at time.Duration) string { return offered(b, after(at)) }
 	for _, tc := range []struct {
@@ -399,36 +392,36 @@
 		do   func(*Board)
 		want string
 	}{
-		{"not where the setting is off", Config{}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "abcd"},
-		{"one alone", Config{EjectUnanswered: true}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "bcd"},
-		{"two of a data centre take the rest with them", Config{EjectUnanswered: true}, func(b *Board) {
+		{"setting off", Config{}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "abcd"},
+		{"one unanswered", Config{EjectUnanswered: true}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "bcd"},
+		{"two of a data centre: all of it is ejected", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Unanswered(after(0), "a", false)
 			b.Unanswered(after(0), "b", false)
 		}, "d"},
-		{"not in the own data centre", Config{EjectUnanswered: true, DataCentre: "far"}, func(b *Board) {
+		{"two in the daemon's own data centre", Config{EjectUnanswered: true, DataCentre: "far"}, func(b *Board) {
 			b.Unanswered(after(0), "a", false)
 			b.Unanswered(after(0), "b", false)
 		}, "cd"},
-		{"two whose hosts refuse do not", Config{EjectUnanswered: true}, func(b *Board) {
+		{"two whose hosts refuse the connection", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Unanswered(after(0), "a", true)
 			b.Unanswered(after(0), "b", true)
 		}, "cd"},
-		{"two do not while a third answers", Config{EjectUnanswered: true}, func(b *Board) {
+		{"two while a third answers", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Unanswered(after(0), "a", false)
 			b.Succeeded(after(100*time.Millisecond), "c")
 			b.Unanswered(after(200*time.Millisecond), "b", false)
 		}, "cd"},
-		{"two do when the last answer is from before", Config{EjectUnanswered: true}, func(b *Board) {
+		{"two after the last answer of a third", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Succeeded(after(0), "c")
 			b.Unanswered(after(100*time.Millisecond), "a", false)
 			b.Unanswered(after(200*time.Millisecond), "b", false)
 		}, "d"},
-		{"an answer brings the rest back", Config{EjectUnanswered: true}, func(b *Board) {
+		{"an answer ends the ejection of the others", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Unanswered(after(0), "a", false)
 			b.Unanswered(after(0), "b", false)
 			b.Answered(after(0), "a")
 		}, "cd"},
-		{"one that spoke since counts no more", Config{EjectUnanswered: true}, func(b *Board) {
+		{"one that has answered since does not count", Config{EjectUnanswered: true}, func(b *Board) {
 			b.Unanswered(after(0), "a", false)
 			b.Answered(after(0), "a")
 			b.Unanswered(after(0), "b", false)
@@ -446,10 +439,10 @@
 		}))
 		tc.do(b)
 		if got := offeredAt(b, 210*time.Millisecond); got != tc.want {
-			t.Errorf("%s: offers %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: listed %q, want %q", tc.name, got, tc.want)
 		}
 		if got := offeredAt(b, time.Minute); got != "abcd" {
-			t.Errorf("%s: offers %q a minute later", tc.name, got)
+			t.Errorf("%s: listed %q a minute later, want all", tc.name, got)
 		}
 	}
 }
--- a/board/silence.go
+++ b/board/silence.go
@@ -3,103 +3,113 @@
 import "time"
 
 const (
-	// silentMembers is how many upstreams of a data centre have to be silent for the
-	// whole of it to be taken as cut off. One alone may have crashed.
-	silentMembers = 2
-	// silentSpan is how long none of them may have answered for that: about as long as
-	// an answer is waited for that is due at once. Where an upstream answered later
-	// than a silent one was asked, there is no cut.
-	silentSpan = 150 * time.Millisecond
-	// silentMemory is how long a silence counts: an upstream that crashed a while ago
-	// tells nothing of a cut now. It is a few times as long as a busy daemon takes to
-	// ask two of one data centre.
-	silentMemory = 2 * time.Second
+	// minUnanswered is the number of upstreams of a data centre that must have failed
+	// to answer for the data centre to be considered unreachable. A single one may have
+	// crashed.
+	minUnanswered = 2
+	// noAnswerWindow is how long none of a data centre's upstreams may have answered
+	// for it to be considered unreachable. It is about the timeout for answers that
+	// should come immediately. So an answer within the window came after the unanswered
+	// call had started, and shows that the data centre is reachable.
+	noAnswerWindow = 150 * time.Millisecond
+	// unansweredWindow is how long a missing answer counts. An older one may be due to
+	// a crash and says nothing about the network now. The window is a few times as long
+	// as a busy daemon takes to call two upstreams of the same data centre.
+	unansweredWindow = 2 * time.Second
 )
 
-// Unanswered takes that an upstream did not answer where an answer is due at once: no
-// connection, or no word on a reservation. Where Config.EjectUnanswered is set, one such
-// failure ejects it. reached says that its host refused the connection.
+// Unanswered records that an upstream did not answer a call that needs an immediate
+// answer: a connection could not be opened, or a reservation got no reply. With
+// Config.EjectUnanswered, a single such failure ejects the upstream. hostReached says
+// that the upstream's host refused the connection, which shows that the host is
+// reachable.
 //
-// What goes wrong: a data centre is cut off, and each request tries its upstreams one
-// after the other, with a timeout each. One would notice all requests late for
-// seconds although the upstreams of the own data centre are idle.
-func (b *Board) Unanswered(now time.Time, upstream string, reached bool) {
+// Without EjectUnanswered, when a data centre becomes unreachable, each request tries
+// its upstreams one after the other and waits for a timeout each time. All requests are
+// then late for seconds although the upstreams of the daemon's own data centre are
+// idle.
+func (b *Board) Unanswered(now time.Time, upstream string, hostReached bool) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
 	}
-	if b.cfg.EjectUnanswered && !now.Before(e.health.notBefore) {
+	if b.cfg.EjectUnanswered && !now.Before(e.health.ejectedUntil) {
 		e.health.failures = b.cfg.FailureThreshold - 1
 	}
-	if reached {
-		b.answered(now, e)
+	if hostReached {
+		b.markAnswered(now, e)
 	} else {
-		e.silent = now
+		e.unansweredAt = now
 	}
-	if e.health.failed(now, b.cfg) {
-		b.touch(e, true)
-		b.ejectSilent(now, e)
+	if e.health.recordFailure(now, b.cfg) {
+		b.markChanged(e, true)
+		b.ejectDataCentre(now, e)
 	}
 }
 
-// Answered takes a sign of life of an upstream.
+// Answered records that an upstream has answered, if only with a refusal.
 func (b *Board) Answered(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil {
-		b.answered(now, e)
+		b.markAnswered(now, e)
 	}
 }
 
-// answered notes a sign of life. One that comes from a data centre which was taken as
-// cut off brings back those that were ejected for that alone.
-func (b *Board) answered(now time.Time, e *entry) {
-	e.silent, e.answered = time.Time{}, now
-	if !b.cutOff[e.spec.DataCentre] {
+// markAnswered records an answer. If the upstream's data centre was considered
+// unreachable, it is reachable again, and the upstreams that were ejected only for that
+// reason may take requests again.
+func (b *Board) markAnswered(now time.Time, e *entry) {
+	e.unansweredAt, e.answeredAt = time.Time{}, now
+	if !b.unreachableDCs[e.spec.DataCentre] {
 		return
 	}
-	delete(b.cutOff, e.spec.DataCentre)
+	delete(b.unreachableDCs, e.spec.DataCentre)
 	for _, o := range b.entries {
-		if o.cutOff && o.spec.DataCentre == e.spec.DataCentre {
-			o.cutOff = false
+		if o.ejectedWithDC && o.spec.DataCentre == e.spec.DataCentre {
+			o.ejectedWithDC = false
 			o.health.eject(now)
-			b.touch(o, true)
+			b.markChanged(o, true)
 		}
 	}
 }
 
-// ejectSilent ejects the upstreams of a data centre together with e when others of it
-// are silent as well: each would cost one more request its timeout to find out.
+// ejectDataCentre ejects all upstreams of e's data centre until the end of e's ejection
+// if the data centre is considered unreachable. Otherwise each of them would cost one
+// more request its timeout.
 //
-// What goes wrong without the look at who answered: a quarter of the engines crash, of
-// each data centre a few, and every upstream of the fleet is ejected, plain services
-// too. One would notice no-upstream in front of replicas that are well.
-func (b *Board) ejectSilent(now time.Time, e *entry) {
+// The check for recent answers in dataCentreUnreachable is needed for crashes across
+// the fleet. If a quarter of the engines crash, a few in each data centre, every
+// upstream of the fleet, including plain services, would be ejected without it, and
+// callers would get no-upstream errors although most replicas work.
+func (b *Board) ejectDataCentre(now time.Time, e *entry) {
 	dc := e.spec.DataCentre
-	if !b.cfg.EjectUnanswered || dc == b.cfg.DataCentre || !b.cut(now, dc) {
+	if !b.cfg.EjectUnanswered || dc == b.cfg.DataCentre || !b.dataCentreUnreachable(now, dc) {
 		return
 	}
-	b.cutOff[dc] = true
+	b.unreachableDCs[dc] = true
 	for _, o := range b.entries {
-		if o.spec.DataCentre == dc && o.health.notBefore.Before(e.health.notBefore) {
-			o.cutOff = true
-			o.health.eject(e.health.notBefore)
-			b.touch(o, true)
+		if o.spec.DataCentre == dc && o.health.ejectedUntil.Before(e.health.ejectedUntil) {
+			o.ejectedWithDC = true
+			o.health.eject(e.health.ejectedUntil)
+			b.markChanged(o, true)
 		}
 	}
 }
 
-// cut says whether a data centre is to be taken as cut off.
-func (b *Board) cut(now time.Time, dc string) bool {
-	silent := 0
+// dataCentreUnreachable reports whether a data centre is considered unreachable: at
+// least minUnanswered of its upstreams have recently failed to answer, and none has
+// answered within noAnswerWindow.
+func (b *Board) dataCentreUnreachable(now time.Time, dc string) bool {
+	unanswered := 0
 	for _, o := range b.entries {
 		if o.spec.DataCentre != dc {
 			continue
 		}
-		if !o.silent.IsZero() && now.Sub(o.silent) < silentMemory {
-			silent++
+		if !o.unansweredAt.IsZero() && now.Sub(o.unansweredAt) < unansweredWindow {
+			unanswered++
 		}
-		if !o.answered.IsZero() && now.Sub(o.answered) < silentSpan {
+		if !o.answeredAt.IsZero() && now.Sub(o.answeredAt) < noAnswerWindow {
 			return false
 		}
 	}
-	return silent >= silentMembers
+	return unanswered >= minUnanswered
 }
--- a/board/status.go
+++ b/board/status.go
@@ -6,44 +6,46 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// HealthState is what a daemon makes of an upstream's calls.
+// HealthState is the state of an upstream's outlier ejection.
 type HealthState string
 
-// The health states.
+// The health states. HealthReturning is the slow start after an ejection or a restart.
 const (
 	HealthOK        HealthState = "ok"
 	HealthEjected   HealthState = "ejected"
 	HealthReturning HealthState = "returning"
 )
 
-// LoadSource says who told the last known load of an upstream.
+// LoadSource is the origin of the last load of an upstream.
 type LoadSource string
 
-// The load sources. LoadFromUpstream covers loads carried by answers and loads
-// that this daemon polled as steward.
+// The load sources. LoadFromUpstream covers loads that came with answers and those that
+// this daemon polled as the upstream's steward.
 const (
 	LoadUnknown      LoadSource = ""
 	LoadFromUpstream LoadSource = "upstream"
 	LoadFromPeer     LoadSource = "peer"
 )
 
-// Status is one upstream as operators see it.
+// Status is the state of one upstream as shown to operators.
 type Status struct {
 	Name string
 	Spec bundle.Upstream
-	// Leaving says that it gets no new work because of a notice from Source, the
-	// one that told first, or because of the bundle's own state.
+	// Leaving says that the upstream gets no new requests, because of a notice or of
+	// its state in the bundle. Source is the origin of the oldest notice, or FromBundle
+	// if the state is the reason.
 	Leaving bool
 	Source  LeavingSource
 	Health  HealthState
-	// Slots, Active and Queued are its last known load, LoadAge and LoadSource
-	// its age and who told it.
+	// Slots, Active and Queued are the last reported load, LoadAge its age and
+	// LoadSource its origin.
 	Slots, Active, Queued int
 	LoadAge               time.Duration
 	LoadSource            LoadSource
 }
 
-// Upstreams returns the state of every upstream of the bundle in force, by name.
+// Upstreams returns the status of every upstream of the bundle in force, sorted by
+// name.
 func (b *Board) Upstreams(now time.Time) []Status {
 	out := make([]Status, 0, len(b.names))
 	for _, name := range b.names {
@@ -60,23 +62,23 @@
 		Slots:      e.slotCount(),
 		Active:     e.active,
 		Queued:     e.queued,
-		LoadSource: e.source,
+		LoadSource: e.loadSource,
 	}
-	if e.source != LoadUnknown {
+	if e.loadSource != LoadUnknown {
 		s.LoadAge = max(0, now.Sub(e.loadAt))
 	}
 	e.expireNotices(now, cfg)
-	s.Source, s.Leaving = e.notices.first()
+	s.Source, s.Leaving = e.notices.earliest()
 	if e.spec.State == bundle.StateLeaving {
 		s.Source, s.Leaving = FromBundle, true
 	}
 	return s
 }
 
-// state returns the health for operators.
+// state returns the health state shown to operators.
 func (h *health) state(now time.Time, cfg Config) HealthState {
 	switch {
-	case now.Before(h.notBefore):
+	case now.Before(h.ejectedUntil):
 		return HealthEjected
 	case h.weight(now, cfg) < 1:
 		return HealthReturning
