--- a/estimate/distribution.go
+++ b/estimate/distribution.go
@@ -6,23 +6,26 @@
 )
 
 const (
-	// binsPerOctave divides each factor of two; a bin is a fifth wide, and its middle
-	// within a tenth of all in it.
+	// binsPerOctave is the number of histogram bins for each factor of two. A bin is
+	// then a fifth of its value wide, and every value in it is within a tenth of the
+	// bin's middle.
 	binsPerOctave = 4
-	// octaves is how far below and above its unit a distribution tells values apart.
+	// octaves is the number of factors of two below and above 1 that the histogram
+	// covers. Values outside count in the first or last bin.
 	octaves = 10
 	bins    = 2*octaves*binsPerOctave + 1
-	// fade is what older samples keep of their weight with each new one: the last two
-	// hundred or so count, so that a new mix is followed within its first hundreds.
-	fade = 0.995
-	// fewestDrawn is the number of samples from which on a distribution is known: a
-	// tenth of them then are two or three.
-	fewestDrawn = 24
+	// decay is the factor by which the weight of earlier samples shrinks with each new
+	// sample. The last two hundred or so samples count, so that the histogram adapts to
+	// a new mix of requests within a few hundred.
+	decay = 0.995
+	// minDistributionSamples is the number of samples needed before a distribution is
+	// used. Even the 0.1 quantile then rests on two or three samples.
+	minDistributionSamples = 24
 )
 
-// distribution is the distribution of a positive quantity, in units that its user
-// chooses, over the logarithm. The zero value knows nothing. It is not safe for
-// concurrent use.
+// distribution is a histogram of a positive quantity with logarithmic bins and
+// exponential decay. The caller chooses the unit. The zero value has no samples. It is
+// not safe for concurrent use.
 type distribution struct {
 	bins    [bins]float64
 	weight  float64
@@ -32,38 +35,38 @@
 
 func (d *distribution) add(now time.Time, v float64) {
 	for i := range d.bins {
-		d.bins[i] *= fade
+		d.bins[i] *= decay
 	}
-	d.weight = d.weight*fade + 1
-	d.bins[binOf(v)]++
+	d.weight = d.weight*decay + 1
+	d.bins[binIndex(v)]++
 	d.samples++
 	d.at = now
 }
 
-func binOf(v float64) int {
+func binIndex(v float64) int {
 	i := int(math.Round((math.Log2(v) + octaves) * binsPerOctave))
 	return min(max(i, 0), bins-1)
 }
 
-// valueOf returns the middle of a bin.
-func valueOf(bin int) float64 { return math.Exp2(float64(bin)/binsPerOctave - octaves) }
+// binValue returns the middle of a bin on the logarithmic scale.
+func binValue(bin int) float64 { return math.Exp2(float64(bin)/binsPerOctave - octaves) }
 
-// quantile returns the value under which the share q of the weight lies.
+// quantile returns the middle of the bin that contains the quantile q (0 to 1).
 func (d *distribution) quantile(q float64) float64 {
 	sum := 0.0
 	for i, w := range d.bins {
 		sum += w
 		if sum >= q*d.weight && sum > 0 {
-			return valueOf(i)
+			return binValue(i)
 		}
 	}
-	return valueOf(bins - 1)
+	return binValue(bins - 1)
 }
 
 func (d *distribution) mean() float64 {
 	sum := 0.0
 	for i, w := range d.bins {
-		sum += w * valueOf(i)
+		sum += w * binValue(i)
 	}
 	return sum / d.weight
 }
--- a/estimate/mean.go
+++ b/estimate/mean.go
@@ -1,71 +1,76 @@
-// Package estimate learns what upstreams and answers are like from what passes:
-// times per token, lengths of answers, memory over the coming seconds. Everything in
-// it is a plain type: samples and the time go in, an estimate with the number and age
-// of its samples comes out. It opens no socket, reads no clock and starts no goroutine.
+// Package estimate estimates properties of engines and requests from observed calls:
+// times per token and lengths of answers. Its types take samples together with the
+// current time and return an estimate with the number of its samples and the time of
+// the last one. The package does no I/O, reads no clock and starts no goroutine.
 //
-// Nothing here begins with a figure. A quantity without enough samples is not known,
-// and whoever decides may order or size work by a guess of its own then, but refuse
-// nothing by it.
+// There are no initial values: without enough samples a quantity is unknown. Callers
+// may then use a default to order or size requests, but must not refuse any because of
+// it.
 package estimate
 
 import "time"
 
 const (
-	// fewest is the number of samples from which on a mean is known. Three tell a
-	// sample that is far off from the other two.
-	fewest = 3
-	// leastWeight is the least part of a new sample in a mean: the last twenty or so
-	// count, a few seconds of one engine at the users' rates.
-	leastWeight = 0.05
-	// outlier is how many times more or less than the mean a sample may count.
-	outlier = 1.5
-	// shift is how many samples in a row, all far off on the same side, are taken for a
-	// change of the quantity itself. One odd call among others has neighbours that are
-	// not.
-	shift = 5
-	// life is how long a mean holds without a sample. One that is too high may keep
-	// away all that could correct it, so it must lapse.
-	life = 30 * time.Second
+	// minMeanSamples is the number of samples needed before a mean is used. With three,
+	// one outlier can be told from the other two samples.
+	minMeanSamples = 3
+	// minSampleWeight is the least weight of a new sample in the mean. The last twenty
+	// or so samples count, which one engine produces in a few seconds at the expected
+	// request rates.
+	minSampleWeight = 0.05
+	// outlierFactor limits the effect of an outlier: a sample counts as at most this
+	// many times the mean, and at least the mean divided by it.
+	outlierFactor = 1.5
+	// shiftSamples is the number of consecutive outliers on the same side that are
+	// taken as a change of the quantity itself. Isolated outliers are followed by
+	// normal samples.
+	shiftSamples = 5
+	// lifetime is how long an estimate remains valid after its last sample. While an
+	// estimate is too high, admission control may refuse the requests that would
+	// correct it, so it must expire.
+	lifetime = 30 * time.Second
 )
 
-// Mean is the mean of a positive quantity that may change at any time. Single samples
-// that are far off move it little; several of them in a row begin it anew. The zero
-// value knows nothing. It is not safe for concurrent use.
+// Mean is a moving mean of a positive quantity that may change at any time. Isolated
+// outliers have little effect; several in a row restart the mean from their values. The
+// zero value has no samples. It is not safe for concurrent use.
 type Mean struct {
 	value   float64
 	samples int
 	at      time.Time
-	// far counts the samples in a row that were too large, negative ones too small, and
-	// run is their mean.
-	far int
-	run float64
+	// outlierRun is the number of consecutive outliers, positive if they are above the
+	// mean and negative if below. outlierMean is the mean of these outliers.
+	outlierRun  int
+	outlierMean float64
 }
 
-// Add takes a sample; one that is not positive is ignored.
+// Add adds a sample. Samples that are not positive are ignored.
 func (m *Mean) Add(now time.Time, v float64) {
 	if v <= 0 {
 		return
 	}
-	if m.lapsed(now) {
+	if m.expired(now) {
 		*m = Mean{}
 	}
 	m.at = now
 	m.samples++
-	if m.samples <= fewest {
+	if m.samples <= minMeanSamples {
 		m.value += (v - m.value) / float64(m.samples)
 		return
 	}
-	low, high := m.value/outlier, m.value*outlier
-	if m.shifted(v, low, high) {
-		m.value, m.samples, m.far = m.run, fewest, 0
+	low, high := m.value/outlierFactor, m.value*outlierFactor
+	if m.detectShift(v, low, high) {
+		m.value, m.samples, m.outlierRun = m.outlierMean, minMeanSamples, 0
 		return
 	}
-	weight := max(1/float64(m.samples), leastWeight)
+	weight := max(1/float64(m.samples), minSampleWeight)
 	m.value += weight * (min(max(v, low), high) - m.value)
 }
 
-// shifted notes a sample's side and says whether enough in a row were far off.
-func (m *Mean) shifted(v, low, high float64) bool {
+// detectShift updates the run of consecutive outliers with a sample and reports whether
+// the run is long enough to restart the mean. Samples between low and high are not
+// outliers.
+func (m *Mean) detectShift(v, low, high float64) bool {
 	side := 0
 	switch {
 	case v > high:
@@ -73,38 +78,39 @@
 	case v < low:
 		side = -1
 	}
-	if side == 0 || side*m.far < 0 {
-		m.far = 0
+	if side == 0 || side*m.outlierRun < 0 {
+		m.outlierRun = 0
 	}
 	if side == 0 {
 		return false
 	}
-	m.far += side
-	n := float64(max(m.far, -m.far))
+	m.outlierRun += side
+	n := float64(max(m.outlierRun, -m.outlierRun))
 	if n == 1 {
-		m.run = 0
+		m.outlierMean = 0
 	}
-	m.run += (v - m.run) / n
-	return n >= shift
+	m.outlierMean += (v - m.outlierMean) / n
+	return n >= shiftSamples
 }
 
-func (m *Mean) lapsed(now time.Time) bool {
-	return m.samples > 0 && now.Sub(m.at) >= life
+func (m *Mean) expired(now time.Time) bool {
+	return m.samples > 0 && now.Sub(m.at) >= lifetime
 }
 
-// Value returns the mean, or false while too few samples are known or the last one is
-// too old.
+// Value returns the mean. It returns false while there are too few samples or if the
+// last one is too old.
 func (m *Mean) Value(now time.Time) (float64, bool) {
-	return m.value, m.samples >= fewest && !m.lapsed(now)
+	return m.value, m.samples >= minMeanSamples && !m.expired(now)
 }
 
-// Samples returns how many samples the mean rests on, and the time of the last one.
+// Samples returns the number of samples in the mean, and the time of the last one.
 func (m *Mean) Samples() (int, time.Time) { return m.samples, m.at }
 
-// Lapses returns when the mean lapses without a further sample; zero when it has none.
+// Lapses returns when the mean expires if no further sample is added; zero if it has no
+// samples.
 func (m *Mean) Lapses() time.Time {
 	if m.samples == 0 {
 		return time.Time{}
 	}
-	return m.at.Add(life)
+	return m.at.Add(lifetime)
 }
--- a/estimate/sample.go
+++ b/estimate/sample.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Sample is what one completion, or one prefill alone, has shown. Daemons that each see
-// few of them pass them on to each other. Fields that are 0 were not seen.
+// Sample holds the measurements of one completion, or of one prefill call alone.
+// Daemons exchange samples because each of them sees only few. A field that was not
+// measured is 0.
 type Sample struct {
 	Model string
-	// PromptTokens, ExpectedTokens and AnswerTokens are the length of a prompt, the length
-	// of its answer that was expected, and its true one.
+	// PromptTokens is the length of the prompt, ExpectedTokens the expected length of
+	// the answer and AnswerTokens its actual length.
 	PromptTokens, ExpectedTokens, AnswerTokens int
-	// Held is how long a decode engine worked on it.
+	// Held is how long a decode engine was occupied by the request.
 	Held time.Duration
-	// PerToken is the mean time between two tokens of the answer, and ReadPerToken the
-	// time in which a prefill engine read one token of the prompt.
+	// PerToken is the mean time between two tokens of the answer, ReadPerToken the
+	// prefill time per prompt token.
 	PerToken, ReadPerToken time.Duration
-	// ReadLost says that a prefill was given up at its bound.
+	// ReadLost says that a prefill was abandoned because it exceeded its time limit.
 	ReadLost bool
 }
--- a/estimate/speed.go
+++ b/estimate/speed.go
@@ -3,56 +3,59 @@
 import "time"
 
 const (
-	// quick is the share of calls that are taken to have found their engine idle. A
-	// call that waited in a queue nobody told of looks slow; one whose work was kept
-	// from an earlier call looks quick; a tenth is past the second kind, which is rare.
-	// With a quarter, a burst doubled the learned cost of a prompt and moved two engines
-	// of fourteen to prefill that nobody needed there.
-	quick = 0.1
-	// fewestTimed is the number of calls from which on a speed is known: one of them then
-	// is quick even where most wait.
-	fewestTimed = 12
+	// fastQuantile is the quantile of the call times that is used as the engine's
+	// speed. Calls that waited in a queue unknown to this daemon look slow. A few look
+	// too fast because part of their result was cached by an earlier call; these are
+	// rarer than a tenth of all. With a quarter, a burst doubled the estimated cost of
+	// a prompt, and two of fourteen engines were moved to prefill without need.
+	fastQuantile = 0.1
+	// minSpeedSamples is the number of calls needed before a speed is used. At least
+	// one of them is then likely to have found the engine idle, even if most wait.
+	minSpeedSamples = 12
 )
 
-// Speed learns how long an engine takes for one unit of work, from calls of which some
-// waited in a queue. The zero value knows nothing. It is not safe for concurrent use.
+// Speed estimates how long an engine takes for one unit of work, from calls some of
+// which waited in a queue. The zero value has no samples. It is not safe for concurrent
+// use.
 //
-// Load pattern: bursts, in which most calls wait for the ones before. Their mean would
-// take the engine for slow because it is busy, and move others to help it that help
-// nobody.
-type Speed struct{ calls distribution }
+// It is meant for bursts, in which most calls wait for earlier ones. With the mean of
+// all calls, a busy engine would look slow, and other engines would be assigned to its
+// role without need.
+type Speed struct{ durations distribution }
 
-// Add takes a call's time for one unit of work.
+// Add adds a call, given its time per unit of work. Times that are not positive are
+// ignored.
 func (s *Speed) Add(now time.Time, perUnit time.Duration) {
 	if perUnit <= 0 {
 		return
 	}
-	if s.lapsed(now) {
+	if s.expired(now) {
 		*s = Speed{}
 	}
-	s.calls.add(now, perUnit.Seconds()/time.Microsecond.Seconds())
+	s.durations.add(now, perUnit.Seconds()/time.Microsecond.Seconds())
 }
 
-func (s *Speed) lapsed(now time.Time) bool {
-	return s.calls.samples > 0 && now.Sub(s.calls.at) >= life
+func (s *Speed) expired(now time.Time) bool {
+	return s.durations.samples > 0 && now.Sub(s.durations.at) >= lifetime
 }
 
-// Value returns the time for one unit, or false while too few calls are known or the
-// last one is too old.
+// Value returns the time for one unit of work. It returns false while there are too few
+// calls or if the last one is too old.
 func (s *Speed) Value(now time.Time) (time.Duration, bool) {
-	if s.calls.samples < fewestTimed || s.lapsed(now) {
+	if s.durations.samples < minSpeedSamples || s.expired(now) {
 		return 0, false
 	}
-	return time.Duration(s.calls.quantile(quick) * float64(time.Microsecond)), true
+	return time.Duration(s.durations.quantile(fastQuantile) * float64(time.Microsecond)), true
 }
 
-// Samples returns how many calls the speed rests on, and the time of the last one.
-func (s *Speed) Samples() (int, time.Time) { return s.calls.samples, s.calls.at }
+// Samples returns the number of calls seen, and the time of the last one.
+func (s *Speed) Samples() (int, time.Time) { return s.durations.samples, s.durations.at }
 
-// Lapses returns when the speed lapses without a further call; zero when it has none.
+// Lapses returns when the speed expires if no further call is added; zero if there are
+// none.
 func (s *Speed) Lapses() time.Time {
-	if s.calls.samples == 0 {
+	if s.durations.samples == 0 {
 		return time.Time{}
 	}
-	return s.calls.at.Add(life)
+	return s.durations.at.Add(lifetime)
 }
