--- a/claims/answers.go
+++ b/claims/answers.go
@@ -2,51 +2,54 @@
 
 import "github.com/corianderturn/corianderturn/request"
 
-// answerOverhead is counted for each kept answer on top of its body, for its
-// headers and bookkeeping, in bytes.
+// answerOverhead is added to the size of each cached answer's body, in bytes, to
+// account for its headers and bookkeeping.
 const answerOverhead = 512
 
-// slot holds one kept answer, decoded or encoded. The zero slot holds none.
-type slot struct {
+// answerSlot holds one cached answer, decoded or encoded. The zero value is empty.
+type answerSlot struct {
 	answer  *request.CallAnswer
 	encoded []byte
-	size    int
+	size    int // bytes counted for the answer; 0 when the slot is empty
 }
 
-// answerStore bounds the answers kept in slots; the oldest go first.
-type answerStore struct {
-	order queue[*slot]
-	bytes int
-	limit int
+// answerCache limits the total size of the answers in a set of slots. Over the
+// limit it empties the slots that were filled first.
+type answerCache struct {
+	order queue[*answerSlot] // filled slots, oldest first
+	bytes int                // total size of the filled slots
+	limit int                // largest total size, in bytes
 }
 
-// keep puts an answer of bodyBytes into an empty slot, if it fits.
-func (s *answerStore) keep(at *slot, v slot, bodyBytes int) {
+// put stores v, whose body has bodyBytes bytes, in the empty slot dst. It stores
+// nothing if the answer alone exceeds the limit.
+func (c *answerCache) put(dst *answerSlot, v answerSlot, bodyBytes int) {
 	v.size = bodyBytes + answerOverhead
-	if v.size > s.limit {
+	if v.size > c.limit {
 		return
 	}
-	*at = v
-	s.bytes += v.size
-	s.order.push(at)
-	for s.bytes > s.limit {
-		oldest, ok := s.order.peek()
+	*dst = v
+	c.bytes += v.size
+	c.order.push(dst)
+	for c.bytes > c.limit {
+		oldest, ok := c.order.peek()
 		if !ok {
 			return
 		}
-		s.forget(oldest)
+		c.remove(oldest)
 	}
 }
 
-// forget empties a slot; an empty one stays so.
-func (s *answerStore) forget(at *slot) {
-	s.bytes -= at.size
-	*at = slot{}
+// remove empties a slot, which may be empty already, and removes empty slots from
+// the head of the queue.
+func (c *answerCache) remove(dst *answerSlot) {
+	c.bytes -= dst.size
+	*dst = answerSlot{}
 	for {
-		head, ok := s.order.peek()
+		head, ok := c.order.peek()
 		if !ok || head.size > 0 {
 			return
 		}
-		s.order.pop()
+		c.order.pop()
 	}
 }
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -20,7 +20,8 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// memoryLog is the stand-in without its connections, a round trip of delay away.
+// memoryLog is the stand-in for the log, called in memory with a simulated round
+// trip of delay.
 type memoryLog struct {
 	*logsvc.Log
 	delay time.Duration
@@ -42,6 +43,7 @@
 	return l.Log.Read(ctx, name, from, limit, wait)
 }
 
+// benchBatch returns a batch with the given number of claims and as many results.
 func benchBatch(claims int) *Batch {
 	node := wire.NodeID{Instance: "entry-3", Incarnation: 1_700_000_000_000}
 	b := &Batch{}
@@ -54,11 +56,13 @@
 	return b
 }
 
+// benchKey returns the i-th key.
 func benchKey(i int) (k Key) {
 	binary.BigEndian.PutUint64(k[:], uint64(i))
 	return k
 }
 
+// BenchmarkEncode encodes batches and reports the bytes per claim.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -72,6 +76,7 @@
 	}
 }
 
+// BenchmarkDecode decodes batches.
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -85,6 +90,7 @@
 	}
 }
 
+// BenchmarkLookup looks keys up in an index of about 100,000 keys.
 func BenchmarkLookup(b *testing.B) {
 	const keys = 100_000
 	x := NewIndex(IndexConfig{Lifetime: testLifetime, MaxKeys: keys, AnswerBytes: 1 << 20})
@@ -101,8 +107,8 @@
 	}
 }
 
-// BenchmarkClaim claims keys through a log in memory without delay: by one
-// caller and no linger, and by many with the default linger.
+// BenchmarkClaim claims keys through a log in memory that has no delay: by one
+// caller without linger, and by many callers with the default linger.
 func BenchmarkClaim(b *testing.B) {
 	b.Run("one", func(b *testing.B) {
 		b.ReportAllocs()
@@ -128,13 +134,13 @@
 	})
 }
 
-// benchDelay is one round trip to the log or to a peer.
+// benchDelay is the round-trip time to the log or to a peer.
 const benchDelay = 2 * time.Millisecond
 
-// BenchmarkFleet has daemons claim at a steady total rate and reports the
-// claims' latency and what the log takes for claims and results. Seven daemons
-// append themselves with the default settings; 92 hand their claims to the homes
-// of four shards.
+// BenchmarkFleet makes claims at a steady total rate, and reports their latency and
+// the load on the log. Either seven daemons append to the log themselves with the
+// default settings, or 92 daemons send their claims to four homes of one shard
+// each.
 func BenchmarkFleet(b *testing.B) {
 	for _, rate := range []int{50, 200, 1000} {
 		b.Run(fmt.Sprintf("direct-%d", rate), func(b *testing.B) {
@@ -143,11 +149,12 @@
 		})
 		b.Run(fmt.Sprintf("homes-%d", rate), func(b *testing.B) {
 			l := newMemoryLog(benchDelay)
-			benchFleet(b, l, benchFar(b, l, 92), rate)
+			benchFleet(b, l, benchUnfollowedGates(b, l, 92), rate)
 		})
 	}
 }
 
+// benchGates returns n gates that use the log l.
 func benchGates(b *testing.B, l Log, n int, edit func(*Options)) (gates []*Gate) {
 	for i := range n {
 		gates = append(gates, testGate(b, fmt.Sprint(i), l, edit))
@@ -155,8 +162,9 @@
 	return gates
 }
 
-// benchFar returns gates that follow nothing, beside four homes of a shard each.
-func benchFar(b *testing.B, l Log, n int) []*Gate {
+// benchUnfollowedGates returns n gates that follow no shard, and starts four more
+// gates that are each the home of one shard.
+func benchUnfollowedGates(b *testing.B, l Log, n int) []*Gate {
 	var homes []*Gate
 	for i := range 4 {
 		homes = append(homes, testGate(b, fmt.Sprint("home", i), l, func(o *Options) {
@@ -180,6 +188,7 @@
 	})
 }
 
+// benchFleet spreads claims over the gates at a rate per second.
 func benchFleet(b *testing.B, l memoryLog, gates []*Gate, rate int) {
 	var mu sync.Mutex
 	latency := hdrhistogram.New(1, 10_000_000, 3)
@@ -203,6 +212,7 @@
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "p99-ms")
 }
 
+// BenchmarkToken issues bound tokens and claims them.
 func BenchmarkToken(b *testing.B) {
 	g := testGate(b, "a", newMemoryLog(0), func(o *Options) { o.MaxTokens = 1 << 30 })
 	for b.Loop() {
@@ -210,6 +220,7 @@
 	}
 }
 
+// benchClaim claims a key and finishes the request.
 func benchClaim(b *testing.B, g *Gate, key string) {
 	gr, err := g.Claim(b.Context(), claimKey(key, 1))
 	if err != nil {
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -11,29 +11,31 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// recordVersion is the version of a record's encoding.
+// recordVersion is the version of the encoding of log records.
 const recordVersion = 1
 
-// Claim asks for a key.
+// Claim is a request to become the holder of a key.
 type Claim struct {
 	ID   ClaimID
 	Key  Key
 	Body Body
-	// Seen is how far the claimant had read the stream when it received the
-	// request: every record below this offset.
+	// Seen is the offset below which the claimant had read the stream when it
+	// received the request.
 	Seen uint64
-	// RequestID is for people who read the log.
+	// RequestID is informational; it identifies the request to people who read the
+	// log.
 	RequestID string
 }
 
-// Status is a holder's progress with its key.
+// Status is the state of the request for which the holder claimed the key.
 type Status uint8
 
-// The statuses. All but Held are final.
+// The statuses of a claim. All but Held are final.
 const (
-	// Held: the holder may run the request, runs it, or died with it.
+	// Held: the holder may still dispatch the request, is running it, or ended
+	// without writing a result.
 	Held Status = iota
-	// Ran: the upstream answered.
+	// Ran: the upstream answered the request.
 	Ran
 	// Unknown: the request may have run.
 	Unknown
@@ -41,21 +43,23 @@
 	Released
 )
 
-// Result is a holder's last word on its claim.
+// Result is the final status of a claim, written by the daemon that made the claim.
 type Result struct {
 	ID     ClaimID
 	Key    Key
 	Status Status
-	// Answer is the encoded answer; nil when none is kept.
+	// Answer is the encoded answer of the upstream, or nil if it is not stored.
 	Answer []byte
 }
 
-// Batch is one record of a stream. Its claims come before its results.
+// Batch is the content of one record of a stream. Readers apply its claims before
+// its results.
 type Batch struct {
 	Claims  []Claim
 	Results []Result
 }
 
+// claimRecord is the encoding of a Claim. Node is an index into batchRecord.Nodes.
 type claimRecord struct {
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack through reflection
 	Node      uint16
@@ -66,6 +70,8 @@
 	RequestID string
 }
 
+// resultRecord is the encoding of a Result. Node is an index into
+// batchRecord.Nodes.
 type resultRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack through reflection
 	Node     uint16
@@ -75,6 +81,7 @@
 	Answer   []byte
 }
 
+// batchRecord is the encoding of a Batch.
 type batchRecord struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack through reflection
 	Version  uint8
@@ -83,9 +90,11 @@
 	Results  []resultRecord
 }
 
-// nodeTable numbers the nodes of a batch, so that each is written once.
+// nodeTable assigns an index to each node named in a batch, so that the record
+// contains each node only once.
 type nodeTable struct{ nodes []wire.NodeID }
 
+// index returns the index of a node, which it adds to the table if necessary.
 func (t *nodeTable) index(n wire.NodeID) uint16 {
 	for i, known := range t.nodes {
 		if known == n {
@@ -122,8 +131,8 @@
 	return buf.Bytes(), nil
 }
 
-// decodeBatch returns the batch in a log record. An error means that the record
-// may hold claims which this build cannot read.
+// decodeBatch returns the batch in a log record. After an error the record must be
+// assumed to contain claims that this release cannot read.
 func decodeBatch(data []byte) (*Batch, error) {
 	var rec batchRecord
 	if err := safepack.Unmarshal(data, &rec); err != nil {
@@ -154,7 +163,8 @@
 	return b, nil
 }
 
-// encodeAnswer returns nil for an answer that is missing or over limit bytes.
+// encodeAnswer returns the encoded answer, or nil if there is none or it exceeds
+// limit bytes.
 func encodeAnswer(a *request.CallAnswer, limit int) []byte {
 	if a == nil || len(a.Body) > limit {
 		return nil
@@ -166,7 +176,8 @@
 	return data
 }
 
-// decodeAnswer returns nil when no answer is kept.
+// decodeAnswer returns the decoded answer, or nil if there is none or it cannot be
+// decoded.
 func decodeAnswer(data []byte) *request.CallAnswer {
 	if data == nil {
 		return nil
--- a/claims/doc.go
+++ b/claims/doc.go
@@ -1,16 +1,23 @@
-// Package claims lets each non-idempotent request run at most once across all
-// daemons and data centres. It implements request.Gate.
+// Package claims runs each non-idempotent request at most once across all daemons
+// and data centres. It implements request.Gate.
 //
-// A key of the caller's own choice is claimed on the platform's log. The key
-// decides the stream; a daemon appends its claim, reads the stream back, and
-// may run the request only if its claim is the first for the key. The log's
-// order decides alone: no lease, no clock and no message between daemons can
-// make a second daemon believe that it is first. A claim is never handed to
-// another daemon, so a holder that was frozen and thaws is still the only one.
+// Such a request carries an idempotency key that its caller chose. The key selects
+// one of several shards, each of which is a stream of the platform's log. The
+// daemon that received the request appends a claim to the stream and reads the
+// stream back. It may run the request only if its claim is the first one for the
+// key; this claim is the key's holder. Only the order of the log decides. No lease,
+// clock or message between daemons is involved, so a second daemon can never
+// conclude that its claim came first. A claim is never transferred to another
+// daemon, so a holder that was frozen and then resumes is still the only one.
 //
-// A bound token is minted by one incarnation of one daemon and can be used
-// there only. It costs no append and works while the log is down.
+// In a large fleet a daemon reads the streams of some shards only. The daemons that
+// read the stream of a shard are the homes of the shard. They look up keys and
+// append records for the daemons that do not read it.
 //
-// Index and Machine decide and remember. They take events and the time and do
-// no I/O; Gate wires them to the log.
+// Instead of choosing a key, a caller can ask a daemon for a bound token. Only the
+// incarnation of the daemon that issued the token (one run of its process) accepts
+// it. A bound token needs no append and works while the log is unavailable.
+//
+// Index and Machine hold the state and make the decisions. They are given events
+// and the time and do no I/O; Gate connects them to the log.
 package claims
--- a/claims/faults_test.go
+++ b/claims/faults_test.go
@@ -17,75 +17,76 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-func quick(o *Options) { o.DecideWithin = 100 * time.Millisecond }
+// shortDecisionTimeout makes claims fail after 100 ms without a decision.
+func shortDecisionTimeout(o *Options) { o.DecideWithin = 100 * time.Millisecond }
 
-// Symptom: a request is refused as "not run" while the log is down, and runs.
-// Sequence: the log is down or slow, the claim may or may not be on it, the
-// caller is refused; or the balancer had sent the request elsewhere before.
-// Cause: nobody can know the key's state, so that only "unknown" is true. Bound
-// tokens need no log, and after the outage the same key works.
+// TestLogDown checks that a request refused while the log is unavailable is told
+// "unknown", never "not run". The claim may be on the log, or the balancer may have
+// sent the request to another daemon before. Bound tokens work without the log, and
+// the same key works again after the outage.
 func TestLogDown(t *testing.T) {
 	service, l := startLog(t, nil)
-	g := testGate(t, "a", l, quick)
+	g := testGate(t, "a", l, shortDecisionTimeout)
 	service.SetFaults(logsvc.Faults{Cut: true}, 0)
 	_, err := g.Claim(t.Context(), claimKey("k", 1))
-	if got := verdict(nil, err); got != "claim-unavailable unknown" || errkind.Answer(err).RetryAfter <= 0 {
+	if got := claimResult(nil, err); got != "claim-unavailable unknown" || errkind.Answer(err).RetryAfter <= 0 {
 		t.Errorf("log down: %s, retry after %s", got, errkind.Answer(err).RetryAfter)
 	}
-	check(t, "run", g, claimKey(g.Minter().Mint("team"), 1))
+	checkClaim(t, "run", g, claimKey(g.Minter().Mint("team"), 1))
 	service.SetFaults(logsvc.Faults{}, 0)
 	g.shards[0].opts.DecideWithin = time.Minute
-	check(t, "run", g, claimKey("k", 1))
+	checkClaim(t, "run", g, claimKey("k", 1))
 }
 
-// Symptom: a key stays in progress for good although nobody runs it.
-// Sequence: the append takes effect, its reply is lost, the log cannot be read,
-// and the caller is refused; later the claim shows up as the key's holder.
-// Cause: the holder must release what it will never run. A repeat that arrives
-// after the release was read runs; the refused attempt never does.
+// TestClaimThatShowsUpLateIsReleased checks that a key does not stay in progress
+// when nobody runs its request. An append takes effect, but its reply is lost and
+// the log cannot be read, so the caller is refused before the claim becomes the
+// key's holder. The daemon must then release the key. A repeat that arrives after
+// the release was read runs; the refused attempt never does.
 func TestClaimThatShowsUpLateIsReleased(t *testing.T) {
 	service, l := startLog(t, nil)
 	service.SetFaults(logsvc.Faults{LoseReply: true, CutReads: true}, 0)
-	a := testGate(t, "a", l, quick)
+	a := testGate(t, "a", l, shortDecisionTimeout)
 	b := testGate(t, "b", l, nil)
-	check(t, "claim-unavailable unknown", a, claimKey("k", 1))
+	checkClaim(t, "claim-unavailable unknown", a, claimKey("k", 1))
 	service.SetFaults(logsvc.Faults{}, 0)
 	awaitStatus(t, b, claimKey("k", 1), Released)
-	check(t, "run", b, claimKey("k", 1))
+	checkClaim(t, "run", b, claimKey("k", 1))
 }
 
-// Symptom: a daemon that does not follow a shard runs a key that is held.
-// Sequence: it appends its claim, with the reply lost, and asks the shard's home.
-// Cause: the home must have read through the claim before it answers.
+// TestUnfollowedShardAsksItsHome checks that a daemon which does not follow a shard
+// does not run a request whose key is held. It appends its claim, with the reply
+// lost, and asks a home of the shard, which must have read the claim's record
+// before it answers.
 func TestUnfollowedShardAsksItsHome(t *testing.T) {
 	service, l := startLog(t, nil)
 	home := testGate(t, "home", l, nil)
 	var asked atomic.Int32
-	far := func(o *Options) {
+	notFollowing := func(o *Options) {
 		o.Follow = func(int) bool { return false }
 		o.Ask = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
 			if asked.Add(1) == 1 {
 				return wire.ClaimState{}, errors.New("connection cut")
 			}
-			time.AfterFunc(askPause, func() { service.SetFaults(logsvc.Faults{}, 0) })
+			time.AfterFunc(homeRetryDelay, func() { service.SetFaults(logsvc.Faults{}, 0) })
 			return home.ServeGet(ctx, get)
 		}
 	}
-	a, b := testGate(t, "a", l, far), testGate(t, "b", l, far)
+	a, b := testGate(t, "a", l, notFollowing), testGate(t, "b", l, notFollowing)
 	service.SetFaults(logsvc.Faults{LoseReply: true}, 1)
 	g, err := a.Claim(t.Context(), claimKey("k", 1))
-	if got := verdict(g, err); got != "run" {
+	if got := claimResult(g, err); got != "run" {
 		t.Fatalf("first claim: %s", got)
 	}
-	check(t, "key-in-progress unknown", b, claimKey("k", 1))
-	check(t, "key-reused not-run", b, claimKey("k", 2))
+	checkClaim(t, "key-in-progress unknown", b, claimKey("k", 1))
+	checkClaim(t, "key-reused not-run", b, claimKey("k", 2))
 	service.SetFaults(logsvc.Faults{CutReads: true}, 0) // until b has asked
-	check(t, "run", b, claimKey("not read yet", 1))
+	checkClaim(t, "run", b, claimKey("not read yet", 1))
 	g.Finish(request.Outcome{Run: errkind.Ran, Answer: &request.CallAnswer{Status: 200, Body: []byte("ok")}})
 	awaitStatus(t, home, claimKey("k", 1), Ran)
-	check(t, "answer ok", b, claimKey("k", 1))
+	checkClaim(t, "answer ok", b, claimKey("k", 1))
 	if _, err := a.ServeGet(t.Context(), wire.ClaimGet{Stream: a.shards[0].stream, Key: make([]byte, 3)}); err == nil {
-		t.Error("a malformed question was answered")
+		t.Error("a malformed lookup was answered")
 	}
 	key := NewKey("team", "k")
 	if _, err := a.ServeGet(t.Context(), wire.ClaimGet{Stream: Stream(key.Shard(4)), Key: key[:]}); !errors.Is(err, errNotHome) {
@@ -93,14 +94,14 @@
 	}
 }
 
-// Symptom: claims relayed by one home are granted twice, or make the stream unreadable.
-// Sequence: two daemons hand the same key to a home, whose append loses its
-// reply; another hands over bytes that are no claims.
-// Cause: the home only carries records; ids and the log's order must decide.
+// TestHomeAppendsForOthers checks that claims appended by a home are granted once
+// and keep the stream readable. Two daemons send claims for the same key to a home
+// whose append loses its reply, and invalid records are sent to it. The home only
+// appends records; the claims' IDs and the order of the log decide.
 func TestHomeAppendsForOthers(t *testing.T) {
 	service, l := startLog(t, nil)
 	home := testGate(t, "home", l, nil)
-	far := func(o *Options) {
+	notFollowing := func(o *Options) {
 		o.Follow = func(int) bool { return false }
 		o.Ask = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
 			return home.ServeGet(ctx, get)
@@ -110,7 +111,7 @@
 		}
 		o.Log = struct{ Log }{} // panics when used
 	}
-	gates := []*Gate{testGate(t, "a", l, far), testGate(t, "b", l, far), home}
+	gates := []*Gate{testGate(t, "a", l, notFollowing), testGate(t, "b", l, notFollowing), home}
 	service.SetFaults(logsvc.Faults{LoseReply: true}, 2)
 	var runs atomic.Int32
 	var wg conc.WaitGroup
@@ -127,13 +128,13 @@
 		t.Errorf("granted %d times", n)
 	}
 	awaitStatus(t, home, claimKey("k", 1), Ran)
-	check(t, "answer ok", gates[0], claimKey("k", 1))
+	checkClaim(t, "answer ok", gates[0], claimKey("k", 1))
 	good, _ := benchBatch(1).Encode()
 	for _, put := range []wire.ClaimAppend{
 		{Stream: Stream(0), Record: []byte("garbled")},
 		{Stream: "claims-99", Record: good},
 		{Stream: Stream((benchKey(0).Shard(4) + 1) % 4), Record: good},
-		{Stream: Stream(0), Record: make([]byte, maxRelayBytes+1)},
+		{Stream: Stream(0), Record: make([]byte, maxForwardedBytes+1)},
 	} {
 		if _, err := home.ServeAppend(t.Context(), put); err == nil {
 			t.Errorf("a record of %d bytes for %s was taken", len(put.Record), put.Stream)
@@ -141,10 +142,9 @@
 	}
 }
 
-// Symptom: a repeat is told "unknown" after a graceful restart, though the
-// first caller had its answer.
-// Sequence: a result lingers to be appended with a claim; the daemon stops.
-// Cause: what waits must be appended at shutdown.
+// TestResultsAreAppendedAtShutdown checks that a repeat after a graceful restart
+// gets the first caller's answer instead of "unknown". A result that waits to share
+// a record with a claim must be appended at shutdown.
 func TestResultsAreAppendedAtShutdown(t *testing.T) {
 	_, l := startLog(t, nil)
 	t.Run("stopped", func(t *testing.T) {
@@ -153,39 +153,39 @@
 		g.Finish(request.Outcome{Run: errkind.Ran, Answer: &request.CallAnswer{Body: []byte("ok")}})
 	})
 	b := testGate(t, "b", l, nil)
-	check(t, "answer ok", b, claimKey("k", 1))
+	checkClaim(t, "answer ok", b, claimKey("k", 1))
 }
 
-// Symptom: a key runs twice after the log dropped records early.
-// Sequence: the log trims records that are younger than a key's lifetime; a
-// daemon starts and finds no trace of the first claim.
-// Cause: a fresh reader cannot be sure of any key until a lifetime has passed.
+// TestLogTrimmedTooEarly checks that a key does not run twice if the log trims
+// records younger than a key's lifetime. A daemon that starts after the trim does
+// not find the first claim, so it must grant no key until a lifetime has passed.
 func TestLogTrimmedTooEarly(t *testing.T) {
-	var ahead atomic.Int64
-	service, l := startLog(t, func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) })
-	one := func(o *Options) { o.Shards = 1 }
-	a := testGate(t, "a", l, one)
-	check(t, "run", a, claimKey("k", 1))
+	var clockOffset atomic.Int64
+	service, l := startLog(t, func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) })
+	oneShard := func(o *Options) { o.Shards = 1 }
+	a := testGate(t, "a", l, oneShard)
+	checkClaim(t, "run", a, claimKey("k", 1))
 	service.Trim(Stream(0), 0)
-	b := testGate(t, "b", l, one)
-	check(t, "claim-unavailable unknown", b, claimKey("k", 1))
-	check(t, "claim-unavailable unknown", b, claimKey("fresh", 1))
-	awaitStatus(t, a, claimKey("fresh", 1), Released) // a is sure, and b held it
-	ahead.Store(int64(2 * time.Hour))
-	check(t, "run", b, claimKey("another", 1)) // its record tells b the log's time
-	check(t, "run", b, claimKey("k", 1))
+	b := testGate(t, "b", l, oneShard)
+	checkClaim(t, "claim-unavailable unknown", b, claimKey("k", 1))
+	checkClaim(t, "claim-unavailable unknown", b, claimKey("fresh", 1))
+	awaitStatus(t, a, claimKey("fresh", 1), Released) // a has read the whole stream: b was the holder and released the key
+	clockOffset.Store(int64(2 * time.Hour))
+	checkClaim(t, "run", b, claimKey("another", 1)) // b reads the log's current time from this record
+	checkClaim(t, "run", b, claimKey("k", 1))
 }
 
-// testMachine returns a machine that follows its stream, and the time.
+// testMachine returns a Machine that follows its stream, and the time at its start.
 func testMachine(maxWaiting int) (*Machine, time.Time) {
-	cfg := (&Options{GrantTTL: time.Minute, Lifetime: time.Hour, MaxWaiting: maxWaiting, MaxKeys: 99}).machine()
+	cfg := (&Options{GrantTTL: time.Minute, Lifetime: time.Hour, MaxWaiting: maxWaiting, MaxKeys: 99}).machineConfig()
 	now := time.Unix(1000, 0)
 	m := newMachine(cfg, wire.NodeID{Instance: "a", Incarnation: 1}, func(wire.NodeID) bool { return false }, now)
 	m.Follow(true)
 	return m, now
 }
 
-// record is the log's reply that ends with a batch at an offset.
+// record returns the log's reply to a read that contains one batch, at the given
+// offset.
 func record(t *testing.T, offset uint64, b *Batch, at time.Time) infraapi.ReadReply {
 	data, err := b.Encode()
 	if err != nil {
@@ -195,9 +195,9 @@
 	return infraapi.ReadReply{Records: []infraapi.Record{r}, Next: offset + 1}
 }
 
-// Symptom: a daemon dispatches under a claim whose key was forgotten meanwhile.
-// Sequence: it is frozen between its append and its reading of the claim.
-// Cause: the wall clock, not the number of steps, decides whether a grant still holds.
+// TestThawedClaimIsNotGranted checks that a daemon which was frozen between the
+// append and the read of its claim does not run the request: the key may have
+// expired in the meantime. The wall clock decides whether the grant is still valid.
 func TestThawedClaimIsNotGranted(t *testing.T) {
 	m, now := testMachine(1)
 	seq, _, _ := m.Claim(now, Key{1}, Body{1}, "")
@@ -215,9 +215,9 @@
 	}
 }
 
-// Symptom: with the log down every caller waits for seconds to be refused.
-// Sequence: appends, or reads, have failed for a while.
-// Cause: one claim is enough to find out when the log works again.
+// TestOutageRefusesAtOnce checks that during an outage of the log callers are
+// refused at once instead of after DecideWithin. One waiting claim is enough to
+// detect that the log works again.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
@@ -248,10 +248,10 @@
 	}
 }
 
-// Symptom: a key runs twice after the log came back without its newest records.
-// Sequence: a claim is read and granted; the log then ends before it.
-// Cause: nothing that was read is certain any more, nor is what went missing,
-// until a lifetime has passed.
+// TestLogLosesItsEnd checks that a key does not run twice after the log came back
+// without its newest records. A claim is read and granted, and the log then ends
+// before it. Which records were lost is not known, so no key may be granted until a
+// lifetime has passed.
 func TestLogLosesItsEnd(t *testing.T) {
 	m, now := testMachine(9)
 	claim := func(key byte, offset uint64) (granted bool) {
@@ -275,13 +275,14 @@
 	}
 }
 
-// Symptom: a request that ran is released, claimed again, and runs twice.
-// Sequence: the result of a run is dropped because too many wait, the ledger
-// forgets the claim, and its record turns up on the log once more.
-// Cause: a claim that is not in the ledger may have run; it is never released.
+// TestForgottenClaimIsNotReleased checks that a request that ran is not released,
+// claimed again and run twice. The result of the run is dropped because too many
+// wait, the claim is removed from the claim table, and its record is logged a
+// second time. A claim that is not in the table may have run, so it must not be
+// released.
 func TestForgottenClaimIsNotReleased(t *testing.T) {
 	m, now := testMachine(9)
-	m.cfg.MaxResults = 0 // until the record turns up again
+	m.cfg.MaxResults = 0 // drops the result of the run
 	seq, _, _ := m.Claim(now, Key{1}, Body{1}, "")
 	b, appended := m.Batch(now), now
 	m.Appended()
@@ -296,10 +297,10 @@
 	}
 }
 
-// Symptom: after a quiet time a restarted daemon refuses every key for a lifetime.
-// Sequence: the log trims all records of a stream that nobody has used.
-// Cause: a reader needs a record older than a lifetime to know that it misses
-// nothing; its readers must keep a quiet stream supplied with records.
+// TestQuietStreamIsMarked checks that a restarted daemon does not refuse every key
+// for a lifetime because the log trimmed all records of an unused stream. A reader
+// needs a record older than a lifetime to be certain that it misses no claim, so
+// the daemons that follow a quiet stream must append markers.
 func TestQuietStreamIsMarked(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		m, now := testMachine(9)
--- a/claims/follow.go
+++ b/claims/follow.go
@@ -8,66 +8,73 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// The pauses after failed reads, doubled from the first to the last.
+// Backoff between failed reads; it starts at the minimum and doubles up to the
+// maximum.
 const (
-	readPauseMin = 50 * time.Millisecond
-	readPauseMax = time.Second
+	readBackoffMin = 50 * time.Millisecond
+	readBackoffMax = time.Second
 )
 
-// followLoop reads the stream while this daemon follows it.
+// followLoop reads the stream for as long as this daemon should follow it, and
+// checks periodically whether it should.
 func (s *shard) followLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.wanted() {
+		if s.shouldFollow() {
 			s.setFollow(true)
 			s.tail(ctx)
 			continue
 		}
 		s.setFollow(false)
-		clock.Sleep(ctx, followCheck)
+		clock.Sleep(ctx, followCheckInterval)
 	}
 }
 
-func (s *shard) wanted() bool {
+// shouldFollow reports whether this daemon should read the stream at present.
+func (s *shard) shouldFollow() bool {
 	return s.opts.Follow == nil || s.opts.Follow(s.number)
 }
 
+// setFollow records whether this daemon reads the stream.
 func (s *shard) setFollow(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.follows = on
-	s.m.Follow(on)
+	s.following = on
+	s.machine.Follow(on)
 }
 
-// tail reads the stream until ctx ends or the shard is not to be followed.
+// tail reads the stream until ctx ends or this daemon should no longer follow it.
 func (s *shard) tail(ctx context.Context) {
-	pause := readPauseMin
-	for ctx.Err() == nil && s.wanted() {
+	backoff := readBackoffMin
+	for ctx.Err() == nil && s.shouldFollow() {
 		s.mu.Lock()
-		from := s.m.Next()
+		from := s.machine.Next()
 		s.mu.Unlock()
-		reply, err := s.opts.Log.Read(ctx, s.stream, from, readMax, readWait)
+		reply, err := s.opts.Log.Read(ctx, s.stream, from, maxReadRecords, readWait)
 		trimmed := err != nil && reply.First > from
 		if err != nil && !trimmed {
 			s.readFailed()
-			clock.Sleep(ctx, pause)
-			pause = min(2*pause, readPauseMax)
+			clock.Sleep(ctx, backoff)
+			backoff = min(2*backoff, readBackoffMax)
 			continue
 		}
-		pause = readPauseMin
-		s.take(reply)
+		backoff = readBackoffMin
+		s.applyReply(reply)
 	}
 }
 
+// readFailed passes a failed read to the Machine.
 func (s *shard) readFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.ReadFailed(s.opts.Now())
+	s.machine.ReadFailed(s.opts.Now())
 }
 
-func (s *shard) take(reply infraapi.ReadReply) {
+// applyReply applies records that were read, delivers the resulting decisions, and
+// wakes the lookups that wait for the records.
+func (s *shard) applyReply(reply infraapi.ReadReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resolve(s.m.Read(s.opts.Now(), reply))
+	s.deliver(s.machine.Read(s.opts.Now(), reply))
 	close(s.progress)
 	s.progress = make(chan struct{})
 	s.wake()
--- a/claims/gate.go
+++ b/claims/gate.go
@@ -13,31 +13,31 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Gate implements request.Gate on the platform's log and on bound tokens. It is
-// a supervise.Service; Claim and ServeGet may be called from any goroutine.
+// Gate implements request.Gate with the platform's log and bound tokens. It is a
+// supervise.Service. Claim, ServeGet and ServeAppend are safe for concurrent use.
 type Gate struct {
 	opts   Options
 	shards []*shard
-	tokens *Minter
-	// budget bounds this daemon's appends over all shards.
-	budget *rate.Limiter
+	minter *Minter
+	// appendLimiter limits the appends of this daemon to all shards together.
+	appendLimiter *rate.Limiter
 }
 
 var _ request.Gate = (*Gate)(nil)
 
-// New returns a Gate; its claims wait until Run is called.
+// New returns a Gate. Claims on the log wait until Run is called.
 func New(opts Options) (*Gate, error) {
 	opts.setDefaults()
 	if err := opts.validate(); err != nil {
 		return nil, err
 	}
-	tokens, err := newMinter(opts.Self, opts.TokenTTL, opts.MaxTokens, opts.AnswerBytes)
+	minter, err := newMinter(opts.Self, opts.TokenTTL, opts.MaxTokens, opts.AnswerBytes)
 	if err != nil {
 		return nil, err
 	}
-	tokens.dead, tokens.now = opts.Dead, opts.Now
-	g := &Gate{opts: opts, tokens: tokens}
-	g.budget = rate.NewLimiter(rate.Limit(opts.AppendsPerSecond), max(1, int(opts.AppendsPerSecond/10)))
+	minter.isDead, minter.now = opts.Dead, opts.Now
+	g := &Gate{opts: opts, minter: minter}
+	g.appendLimiter = rate.NewLimiter(rate.Limit(opts.AppendsPerSecond), max(1, int(opts.AppendsPerSecond/10)))
 	for i := range opts.Shards {
 		g.shards = append(g.shards, newShard(i, &g.opts))
 	}
@@ -47,38 +47,40 @@
 // Name implements supervise.Service.
 func (g *Gate) Name() string { return "claims" }
 
-// Minter mints the bound tokens that this gate accepts.
-func (g *Gate) Minter() *Minter { return g.tokens }
+// Minter returns the issuer of the bound tokens that this gate accepts.
+func (g *Gate) Minter() *Minter { return g.minter }
 
-// Run appends and reads claims until ctx ends.
+// Run appends and reads records until ctx ends.
 func (g *Gate) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	for _, s := range g.shards {
-		wg.Go(func() { s.appendLoop(ctx, g.budget) })
+		wg.Go(func() { s.appendLoop(ctx, g.appendLimiter) })
 		wg.Go(func() { s.followLoop(ctx) })
 	}
 	wg.Wait()
 	return nil
 }
 
-// Claim implements request.Gate. It waits for the log up to DecideWithin.
+// Claim implements request.Gate. It waits up to Options.DecideWithin for a
+// decision.
 func (g *Gate) Claim(ctx context.Context, k request.ClaimKey) (request.Grant, *errkind.Error) {
 	body := Body(k.Body[:DigestSize])
 	if isToken(k.Key) {
-		return g.tokens.Claim(k.Team, k.Key, body)
+		return g.minter.Claim(k.Team, k.Key, body)
 	}
 	key := NewKey(k.Team, k.Key)
 	return g.shards[key.Shard(len(g.shards))].claim(ctx, key, body, k.RequestID)
 }
 
-// ServeGet answers another daemon's question for a key of a shard that this
-// daemon follows, once it has read as far as asked.
+// ServeGet returns the state of a key to another daemon. This daemon must follow
+// the key's shard; it answers once it has read the stream up to the offset that the
+// request names.
 func (g *Gate) ServeGet(ctx context.Context, get wire.ClaimGet) (wire.ClaimState, error) {
-	s, key, err := g.route(get)
+	s, key, err := g.shardForLookup(get)
 	if err != nil {
 		return wire.ClaimState{}, err
 	}
-	return s.serve(ctx, key, get.Through)
+	return s.awaitState(ctx, key, get.Through)
 }
 
 // grant implements request.Grant.
@@ -91,14 +93,19 @@
 	once     sync.Once
 }
 
+// Run implements request.Grant.
 func (g *grant) Run() bool { return g.run }
 
+// Answer implements request.Grant.
 func (g *grant) Answer() *request.CallAnswer { return g.answer }
 
+// Owner implements request.Grant.
 func (g *grant) Owner() (wire.NodeID, bool) { return g.owner, g.owner != wire.NodeID{} }
 
+// Deadline implements request.Grant.
 func (g *grant) Deadline() time.Time { return g.deadline }
 
+// Finish implements request.Grant. Only the first call has an effect.
 func (g *grant) Finish(out request.Outcome) {
 	if g.finish != nil {
 		g.once.Do(func() { g.finish(out) })
--- a/claims/gate_test.go
+++ b/claims/gate_test.go
@@ -23,13 +23,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startLog serves a log that takes any rate of appends.
+// startLog starts a stand-in for the log with a practically unlimited append rate.
 func startLog(t testing.TB, now func() time.Time) (*logtest.Service, Log) {
 	s := logtest.Start(t, logsvc.Config{AppendRate: 1e6, Now: now})
 	return s, s.Client
 }
 
-// testGate runs a gate until the test ends.
+// testGate returns a gate that runs until the test ends.
 func testGate(t testing.TB, name string, l Log, edit func(*Options)) *Gate {
 	t.Helper()
 	o := Options{
@@ -50,12 +50,14 @@
 	return g
 }
 
+// claimKey returns the key of a request whose body has the given digest.
 func claimKey(key string, body byte) request.ClaimKey {
 	return request.ClaimKey{Team: "team", Key: key, RequestID: "r-" + key, Body: [32]byte{body}}
 }
 
-// verdict is the visible part of a claim's answer.
-func verdict(g request.Grant, err *errkind.Error) string {
+// claimResult describes the result of a claim: "run", a refusal with its run state,
+// the token's owner, or the answer of an earlier run.
+func claimResult(g request.Grant, err *errkind.Error) string {
 	switch {
 	case err != nil:
 		return fmt.Sprintf("%s %s", err.Kind, errkind.Answer(err).Run)
@@ -68,6 +70,8 @@
 	return "answer " + string(g.Answer().Body)
 }
 
+// TestRepeats checks how a repeat is answered at the first daemon (same) and at
+// another one (other), for each outcome of the first claim.
 func TestRepeats(t *testing.T) {
 	small := &request.CallAnswer{Status: 200, Header: http.Header{"A": {"b"}}, Body: []byte("ok")}
 	large := &request.CallAnswer{Status: 200, Body: make([]byte, 8<<10)}
@@ -90,29 +94,30 @@
 			_, l := startLog(t, nil)
 			a, b := testGate(t, "a", l, nil), testGate(t, "b", l, nil)
 			g, err := a.Claim(t.Context(), claimKey("k", 1))
-			if got := verdict(g, err); got != "run" {
+			if got := claimResult(g, err); got != "run" {
 				t.Fatalf("first claim: %s", got)
 			}
 			if tt.finish != nil {
 				g.Finish(*tt.finish)
-				awaitStatus(t, b, claimKey("k", 1), statusOf(tt.finish.Run))
+				awaitStatus(t, b, claimKey("k", 1), statusFromRun(tt.finish.Run))
 			}
 			if tt.same != "" {
-				check(t, tt.same, a, claimKey("k", tt.body))
+				checkClaim(t, tt.same, a, claimKey("k", tt.body))
 			}
-			check(t, tt.other, b, claimKey("k", tt.body))
+			checkClaim(t, tt.other, b, claimKey("k", tt.body))
 		})
 	}
 }
 
-func check(t *testing.T, want string, g *Gate, k request.ClaimKey) {
+// checkClaim claims k at g and compares the result with want.
+func checkClaim(t *testing.T, want string, g *Gate, k request.ClaimKey) {
 	t.Helper()
-	if diff := cmp.Diff(want, verdict(g.Claim(t.Context(), k))); diff != "" {
+	if diff := cmp.Diff(want, claimResult(g.Claim(t.Context(), k))); diff != "" {
 		t.Errorf("daemon %s (-want +got):\n%s", g.opts.Self.Instance, diff)
 	}
 }
 
-// awaitStatus waits until a gate has read a key's status from the log.
+// awaitStatus waits until a gate has read the given status of a key from the log.
 func awaitStatus(t *testing.T, g *Gate, k request.ClaimKey, want Status) {
 	t.Helper()
 	key := NewKey(k.Team, k.Key)
@@ -121,7 +126,7 @@
 	defer cancel()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		v, progress := s.m.Lookup(key), s.progress
+		v, progress := s.machine.Lookup(key), s.progress
 		s.mu.Unlock()
 		if v.Found && v.Status == want {
 			return
@@ -134,11 +139,11 @@
 	t.Fatalf("daemon %s never read status %d", g.opts.Self.Instance, want)
 }
 
-// Symptom: two daemons run one request.
-// Sequence: the balancer replays a POST to other daemons while the first still
-// has it; all claim the key at the same time, and appends lose their replies or
-// are recorded twice.
-// Cause: each believes that it is first, unless all decide by the log's order.
+// TestSimultaneousClaimsGrantOnce checks that only one daemon runs a request. The
+// balancer replays a POST to other daemons while the first is still working on it,
+// all claim the key at the same time, and appends lose their replies or are
+// recorded twice. Only one may be granted, which holds if all decide by the order
+// of the log.
 func TestSimultaneousClaimsGrantOnce(t *testing.T) {
 	const daemons, keys = 4, 50
 	service, l := startLog(t, nil)
--- a/claims/home.go
+++ b/claims/home.go
@@ -10,14 +10,16 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// askPause is the time between two questions to a home that did not answer.
-const askPause = 20 * time.Millisecond
+// homeRetryDelay is the delay before a failed lookup at a home is retried.
+const homeRetryDelay = 20 * time.Millisecond
 
-// errNotHome is the answer of a daemon that does not follow the shard.
+// errNotHome is the answer to another daemon's lookup if this daemon does not
+// follow the shard.
 var errNotHome = errors.New("claims: this daemon does not follow the shard")
 
-// askHome asks a home of the shard until it answers; ok is false when ctx ended
-// or the claim was decided meanwhile.
+// askHome asks homes of the shard for the state of the key until one answers that
+// has read the claim's own record, which is at the given offset. ok is false if ctx
+// ended, the claim was decided in the meantime, or Options.Ask is not set.
 func (s *shard) askHome(ctx context.Context, key Key, seq, offset uint64) (d Decision, ok bool) {
 	get := wire.ClaimGet{Stream: s.stream, Key: key[:], Through: offset + 1}
 	for ctx.Err() == nil {
@@ -26,21 +28,22 @@
 		}
 		state, err := s.opts.Ask(ctx, s.number, get)
 		if err == nil && state.Through > offset {
-			return s.told(seq, state)
+			return s.applyHomeState(seq, state)
 		}
-		clock.Sleep(ctx, askPause)
+		clock.Sleep(ctx, homeRetryDelay)
 	}
 	return Decision{}, false
 }
 
-func (s *shard) told(seq uint64, state wire.ClaimState) (d Decision, ok bool) {
-	v, err := viewOf(state)
+// applyHomeState decides a waiting claim from the key's state at a home.
+func (s *shard) applyHomeState(seq uint64, state wire.ClaimState) (d Decision, ok bool) {
+	v, err := fromWireState(state)
 	if err != nil {
 		return Decision{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, ok = s.m.Told(s.opts.Now(), seq, v, state.Through)
+	d, ok = s.machine.Told(s.opts.Now(), seq, v, state.Through)
 	if ok {
 		delete(s.waiters, seq)
 		s.wake()
@@ -48,21 +51,22 @@
 	return d, ok
 }
 
-// serve answers for a key once the stream is read below through.
-func (s *shard) serve(ctx context.Context, key Key, through uint64) (wire.ClaimState, error) {
+// awaitState waits until every record below the offset through has been read, and
+// returns the state of the key.
+func (s *shard) awaitState(ctx context.Context, key Key, through uint64) (wire.ClaimState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.serving >= s.opts.MaxWaiting {
+	if s.pendingLookups >= s.opts.MaxWaiting {
 		return wire.ClaimState{}, errors.New("claims: too many questions wait")
 	}
-	s.serving++
-	defer func() { s.serving-- }()
+	s.pendingLookups++
+	defer func() { s.pendingLookups-- }()
 	for {
-		if !s.follows {
+		if !s.following {
 			return wire.ClaimState{}, errNotHome
 		}
-		if s.m.Next() >= through {
-			return stateOf(s.m.Lookup(key), s.m.Next()), nil
+		if s.machine.Next() >= through {
+			return toWireState(s.machine.Lookup(key), s.machine.Next()), nil
 		}
 		progress := s.progress
 		s.mu.Unlock()
@@ -77,8 +81,8 @@
 	}
 }
 
-// route finds the shard that a question is for.
-func (g *Gate) route(get wire.ClaimGet) (*shard, Key, error) {
+// shardForLookup returns the shard and the key of a lookup by another daemon.
+func (g *Gate) shardForLookup(get wire.ClaimGet) (*shard, Key, error) {
 	if len(get.Key) != DigestSize {
 		return nil, Key{}, errors.New("claims: malformed key")
 	}
@@ -90,14 +94,17 @@
 	return s, key, nil
 }
 
-func stateOf(v View, through uint64) wire.ClaimState {
+// toWireState encodes the state of a key for another daemon. through is the offset
+// below which this daemon has read every record.
+func toWireState(v View, through uint64) wire.ClaimState {
 	return wire.ClaimState{
 		Found: v.Found, Holder: v.Holder.Node, Seq: v.Holder.Seq, Offset: v.Offset, Through: through, Body: v.Body[:], Sure: v.Sure,
 		Status: uint8(v.Status), Released: v.Released, AgeMS: v.Age.Milliseconds(), Answer: v.Answer,
 	}
 }
 
-func viewOf(st wire.ClaimState) (View, error) {
+// fromWireState decodes the state of a key that another daemon sent.
+func fromWireState(st wire.ClaimState) (View, error) {
 	if len(st.Body) != DigestSize || st.Status > uint8(Released) {
 		return View{}, errors.New("claims: malformed state")
 	}
--- a/claims/index.go
+++ b/claims/index.go
@@ -7,245 +7,271 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// IndexConfig bounds an Index.
+// IndexConfig contains the limits of an Index.
 type IndexConfig struct {
-	// Lifetime is how long a key is remembered after its last claim, by the
-	// log's time.
+	// Lifetime is how long a key is remembered after its last claim, measured by
+	// the timestamps of the log.
 	Lifetime time.Duration
-	// Margin is added where two clocks meet.
+	// Margin allows for differences between clocks. Keys are removed, and missing
+	// records cease to matter, only after Lifetime plus Margin.
 	Margin time.Duration
-	// MaxKeys bounds the keys kept.
+	// MaxKeys is the largest number of keys held.
 	MaxKeys int
-	// AnswerBytes bounds the answers kept; the oldest go first.
+	// AnswerBytes is the largest total size of the cached answers; the oldest are
+	// evicted first.
 	AnswerBytes int
 }
 
-// View is what is known of one key.
+// View is the state of one key in an Index.
 type View struct {
+	// Found is false if the index has no claim for the key.
 	Found bool
-	// Sure is false when records that could not be read may name an earlier holder.
+	// Sure is false if records that this reader could not read may contain an
+	// earlier claim for the key.
 	Sure   bool
 	Holder ClaimID
-	Body   Body
-	// Offset is where the holder's claim stands in the stream.
+	// Body is the digest of the request for which the holder claimed the key.
+	Body Body
+	// Offset is the offset of the record with the holder's claim.
 	Offset uint64
+	// Status is the status of the holder's claim.
 	Status Status
-	// Released is the offset of the record that gave the key up; 0 unless Status is Released.
+	// Released is the offset of the record that released the key; 0 unless Status
+	// is Released.
 	Released uint64
-	// Age is how long ago the holder claimed the key, by the log's time.
+	// Age is the time since the holder claimed the key, measured by the timestamps
+	// of the log.
 	Age time.Duration
-	// Answer is the encoded answer; nil when none is kept.
+	// Answer is the encoded answer, or nil if it is not stored.
 	Answer []byte
 }
 
-type entry struct {
-	holder   ClaimID
-	body     Body
-	sure     bool
-	status   Status
-	offset   uint64
-	released uint64
-	claimed  int64 // log time of the holder's claim, ms
-	last     int64 // log time of the key's last claim, ms
-	answer   slot
+// keyEntry is the state of one key.
+type keyEntry struct {
+	holder        ClaimID
+	body          Body
+	authoritative bool // no earlier claim for the key can be missing
+	status        Status
+	offset        uint64
+	releaseOffset uint64     // offset of the record that released the key
+	claimedMS     int64      // log timestamp of the holder's claim, in ms
+	lastClaimMS   int64      // log timestamp of the last claim for the key, in ms
+	answer        answerSlot // the holder's answer, if it is cached
 }
 
-// nothingMissing is the floor of a stream that was read from its beginning.
+// nothingMissing is the value of Index.missingUntil for a stream that was read
+// completely.
 const nothingMissing = math.MinInt64
 
-// Index holds the keys of one stream, in the log's order. It is not safe for
-// concurrent use.
+// Index holds the state of the keys of one stream, built by applying its records in
+// the order of the log. It is not safe for concurrent use.
 //
-// A key is remembered until no claim for it was logged for a lifetime. That is
-// decided by the times of two neighbouring claims in the log, never by a
-// reader's clock, so that all readers agree, also one that starts late: it
-// either sees the first claim of such a run, or it finds the run's beginning
-// below its floor and is not sure.
+// A key expires when no claim for it has been logged for a lifetime. Whether a
+// claim found its key expired is decided by the log timestamps of this claim and of
+// the one before, never by a reader's clock, so all readers agree. A reader that
+// starts late may not have read the first claim since the key last expired. It then
+// lacks records up to missingUntil and marks the key as not authoritative.
 type Index struct {
 	cfg     IndexConfig
-	entries map[Key]*entry
-	expiry  queue[expiring]
-	answers answerStore
-	// next is the offset of the next record.
+	entries map[Key]*keyEntry
+	// expiry holds each key once, ordered by the time at which the key is next
+	// checked for removal.
+	expiry  queue[expiryItem]
+	answers answerCache
+	// next is the offset of the next record to apply.
 	next uint64
-	// clock is the latest log time seen, in ms.
-	clock int64
-	// floor is the log time, in ms, at or before which claims may be unknown:
-	// trimmed before they were read, not readable, or over MaxKeys.
-	floor int64
-	// gap says that records before the next one are missing.
-	gap bool
+	// logTime is the latest log timestamp seen, in ms.
+	logTime int64
+	// missingUntil is a log timestamp, in ms. Claims at or before it may be missing
+	// from the index because they were trimmed before they were read, could not be
+	// decoded, or exceeded MaxKeys.
+	missingUntil int64
+	// gapBefore is set if records directly before next were not read.
+	gapBefore bool
 }
 
-type expiring struct {
-	key  Key
-	last int64
+// expiryItem is a key with the log timestamp, in ms, of its last claim when the
+// item was queued.
+type expiryItem struct {
+	key         Key
+	lastClaimMS int64
 }
 
-// NewIndex returns the index of a stream that is read from offset 0 on.
+// NewIndex returns an empty index, to which a stream is applied from offset 0 on.
 func NewIndex(cfg IndexConfig) *Index {
 	return &Index{
-		cfg: cfg, entries: make(map[Key]*entry), answers: answerStore{limit: cfg.AnswerBytes},
-		floor: nothingMissing, clock: nothingMissing,
+		cfg: cfg, entries: make(map[Key]*keyEntry), answers: answerCache{limit: cfg.AnswerBytes},
+		missingUntil: nothingMissing, logTime: nothingMissing,
 	}
 }
 
-// Next returns the offset from which the stream is to be read on.
+// Next returns the offset from which to continue reading the stream.
 func (x *Index) Next() uint64 { return x.next }
 
-// Len returns the number of keys kept.
+// Len returns the number of keys held.
 func (x *Index) Len() int { return len(x.entries) }
 
-// Skip says that the log no longer keeps the records below first.
+// Skip notes that the log no longer contains the records below offset first.
 //
-// What goes wrong: the log trimmed records before this reader came to them, so
-// that a later claim looks like the first one. One would notice two runs of one
-// key after a restart. The time of the next record becomes the floor, below
-// which nothing is decided.
+// If the log trimmed records before this reader read them, a later claim for a key
+// would look like the first one and the key's request could run twice. Therefore
+// the timestamp of the next record becomes missingUntil, and no key claimed up to a
+// lifetime after it is authoritative.
 func (x *Index) Skip(first uint64) {
 	if first <= x.next {
 		return
 	}
 	x.next = first
-	x.gap = true
+	x.gapBefore = true
 }
 
-// Reset says that the log has lost records which this reader had read: it now
-// ends before them. No key is sure until a lifetime has passed.
+// Reset notes that the log lost records which this reader had read already: the log
+// now ends before next and begins at offset first. No key is authoritative until a
+// lifetime has passed.
 func (x *Index) Reset(first uint64) {
-	x.doubt(x.clock)
+	x.markMissing(x.logTime)
 	x.next = first
-	x.gap = first > 0
+	x.gapBefore = first > 0
 }
 
-// doubt says that records up to a log time are missing. Keys known so far are
-// no longer sure either: a released one may have found a new holder.
-func (x *Index) doubt(ms int64) {
-	x.floor = max(x.floor, ms)
+// markMissing notes that records with a log timestamp up to ms may be missing. The
+// keys already held are no longer authoritative either, since a missing record may
+// contain a new holder of a released key.
+func (x *Index) markMissing(ms int64) {
+	x.missingUntil = max(x.missingUntil, ms)
 	for _, e := range x.entries {
-		e.sure = false
+		e.authoritative = false
 	}
 }
 
-// Apply takes the next record and returns its batch; nil when the record was
-// taken before or cannot be decoded.
+// Apply applies the next record and returns its batch, or nil if the record was
+// applied before or cannot be decoded.
 func (x *Index) Apply(r infraapi.Record) *Batch {
 	if r.Offset < x.next {
 		return nil
 	}
-	if x.gap || r.Offset > x.next {
-		x.doubt(r.TimeMS)
-		x.gap = false
+	if x.gapBefore || r.Offset > x.next {
+		// Records between the last one applied and this one were not read.
+		x.markMissing(r.TimeMS)
+		x.gapBefore = false
 	}
 	x.next = r.Offset + 1
-	x.clock = max(x.clock, r.TimeMS)
+	x.logTime = max(x.logTime, r.TimeMS)
 	b, err := decodeBatch(r.Data)
 	if err != nil {
-		// A record of a newer release may hold claims: nothing at or before its
-		// time is certain.
-		x.doubt(r.TimeMS)
+		// A record written by a newer release may contain claims, so claims at or
+		// before its timestamp may be missing.
+		x.markMissing(r.TimeMS)
 		return nil
 	}
 	for i := range b.Claims {
-		x.claim(&b.Claims[i], r)
+		x.applyClaim(&b.Claims[i], r)
 	}
 	for i := range b.Results {
-		x.result(&b.Results[i], r.Offset)
+		x.applyResult(&b.Results[i], r.Offset)
 	}
 	x.expire()
 	return b
 }
 
-func (x *Index) claim(c *Claim, r infraapi.Record) {
+// applyClaim applies a claim in the record r. The claim becomes the key's holder if
+// the key is unknown, expired, or released and free to be claimed again.
+func (x *Index) applyClaim(c *Claim, r infraapi.Record) {
 	e := x.entries[c.Key]
-	if e == nil || r.TimeMS-e.last > x.cfg.Lifetime.Milliseconds() {
+	if e == nil || r.TimeMS-e.lastClaimMS > x.cfg.Lifetime.Milliseconds() {
 		x.insert(c, r)
 		return
 	}
-	e.last = max(e.last, r.TimeMS)
-	// A released key goes to a claim whose request arrived after its daemon had
-	// read of the release. A claim of an earlier attempt, frozen on its way to
-	// the log, comes too late: its caller may have been told "not run".
-	if e.status == Released && c.Seen > e.released && c.Body == e.body {
-		e.holder, e.offset, e.claimed = c.ID, r.Offset, r.TimeMS
-		e.status, e.released = Held, 0
+	e.lastClaimMS = max(e.lastClaimMS, r.TimeMS)
+	// A released key passes to a claim whose request arrived after its daemon had
+	// read the release. A claim for an earlier request, delayed on its way to the
+	// log, does not get the key, since its caller may have been told "not run".
+	if e.status == Released && c.Seen > e.releaseOffset && c.Body == e.body {
+		e.holder, e.offset, e.claimedMS = c.ID, r.Offset, r.TimeMS
+		e.status, e.releaseOffset = Held, 0
 	}
 }
 
+// insert adds a key, or replaces an expired one, with the claim as its holder.
 func (x *Index) insert(c *Claim, r infraapi.Record) {
-	old := x.entries[c.Key]
+	old := x.entries[c.Key] // an expired entry, or nil
 	if old == nil && len(x.entries) >= x.cfg.MaxKeys {
-		x.floor = max(x.floor, r.TimeMS)
+		x.missingUntil = max(x.missingUntil, r.TimeMS)
 		return
 	}
 	if old != nil {
-		x.answers.forget(&old.answer)
+		x.answers.remove(&old.answer)
 	}
-	x.entries[c.Key] = &entry{
-		holder: c.ID, body: c.Body, sure: x.sureAt(r.TimeMS), offset: r.Offset, claimed: r.TimeMS, last: r.TimeMS,
+	x.entries[c.Key] = &keyEntry{
+		holder: c.ID, body: c.Body, authoritative: x.completeAt(r.TimeMS), offset: r.Offset, claimedMS: r.TimeMS, lastClaimMS: r.TimeMS,
 	}
 	if old == nil {
-		x.expiry.push(expiring{c.Key, r.TimeMS})
+		x.expiry.push(expiryItem{c.Key, r.TimeMS})
 	}
 }
 
-// sureAt says whether all claims within a lifetime before a log time are known.
-func (x *Index) sureAt(ms int64) bool {
-	if x.floor == nothingMissing {
+// completeAt reports whether all claims are known that were logged within a
+// lifetime before a log timestamp, in ms.
+func (x *Index) completeAt(ms int64) bool {
+	if x.missingUntil == nothingMissing {
 		return true
 	}
-	return ms-x.floor > (x.cfg.Lifetime + x.cfg.Margin).Milliseconds()
+	return ms-x.missingUntil > (x.cfg.Lifetime + x.cfg.Margin).Milliseconds()
 }
 
-func (x *Index) result(res *Result, offset uint64) {
+// applyResult applies a result at an offset. It has no effect unless it comes from
+// the key's holder and is the holder's first result.
+func (x *Index) applyResult(res *Result, offset uint64) {
 	e := x.entries[res.Key]
 	if e == nil || e.holder != res.ID || e.status != Held {
 		return
 	}
 	e.status = res.Status
 	if res.Status == Released {
-		e.released = offset
+		e.releaseOffset = offset
 	}
 	if res.Status == Ran && res.Answer != nil {
-		x.answers.keep(&e.answer, slot{encoded: res.Answer}, len(res.Answer))
+		x.answers.put(&e.answer, answerSlot{encoded: res.Answer}, len(res.Answer))
 	}
 }
 
-// horizon is the log time, in ms, before which a key's last claim is forgotten.
-func (x *Index) horizon() int64 {
-	return x.clock - (x.cfg.Lifetime + x.cfg.Margin).Milliseconds()
+// expiryCutoff returns the log timestamp, in ms, before which the last claim for a
+// key must lie for the key to be removed.
+func (x *Index) expiryCutoff() int64 {
+	return x.logTime - (x.cfg.Lifetime + x.cfg.Margin).Milliseconds()
 }
 
-// expire forgets keys whose last claim is older than a lifetime and the margin.
+// expire removes the keys whose last claim is older than the lifetime plus the
+// margin.
 func (x *Index) expire() {
-	horizon := x.horizon()
+	cutoff := x.expiryCutoff()
 	for {
 		head, ok := x.expiry.peek()
-		if !ok || head.last >= horizon {
+		if !ok || head.lastClaimMS >= cutoff {
 			return
 		}
 		x.expiry.pop()
 		e := x.entries[head.key]
 		switch {
 		case e == nil:
-		case e.last >= horizon:
-			x.expiry.push(expiring{head.key, e.last})
+		case e.lastClaimMS >= cutoff:
+			x.expiry.push(expiryItem{head.key, e.lastClaimMS})
 		default:
-			x.answers.forget(&e.answer)
+			x.answers.remove(&e.answer)
 			delete(x.entries, head.key)
 		}
 	}
 }
 
-// Lookup returns what is known of a key. An expired key that is still in memory
-// is not shown: how long it stays there differs from reader to reader.
+// Lookup returns the state of a key. It does not return an expired key that is
+// still in memory, because readers remove expired keys at different times.
 func (x *Index) Lookup(k Key) View {
 	e := x.entries[k]
-	if e == nil || e.last < x.horizon() {
+	if e == nil || e.lastClaimMS < x.expiryCutoff() {
 		return View{}
 	}
 	return View{
-		Found: true, Sure: e.sure, Holder: e.holder, Body: e.body, Offset: e.offset, Status: e.status,
-		Released: e.released, Age: time.Duration(x.clock-e.claimed) * time.Millisecond, Answer: e.answer.encoded,
+		Found: true, Sure: e.authoritative, Holder: e.holder, Body: e.body, Offset: e.offset, Status: e.status,
+		Released: e.releaseOffset, Age: time.Duration(x.logTime-e.claimedMS) * time.Millisecond, Answer: e.answer.encoded,
 	}
 }
--- a/claims/index_test.go
+++ b/claims/index_test.go
@@ -17,12 +17,13 @@
 	testMargin   = 5 * time.Second
 )
 
+// testIndex returns an index that holds at most maxKeys keys.
 func testIndex(maxKeys int) *Index {
 	return NewIndex(IndexConfig{Lifetime: testLifetime, Margin: testMargin, MaxKeys: maxKeys, AnswerBytes: 2 * answerOverhead})
 }
 
-// drawBatch draws claims with new ids, results of earlier claims, or an earlier
-// batch once more.
+// drawBatch draws a batch with new claims and with results of claims in earlier
+// batches, or returns an earlier batch again.
 func drawBatch(t *rapid.T, offset int, old *[]Batch) Batch {
 	if len(*old) > 0 && rapid.IntRange(0, 9).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(*old).Draw(t, "batch")
@@ -48,11 +49,11 @@
 	return b
 }
 
-// Symptom: after a restart, a trimmed log or a full index, a daemon grants a key
-// that another one holds.
-// Sequence: it reads the stream from the middle, misses records, or forgets keys
-// over its bound, and is then sure of a holder that is not the first.
-// Cause: a reader that lacks records must know what it cannot know.
+// TestReadersThatAreSureAgree checks that readers agree on the state of every key
+// that they report as authoritative. One reader applies the whole stream, one
+// starts late or misses records in the middle, and one holds fewer keys than there
+// are. If a reader with missing records reported a wrong holder as authoritative,
+// its daemon could grant a key that another one holds.
 func TestReadersThatAreSureAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		full, late, small := testIndex(100), testIndex(100), testIndex(1)
@@ -60,7 +61,7 @@
 		from := rapid.IntRange(0, n).Draw(t, "miss from")
 		to := rapid.IntRange(from, n).Draw(t, "miss to")
 		var old []Batch
-		var claimed [3]int64 // log time of each key's last claim
+		var claimed [3]int64 // log timestamp of each key's last claim, in ms
 		ms := int64(1_000_000)
 		for offset := range n {
 			ms += rapid.SampledFrom([]int64{0, 1, 40, 60, 99, 101, 106}).Draw(t, "pause") * 1000
@@ -77,23 +78,24 @@
 				late.Skip(r.Offset)
 				late.Apply(r)
 			}
-			checkHandOver(t, before, lookups(full), &b, func(k int) time.Duration {
+			checkHolderChanges(t, before, lookups(full), &b, func(k int) time.Duration {
 				return time.Duration(ms-claimed[k]) * time.Millisecond
 			})
 			for _, c := range b.Claims {
 				claimed[c.Key[0]] = ms
 			}
-			checkAgrees(t, full, small)
+			checkAgreement(t, full, small)
 			if offset < from || offset >= to {
-				checkAgrees(t, full, late)
+				checkAgreement(t, full, late)
 			}
 			if small.Len() > 1 || full.answers.bytes > full.answers.limit {
-				t.Fatalf("bounds passed: %d keys, %d bytes of answers", small.Len(), full.answers.bytes)
+				t.Fatalf("limits exceeded: %d keys, %d bytes of answers", small.Len(), full.answers.bytes)
 			}
 		}
 	})
 }
 
+// lookups returns the states of the three keys of the test.
 func lookups(x *Index) (out [3]View) {
 	for k := range out {
 		out[k] = x.Lookup(Key{byte(k)})
@@ -101,19 +103,21 @@
 	return out
 }
 
-func checkAgrees(t *rapid.T, full, other *Index) {
+// checkAgreement checks that other agrees with full, which has applied the whole
+// stream, on the keys that are authoritative in other.
+func checkAgreement(t *rapid.T, full, other *Index) {
 	for k, v := range lookups(other) {
 		f := full.Lookup(Key{byte(k)})
 		if v.Found && v.Sure && (f.Holder != v.Holder || f.Status != v.Status || f.Released != v.Released) {
-			t.Fatalf("key %d: sure of %+v, but the whole log says %+v", k, v, f)
+			t.Fatalf("key %d: authoritative state %+v differs from that of the whole log, %+v", k, v, f)
 		}
 	}
 }
 
-// checkHandOver checks that a key finds another holder only when its last claim
-// was more than a lifetime ago, or when it was released before the claimant's
-// request arrived; and that a result is final.
-func checkHandOver(t *rapid.T, before, after [3]View, b *Batch, pause func(k int) time.Duration) {
+// checkHolderChanges checks that a key gets another holder only if its last claim
+// was more than a lifetime ago, or if it was released before the new claimant's
+// request arrived. It also checks that a result is final.
+func checkHolderChanges(t *rapid.T, before, after [3]View, b *Batch, pause func(k int) time.Duration) {
 	for k := range after {
 		o, n := before[k], after[k]
 		if !o.Found || !n.Found || pause(k) > testLifetime {
--- a/claims/judge.go
+++ b/claims/judge.go
@@ -8,51 +8,54 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Times to come back.
+// Delays after which refused callers are told to retry.
 const (
-	// retryHeld is for a key whose request is in progress or was just given up.
-	retryHeld = time.Second
-	// retryLog is for a log that cannot be appended to or read.
-	retryLog = 5 * time.Second
+	// retryAfterShort applies when a key is in progress or was just released, and
+	// when too many keys are being claimed.
+	retryAfterShort = time.Second
+	// retryAfterLong applies when the log cannot be appended to or read, when it
+	// lacks records, and when too many bound tokens are in use.
+	retryAfterLong = 5 * time.Second
 )
 
-// Decision is the answer to one claim: run it, an earlier answer, or a refusal.
+// Decision is the outcome of one claim: permission to run the request, the answer
+// of an earlier run, or a refusal.
 type Decision struct {
-	// Run says that the claimant may run the request, once.
+	// Run permits the claimant to run the request once.
 	Run bool
-	// Answer is the kept answer of the earlier run.
+	// Answer is the cached answer of the earlier run.
 	Answer *request.CallAnswer
-	// Err is the refusal; nil when Run is true or Answer is set.
+	// Err is the refusal, or nil if Run or Answer is set.
 	Err *errkind.Error
 }
 
-// judge decides a claim by what the stream says of its key. The view must be
-// read through the claim's own record. A nil mine judges a repeat that was not
-// appended.
+// decideClaim decides a claim from the state of its key, read at least up to the
+// claim's own record. ownID is the ID of the claim, or nil for a repeat that is
+// decided without an append.
 //
-// Refusals say "not run" only where no attempt with this key and body can have
-// run, nor will. An attempt that the balancer sent elsewhere before may be
-// running now, so that most of them say "unknown".
-func judge(v View, mine *ClaimID, body Body, stale time.Duration, dead func(wire.NodeID) bool) Decision {
+// A refusal reports "not run" only where no attempt with this key and body can have
+// run or will run. Another attempt, sent by the balancer to another daemon, may be
+// running now, so most refusals report "unknown".
+func decideClaim(v View, ownID *ClaimID, body Body, staleAfter time.Duration, isDead func(wire.NodeID) bool) Decision {
 	switch {
 	case !v.Found:
-		return refuse(errkind.ClaimUnavailable, "the key is not on the log yet", retryHeld)
+		return refuse(errkind.ClaimUnavailable, "the key is not on the log yet", retryAfterShort)
 	case v.Status == Ran && v.Body == body:
-		return ran(v.Answer)
+		return alreadyRan(v.Answer)
 	case v.Status == Unknown && v.Body == body:
-		return unknown()
+		return outcomeUnknown()
 	case !v.Sure:
-		return refuse(errkind.ClaimUnavailable, "the log no longer keeps all records of the key's lifetime", retryLog)
-	case mine != nil && v.Holder == *mine && v.Status == Held:
+		return refuse(errkind.ClaimUnavailable, "the log no longer keeps all records of the key's lifetime", retryAfterLong)
+	case ownID != nil && v.Holder == *ownID && v.Status == Held:
 		return Decision{Run: true}
 	case v.Body != body:
-		return reused()
+		return keyReused()
 	case v.Status == Released:
-		return refuse(errkind.ClaimUnavailable, "an attempt with this key was just given up", retryHeld)
-	case v.Age > stale || dead(v.Holder.Node):
-		return unknown()
+		return refuse(errkind.ClaimUnavailable, "an attempt with this key was just given up", retryAfterShort)
+	case v.Age > staleAfter || isDead(v.Holder.Node):
+		return outcomeUnknown()
 	}
-	return inProgress()
+	return keyInProgress()
 }
 
 // refuse returns a refusal that leaves open whether an attempt with this key ran.
@@ -60,29 +63,37 @@
 	return Decision{Err: errkind.New(kind, detail).WithRun(errkind.Unknown).WithRetryAfter(after)}
 }
 
-// gaveUp is the answer to a claim that was not decided in time. The attempt
-// itself never runs; an earlier one with its key may have.
-func gaveUp() Decision {
-	return refuse(errkind.ClaimUnavailable, "the key could not be claimed on the log in time; this attempt does not run", retryLog)
+// claimTimedOut returns the decision for a claim that was not decided in time. This
+// attempt never runs, but an earlier one with the same key may have run.
+func claimTimedOut() Decision {
+	return refuse(errkind.ClaimUnavailable, "the key could not be claimed on the log in time; this attempt does not run", retryAfterLong)
 }
 
-func inProgress() Decision {
-	return refuse(errkind.KeyInProgress, "", retryHeld)
+// keyInProgress refuses a claim because the holder may be running the request.
+func keyInProgress() Decision {
+	return refuse(errkind.KeyInProgress, "", retryAfterShort)
 }
 
-func unknown() Decision {
+// outcomeUnknown refuses a claim because an earlier attempt may have run.
+func outcomeUnknown() Decision {
 	return Decision{Err: errkind.New(errkind.KeyOutcomeUnknown, "").WithRun(errkind.Unknown)}
 }
 
-func reused() Decision {
+// keyReused refuses a claim because the key was used for a request with another
+// body.
+func keyReused() Decision {
 	return Decision{Err: errkind.New(errkind.KeyReused, "").WithRun(errkind.NotRun)}
 }
 
-func ran(encoded []byte) Decision {
-	return answered(decodeAnswer(encoded))
+// alreadyRan returns the decision for a request that ran, given its encoded answer,
+// if any.
+func alreadyRan(encoded []byte) Decision {
+	return replayAnswer(decodeAnswer(encoded))
 }
 
-func answered(a *request.CallAnswer) Decision {
+// replayAnswer returns the decision for a request that ran: its answer, or a
+// refusal if the answer is not available.
+func replayAnswer(a *request.CallAnswer) Decision {
 	if a != nil {
 		return Decision{Answer: a}
 	}
--- a/claims/key.go
+++ b/claims/key.go
@@ -10,19 +10,20 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// DigestSize is the length of a Key and of a Body, in bytes. 128 bits keep an
-// accidental collision out of reach; a collision would refuse a request and
-// never run one twice.
+// DigestSize is the length of a Key and of a Body, in bytes. With 128 bits an
+// accidental collision is practically impossible; it would cause a request to be
+// refused, never to run twice.
 const DigestSize = 16
 
-// Key is the digest of a team and its idempotency key.
+// Key is the digest of a team's name and the idempotency key that the team chose.
 type Key [DigestSize]byte
 
-// Body is the digest of the request that a key was claimed for.
+// Body is the digest of the request for which a key was claimed.
 type Body [DigestSize]byte
 
-// NewKey returns the digest of a team's key. The length of the team goes
-// first, so that no two pairs of team and key give the same input.
+// NewKey returns the digest of a team's idempotency key. The hashed input starts
+// with the length of the team's name, so that different pairs of team and key never
+// produce the same input.
 func NewKey(team, key string) Key {
 	h := sha256.New()
 	var size [8]byte
@@ -33,15 +34,15 @@
 	return Key(h.Sum(nil)[:DigestSize])
 }
 
-// Shard returns the key's shard, below shards.
+// Shard returns the number of the key's shard, from 0 to shards-1.
 func (k Key) Shard(shards int) int {
 	return int(xxhash.Sum64(k[:]) % uint64(shards))
 }
 
-// Stream names the log stream of a shard.
+// Stream returns the name of a shard's log stream.
 func Stream(shard int) string { return fmt.Sprintf("claims-%d", shard) }
 
-// ClaimID names one claim. Seq is never used twice by one incarnation.
+// ClaimID identifies a claim. An incarnation never uses a sequence number twice.
 type ClaimID struct {
 	Node wire.NodeID
 	Seq  uint64
--- a/claims/machine.go
+++ b/claims/machine.go
@@ -9,61 +9,70 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// machineConfig bounds a Machine.
+// machineConfig contains the settings and limits of a Machine.
 type machineConfig struct {
 	Index IndexConfig
-	// GrantTTL is how long a claim may take from its request to the dispatch.
+	// GrantTTL is the longest time from the arrival of a request to its dispatch.
 	GrantTTL time.Duration
-	// Stale is the age at which a key without a result counts as lost.
-	Stale time.Duration
-	// MaxWaiting bounds the claims that wait for a decision.
+	// StaleAfter is the age at which a claim without a result counts as lost: the
+	// outcome of its request is then unknown.
+	StaleAfter time.Duration
+	// MaxWaiting is the largest number of claims that wait for a decision.
 	MaxWaiting int
-	// Linger is the least time between two appends to the stream.
+	// Linger is the shortest time between two appends to the stream.
 	Linger time.Duration
-	// ResultLinger is how long a result waits for a claim to be appended with.
+	// ResultLinger is how long a result may wait to share a record with a claim.
 	ResultLinger time.Duration
-	// MarkEvery is the longest time without a record.
-	MarkEvery time.Duration
-	// MaxBatch bounds the claims of one record.
-	MaxBatch int
-	// MaxBatchBytes bounds the answers in one record.
-	MaxBatchBytes int
-	// MaxResults bounds the results that wait to be appended.
+	// MarkerInterval is the time without records in the stream after which an empty
+	// record, a marker, is appended. A daemon that starts after records were
+	// trimmed trusts no key until it has read a record older than a lifetime.
+	MarkerInterval time.Duration
+	// MaxBatchClaims is the largest number of claims, and of results, in one
+	// record.
+	MaxBatchClaims int
+	// MaxBatchAnswerBytes limits the size of the answers in one record, in bytes;
+	// the last one may exceed it.
+	MaxBatchAnswerBytes int
+	// MaxResults is the largest number of results that wait to be appended.
 	MaxResults int
-	// AnswerLimit is the longest answer that goes on the log, in bytes.
+	// AnswerLimit is the size, in bytes, up to which an answer is written to the
+	// log.
 	AnswerLimit int
-	// AnswerBytes bounds the answers kept in this daemon's memory.
+	// AnswerBytes is the largest total size of the answers to this daemon's own
+	// claims that are cached in memory.
 	AnswerBytes int
 }
 
-// resolution ends the wait of one claim.
+// resolution is the decision on a claim that was waiting for one.
 type resolution struct {
 	Seq      uint64
 	Decision Decision
 }
 
-// Machine is one daemon's part in one stream: its own claims, what it appends,
-// and, when it follows the stream, the Index. It is not safe for concurrent use.
+// Machine is the state machine of one stream at one daemon. It tracks the daemon's
+// own claims and what is to be appended and, if the daemon follows the stream,
+// maintains the Index. It is not safe for concurrent use.
 type Machine struct {
-	cfg   machineConfig
-	self  wire.NodeID
-	dead  func(wire.NodeID) bool
-	index *Index // nil when this daemon does not follow the stream
-	seen  uint64 // every record below is known to be on the log
-	seq   uint64
-	own   *ledger
-	out   outbox
-	wait  int // claims in phase waiting
-	// unread is when reads began to fail; zero while they work.
-	unread time.Time
+	cfg          machineConfig
+	self         wire.NodeID
+	isDead       func(wire.NodeID) bool
+	index        *Index      // nil if this daemon does not follow the stream
+	seenOffset   uint64      // every record below this offset is known to be on the log
+	seq          uint64      // sequence number of this daemon's last claim
+	claims       *claimTable // this daemon's own claims
+	outbox       outbox      // what this daemon has yet to append
+	waitingCount int         // number of this daemon's claims in phaseWaiting
+	// readFailingSince is when reads began to fail; zero while they succeed.
+	readFailingSince time.Time
 }
 
-// newMachine returns the machine of one stream; self is this incarnation.
-func newMachine(cfg machineConfig, self wire.NodeID, dead func(wire.NodeID) bool, now time.Time) *Machine {
-	return &Machine{cfg: cfg, self: self, dead: dead, own: newLedger(cfg.AnswerBytes), out: outbox{lastRecord: now}}
+// newMachine returns the Machine of one stream. self is the incarnation of this
+// daemon, and isDead reports whether another incarnation has ended.
+func newMachine(cfg machineConfig, self wire.NodeID, isDead func(wire.NodeID) bool, now time.Time) *Machine {
+	return &Machine{cfg: cfg, self: self, isDead: isDead, claims: newClaimTable(cfg.AnswerBytes), outbox: outbox{lastRecord: now}}
 }
 
-// Follow starts or ends following the stream; when started, it is read from 0.
+// Follow starts or stops following the stream. A stream is followed from offset 0.
 func (m *Machine) Follow(on bool) {
 	switch {
 	case on && m.index == nil:
@@ -73,48 +82,51 @@
 	}
 }
 
-// Claim takes a request. Either it is decided at once, or seq names the claim
-// that waits for its resolution.
+// Claim makes a claim for a request. The claim is either decided at once, or waits
+// for its resolution under the sequence number that is returned.
 func (m *Machine) Claim(now time.Time, key Key, body Body, requestID string) (seq uint64, d Decision, decided bool) {
-	m.own.prune(now.Add(-m.cfg.Index.Lifetime - m.cfg.Index.Margin))
-	if d, decided = m.known(key, body); decided {
+	m.claims.prune(now.Add(-m.cfg.Index.Lifetime - m.cfg.Index.Margin))
+	if d, decided = m.decideLocally(key, body); decided {
 		return 0, d, true
 	}
-	if m.wait > 0 && m.outage(now) {
-		return 0, gaveUp(), true
+	if m.waitingCount > 0 && m.inOutage(now) {
+		return 0, claimTimedOut(), true
 	}
-	if m.wait >= m.cfg.MaxWaiting || m.full() {
-		return 0, refuse(errkind.Overloaded, "too many keys are being claimed", retryHeld), true
+	if m.waitingCount >= m.cfg.MaxWaiting || m.indexNearlyFull() {
+		return 0, refuse(errkind.Overloaded, "too many keys are being claimed", retryAfterShort), true
 	}
 	m.seq++
-	c := Claim{ID: ClaimID{Node: m.self, Seq: m.seq}, Key: key, Body: body, Seen: m.seen, RequestID: requestID}
-	m.own.add(&own{claim: c, started: now})
-	m.wait++
-	m.out.claims = append(m.out.claims, c)
+	c := Claim{ID: ClaimID{Node: m.self, Seq: m.seq}, Key: key, Body: body, Seen: m.seenOffset, RequestID: requestID}
+	m.claims.add(&ownClaim{claim: c, started: now})
+	m.waitingCount++
+	m.outbox.claims = append(m.outbox.claims, c)
 	return m.seq, Decision{}, false
 }
 
-// outage says that the log has failed for a while. Then one claim at a time
-// waits, to find out when it works again; the others are refused at once.
-func (m *Machine) outage(now time.Time) bool {
-	return failedFor(m.out.failing, now) || failedFor(m.unread, now)
+// inOutage reports whether the log has failed for outageAfter. Then only one claim
+// at a time waits, to detect when the log works again, and all others are refused
+// at once.
+func (m *Machine) inOutage(now time.Time) bool {
+	return failedFor(m.outbox.failingSince, now) || failedFor(m.readFailingSince, now)
 }
 
+// failedFor reports whether outageAfter has passed since failures began. A zero
+// since means that there are none.
 func failedFor(since, now time.Time) bool {
 	return !since.IsZero() && now.Sub(since) >= outageAfter
 }
 
-// ReadFailed says that the stream could not be read.
+// ReadFailed notes that a read of the stream failed.
 func (m *Machine) ReadFailed(now time.Time) {
-	if m.unread.IsZero() {
-		m.unread = now
+	if m.readFailingSince.IsZero() {
+		m.readFailingSince = now
 	}
 }
 
-// known decides a repeat without an append.
-func (m *Machine) known(key Key, body Body) (Decision, bool) {
-	if o := m.own.byKey[key]; o != nil {
-		if d, ok := m.ownRepeat(o, body); ok {
+// decideLocally decides a repeat for which no claim needs to be appended.
+func (m *Machine) decideLocally(key Key, body Body) (Decision, bool) {
+	if o := m.claims.byKey[key]; o != nil {
+		if d, ok := m.decideOwnRepeat(o, body); ok {
 			return d, true
 		}
 	}
@@ -125,44 +137,45 @@
 	if !v.Found || m.reclaimable(v, body) {
 		return Decision{}, false
 	}
-	return judge(v, nil, body, m.cfg.Stale, m.dead), true
+	return decideClaim(v, nil, body, m.cfg.StaleAfter, m.isDead), true
 }
 
-// ownRepeat decides a repeat of a key that this daemon claimed itself.
-func (m *Machine) ownRepeat(o *own, body Body) (Decision, bool) {
+// decideOwnRepeat decides a repeat of a request that this daemon claimed itself.
+func (m *Machine) decideOwnRepeat(o *ownClaim, body Body) (Decision, bool) {
 	switch {
-	case o.phase == waiting:
-		return inProgress(), true
-	case o.phase == done && o.status == Released:
+	case o.phase == phaseWaiting:
+		return keyInProgress(), true
+	case o.phase == phaseDone && o.status == Released:
 		return Decision{}, false
 	case o.claim.Body != body:
-		return reused(), true
-	case o.phase == granted:
-		return inProgress(), true
+		return keyReused(), true
+	case o.phase == phaseGranted:
+		return keyInProgress(), true
 	case o.status == Ran:
-		return answered(o.answer.answer), true
+		return replayAnswer(o.answer.answer), true
 	}
-	return unknown(), true
+	return outcomeUnknown(), true
 }
 
-// reclaimable says whether a released key may be claimed again by a request
-// that arrives now.
+// reclaimable reports whether a request that arrives now may claim a released key.
 func (m *Machine) reclaimable(v View, body Body) bool {
-	return v.Sure && v.Status == Released && v.Body == body && m.seen > v.Released
+	return v.Sure && v.Status == Released && v.Body == body && m.seenOffset > v.Released
 }
 
-// full leaves room below MaxKeys, so that other daemons' claims still fit and
-// this one refuses before it must forget.
-func (m *Machine) full() bool {
+// indexNearlyFull reports whether the index holds 90% of MaxKeys. From there on
+// this daemon refuses new keys, so that claims of other daemons still fit into its
+// index.
+func (m *Machine) indexNearlyFull() bool {
 	return m.index != nil && m.index.Len() >= m.cfg.Index.MaxKeys-m.cfg.Index.MaxKeys/10
 }
 
-// Read takes a reply of the log and returns the claims that are decided now.
+// Read applies the reply to a read of the stream, and returns the decisions on this
+// daemon's claims in it.
 func (m *Machine) Read(now time.Time, reply infraapi.ReadReply) []resolution {
 	if m.index == nil {
 		return nil
 	}
-	m.unread = time.Time{}
+	m.readFailingSince = time.Time{}
 	if reply.Next < m.index.Next() {
 		m.index.Reset(reply.First)
 	}
@@ -173,114 +186,122 @@
 		if b == nil {
 			continue
 		}
-		m.out.lastRecord = now
-		out = append(out, m.decide(now, b)...)
+		m.outbox.lastRecord = now
+		out = append(out, m.resolveBatch(now, b)...)
 	}
-	m.seen = m.index.Next()
+	m.seenOffset = m.index.Next()
 	return out
 }
 
-// decide resolves the own claims of a batch that was just read.
-func (m *Machine) decide(now time.Time, b *Batch) []resolution {
+// resolveBatch decides this daemon's claims in a batch that was just applied to the
+// index.
+func (m *Machine) resolveBatch(now time.Time, b *Batch) []resolution {
 	var out []resolution
 	for i := range b.Claims {
 		c := &b.Claims[i]
 		if c.ID.Node != m.self {
 			continue
 		}
-		o := m.own.bySeq[c.ID.Seq]
+		o := m.claims.bySeq[c.ID.Seq]
 		v := m.index.Lookup(c.Key)
 		switch {
-		case o != nil && o.phase == waiting:
-			out = append(out, resolution{c.ID.Seq, m.settle(now, o, v)})
-		case o != nil && o.phase == done && o.status == Released && v.Holder == c.ID && v.Status == Held:
-			m.release(now, c)
+		case o != nil && o.phase == phaseWaiting:
+			out = append(out, resolution{c.ID.Seq, m.resolveClaim(now, o, v)})
+		case o != nil && o.phase == phaseDone && o.status == Released && v.Holder == c.ID && v.Status == Held:
+			m.releaseAgain(now, c)
 		}
 	}
 	return out
 }
 
-// release gives a key up once more that a claim of this daemon holds although
-// its wait has ended.
+// releaseAgain queues a second release of a claim that became the key's holder
+// after it had been released.
 //
-// What goes wrong: an append took effect after its caller was refused, and
-// after the release was logged. One would notice a key that stays in progress
-// though nobody runs it. The second release lets the caller's retry through. A
-// claim that is not in the ledger any more may have run; it is left alone.
-func (m *Machine) release(now time.Time, c *Claim) {
-	m.out.result(now, Result{ID: c.ID, Key: c.Key, Status: Released}, m.cfg.MaxResults)
+// This happens if the append of a claim takes effect only after its caller was
+// refused and its release was logged. The first release had no effect then. Without
+// a second one the key would stay in progress although nobody runs the request, and
+// the caller's retry would be refused. Claims that were removed from m.claims are
+// not released again, since their requests may have run.
+func (m *Machine) releaseAgain(now time.Time, c *Claim) {
+	m.outbox.addResult(now, Result{ID: c.ID, Key: c.Key, Status: Released}, m.cfg.MaxResults)
 }
 
-// settle ends the wait of a claim by a view read through its own record.
-func (m *Machine) settle(now time.Time, o *own, v View) Decision {
-	d := judge(v, &o.claim.ID, o.claim.Body, m.cfg.Stale, m.dead)
-	m.wait--
-	m.out.drop(o.claim.ID.Seq)
+// resolveClaim ends the wait of a claim, given the state of its key read at least
+// up to the claim's own record.
+func (m *Machine) resolveClaim(now time.Time, o *ownClaim, v View) Decision {
+	d := decideClaim(v, &o.claim.ID, o.claim.Body, m.cfg.StaleAfter, m.isDead)
+	m.waitingCount--
+	m.outbox.removeClaim(o.claim.ID.Seq)
 	if !d.Run && v.Found && v.Sure && v.Holder != o.claim.ID {
-		m.own.remove(o)
+		m.claims.remove(o)
 		return d
 	}
 	if !d.Run {
-		// Another reader may see this claim as the holder.
-		m.finish(now, o, Released, nil)
+		// Release the key, since another reader may have found this claim to be its
+		// holder.
+		m.finishClaim(now, o, Released, nil)
 		return d
 	}
-	o.phase = granted
+	o.phase = phaseGranted
 	if now.Sub(o.started) > m.cfg.GrantTTL {
-		m.finish(now, o, Released, nil)
-		return refuse(errkind.ClaimUnavailable, "the claim took too long", retryHeld)
+		m.finishClaim(now, o, Released, nil)
+		return refuse(errkind.ClaimUnavailable, "the claim took too long", retryAfterShort)
 	}
 	return d
 }
 
-// Told decides a waiting claim by the word of the stream's home, which has read
-// through the claim's record. ok is false when the claim no longer waits.
+// Told decides a waiting claim from the state v of its key at a home of the shard,
+// which has read every record below the offset through, including the claim's own.
+// ok is false if the claim no longer waits.
 func (m *Machine) Told(now time.Time, seq uint64, v View, through uint64) (d Decision, ok bool) {
-	m.seen = max(m.seen, through)
-	o := m.own.bySeq[seq]
-	if o == nil || o.phase != waiting {
+	m.seenOffset = max(m.seenOffset, through)
+	o := m.claims.bySeq[seq]
+	if o == nil || o.phase != phaseWaiting {
 		return Decision{}, false
 	}
-	return m.settle(now, o, v), true
+	return m.resolveClaim(now, o, v), true
 }
 
-// Cancel ends a claim's wait: its caller was refused or has gone. The request
-// never runs under this claim, also when its record shows up later.
+// Cancel ends the wait of a claim whose caller was refused or has disconnected. The
+// request never runs under this claim, even if the claim's record appears on the
+// log later.
 func (m *Machine) Cancel(now time.Time, seq uint64) {
-	o := m.own.bySeq[seq]
-	if o == nil || o.phase != waiting {
+	o := m.claims.bySeq[seq]
+	if o == nil || o.phase != phaseWaiting {
 		return
 	}
-	m.wait--
-	m.out.drop(seq)
-	if !o.sent {
-		m.own.remove(o)
+	m.waitingCount--
+	m.outbox.removeClaim(seq)
+	if !o.maybeLogged {
+		m.claims.remove(o)
 		return
 	}
-	m.finish(now, o, Released, nil)
+	m.finishClaim(now, o, Released, nil)
 }
 
-// Finish takes the outcome of a granted claim.
+// Finish records the outcome of the request of a granted claim.
 func (m *Machine) Finish(now time.Time, seq uint64, out request.Outcome) {
-	o := m.own.bySeq[seq]
-	if o == nil || o.phase != granted {
+	o := m.claims.bySeq[seq]
+	if o == nil || o.phase != phaseGranted {
 		return
 	}
-	m.finish(now, o, statusOf(out.Run), out.Answer)
+	m.finishClaim(now, o, statusFromRun(out.Run), out.Answer)
 }
 
-func (m *Machine) finish(now time.Time, o *own, s Status, a *request.CallAnswer) {
-	o.phase, o.status = done, s
+// finishClaim ends a claim with a final status and queues its result.
+func (m *Machine) finishClaim(now time.Time, o *ownClaim, s Status, a *request.CallAnswer) {
+	o.phase, o.status = phaseDone, s
 	res := Result{ID: o.claim.ID, Key: o.claim.Key, Status: s}
 	if s == Ran {
-		m.own.keep(o, a)
+		m.claims.cacheAnswer(o, a)
 		res.Answer = encodeAnswer(a, m.cfg.AnswerLimit)
 	}
-	m.out.result(now, res, m.cfg.MaxResults)
+	m.outbox.addResult(now, res, m.cfg.MaxResults)
 }
 
-// statusOf maps a run state to a status; anything unclear is Unknown.
-func statusOf(r errkind.Run) Status {
+// statusFromRun returns the status for a run state. Any state other than Ran and
+// NotRun gives Unknown.
+func statusFromRun(r errkind.Run) Status {
 	switch r {
 	case errkind.Ran:
 		return Ran
@@ -290,7 +311,7 @@
 	return Unknown
 }
 
-// Next returns the offset to read from; 0 when the stream is not followed.
+// Next returns the offset from which to read; 0 if the stream is not followed.
 func (m *Machine) Next() uint64 {
 	if m.index == nil {
 		return 0
@@ -298,7 +319,7 @@
 	return m.index.Next()
 }
 
-// Lookup returns what a followed stream says of a key.
+// Lookup returns the state of a key; the zero View if the stream is not followed.
 func (m *Machine) Lookup(k Key) View {
 	if m.index == nil {
 		return View{}
--- a/claims/model_test.go
+++ b/claims/model_test.go
@@ -11,96 +11,113 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// The model's times. One tick passes a grant's time, or a key's lifetime.
+// Durations in the model. The step "long" lets more than a key's lifetime pass, the
+// step "short" more than a grant's duration.
 const (
 	modelLifetime = 100 * time.Second
 	modelMargin   = 5 * time.Second
-	modelTTL      = 10 * time.Second
+	modelGrantTTL = 10 * time.Second
 )
 
-// world is one state of the model: real Machines, one key, the log, and all
-// appends that are on their way to it, for ever late if need be. A daemon that
-// takes no step is a frozen one.
-type world struct {
-	daemons  []*modelDaemon
-	attempts []modelAttempt
-	log      []infraapi.Record // by offset
-	first    int               // records below are trimmed
-	messages []modelMessage
-	now      time.Duration
-	left     faults
-	// steps counts the steps so far; it orders arrivals, answers and dispatches.
+// modelState is one state of the model: real Machines, one key, the log, and all
+// append requests on their way to the log, which may take arbitrarily long. A
+// frozen daemon is modelled as one that takes no steps.
+type modelState struct {
+	daemons      []*modelDaemon
+	attempts     []modelAttempt
+	log          []infraapi.Record // by offset
+	trimmedBelow int               // offsets below this are trimmed
+	messages     []modelMessage    // append requests
+	now          time.Duration     // since modelStart
+	faultsLeft   faults
+	// steps counts the steps taken so far; it orders arrivals, answers and
+	// dispatches.
 	steps      int
-	dispatches []modelEvent
-	notRun     []modelEvent
-	err        string
+	dispatches []modelEvent // dispatches of attempts
+	notRun     []modelEvent // answers "not run"
+	err        string       // the first violation found; empty if none
 }
 
-// faults is how many of each fault may still happen. Long and short are ticks
-// past a lifetime and past a grant's time; late is a claim not decided in time.
-type faults struct{ lost, twice, kills, long, short, trims, refusals, late int }
+// faults gives how often each fault may still occur. lifetimeTicks and grantTicks
+// let more than a key's lifetime or a grant's duration pass. timeouts are claims
+// that are not decided in time.
+type faults struct{ lostReplies, duplicates, kills, lifetimeTicks, grantTicks, trims, refusals, timeouts int }
 
+// modelDaemon is a daemon with its Machine.
 type modelDaemon struct {
 	m           *Machine
 	follows     bool
 	incarnation int
-	sending     int // its message in flight, or -1
+	inFlight    int // index of its append request without a reply yet, or -1
 }
 
+// modelAttempt is one request with the key, sent to one daemon.
 type modelAttempt struct {
 	daemon      int
 	body        byte
 	incarnation int
-	phase       byte // '.' to come, 'w' waiting, 'g' granted, 'd' dispatched, 'x' over
+	phase       byte // '.' not arrived, 'w' waiting, 'g' granted, 'd' dispatched, 'x' ended
 	seq         uint64
-	arrived     int
-	deadline    time.Duration
-	offset      int   // where its claim was appended, or -1
-	told        *View // a home's answer on its way
-	through     uint64
+	arrived     int           // value of modelState.steps at its arrival
+	deadline    time.Duration // the latest time of its dispatch
+	offset      int           // offset of its claim's record, or -1
+	homeView    *View         // a home's reply that is yet to be delivered
+	homeThrough uint64        // the home had read every record below this offset
 }
 
+// modelMessage is an append request to the log.
 type modelMessage struct {
 	daemon, incarnation int
 	data                []byte
-	offset              int // where the log took it first, or -1
+	offset              int // where the log appended it first, or -1
 }
 
-// modelEvent is a dispatch, or a "not run" said, of an attempt.
+// modelEvent is the dispatch of an attempt, or the answer "not run" to an attempt.
 type modelEvent struct {
 	at   time.Duration
-	step int
-	by   int
+	step int // value of modelState.steps
+	by   int // index of the attempt
 	body byte
 }
 
-var modelStart = time.Unix(1_000_000, 0)
+var modelStart = time.Unix(1_000_000, 0) // clock time at the start of the model
 
-func (w *world) time() time.Time { return modelStart.Add(w.now) }
+// time returns the current time in the model.
+func (w *modelState) time() time.Time { return modelStart.Add(w.now) }
 
+// newModelMachine returns the Machine of a new incarnation of a daemon.
 func newModelMachine(daemon, incarnation int, follows bool, now time.Time) *Machine {
 	m := newMachine(machineConfig{
 		Index:    IndexConfig{Lifetime: modelLifetime, Margin: modelMargin, MaxKeys: 10},
-		GrantTTL: modelTTL, Stale: modelLifetime, MaxWaiting: 10, MaxBatch: 10, MaxBatchBytes: 1, MaxResults: 10,
-		MarkEvery: 1e6 * time.Second,
+		GrantTTL: modelGrantTTL, StaleAfter: modelLifetime, MaxWaiting: 10, MaxBatchClaims: 10, MaxBatchAnswerBytes: 1, MaxResults: 10,
+		MarkerInterval: 1e6 * time.Second,
 	}, wire.NodeID{Instance: fmt.Sprint(daemon), Incarnation: uint64(incarnation)},
 		func(wire.NodeID) bool { return false }, now)
 	m.Follow(follows)
 	return m
 }
 
-var modelKey = NewKey("team", "key")
+var modelKey = NewKey("team", "key") // the only key in the model
 
-// step names one thing that may happen next.
+// step is a transition of the model; index selects the attempt, daemon or append
+// request that it concerns.
+//
+// Steps of an attempt: "arrive", "give up" (its claim times out), "ask" (a home is
+// asked), "tell" (the home's reply is delivered), "dispatch", "refuse" (it is
+// granted but not dispatched) and "ran" (the upstream answered). Steps of a daemon:
+// "send" (it sends an append request), "reply" (it gets the reply), "fail" (the
+// reply is lost), "read" and "kill" (it restarts). Other steps: "take" (the log
+// appends a request), "long" and "short" (more than a lifetime or a grant's
+// duration passes) and "trim".
 type step struct {
-	what string
-	i    int
+	name  string
+	index int
 }
 
-// next returns the steps that are possible. There are none once nobody waits
-// for an answer any more: nothing can be broken then.
-func (w *world) next() (out []step) {
-	if !slices.ContainsFunc(w.attempts, w.open) {
+// possibleSteps returns the steps that can come next. There are none once no
+// attempt can be answered or run any more, because no check can fail from there on.
+func (w *modelState) possibleSteps() (out []step) {
+	if !slices.ContainsFunc(w.attempts, w.isOpen) {
 		return nil
 	}
 	for i := range w.attempts {
@@ -110,161 +127,169 @@
 		out = append(out, w.daemonSteps(i)...)
 	}
 	for i := range w.messages {
-		out = when(out, w.messages[i].offset < 0 || w.left.twice > 0, "take", i)
+		out = appendIf(out, w.messages[i].offset < 0 || w.faultsLeft.duplicates > 0, "take", i)
 	}
-	out = when(out, w.left.long > 0, "long", 0)
-	out = when(out, w.left.short > 0, "short", 0)
-	return when(out, w.left.trims > 0 && w.first < len(w.log), "trim", 0)
+	out = appendIf(out, w.faultsLeft.lifetimeTicks > 0, "long", 0)
+	out = appendIf(out, w.faultsLeft.grantTicks > 0, "short", 0)
+	return appendIf(out, w.faultsLeft.trims > 0 && w.trimmedBelow < len(w.log), "trim", 0)
 }
 
-func when(out []step, possible bool, what string, i int) []step {
+// appendIf appends a step to out if it is possible.
+func appendIf(out []step, possible bool, name string, i int) []step {
 	if possible {
-		out = append(out, step{what, i})
+		out = append(out, step{name, i})
 	}
 	return out
 }
 
-func (w *world) attemptSteps(i int) (out []step) {
+// attemptSteps returns the steps that are possible for an attempt.
+func (w *modelState) attemptSteps(i int) (out []step) {
 	a := &w.attempts[i]
 	d := w.daemons[a.daemon]
 	if a.phase != '.' && a.incarnation != d.incarnation {
-		return nil // died with its daemon
+		return nil // its daemon has restarted
 	}
 	switch a.phase {
-	case '.': // equal attempts arrive in order
-		return when(out, i == 0 || w.attempts[i-1].phase != '.' || w.attempts[i-1].daemon != a.daemon, "arrive", i)
+	case '.': // attempts at the same daemon arrive in order
+		return appendIf(out, i == 0 || w.attempts[i-1].phase != '.' || w.attempts[i-1].daemon != a.daemon, "arrive", i)
 	case 'w':
-		out = when(out, w.left.late > 0, "give up", i)
-		out = when(out, a.told != nil, "tell", i)
+		out = appendIf(out, w.faultsLeft.timeouts > 0, "give up", i)
+		out = appendIf(out, a.homeView != nil, "tell", i)
 		read := a.offset >= 0 && w.daemons[0].m.Next() > uint64(a.offset)
-		return when(out, a.told == nil && !d.follows && read, "ask", i)
+		return appendIf(out, a.homeView == nil && !d.follows && read, "ask", i)
 	case 'g':
 		out = append(out, step{"dispatch", i})
-		return when(out, w.left.refusals > 0, "refuse", i)
+		return appendIf(out, w.faultsLeft.refusals > 0, "refuse", i)
 	case 'd':
 		return append(out, step{"ran", i})
 	}
 	return nil
 }
 
-func (w *world) daemonSteps(i int) (out []step) {
+// daemonSteps returns the steps that are possible for a daemon.
+func (w *modelState) daemonSteps(i int) (out []step) {
 	d := w.daemons[i]
-	if d.sending >= 0 && w.left.lost > 0 {
+	if d.inFlight >= 0 && w.faultsLeft.lostReplies > 0 {
 		out = append(out, step{"fail", i})
-		out = when(out, w.messages[d.sending].offset >= 0, "reply", i)
+		out = appendIf(out, w.messages[d.inFlight].offset >= 0, "reply", i)
 	}
-	out = when(out, d.follows && int(d.m.Next()) < len(w.log) && w.reads(i), "read", i)
-	return when(out, w.left.kills > 0, "kill", i)
+	out = appendIf(out, d.follows && int(d.m.Next()) < len(w.log) && w.readMatters(i), "read", i)
+	return appendIf(out, w.faultsLeft.kills > 0, "kill", i)
 }
 
-// open says whether an attempt may still be answered or run.
-func (w *world) open(a modelAttempt) bool {
+// isOpen reports whether an attempt may still be answered or dispatched.
+func (w *modelState) isOpen(a modelAttempt) bool {
 	return a.phase == '.' || a.phase != 'x' && a.phase != 'd' && a.incarnation == w.daemons[a.daemon].incarnation
 }
 
-// reads says whether what a daemon reads can still decide anything.
-func (w *world) reads(i int) bool {
+// readMatters reports whether the records that a daemon reads can still decide an
+// attempt.
+func (w *modelState) readMatters(i int) bool {
 	return slices.ContainsFunc(w.attempts, func(a modelAttempt) bool {
 		asks := !w.daemons[a.daemon].follows && i == 0
-		return w.open(a) && (a.daemon == i || asks) && (a.phase == '.' || a.phase == 'w')
+		return w.isOpen(a) && (a.daemon == i || asks) && (a.phase == '.' || a.phase == 'w')
 	})
 }
 
-// settle does at once what can be done at once without hiding an order: a batch
-// that is due is sent, for it may stay on its way as long as it likes, and a
-// reply that cannot get lost comes.
-func (w *world) settle() {
+// runImmediateSteps takes the steps that can be taken at once without leaving out
+// an order of steps. A batch that is due is sent, since its append request may
+// still take arbitrarily long, and a reply is delivered if it cannot get lost.
+func (w *modelState) runImmediateSteps() {
 	for i, d := range w.daemons {
 		for {
-			if d.sending >= 0 && w.left.lost == 0 && w.messages[d.sending].offset >= 0 {
-				w.daemon("reply", i)
+			if d.inFlight >= 0 && w.faultsLeft.lostReplies == 0 && w.messages[d.inFlight].offset >= 0 {
+				w.stepDaemon("reply", i)
 			}
 			at, ok := d.m.Due()
 			if !ok || w.time().Before(at) {
 				break
 			}
-			w.daemon("send", i)
+			w.stepDaemon("send", i)
 		}
 	}
 }
 
-func (w *world) do(s step) {
+// apply takes a step and the steps that follow at once.
+func (w *modelState) apply(s step) {
 	w.steps++
-	defer w.settle()
-	switch s.what {
+	defer w.runImmediateSteps()
+	switch s.name {
 	case "arrive", "give up", "tell", "ask", "dispatch", "refuse", "ran":
-		w.attempt(s.what, s.i)
+		w.stepAttempt(s.name, s.index)
 	case "send", "reply", "fail", "read", "kill":
-		w.daemon(s.what, s.i)
+		w.stepDaemon(s.name, s.index)
 	case "take":
-		w.take(s.i)
+		w.appendMessage(s.index)
 	case "long":
-		w.left.long--
+		w.faultsLeft.lifetimeTicks--
 		w.now += modelLifetime + 2*modelMargin
 	case "short":
-		w.left.short--
-		w.now += modelTTL + time.Second
+		w.faultsLeft.grantTicks--
+		w.now += modelGrantTTL + time.Second
 	case "trim":
-		w.left.trims--
-		w.first = len(w.log)
+		w.faultsLeft.trims--
+		w.trimmedBelow = len(w.log)
 	}
 }
 
-func (w *world) attempt(what string, i int) {
+// stepAttempt takes a step of an attempt.
+func (w *modelState) stepAttempt(name string, i int) {
 	a := &w.attempts[i]
 	d := w.daemons[a.daemon]
-	switch what {
+	switch name {
 	case "arrive":
 		a.arrived, a.incarnation, a.offset = w.steps, d.incarnation, -1
 		seq, dec, decided := d.m.Claim(w.time(), modelKey, Body{a.body}, "")
-		a.seq, a.phase, a.deadline = seq, 'w', w.now+modelTTL
+		a.seq, a.phase, a.deadline = seq, 'w', w.now+modelGrantTTL
 		if decided {
-			w.answer(i, dec)
+			w.recordAnswer(i, dec)
 		}
 	case "give up":
-		w.left.late--
+		w.faultsLeft.timeouts--
 		d.m.Cancel(w.time(), a.seq)
-		w.answer(i, gaveUp())
+		w.recordAnswer(i, claimTimedOut())
 	case "ask":
 		v := w.daemons[0].m.Lookup(modelKey)
-		a.told, a.through = &v, w.daemons[0].m.Next()
+		a.homeView, a.homeThrough = &v, w.daemons[0].m.Next()
 	case "tell":
-		if dec, ok := d.m.Told(w.time(), a.seq, *a.told, a.through); ok {
-			w.answer(i, dec)
+		if dec, ok := d.m.Told(w.time(), a.seq, *a.homeView, a.homeThrough); ok {
+			w.recordAnswer(i, dec)
 		}
 	case "dispatch":
 		if w.now > a.deadline {
-			w.finish(i)
+			w.endUndispatched(i)
 			return
 		}
 		a.phase = 'd'
-		w.dispatched(i)
+		w.recordDispatch(i)
 	case "refuse":
-		w.left.refusals--
-		w.finish(i)
+		w.faultsLeft.refusals--
+		w.endUndispatched(i)
 	case "ran":
 		a.phase = 'x'
 		d.m.Finish(w.time(), a.seq, request.Outcome{Run: errkind.Ran})
 	}
 }
 
-// finish ends a granted attempt that was not dispatched. Past its deadline the
-// key may be somebody else's, so that its caller is not told "not run".
-func (w *world) finish(i int) {
+// endUndispatched ends a granted attempt that was not dispatched. After its
+// deadline another attempt may hold the key, so its caller is told "unknown"
+// instead of "not run".
+func (w *modelState) endUndispatched(i int) {
 	a := &w.attempts[i]
 	w.daemons[a.daemon].m.Finish(w.time(), a.seq, request.Outcome{Run: errkind.NotRun})
 	run := errkind.NotRun
 	if w.now > a.deadline {
 		run = errkind.Unknown
 	}
-	w.answer(i, Decision{Err: errkind.New(errkind.Overloaded, "").WithRun(run)})
+	w.recordAnswer(i, Decision{Err: errkind.New(errkind.Overloaded, "").WithRun(run)})
 }
 
-// dispatched checks that no other dispatch is within a lifetime, and that no
-// attempt that is older than a "not run" runs.
-func (w *world) dispatched(i int) {
+// recordDispatch records a dispatch. It checks that there was no other one within a
+// lifetime minus a grant's duration, and that no attempt which arrived before a
+// "not run" answer with the same body is dispatched after it.
+func (w *modelState) recordDispatch(i int) {
 	for _, d := range w.dispatches {
-		if w.now-d.at <= modelLifetime-modelTTL {
+		if w.now-d.at <= modelLifetime-modelGrantTTL {
 			w.err = fmt.Sprintf("attempts %d and %d both ran", d.by, i)
 		}
 	}
@@ -276,8 +301,9 @@
 	w.dispatches = append(w.dispatches, modelEvent{w.now, w.steps, i, w.attempts[i].body})
 }
 
-// answer checks a caller's answer: "not run" and "ran" are said only when true.
-func (w *world) answer(i int, dec Decision) {
+// recordAnswer records the decision on an attempt. It checks that callers are told
+// "not run" and "ran" only when this is true.
+func (w *modelState) recordAnswer(i int, dec Decision) {
 	a := &w.attempts[i]
 	if dec.Run {
 		a.phase = 'g'
@@ -300,20 +326,21 @@
 	}
 }
 
-func (w *world) daemon(what string, i int) {
+// stepDaemon takes a step of a daemon.
+func (w *modelState) stepDaemon(name string, i int) {
 	d := w.daemons[i]
-	switch what {
+	switch name {
 	case "send":
 		b := d.m.Batch(w.time())
 		data, err := b.Encode()
 		if err != nil {
 			panic(err)
 		}
-		d.sending = len(w.messages)
+		d.inFlight = len(w.messages)
 		w.messages = append(w.messages, modelMessage{i, d.incarnation, data, -1})
 	case "reply":
-		offset := w.messages[d.sending].offset
-		d.sending = -1
+		offset := w.messages[d.inFlight].offset
+		d.inFlight = -1
 		for _, seq := range d.m.Appended() {
 			for k := range w.attempts {
 				if a := &w.attempts[k]; a.daemon == i && a.incarnation == d.incarnation && a.seq == seq {
@@ -322,39 +349,42 @@
 			}
 		}
 	case "fail":
-		w.left.lost--
-		d.sending = -1
-		d.m.AppendFailed(w.time().Add(-appendPauseMax))
+		w.faultsLeft.lostReplies--
+		d.inFlight = -1
+		d.m.AppendFailed(w.time().Add(-appendBackoffMax))
 	case "read":
-		w.read(i)
+		w.deliverRead(i)
 	case "kill":
-		w.left.kills--
+		w.faultsLeft.kills--
 		d.incarnation++
-		d.sending = -1
+		d.inFlight = -1
 		d.m = newModelMachine(i, d.incarnation, d.follows, w.time())
 	}
 }
 
-func (w *world) read(i int) {
+// deliverRead delivers the next record to a daemon, and the resulting decisions to
+// the attempts.
+func (w *modelState) deliverRead(i int) {
 	d := w.daemons[i]
-	reply := infraapi.ReadReply{First: uint64(w.first), Next: uint64(len(w.log))}
-	if from := int(d.m.Next()); from >= w.first {
+	reply := infraapi.ReadReply{First: uint64(w.trimmedBelow), Next: uint64(len(w.log))}
+	if from := int(d.m.Next()); from >= w.trimmedBelow {
 		reply.Records = w.log[from : from+1]
 	}
 	for _, r := range d.m.Read(w.time(), reply) {
 		for k := range w.attempts {
 			a := &w.attempts[k]
 			if a.daemon == i && a.incarnation == d.incarnation && a.phase == 'w' && a.seq == r.Seq {
-				w.answer(k, r.Decision)
+				w.recordAnswer(k, r.Decision)
 			}
 		}
 	}
 }
 
-func (w *world) take(i int) {
+// appendMessage appends the data of an append request to the log.
+func (w *modelState) appendMessage(i int) {
 	msg := &w.messages[i]
 	if msg.offset >= 0 {
-		w.left.twice--
+		w.faultsLeft.duplicates--
 	} else {
 		msg.offset = len(w.log)
 	}
--- a/claims/modelstate_test.go
+++ b/claims/modelstate_test.go
@@ -7,17 +7,18 @@
 	"strings"
 )
 
-// name tells states apart. It holds all that later steps and checks depend on.
-func (w *world) name() string {
+// fingerprint returns a string that is equal for equal states. It contains
+// everything that later steps and checks depend on.
+func (w *modelState) fingerprint() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%v|%v|%d|", w.left, w.now, w.first)
+	fmt.Fprintf(&b, "%v|%v|%d|", w.faultsLeft, w.now, w.trimmedBelow)
 	for i, d := range w.daemons {
-		fmt.Fprintf(&b, "%d.%d.", d.incarnation, d.sending)
-		nameMachine(&b, d.m, w.reads(i))
+		fmt.Fprintf(&b, "%d.%d.", d.incarnation, d.inFlight)
+		writeMachine(&b, d.m, w.readMatters(i))
 	}
 	for i := range w.attempts {
 		a := &w.attempts[i]
-		if !w.open(*a) && a.phase != 'd' {
+		if !w.isOpen(*a) && a.phase != 'd' {
 			b.WriteByte('x')
 			continue
 		}
@@ -27,12 +28,12 @@
 				late = 1
 			}
 		}
-		fmt.Fprintf(&b, "%c%d,%d,%d,%v,%d,%d|", a.phase, a.seq, a.incarnation, a.offset, a.told, a.through, late)
+		fmt.Fprintf(&b, "%c%d,%d,%d,%v,%d,%d|", a.phase, a.seq, a.incarnation, a.offset, a.homeView, a.homeThrough, late)
 	}
 	for i := range w.messages {
 		m := &w.messages[i]
-		if m.offset >= 0 && w.left.twice == 0 && w.left.lost == 0 {
-			continue // never needed again
+		if m.offset >= 0 && w.faultsLeft.duplicates == 0 && w.faultsLeft.lostReplies == 0 {
+			continue // no later step uses it
 		}
 		fmt.Fprintf(&b, "%d.%d.%d.%s|", m.daemon, m.incarnation, m.offset, m.data)
 	}
@@ -45,26 +46,29 @@
 	return b.String()
 }
 
-func nameMachine(b *strings.Builder, m *Machine, reads bool) {
-	fmt.Fprintf(b, "%d.%d|", m.seq, m.wait)
+// writeMachine writes the state of a Machine. The index is left out if nothing
+// depends on what the daemon reads.
+func writeMachine(b *strings.Builder, m *Machine, reads bool) {
+	fmt.Fprintf(b, "%d.%d|", m.seq, m.waitingCount)
 	if x := m.index; x != nil && reads {
-		fmt.Fprintf(b, "%d.%d.%d.%d.%v", m.seen, x.next, x.clock, x.floor, x.gap)
+		fmt.Fprintf(b, "%d.%d.%d.%d.%v", m.seenOffset, x.next, x.logTime, x.missingUntil, x.gapBefore)
 		if e := x.entries[modelKey]; e != nil {
 			fmt.Fprintf(b, ".%+v", *e)
 		}
 	}
 	for seq := range m.seq {
-		if o := m.own.bySeq[seq+1]; o != nil {
-			fmt.Fprintf(b, "|%d.%d.%d.%v.%d.%v", seq, o.phase, o.status, o.sent, o.started.Unix(), m.own.byKey[modelKey] == o)
+		if o := m.claims.bySeq[seq+1]; o != nil {
+			fmt.Fprintf(b, "|%d.%d.%d.%v.%d.%v", seq, o.phase, o.status, o.maybeLogged, o.started.Unix(), m.claims.byKey[modelKey] == o)
 		}
 	}
-	nameBatch(b, m.out.claims, m.out.results)
-	if f := m.out.inflight; f != nil {
-		nameBatch(b, f.Claims, f.Results)
+	writeBatch(b, m.outbox.claims, m.outbox.results)
+	if f := m.outbox.inflight; f != nil {
+		writeBatch(b, f.Claims, f.Results)
 	}
 }
 
-func nameBatch(b *strings.Builder, claims []Claim, results []Result) {
+// writeBatch writes the claims and results of a batch.
+func writeBatch(b *strings.Builder, claims []Claim, results []Result) {
 	b.WriteByte('|')
 	for i := range claims {
 		fmt.Fprintf(b, "c%d", claims[i].ID.Seq)
@@ -74,7 +78,8 @@
 	}
 }
 
-func (w *world) clone() *world {
+// clone returns a copy of the state that can be changed independently.
+func (w *modelState) clone() *modelState {
 	c := *w
 	c.daemons = nil
 	for _, d := range w.daemons {
@@ -90,6 +95,8 @@
 	return &c
 }
 
+// cloneMachine returns a copy of a Machine. The queue of its cached answers, which
+// the model does not use, is not copied.
 func cloneMachine(m *Machine) *Machine {
 	c := *m
 	if m.index != nil {
@@ -102,23 +109,23 @@
 		x.expiry.items = slices.Clone(x.expiry.items)
 		c.index = &x
 	}
-	l := newLedger(0)
-	for i := m.own.order.head; i < len(m.own.order.items); i++ {
-		o := m.own.order.items[i]
+	l := newClaimTable(0)
+	for i := m.claims.order.head; i < len(m.claims.order.items); i++ {
+		o := m.claims.order.items[i]
 		p := *o
 		l.order.push(&p)
-		if m.own.bySeq[o.claim.ID.Seq] == o {
+		if m.claims.bySeq[o.claim.ID.Seq] == o {
 			l.bySeq[o.claim.ID.Seq] = &p
 		}
-		if m.own.byKey[o.claim.Key] == o {
+		if m.claims.byKey[o.claim.Key] == o {
 			l.byKey[o.claim.Key] = &p
 		}
 	}
-	c.own = l
-	c.out.claims = slices.Clone(m.out.claims)
-	c.out.results = slices.Clone(m.out.results)
-	if m.out.inflight != nil {
-		c.out.inflight = &Batch{Claims: slices.Clone(m.out.inflight.Claims), Results: slices.Clone(m.out.inflight.Results)}
+	c.claims = l
+	c.outbox.claims = slices.Clone(m.outbox.claims)
+	c.outbox.results = slices.Clone(m.outbox.results)
+	if m.outbox.inflight != nil {
+		c.outbox.inflight = &Batch{Claims: slices.Clone(m.outbox.inflight.Claims), Results: slices.Clone(m.outbox.inflight.Results)}
 	}
 	return &c
 }
--- a/claims/options.go
+++ b/claims/options.go
@@ -11,104 +11,118 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// Log is the part of the platform's log that claims need; infra.Log has it.
+// Log is the part of the platform's log that this package uses. infra.Log
+// implements it.
 type Log interface {
 	Append(ctx context.Context, stream string, records ...[]byte) (offset uint64, err error)
 	Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (infraapi.ReadReply, error)
 }
 
-// AskFunc asks a home of a shard, a daemon that follows it, for the state of a
-// key. The home's answer comes from Gate.ServeGet.
+// AskFunc asks a home of a shard, which is a daemon that follows the shard, for the
+// state of a key. The home answers with Gate.ServeGet.
 type AskFunc func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error)
 
-// Options set a Gate up. Zero values take the defaults named.
+// Options configure a Gate. Zero values select the defaults given below.
 type Options struct {
-	Log    Log
+	// Log contains the streams of all shards. It is required.
+	Log Log
+	// Logger writes the log lines of this package. Default log.Log.
 	Logger log.Interface
-	// Self is this incarnation. Its number must never have been used before by
-	// this instance.
+	// Self is this incarnation of the daemon. Its incarnation number must never
+	// have been used before by this instance.
 	Self wire.NodeID
-	// Shards is the number of streams; the same for all daemons, and never
-	// changed while keys are remembered. Default 4.
+	// Shards is the number of streams. It must be the same for all daemons, and
+	// must not change while keys are remembered. Default 4.
 	Shards int
-	// Lifetime is how long keys are remembered. Default 1 h.
+	// Lifetime is how long a key is remembered after its last claim. Default 1 h.
 	Lifetime time.Duration
-	// Retention is how long the log keeps records. It must cover Lifetime, a
-	// quarter of it for markers, and two Margins. Default 2 h.
+	// Retention is how long the log keeps records. It must be at least Lifetime,
+	// plus the marker interval (a quarter of Lifetime), plus twice Margin. Default
+	// 2 h.
 	Retention time.Duration
-	// Margin is the largest difference of two clocks. Default 1 min.
+	// Margin is the largest difference expected between two clocks. Default 1 min.
 	Margin time.Duration
-	// DecideWithin bounds the wait for a decision. Default 3 s.
+	// DecideWithin limits how long a claim waits for a decision. Default 3 s.
 	DecideWithin time.Duration
-	// GrantTTL is how long after its claim a request may be dispatched. Default 1 min.
+	// GrantTTL is how long after its arrival a request may be dispatched. Default
+	// 1 min.
 	GrantTTL time.Duration
-	// Stale is the age at which a key without a result counts as lost. Default 10 min.
+	// Stale is the age at which a claim without a result counts as lost: the
+	// outcome of its request is then unknown. Default 10 min.
 	Stale time.Duration
-	// MaxWaiting bounds the undecided claims of a shard. Default 1024.
+	// MaxWaiting is the largest number of claims per shard that wait for a
+	// decision. The lookups and the records of other daemons that wait are limited
+	// to as many. Default 1024.
 	MaxWaiting int
-	// MaxKeys bounds the keys kept for a followed shard. Default 100,000.
+	// MaxKeys is the largest number of keys held per followed shard. Default
+	// 100,000.
 	MaxKeys int
-	// AnswerLimit is the longest answer kept on the log, in bytes. Default 4 KiB.
+	// AnswerLimit is the size, in bytes, up to which an answer is written to the
+	// log. Default 4 KiB.
 	AnswerLimit int
-	// AnswerBytes bounds the answers in memory: per followed shard those on the
-	// log, and per shard those of this daemon's own. Default 4 MiB.
+	// AnswerBytes limits the answers cached in memory. It applies separately to the
+	// answers read from each followed shard, to the answers of this daemon's own
+	// claims on each shard, and to the answers of bound tokens. Default 4 MiB.
 	AnswerBytes int
-	// Linger is the least time between two appends to a shard. Default 10 ms.
+	// Linger is the shortest time between two appends to a shard. Default 10 ms.
 	Linger time.Duration
-	// AppendsPerSecond bounds this daemon's appends to all shards. Default 40:
-	// seven daemons stay below 300.
+	// AppendsPerSecond limits the appends of this daemon to all shards together.
+	// Default 40, with which seven daemons together stay below 300 per second.
 	AppendsPerSecond float64
-	// TokenTTL is how long a bound token can be used. Default 10 min.
+	// TokenTTL is how long a bound token can be used after it was issued. Default
+	// 10 min.
 	TokenTTL time.Duration
-	// MaxTokens bounds the bound tokens in use. Default 100,000.
+	// MaxTokens is the largest number of bound tokens remembered as used. Default
+	// 100,000.
 	MaxTokens int
-	// Follow says which shards this daemon reads; nil means all. It is asked
-	// again about every second.
+	// Follow reports whether this daemon should read a shard; nil means that it
+	// reads all. It is called again about every second.
 	Follow func(shard int) bool
-	// Ask reaches the home of a shard that this daemon does not follow; required
-	// when Follow is set.
+	// Ask looks a key up at a home of a shard that this daemon does not follow. It
+	// is required if Follow is set.
 	Ask AskFunc
-	// Relay hands what is to be appended to a shard that this daemon does not
-	// follow to the shard's home, which appends for many daemons at once; nil
-	// means that this daemon appends itself.
+	// Relay sends records for a shard that this daemon does not follow to a home of
+	// the shard, which appends them together with those of other daemons. If nil,
+	// this daemon appends them itself.
 	Relay RelayFunc
-	// Dead says that an incarnation is known to have ended; nil means never known.
+	// Dead reports whether an incarnation is known to have ended; nil means that
+	// none ever is.
 	Dead func(wire.NodeID) bool
-	// Now is the wall clock; nil means time.Now.
+	// Now returns the wall-clock time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Fixed sizes.
+// Limits and intervals that are not configurable.
 const (
-	markersPerLifetime = 4
-	maxBatchClaims     = 256
-	maxBatchAnswers    = 256 << 10 // bytes
-	maxResults         = 4096
-	resultLinger       = 200 * time.Millisecond
-	readMax            = 512 // records per read
-	readWait           = 5 * time.Second
-	appendTimeout      = 2 * time.Second
-	flushTimeout       = time.Second
-	idleWait           = 5 * time.Second
-	followCheck        = time.Second
+	markersPerLifetime  = 4                      // markers appended to a stream without other records
+	maxBatchClaims      = 256                    // claims, results or forwarded records per append
+	maxBatchAnswers     = 256 << 10              // bytes of answers or forwarded records per append
+	maxResults          = 4096                   // results per shard that wait to be appended
+	resultLinger        = 200 * time.Millisecond // wait of a result to share a record with a claim
+	maxReadRecords      = 512                    // records per read
+	readWait            = 5 * time.Second        // longest wait of a read for new records
+	appendTimeout       = 2 * time.Second        // for one append
+	flushTimeout        = time.Second            // for the last append at shutdown
+	maxIdleWait         = 5 * time.Second        // sleep of the append loop when no append is scheduled
+	followCheckInterval = time.Second            // between calls of Options.Follow while it returns false
 )
 
 func (o *Options) setDefaults() {
-	orDefault(&o.Shards, 4)
-	orDefault(&o.Lifetime, time.Hour)
-	orDefault(&o.Retention, 2*time.Hour)
-	orDefault(&o.Margin, time.Minute)
-	orDefault(&o.DecideWithin, 3*time.Second)
-	orDefault(&o.GrantTTL, time.Minute)
-	orDefault(&o.Stale, 10*time.Minute)
-	orDefault(&o.MaxWaiting, 1024)
-	orDefault(&o.MaxKeys, 100_000)
-	orDefault(&o.AnswerLimit, 4<<10)
-	orDefault(&o.AnswerBytes, 4<<20)
-	orDefault(&o.Linger, 10*time.Millisecond)
-	orDefault(&o.AppendsPerSecond, 40)
-	orDefault(&o.TokenTTL, 10*time.Minute)
-	orDefault(&o.MaxTokens, 100_000)
+	setDefault(&o.Shards, 4)
+	setDefault(&o.Lifetime, time.Hour)
+	setDefault(&o.Retention, 2*time.Hour)
+	setDefault(&o.Margin, time.Minute)
+	setDefault(&o.DecideWithin, 3*time.Second)
+	setDefault(&o.GrantTTL, time.Minute)
+	setDefault(&o.Stale, 10*time.Minute)
+	setDefault(&o.MaxWaiting, 1024)
+	setDefault(&o.MaxKeys, 100_000)
+	setDefault(&o.AnswerLimit, 4<<10)
+	setDefault(&o.AnswerBytes, 4<<20)
+	setDefault(&o.Linger, 10*time.Millisecond)
+	setDefault(&o.AppendsPerSecond, 40)
+	setDefault(&o.TokenTTL, 10*time.Minute)
+	setDefault(&o.MaxTokens, 100_000)
 	if o.Logger == nil {
 		o.Logger = log.Log
 	}
@@ -120,13 +134,15 @@
 	}
 }
 
-func orDefault[T int | float64 | time.Duration](v *T, d T) {
+// setDefault sets v to d if v is zero.
+func setDefault[T int | float64 | time.Duration](v *T, d T) {
 	if *v == 0 {
 		*v = d
 	}
 }
 
-// validate refuses settings under which a key could be granted twice.
+// validate rejects missing options and options with which a key could be granted
+// twice.
 func (o *Options) validate() error {
 	marker := o.Lifetime / markersPerLifetime
 	switch {
@@ -137,29 +153,30 @@
 	case o.Shards < 1:
 		return errors.New("claims: shards must be at least 1")
 	case o.Relay != nil && o.Follow == nil:
-		return errors.New("claims: records are to be relayed and every shard is followed")
+		return errors.New("claims: Relay is set although every shard is followed")
 	case o.Follow != nil && o.Ask == nil:
-		return errors.New("claims: shards are not all followed and there is no way to ask their homes")
+		return errors.New("claims: Follow is set but there is no way to ask the homes of other shards: Ask is not set")
 	case o.Retention < o.Lifetime+marker+2*o.Margin:
-		return errors.Errorf("claims: keys kept for %s need a log that keeps records for %s, not %s",
+		return errors.Errorf("claims: keys that live for %s need a log that keeps records for at least %s, not %s",
 			o.Lifetime, o.Lifetime+marker+2*o.Margin, o.Retention)
 	case o.GrantTTL+2*o.Margin > o.Lifetime:
-		return errors.Errorf("claims: a grant of %s must end two margins of %s before the key's %s",
+		return errors.Errorf("claims: a grant of %s must end at least two clock margins of %s before the key lifetime of %s",
 			o.GrantTTL, o.Margin, o.Lifetime)
 	}
 	return nil
 }
 
-func (o *Options) machine() machineConfig {
+// machineConfig returns the configuration of the Machine of each shard.
+func (o *Options) machineConfig() machineConfig {
 	return machineConfig{
-		Index:        IndexConfig{Lifetime: o.Lifetime, Margin: o.Margin, MaxKeys: o.MaxKeys, AnswerBytes: o.AnswerBytes},
-		GrantTTL:     o.GrantTTL,
-		Stale:        o.Stale,
-		MaxWaiting:   o.MaxWaiting,
-		Linger:       o.Linger,
-		ResultLinger: resultLinger,
-		MarkEvery:    o.Lifetime / markersPerLifetime,
-		MaxBatch:     maxBatchClaims, MaxBatchBytes: maxBatchAnswers, MaxResults: maxResults,
+		Index:          IndexConfig{Lifetime: o.Lifetime, Margin: o.Margin, MaxKeys: o.MaxKeys, AnswerBytes: o.AnswerBytes},
+		GrantTTL:       o.GrantTTL,
+		StaleAfter:     o.Stale,
+		MaxWaiting:     o.MaxWaiting,
+		Linger:         o.Linger,
+		ResultLinger:   resultLinger,
+		MarkerInterval: o.Lifetime / markersPerLifetime,
+		MaxBatchClaims: maxBatchClaims, MaxBatchAnswerBytes: maxBatchAnswers, MaxResults: maxResults,
 		AnswerLimit: o.AnswerLimit, AnswerBytes: o.AnswerBytes,
 	}
 }
--- a/claims/options_test.go
+++ b/claims/options_test.go
@@ -9,6 +9,8 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
+// TestUnsafeOptionsAreRefused checks that New rejects options that are incomplete
+// or with which a key could be granted twice.
 func TestUnsafeOptionsAreRefused(t *testing.T) {
 	base := Options{Log: memoryLog{}, Self: wire.NodeID{Instance: "a"}}
 	tests := []struct {
--- a/claims/outbox.go
+++ b/claims/outbox.go
@@ -5,32 +5,37 @@
 	"time"
 )
 
-// The pauses after failed appends, doubled from the first to the last.
+// Backoff between failed appends; it starts at the minimum and doubles up to the
+// maximum.
 const (
-	appendPauseMin = 20 * time.Millisecond
-	appendPauseMax = time.Second
+	appendBackoffMin = 20 * time.Millisecond
+	appendBackoffMax = time.Second
 )
 
-// outageAfter is how long the log must fail before claims no longer wait for it.
+// outageAfter is how long appends or reads must have failed before most claims are
+// refused without waiting.
 const outageAfter = time.Second
 
-// outbox holds what one daemon has yet to append to one stream.
+// outbox holds the claims and results that one daemon has yet to append to one
+// stream.
 type outbox struct {
-	claims   []Claim
-	results  []Result
+	claims  []Claim
+	results []Result
+	// inflight is the batch that is being appended; nil if there is none.
 	inflight *Batch
 	// resultsSince is when the oldest result began to wait.
 	resultsSince time.Time
-	lastAppend   time.Time
-	lastRecord   time.Time
-	retryAt      time.Time
-	pause        time.Duration
-	failing      time.Time // when appends began to fail; zero while they work
+	lastAppend   time.Time     // when the last append started
+	lastRecord   time.Time     // when this daemon last read a record
+	retryAt      time.Time     // no append before this time
+	backoff      time.Duration // delay after the last failed append
+	failingSince time.Time     // when appends began to fail; zero while they succeed
 }
 
-// result queues a result. Over limit the oldest is dropped: a repeat elsewhere
-// is then told that the outcome is unknown, which is true for that daemon.
-func (o *outbox) result(now time.Time, r Result, limit int) {
+// addResult queues a result. If more than limit results wait, the oldest is
+// dropped. Other daemons then report the outcome of its request as unknown, which
+// is correct for what they have read.
+func (o *outbox) addResult(now time.Time, r Result, limit int) {
 	if len(o.results) == 0 {
 		o.resultsSince = now
 	}
@@ -40,42 +45,45 @@
 	}
 }
 
-// drop takes a claim back that has no need to be appended any more.
-func (o *outbox) drop(seq uint64) {
+// removeClaim removes a claim that no longer needs to be appended.
+func (o *outbox) removeClaim(seq uint64) {
 	o.claims = slices.DeleteFunc(o.claims, func(c Claim) bool { return c.ID.Seq == seq })
 }
 
-// due returns when the next batch is to be appended; ok is false when none waits.
-func (o *outbox) due(cfg *machineConfig, marks bool) (at time.Time, ok bool) {
+// dueAt returns when the next batch is to be appended; ok is false if there is
+// none. If markers is true, an empty batch (a marker) becomes due on a stream that
+// has no other records for MarkerInterval.
+func (o *outbox) dueAt(cfg *machineConfig, markers bool) (at time.Time, ok bool) {
 	switch {
 	case o.inflight != nil:
 		return at, false
 	case len(o.claims) > 0:
 		at = o.lastAppend.Add(cfg.Linger)
 	case len(o.results) > 0:
-		at = later(o.lastAppend.Add(cfg.Linger), o.resultsSince.Add(cfg.ResultLinger))
-	case marks:
-		at = later(o.lastAppend, o.lastRecord).Add(cfg.MarkEvery)
+		at = laterOf(o.lastAppend.Add(cfg.Linger), o.resultsSince.Add(cfg.ResultLinger))
+	case markers:
+		at = laterOf(o.lastAppend, o.lastRecord).Add(cfg.MarkerInterval)
 	default:
 		return at, false
 	}
-	return later(at, o.retryAt), true
+	return laterOf(at, o.retryAt), true
 }
 
-func later(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// take makes the next batch out of what waits.
-func (o *outbox) take(cfg *machineConfig) *Batch {
-	n := min(len(o.claims), cfg.MaxBatch)
+// takeBatch moves waiting claims and results into a new batch in flight.
+func (o *outbox) takeBatch(cfg *machineConfig) *Batch {
+	n := min(len(o.claims), cfg.MaxBatchClaims)
 	b := &Batch{Claims: slices.Clone(o.claims[:n])}
 	o.claims = slices.Delete(o.claims, 0, n)
 	k, bytes := 0, 0
-	for k < len(o.results) && k < cfg.MaxBatch && bytes <= cfg.MaxBatchBytes {
+	for k < len(o.results) && k < cfg.MaxBatchClaims && bytes <= cfg.MaxBatchAnswerBytes {
 		bytes += len(o.results[k].Answer)
 		k++
 	}
@@ -85,70 +93,73 @@
 	return b
 }
 
-// Due returns when Batch is to be called; ok is false when nothing waits for it.
+// Due returns when Batch should be called next; ok is false if nothing is to be
+// appended.
 func (m *Machine) Due() (at time.Time, ok bool) {
-	return m.out.due(&m.cfg, m.index != nil)
+	return m.outbox.dueAt(&m.cfg, m.index != nil)
 }
 
-// Batch returns the next record to append, or nil when none is due. Until
-// Appended or AppendFailed is called there is no other.
+// Batch returns the next batch to append, or nil if none is due. While the append
+// of a batch is in progress, until Appended or AppendFailed is called, no other
+// batch is due.
 func (m *Machine) Batch(now time.Time) *Batch {
 	at, ok := m.Due()
 	if !ok || now.Before(at) {
 		return nil
 	}
-	b := m.out.take(&m.cfg)
-	m.out.lastAppend = now
+	b := m.outbox.takeBatch(&m.cfg)
+	m.outbox.lastAppend = now
 	for i := range b.Claims {
-		if o := m.own.bySeq[b.Claims[i].ID.Seq]; o != nil {
-			o.sent = true
+		if o := m.claims.bySeq[b.Claims[i].ID.Seq]; o != nil {
+			o.maybeLogged = true
 		}
 	}
 	return b
 }
 
-// Appended says that the batch in flight is on the log. It returns the claims
-// of the batch that still wait, and must be asked for when this daemon does not
-// follow the stream.
+// Appended records that the batch in flight is on the log. It returns the sequence
+// numbers of the batch's claims that still wait. If this daemon does not follow the
+// stream, a home must be asked to decide them.
 func (m *Machine) Appended() []uint64 {
-	b := m.out.inflight
-	m.out.inflight, m.out.pause, m.out.failing = nil, 0, time.Time{}
+	b := m.outbox.inflight
+	m.outbox.inflight, m.outbox.backoff, m.outbox.failingSince = nil, 0, time.Time{}
 	if b == nil {
 		return nil
 	}
 	var seqs []uint64
 	for i := range b.Claims {
-		if o := m.own.bySeq[b.Claims[i].ID.Seq]; o != nil && o.phase == waiting {
+		if o := m.claims.bySeq[b.Claims[i].ID.Seq]; o != nil && o.phase == phaseWaiting {
 			seqs = append(seqs, o.claim.ID.Seq)
 		}
 	}
 	return seqs
 }
 
-// AppendFailed says that the batch in flight may or may not be on the log. What
-// is still wanted is appended again: a second record of the same claim changes
-// nothing, and the reply of the second append tells where to read to.
+// AppendFailed records that it is unknown whether the batch in flight is on the
+// log. The batch's results, and its claims that still wait, are queued to be
+// appended again. A second record of the same claim has no effect, and the reply to
+// the second append gives the offset up to which the stream must be read.
 func (m *Machine) AppendFailed(now time.Time) {
-	b := m.out.inflight
+	b := m.outbox.inflight
 	if b == nil {
 		return
 	}
-	m.out.inflight = nil
-	m.out.pause = min(max(2*m.out.pause, appendPauseMin), appendPauseMax)
-	m.out.retryAt = now.Add(m.out.pause)
-	if m.out.failing.IsZero() {
-		m.out.failing = now
+	m.outbox.inflight = nil
+	m.outbox.backoff = min(max(2*m.outbox.backoff, appendBackoffMin), appendBackoffMax)
+	m.outbox.retryAt = now.Add(m.outbox.backoff)
+	if m.outbox.failingSince.IsZero() {
+		m.outbox.failingSince = now
 	}
 	again := slices.DeleteFunc(b.Claims, func(c Claim) bool {
-		o := m.own.bySeq[c.ID.Seq]
-		return o == nil || o.phase != waiting
+		o := m.claims.bySeq[c.ID.Seq]
+		return o == nil || o.phase != phaseWaiting
 	})
-	m.out.claims = append(again, m.out.claims...)
-	if len(b.Results) > 0 && len(m.out.results) == 0 {
-		m.out.resultsSince = now
+	m.outbox.claims = append(again, m.outbox.claims...)
+	if len(b.Results) > 0 && len(m.outbox.results) == 0 {
+		m.outbox.resultsSince = now
 	}
-	m.out.results = append(b.Results, m.out.results...)
-	if over := len(m.out.results) - m.cfg.MaxResults; over > 0 {
-		m.out.results = slices.Delete(m.out.results, 0, over)
+	m.outbox.results = append(b.Results, m.outbox.results...)
+	if over := len(m.outbox.results) - m.cfg.MaxResults; over > 0 {
+		m.outbox.results = slices.Delete(m.outbox.results, 0, over)
 	}
 }
--- a/claims/own.go
+++ b/claims/own.go
@@ -6,78 +6,83 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// phase is how far one of this daemon's own claims has come.
+// phase is the progress of one of this daemon's own claims.
 type phase uint8
 
+// The phases of a claim.
 const (
-	// waiting: not decided yet; its caller waits.
-	waiting phase = iota
-	// granted: this daemon runs the request.
-	granted
-	// done: the request has ended; status tells how.
-	done
+	// phaseWaiting: the claim is not decided yet and its caller waits.
+	phaseWaiting phase = iota
+	// phaseGranted: this daemon may run the request or is running it.
+	phaseGranted
+	// phaseDone: the claim has ended with a final status.
+	phaseDone
 )
 
-// own is one of this daemon's claims, or the last one for its key.
-type own struct {
-	claim   Claim
-	phase   phase
-	status  Status // when done
-	sent    bool   // an append may have put it on the log
-	started time.Time
-	answer  slot
+// ownClaim is a claim made by this daemon.
+type ownClaim struct {
+	claim       Claim
+	phase       phase
+	status      Status    // final status; valid in phaseDone
+	maybeLogged bool      // an append was started that may have put the claim on the log
+	started     time.Time // when the request arrived
+	answer      answerSlot
 }
 
-// ledger keeps this daemon's own claims: those that wait, those that run, and
-// the ended ones until their keys are forgotten. Its answers are bounded by
-// bytes; the oldest go first.
-type ledger struct {
-	bySeq   map[uint64]*own
-	byKey   map[Key]*own
-	order   queue[*own]
-	answers answerStore
+// claimTable holds this daemon's own claims: waiting and granted ones, and finished
+// ones until their keys expire. The total size of their cached answers is limited;
+// the oldest answers are evicted first.
+type claimTable struct {
+	bySeq   map[uint64]*ownClaim
+	byKey   map[Key]*ownClaim // the last claim for each key
+	order   queue[*ownClaim]  // in order of arrival, except that prune moves claims in progress to the end
+	answers answerCache
 }
 
-func newLedger(answerBytes int) *ledger {
-	return &ledger{bySeq: make(map[uint64]*own), byKey: make(map[Key]*own), answers: answerStore{limit: answerBytes}}
+func newClaimTable(answerBytes int) *claimTable {
+	return &claimTable{bySeq: make(map[uint64]*ownClaim), byKey: make(map[Key]*ownClaim), answers: answerCache{limit: answerBytes}}
 }
 
-func (l *ledger) add(o *own) {
-	l.bySeq[o.claim.ID.Seq] = o
-	l.byKey[o.claim.Key] = o
-	l.order.push(o)
+// add adds a claim. It becomes the last one for its key.
+func (t *claimTable) add(o *ownClaim) {
+	t.bySeq[o.claim.ID.Seq] = o
+	t.byKey[o.claim.Key] = o
+	t.order.push(o)
 }
 
-func (l *ledger) remove(o *own) {
-	delete(l.bySeq, o.claim.ID.Seq)
-	if l.byKey[o.claim.Key] == o {
-		delete(l.byKey, o.claim.Key)
+// remove removes a claim and its cached answer.
+func (t *claimTable) remove(o *ownClaim) {
+	delete(t.bySeq, o.claim.ID.Seq)
+	if t.byKey[o.claim.Key] == o {
+		delete(t.byKey, o.claim.Key)
 	}
-	l.answers.forget(&o.answer)
+	t.answers.remove(&o.answer)
 }
 
-func (l *ledger) keep(o *own, a *request.CallAnswer) {
+// cacheAnswer caches the answer to the request of a claim, if there is one.
+func (t *claimTable) cacheAnswer(o *ownClaim, a *request.CallAnswer) {
 	if a != nil {
-		l.answers.keep(&o.answer, slot{answer: a}, len(a.Body))
+		t.answers.put(&o.answer, answerSlot{answer: a}, len(a.Body))
 	}
 }
 
-// prune forgets claims made before a time. A running one stays.
-func (l *ledger) prune(before time.Time) {
+// prune removes finished claims that started before the given time. It stops at the
+// first claim in progress.
+func (t *claimTable) prune(before time.Time) {
 	for {
-		o, ok := l.order.peek()
+		o, ok := t.order.peek()
 		if !ok || !o.started.Before(before) {
 			return
 		}
-		l.order.pop()
-		if l.bySeq[o.claim.ID.Seq] != o {
+		t.order.pop()
+		if t.bySeq[o.claim.ID.Seq] != o {
 			continue
 		}
-		if o.phase == done {
-			l.remove(o)
+		if o.phase == phaseDone {
+			t.remove(o)
 			continue
 		}
-		l.order.push(o)
+		t.order.push(o)
 		return
 	}
 }
--- a/claims/owner.go
+++ b/claims/owner.go
@@ -2,8 +2,9 @@
 
 import "github.com/corianderturn/corianderturn/internal/wire"
 
-// TokenOwner returns the daemon that a bound token names; ok is false for any
-// other key. It does not check the token: only its owner can.
+// TokenOwner returns the daemon incarnation that a bound token names as its issuer;
+// ok is false for any other key. The token is not verified, since only its issuer
+// can verify it.
 func TokenOwner(key string) (owner wire.NodeID, ok bool) {
 	t, _, err := parseToken(key)
 	if err != nil {
--- a/claims/queue.go
+++ b/claims/queue.go
@@ -1,12 +1,13 @@
 package claims
 
-// compactAt is the least number of dead slots worth a copy.
-const compactAt = 64
+// minCompactHead is the number of removed items at the head of a queue below which
+// it is not copied to free their memory.
+const minCompactHead = 64
 
-// queue is a first-in first-out list that gives memory back as it shrinks.
+// queue is a first-in, first-out queue that frees memory as it shrinks.
 type queue[T any] struct {
 	items []T
-	head  int
+	head  int // index of the first item
 }
 
 func (q *queue[T]) push(v T) { q.items = append(q.items, v) }
@@ -28,7 +29,7 @@
 	var zero T
 	q.items[q.head] = zero
 	q.head++
-	if q.head >= compactAt && q.head*2 >= len(q.items) {
+	if q.head >= minCompactHead && q.head*2 >= len(q.items) {
 		q.items = append([]T(nil), q.items[q.head:]...)
 		q.head = 0
 	}
--- a/claims/relay.go
+++ b/claims/relay.go
@@ -8,40 +8,42 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// RelayFunc hands a record to a home of a shard, which appends it. The home's
-// answer comes from Gate.ServeAppend.
+// RelayFunc sends a record to a home of a shard, which appends it. The home answers
+// with Gate.ServeAppend.
 type RelayFunc func(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error)
 
-// maxRelayBytes bounds one record that is handed over.
-const maxRelayBytes = 512 << 10
+// maxForwardedBytes is the largest size of a record that is appended for another
+// daemon.
+const maxForwardedBytes = 512 << 10
 
-// relay is another daemon's record that waits to be appended.
-type relay struct {
+// forwardedRecord is a record of another daemon that waits to be appended.
+type forwardedRecord struct {
 	record []byte
-	done   chan relayed // has room for the one answer
+	done   chan appendResult // buffers the only result
 }
 
-type relayed struct {
+// appendResult is the outcome of appending a forwarded record.
+type appendResult struct {
 	offset uint64
 	err    error
 }
 
-// ServeAppend appends another daemon's record together with those of others, so
-// that the log takes one append for many daemons. The record's claims stay the
-// other daemon's own: the log's order decides, whoever appends. An error leaves
-// it open whether the record was appended.
+// ServeAppend appends a record of another daemon together with those of others, so
+// that the log serves one append for many daemons. The claims in the record remain
+// claims of the other daemon, and the order of the log decides them regardless of
+// who appends them. After an error the record may or may not have been appended.
 func (g *Gate) ServeAppend(ctx context.Context, put wire.ClaimAppend) (wire.ClaimAppended, error) {
-	s, err := g.checkRelay(put)
+	s, err := g.shardForRecord(put)
 	if err != nil {
 		return wire.ClaimAppended{}, err
 	}
-	r := &relay{record: put.Record, done: make(chan relayed, 1)}
+	r := &forwardedRecord{record: put.Record, done: make(chan appendResult, 1)}
 	s.mu.Lock()
-	if len(s.relays) >= s.opts.MaxWaiting {
+	if len(s.forwarded) >= s.opts.MaxWaiting {
 		s.mu.Unlock()
 		return wire.ClaimAppended{}, errors.New("claims: too many records wait")
 	}
-	s.relays = append(s.relays, r)
+	s.forwarded = append(s.forwarded, r)
 	s.mu.Unlock()
 	s.wake()
 	select {
@@ -52,14 +54,15 @@
 	}
 }
 
-// checkRelay finds the shard of a record.
+// shardForRecord returns the shard of a forwarded record, and checks the record.
 //
-// What goes wrong: a record that cannot be decoded, or that holds keys of other
-// streams, would make every reader unsure of a lifetime of keys. One would
-// notice claims refused everywhere. It is refused before it reaches the log.
-func (g *Gate) checkRelay(put wire.ClaimAppend) (*shard, error) {
-	if len(put.Record) > maxRelayBytes {
-		return nil, errors.Errorf("claims: a record of %d bytes is over %d", len(put.Record), maxRelayBytes)
+// If the log contained a record that cannot be decoded or that has keys of other
+// streams, readers would have to assume missing claims, and claims would be refused
+// everywhere for a lifetime. Such a record is therefore rejected before it is
+// appended.
+func (g *Gate) shardForRecord(put wire.ClaimAppend) (*shard, error) {
+	if len(put.Record) > maxForwardedBytes {
+		return nil, errors.Errorf("claims: a record of %d bytes is over %d", len(put.Record), maxForwardedBytes)
 	}
 	b, err := decodeBatch(put.Record)
 	if err != nil {
@@ -67,14 +70,14 @@
 	}
 	for _, s := range g.shards {
 		if s.stream == put.Stream {
-			return s, b.within(s.number, len(g.shards))
+			return s, b.checkShard(s.number, len(g.shards))
 		}
 	}
 	return nil, errors.Errorf("claims: no stream %q; do the daemons differ in shards?", put.Stream)
 }
 
-// within checks that all keys of a batch belong to a shard.
-func (b *Batch) within(shard, shards int) error {
+// checkShard checks that all keys of a batch belong to the given shard.
+func (b *Batch) checkShard(shard, shards int) error {
 	for i := range b.Claims {
 		if b.Claims[i].Key.Shard(shards) != shard {
 			return errors.New("claims: a claim's key is of another stream")
@@ -88,14 +91,15 @@
 	return nil
 }
 
-// takeRelays returns the records to append next. The caller holds s.mu.
-func (s *shard) takeRelays() []*relay {
+// takeForwarded removes and returns the forwarded records to append next. The
+// caller holds s.mu.
+func (s *shard) takeForwarded() []*forwardedRecord {
 	n, bytes := 0, 0
-	for n < len(s.relays) && n < maxBatchClaims && bytes <= maxBatchAnswers {
-		bytes += len(s.relays[n].record)
+	for n < len(s.forwarded) && n < maxBatchClaims && bytes <= maxBatchAnswers {
+		bytes += len(s.forwarded[n].record)
 		n++
 	}
-	out := s.relays[:n:n]
-	s.relays = append([]*relay(nil), s.relays[n:]...)
+	out := s.forwarded[:n:n]
+	s.forwarded = append([]*forwardedRecord(nil), s.forwarded[n:]...)
 	return out
 }
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -12,65 +12,68 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// shard runs the Machine of one stream.
+// shard runs the Machine of one stream and connects it to the log, to the callers
+// whose claims wait, and to the homes of the shard.
 type shard struct {
 	number int
 	stream string
 	opts   *Options
-	// kick wakes the append loop; it holds at most one wake-up.
-	kick chan struct{}
+	// wakeup wakes the append loop; it buffers one signal.
+	wakeup chan struct{}
 
-	mu      sync.Mutex
-	m       *Machine
-	waiters map[uint64]*waiter
-	follows bool
-	// progress is closed and replaced whenever records were read.
-	progress chan struct{}
-	serving  int // homes' answers that wait
-	relays   []*relay
-	lastSend time.Time
-	failing  bool
+	mu        sync.Mutex
+	machine   *Machine
+	waiters   map[uint64]*waiter // by sequence number of the claim
+	following bool               // whether this daemon reads the stream
+	// progress is closed and replaced whenever records have been read.
+	progress       chan struct{}
+	pendingLookups int                // lookups of other daemons that wait in awaitState
+	forwarded      []*forwardedRecord // records of other daemons that wait to be appended
+	lastAppend     time.Time          // when the last append started
+	appendsFailing bool               // whether the last append failed
 }
 
-// waiter is one caller that waits for its claim. Each channel gets at most one
-// value and has room for it.
+// waiter is a caller that waits for the decision on its claim. Each channel is sent
+// at most one value and buffers it.
 type waiter struct {
 	decided  chan Decision
-	appended chan uint64 // the offset, when this daemon does not follow the stream
+	appended chan uint64 // offset of the claim's record; used if this daemon does not follow the stream
 }
 
 func newShard(number int, opts *Options) *shard {
 	return &shard{
 		number: number, stream: Stream(number), opts: opts,
-		kick:    make(chan struct{}, 1),
-		m:       newMachine(opts.machine(), opts.Self, opts.Dead, opts.Now()),
+		wakeup:  make(chan struct{}, 1),
+		machine: newMachine(opts.machineConfig(), opts.Self, opts.Dead, opts.Now()),
 		waiters: make(map[uint64]*waiter), progress: make(chan struct{}),
 	}
 }
 
+// wake wakes the append loop.
 func (s *shard) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
+// claim makes a claim and waits for its decision.
 func (s *shard) claim(ctx context.Context, key Key, body Body, requestID string) (request.Grant, *errkind.Error) {
 	started := s.opts.Now()
 	s.mu.Lock()
-	seq, d, decided := s.m.Claim(started, key, body, requestID)
+	seq, d, decided := s.machine.Claim(started, key, body, requestID)
 	if decided {
 		s.mu.Unlock()
-		return s.grant(started, seq, d)
+		return s.toGrant(started, seq, d)
 	}
 	w := &waiter{decided: make(chan Decision, 1), appended: make(chan uint64, 1)}
 	s.waiters[seq] = w
 	s.mu.Unlock()
 	s.wake()
-	return s.grant(started, seq, s.wait(ctx, key, seq, w))
+	return s.toGrant(started, seq, s.wait(ctx, key, seq, w))
 }
 
-// wait returns the decision on a claim, or gives the claim up.
+// wait returns the decision on a claim, or abandons the claim after DecideWithin.
 func (s *shard) wait(ctx context.Context, key Key, seq uint64, w *waiter) Decision {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.DecideWithin)
 	defer cancel()
@@ -83,13 +86,13 @@
 				return d
 			}
 		case <-ctx.Done():
-			return s.giveUp(seq, w)
+			return s.abandon(seq, w)
 		}
 	}
 }
 
-// giveUp ends a claim's wait, unless its decision has just come.
-func (s *shard) giveUp(seq uint64, w *waiter) Decision {
+// abandon cancels a claim, unless its decision arrived in the meantime.
+func (s *shard) abandon(seq uint64, w *waiter) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -98,13 +101,13 @@
 	default:
 	}
 	delete(s.waiters, seq)
-	s.m.Cancel(s.opts.Now(), seq)
+	s.machine.Cancel(s.opts.Now(), seq)
 	s.wake()
-	return gaveUp()
+	return claimTimedOut()
 }
 
-// grant turns a decision into the caller's answer.
-func (s *shard) grant(started time.Time, seq uint64, d Decision) (request.Grant, *errkind.Error) {
+// toGrant converts a decision to the result of Gate.Claim.
+func (s *shard) toGrant(started time.Time, seq uint64, d Decision) (request.Grant, *errkind.Error) {
 	if d.Err != nil {
 		return nil, d.Err
 	}
@@ -113,22 +116,24 @@
 	}
 	return &grant{
 		run: true,
-		// The monotonic reading is dropped: it stands still on a suspended machine.
+		// Round(0) drops the monotonic clock reading, which does not advance while
+		// the machine is suspended.
 		deadline: started.Add(s.opts.GrantTTL).Round(0),
 		finish:   func(out request.Outcome) { s.finish(seq, out) },
 	}, nil
 }
 
+// finish records the outcome of the request of a granted claim.
 func (s *shard) finish(seq uint64, out request.Outcome) {
 	s.mu.Lock()
-	s.m.Finish(s.opts.Now(), seq, out)
+	s.machine.Finish(s.opts.Now(), seq, out)
 	s.mu.Unlock()
 	s.wake()
 }
 
-// resolve hands decisions to their callers. The caller holds s.mu.
-func (s *shard) resolve(list []resolution) {
-	for _, r := range list {
+// deliver sends decisions to their waiting callers. The caller holds s.mu.
+func (s *shard) deliver(resolutions []resolution) {
+	for _, r := range resolutions {
 		w := s.waiters[r.Seq]
 		if w == nil {
 			continue
@@ -138,13 +143,13 @@
 	}
 }
 
-// appendLoop appends batches as they come due, and once more when ctx ends.
-func (s *shard) appendLoop(ctx context.Context, budget *rate.Limiter) {
+// appendLoop appends batches when they are due, and a last one when ctx ends.
+func (s *shard) appendLoop(ctx context.Context, limiter *rate.Limiter) {
 	s.mu.Lock()
-	s.m.AppendFailed(s.opts.Now()) // a batch left over from a loop that panicked
+	s.machine.AppendFailed(s.opts.Now()) // ends the append of an earlier loop that panicked
 	s.mu.Unlock()
-	for s.waitDue(ctx) {
-		if budget.Wait(ctx) != nil {
+	for s.waitUntilDue(ctx) {
+		if limiter.Wait(ctx) != nil {
 			break
 		}
 		s.appendDue(ctx, s.opts.Now())
@@ -152,28 +157,27 @@
 	s.flush(ctx)
 }
 
-// flush appends what waits at shutdown.
-//
-// What goes wrong: results linger for a claim to be appended with, and a daemon
-// that stops would drop them. One would notice repeats that are told "unknown"
-// after each restart, though the first answer had been given.
+// flush appends the claims and results that wait at shutdown. Results wait up to
+// resultLinger to share a record with a claim. If they were dropped at shutdown,
+// repeats of requests that were answered before a restart would be told that the
+// outcome is unknown.
 func (s *shard) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
 	defer cancel()
 	s.appendDue(ctx, s.opts.Now().Add(resultLinger+s.opts.Linger))
 }
 
-// waitDue waits until a batch is due; it returns false when ctx ended.
-func (s *shard) waitDue(ctx context.Context) bool {
+// waitUntilDue waits until an append is due; it returns false if ctx ended.
+func (s *shard) waitUntilDue(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		pause := s.pause()
-		if pause <= 0 {
+		wait := s.untilDue()
+		if wait <= 0 {
 			return true
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(wait)
 		select {
 		case <-ctx.Done():
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -181,52 +185,54 @@
 	return false
 }
 
-// pause returns the time until something is due.
-func (s *shard) pause() time.Duration {
+// untilDue returns the time until the next append is due, or maxIdleWait if none is
+// scheduled.
+func (s *shard) untilDue() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, pause := s.opts.Now(), idleWait
-	if at, ok := s.m.Due(); ok {
-		pause = at.Sub(now)
+	now, wait := s.opts.Now(), maxIdleWait
+	if at, ok := s.machine.Due(); ok {
+		wait = at.Sub(now)
 	}
-	if len(s.relays) > 0 {
-		pause = min(pause, s.lastSend.Add(s.opts.Linger).Sub(now))
+	if len(s.forwarded) > 0 {
+		wait = min(wait, s.lastAppend.Add(s.opts.Linger).Sub(now))
 	}
-	return pause
+	return wait
 }
 
-// appendDue appends the own batch that is due at a time, if any, and all that
-// other daemons have handed over.
+// appendDue appends this daemon's own batch if it is due at the given time,
+// together with records forwarded by other daemons.
 func (s *shard) appendDue(ctx context.Context, at time.Time) {
 	s.mu.Lock()
-	b := s.m.Batch(at)
-	relays := s.takeRelays()
-	s.lastSend = s.opts.Now()
+	b := s.machine.Batch(at)
+	forwarded := s.takeForwarded()
+	s.lastAppend = s.opts.Now()
 	s.mu.Unlock()
-	if b == nil && len(relays) == 0 {
+	if b == nil && len(forwarded) == 0 {
 		return
 	}
-	offset, err := s.send(ctx, b, relays)
+	offset, err := s.appendRecords(ctx, b, forwarded)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.note(err)
+	s.logAppendState(err)
 	if b != nil {
-		s.appended(offset, err)
+		s.handleAppend(offset, err)
 		offset++
 	}
-	for i, r := range relays {
-		r.done <- relayed{offset + uint64(i), err}
+	for i, r := range forwarded {
+		r.done <- appendResult{offset + uint64(i), err}
 	}
 }
 
-// appended tells the machine how its batch fared. The caller holds s.mu.
-func (s *shard) appended(offset uint64, err error) {
+// handleAppend passes the result of appending this daemon's batch to the Machine
+// and to the waiting callers. The caller holds s.mu.
+func (s *shard) handleAppend(offset uint64, err error) {
 	if err != nil {
-		s.m.AppendFailed(s.opts.Now())
+		s.machine.AppendFailed(s.opts.Now())
 		return
 	}
-	for _, seq := range s.m.Appended() {
-		if w := s.waiters[seq]; w != nil && !s.follows {
+	for _, seq := range s.machine.Appended() {
+		if w := s.waiters[seq]; w != nil && !s.following {
 			select {
 			case w.appended <- offset:
 			default:
@@ -235,8 +241,10 @@
 	}
 }
 
-// send appends to the log, or hands the own batch to the shard's home.
-func (s *shard) send(ctx context.Context, b *Batch, relays []*relay) (uint64, error) {
+// appendRecords appends this daemon's batch and the forwarded records to the log,
+// or sends the batch to a home of the shard. It returns the offset of the first
+// record.
+func (s *shard) appendRecords(ctx context.Context, b *Batch, forwarded []*forwardedRecord) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	var records [][]byte
@@ -245,27 +253,27 @@
 		if err != nil {
 			return 0, err
 		}
-		if s.opts.Relay != nil && !s.opts.Follow(s.number) && len(relays) == 0 {
+		if s.opts.Relay != nil && !s.opts.Follow(s.number) && len(forwarded) == 0 {
 			reply, err := s.opts.Relay(ctx, s.number, wire.ClaimAppend{Stream: s.stream, Record: data})
 			return reply.Offset, err
 		}
 		records = append(records, data)
 	}
-	for _, r := range relays {
+	for _, r := range forwarded {
 		records = append(records, r.record)
 	}
 	return s.opts.Log.Append(ctx, s.stream, records...)
 }
 
-// note logs when appends begin to fail and when they work again. The caller
-// holds s.mu.
-func (s *shard) note(err error) {
+// logAppendState writes a log line when appends begin to fail and when they succeed
+// again. The caller holds s.mu.
+func (s *shard) logAppendState(err error) {
 	l := s.opts.Logger.WithField("stream", s.stream)
-	if err != nil && !s.failing {
+	if err != nil && !s.appendsFailing {
 		l.WithError(err).Warn("claims: appends fail")
 	}
-	if err == nil && s.failing {
+	if err == nil && s.appendsFailing {
 		l.Info("claims: appends work again")
 	}
-	s.failing = err != nil
+	s.appendsFailing = err != nil
 }
--- a/claims/token.go
+++ b/claims/token.go
@@ -18,35 +18,37 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// tokenPrefix marks an idempotency key as a bound token.
+// tokenPrefix is the prefix of an idempotency key that is a bound token.
 const tokenPrefix = "ct1."
 
-// Sizes of a token's random parts, in bytes.
+// Sizes of the secret and of the random and authenticating parts of a token, in
+// bytes.
 const (
 	tokenSecretSize = 32
 	tokenNonceSize  = 12
 	tokenMACSize    = 16
 )
 
-// isToken says whether a key is a bound token.
+// isToken reports whether an idempotency key has the form of a bound token.
 func isToken(key string) bool { return strings.HasPrefix(key, tokenPrefix) }
 
-// Minter mints bound tokens and is the only one that accepts them: its secret
-// never leaves this process, so a token dies with its incarnation. It is safe
+// Minter issues bound tokens and verifies them. Its secret never leaves this
+// process, so a token is valid only until its issuing incarnation ends. It is safe
 // for concurrent use.
 type Minter struct {
 	self   wire.NodeID
 	ttl    time.Duration
 	secret []byte
 	now    func() time.Time
-	dead   func(wire.NodeID) bool
+	isDead func(wire.NodeID) bool
 
 	mu   sync.Mutex
-	used *tokenIndex
+	used *tokenIndex // the tokens that were used
 }
 
-// newMinter returns the minter of this incarnation. Tokens can be used for ttl;
-// at most maxTokens in use and answerBytes of answers are kept.
+// newMinter returns the Minter of this incarnation. Its tokens are valid for ttl.
+// It remembers at most maxTokens used tokens and caches at most answerBytes of
+// answers.
 func newMinter(self wire.NodeID, ttl time.Duration, maxTokens, answerBytes int) (*Minter, error) {
 	secret := make([]byte, tokenSecretSize)
 	if _, err := rand.Read(secret); err != nil {
@@ -54,12 +56,12 @@
 	}
 	return &Minter{
 		self: self, ttl: ttl, secret: secret, now: time.Now,
-		dead: func(wire.NodeID) bool { return false },
-		used: newTokenIndex(maxTokens, answerBytes),
+		isDead: func(wire.NodeID) bool { return false },
+		used:   newTokenIndex(maxTokens, answerBytes),
 	}, nil
 }
 
-// Mint returns a new token for a team. It takes no memory until it is used.
+// Mint returns a new token for a team. A token takes no memory until it is used.
 func (m *Minter) Mint(team string) string {
 	var nonce [tokenNonceSize]byte
 	_, _ = rand.Read(nonce[:]) // never fails: crypto/rand ends the process instead
@@ -67,45 +69,48 @@
 		owner: m.self, expiry: m.now().Add(m.ttl).Unix(),
 		nonce: base64.RawURLEncoding.EncodeToString(nonce[:]),
 	}
-	return t.text() + "." + m.mac(team, t.text())
+	return t.signedText() + "." + m.mac(team, t.signedText())
 }
 
+// mac returns the message authentication code of a token's text for a team.
 func (m *Minter) mac(team, text string) string {
 	h := hmac.New(sha256.New, m.secret)
 	fmt.Fprintf(h, "%d:%s%s", len(team), team, text)
 	return base64.RawURLEncoding.EncodeToString(h.Sum(nil)[:tokenMACSize])
 }
 
-// Claim decides a request that carries a bound token. Where another incarnation
-// owns the token, the grant names it.
+// Claim decides a request whose idempotency key is a bound token. If another
+// incarnation issued the token, the grant names it as the owner.
 func (m *Minter) Claim(team, key string, body Body) (request.Grant, *errkind.Error) {
 	t, mac, err := parseToken(key)
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.BadRequest, "the idempotency key looks like a bound token but is none")
 	}
 	if t.owner != m.self {
-		return m.elsewhere(t)
+		return m.claimRemote(t)
 	}
-	if !hmac.Equal([]byte(mac), []byte(m.mac(team, t.text()))) {
+	if !hmac.Equal([]byte(mac), []byte(m.mac(team, t.signedText()))) {
 		return nil, errkind.New(errkind.BadRequest, "the bound token was not minted for this team")
 	}
 	now := m.now()
 	if now.Unix() >= t.expiry {
 		return nil, errkind.New(errkind.KeyExpired, "the bound token has expired")
 	}
-	return m.take(now, NewKey(team, key), body, time.Unix(t.expiry, 0))
+	return m.claimLocal(now, NewKey(team, key), body, time.Unix(t.expiry, 0))
 }
 
-// elsewhere names the owner, unless it is known to have ended: then nobody can
-// tell any more whether the request ran.
-func (m *Minter) elsewhere(t token) (request.Grant, *errkind.Error) {
-	if t.owner.Instance == m.self.Instance || m.dead(t.owner) {
-		return nil, unknown().Err
+// claimRemote returns a grant that names the token's owner. If the owner is known
+// to have ended, nobody can determine whether the request ran, and the outcome is
+// unknown.
+func (m *Minter) claimRemote(t token) (request.Grant, *errkind.Error) {
+	if t.owner.Instance == m.self.Instance || m.isDead(t.owner) {
+		return nil, outcomeUnknown().Err
 	}
 	return &grant{owner: t.owner}, nil
 }
 
-func (m *Minter) take(now time.Time, key Key, body Body, expiry time.Time) (request.Grant, *errkind.Error) {
+// claimLocal decides a request with a valid token of this incarnation.
+func (m *Minter) claimLocal(now time.Time, key Key, body Body, expiry time.Time) (request.Grant, *errkind.Error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.used.claim(now, key, body, expiry)
@@ -118,25 +123,28 @@
 	return &grant{run: true, deadline: expiry, finish: func(out request.Outcome) { m.finish(key, out) }}, nil
 }
 
+// finish records the outcome of the request that a token was granted to.
 func (m *Minter) finish(key Key, out request.Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used.finish(key, out)
 }
 
-// token is a parsed bound token; nothing in it is to be trusted before its
-// owner has checked the code at its end.
+// token is a parsed bound token. Its fields are not to be trusted until the owner
+// has verified the authentication code at the token's end.
 type token struct {
-	owner  wire.NodeID
-	expiry int64 // seconds since the epoch
-	nonce  string
+	owner  wire.NodeID // incarnation that issued the token
+	expiry int64       // Unix time, in seconds
+	nonce  string      // random part, which makes the token unique
 }
 
-func (t token) text() string {
+// signedText returns the part of the token that its authentication code covers.
+func (t token) signedText() string {
 	return fmt.Sprintf("%s%s.%d.%d.%s", tokenPrefix, t.owner.Instance, t.owner.Incarnation, t.expiry, t.nonce)
 }
 
-// parseToken splits a token from its end, since an instance's name may hold dots.
+// parseToken parses a token. It counts the parts from the end, since the name of an
+// instance may contain dots.
 func parseToken(key string) (t token, mac string, err error) {
 	parts := strings.Split(strings.TrimPrefix(key, tokenPrefix), ".")
 	n := len(parts)
--- a/claims/tokenindex.go
+++ b/claims/tokenindex.go
@@ -7,68 +7,73 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// tokenIndex remembers the bound tokens used at this incarnation until they
-// expire. It is not safe for concurrent use.
+// tokenIndex remembers the used bound tokens of this incarnation until they expire.
+// It is not safe for concurrent use.
 type tokenIndex struct {
 	entries   map[Key]*tokenEntry
-	order     queue[*tokenEntry] // by first use
-	answers   answerStore
+	order     queue[*tokenEntry] // in order of first use
+	answers   answerCache
 	maxTokens int
 }
 
+// tokenEntry is the state of a bound token that was used.
 type tokenEntry struct {
 	key    Key
 	body   Body
 	expiry time.Time
 	phase  phase
 	status Status
-	answer slot
+	answer answerSlot
 }
 
 func newTokenIndex(maxTokens, answerBytes int) *tokenIndex {
-	return &tokenIndex{entries: make(map[Key]*tokenEntry), maxTokens: maxTokens, answers: answerStore{limit: answerBytes}}
+	return &tokenIndex{entries: make(map[Key]*tokenEntry), maxTokens: maxTokens, answers: answerCache{limit: answerBytes}}
 }
 
+// claim decides a request with the token that key identifies.
 func (x *tokenIndex) claim(now time.Time, key Key, body Body, expiry time.Time) Decision {
 	x.prune(now)
 	e := x.entries[key]
 	switch {
 	case e == nil && len(x.entries) >= x.maxTokens:
-		return refuse(errkind.Overloaded, "too many bound tokens are in use", retryLog)
+		return refuse(errkind.Overloaded, "too many bound tokens are in use", retryAfterLong)
 	case e == nil:
 		e = &tokenEntry{key: key, body: body, expiry: expiry}
 		x.entries[key] = e
 		x.order.push(e)
 	case e.body != body:
-		return reused()
-	case e.phase == granted:
-		return inProgress()
+		return keyReused()
+	case e.phase == phaseGranted:
+		return keyInProgress()
 	case e.status == Ran:
-		return answered(e.answer.answer)
+		return replayAnswer(e.answer.answer)
 	case e.status == Unknown:
-		return unknown()
+		return outcomeUnknown()
 	}
-	e.phase = granted
+	e.phase = phaseGranted
 	return Decision{Run: true}
 }
 
+// finish records the outcome of the request that a token was granted to.
 func (x *tokenIndex) finish(key Key, out request.Outcome) {
 	e := x.entries[key]
-	if e == nil || e.phase != granted {
+	if e == nil || e.phase != phaseGranted {
 		return
 	}
-	e.phase, e.status = done, statusOf(out.Run)
+	e.phase, e.status = phaseDone, statusFromRun(out.Run)
 	if e.status == Ran && out.Answer != nil {
-		x.answers.keep(&e.answer, slot{answer: out.Answer}, len(out.Answer.Body))
+		x.answers.put(&e.answer, answerSlot{answer: out.Answer}, len(out.Answer.Body))
 	}
 }
 
-// tokenMargin is how far a wall clock may be set back without making a token
-// valid again that was used and forgotten.
+// tokenMargin is how long a used token is remembered after its expiry. Without it,
+// a wall clock set back by up to this much would make a used token valid again
+// after it was forgotten.
 const tokenMargin = time.Minute
 
-// prune forgets tokens that expired a margin ago. All live equally long from their minting, so
-// one that is used late may keep those behind it a little longer.
+// prune removes tokens that expired more than tokenMargin ago. It goes by order of
+// first use and stops at the first token to keep, so a token first used late in its
+// life delays the removal of those first used after it.
 func (x *tokenIndex) prune(now time.Time) {
 	for {
 		e, ok := x.order.peek()
@@ -76,7 +81,7 @@
 			return
 		}
 		x.order.pop()
-		x.answers.forget(&e.answer)
+		x.answers.remove(&e.answer)
 		delete(x.entries, e.key)
 	}
 }
