--- a/quarantine/fleet_faults_test.go
+++ b/quarantine/fleet_faults_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// modelFaults are the troubles that are drawn.
+// modelFaults are the faults that playModel injects at random.
 var modelFaults = []struct {
 	name string
 	do   func(f *modelFleet)
 }{
 	{"fatal request", func(f *modelFleet) {
-		f.calls = append(f.calls, modelCall{at: f.now, fatal: true, what: DigestOf("fatal", fmt.Sprint(len(f.ends), f.now))})
+		f.calls = append(f.calls, modelCall{at: f.now, fatal: true, digest: DigestOf("fatal", fmt.Sprint(len(f.crashes), f.now))})
 	}},
 	{"two fatal requests", func(f *modelFleet) {
 		for i := range 2 {
-			f.calls = append(f.calls, modelCall{at: f.now, fatal: true, what: DigestOf("two", fmt.Sprint(i, f.now))})
+			f.calls = append(f.calls, modelCall{at: f.now, fatal: true, digest: DigestOf("two", fmt.Sprint(i, f.now))})
 		}
 	}},
 	{"rack crashes", func(f *modelFleet) {
 		for _, r := range f.replicas {
-			if !f.now.Before(r.up) && f.rng.IntN(3) == 0 {
+			if !f.now.Before(r.upAt) && f.rng.IntN(3) == 0 {
 				f.crash(r)
 			}
 		}
 	}},
 	{"replicas flap", func(f *modelFleet) {
 		for range 1 + len(f.replicas)/8 {
-			if r := f.replicas[f.rng.IntN(len(f.replicas))]; !f.now.Before(r.up) {
+			if r := f.replicas[f.rng.IntN(len(f.replicas))]; !f.now.Before(r.upAt) {
 				f.crash(r)
 			}
 		}
 	}},
 	{"kill all", func(f *modelFleet) {
 		for _, d := range f.daemons {
-			f.start(d, f.between(300*time.Millisecond, 800*time.Millisecond))
+			f.start(d, f.randomDuration(300*time.Millisecond, 800*time.Millisecond))
 		}
 	}},
 	{"kill some", func(f *modelFleet) {
@@ -47,7 +47,7 @@
 	{"freeze", func(f *modelFleet) {
 		for _, d := range f.daemons {
 			if f.rng.IntN(3) == 0 {
-				d.frozen = f.now.Add(f.between(time.Second, 4*time.Second))
+				d.frozenUntil = f.now.Add(f.randomDuration(time.Second, 4*time.Second))
 			}
 		}
 	}},
@@ -59,10 +59,10 @@
 		}
 	}},
 	{"cut", func(f *modelFleet) {
-		f.cut, f.cutUntil = f.rng.IntN(modelZones), f.now.Add(f.between(2*time.Second, 8*time.Second))
+		f.partitionedZone, f.partitionedUntil = f.rng.IntN(modelZones), f.now.Add(f.randomDuration(2*time.Second, 8*time.Second))
 	}},
 	{"silent store", func(f *modelFleet) {
-		f.silent = f.now.Add(f.between(2*time.Second, 9*time.Second))
-		f.calm = f.silent
+		f.storeDownUntil = f.now.Add(f.randomDuration(2*time.Second, 9*time.Second))
+		f.storeRecovered = f.storeDownUntil
 	}},
 }
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -9,94 +9,95 @@
 	"time"
 )
 
-// The model's fleet and what it is held to.
+// Parameters of the simulation and the limits that it checks.
 const (
-	modelStep    = 5 * time.Millisecond
-	modelLength  = 60 * time.Second
-	modelZones   = 3
-	modelContact = 3 * time.Second       // after a fault a daemon is in touch again
-	modelProbes  = 3                     // arrivals that are allowed after the third end and the contact
-	modelWrong   = 0.001                 // share of the others that may be refused while a dozen such requests come
-	crashLeast   = 80 * time.Millisecond // from the begin of a fatal run to its end
-	crashMost    = 140 * time.Millisecond
-	readSlack    = 50 * time.Millisecond // from a reader to its followers
-	modelKept    = 20 * time.Second      // for which the log keeps a record
+	modelStep            = 5 * time.Millisecond
+	modelLength          = 60 * time.Second
+	modelZones           = 3
+	modelCatchUpTime     = 3 * time.Second        // time after a fault in which a daemon must catch up with the log
+	modelMaxArrivals     = 3                      // arrivals of a fatal request allowed after its third crash and modelCatchUpTime
+	modelMaxRefusedShare = 0.001                  // share of harmless requests that may be refused while a dozen fatal ones are repeated
+	minCrashDelay        = 80 * time.Millisecond  // from the start of a fatal run to the crash, at least
+	maxCrashDelay        = 140 * time.Millisecond // and at most
+	modelForwardDelay    = 50 * time.Millisecond  // from a reader to its followers
+	modelRetention       = 20 * time.Second       // retention time of the log
 )
 
-// modelDaemon is one place in the fleet.
+// modelDaemon is a simulated daemon; a restart replaces its ledger.
 type modelDaemon struct {
 	zone   int
 	ledger *Ledger
-	// up and frozen are until when it is down or stands still, troubled when that last was.
-	up, frozen, troubled time.Time
-	offset               int // in the log
-	renewal              renewal
-	old                  time.Duration // that the records of the next reading may be there
-	reads                time.Time     // next
-	out                  []Record
-	appends              time.Time // next
+	// The daemon is down until upAt and frozen until frozenUntil; lastFault is the end of its
+	// latest downtime.
+	upAt, frozenUntil, lastFault time.Time
+	offset                       int // position in the log from which it reads next
+	renewal                      renewal
+	recordAge                    time.Duration // estimated age of the records of the next read
+	nextRead                     time.Time
+	pending                      []Record
+	nextAppend                   time.Time
 }
 
-// modelRun is one request on a replica.
+// modelRun is a run of a request on a replica.
 type modelRun struct {
-	what    Digest
-	daemon  *modelDaemon
-	began   time.Time
-	answers time.Time // its first answer
-	ends    time.Time // of a fatal one, with the replica
-	fatal   bool
-	comes   int // how often its caller comes again
-	polls   bool
+	digest     Digest
+	daemon     *modelDaemon
+	began      time.Time
+	responseAt time.Time // start of the response
+	endsAt     time.Time // completion or, if fatal, crash of the replica
+	fatal      bool
+	retries    int  // how often the caller will still repeat a harmless request
+	polls      bool // the caller sends the same harmless request all the time
 }
 
 type modelReplica struct {
 	name string
-	up   time.Time
+	upAt time.Time
 	runs []modelRun
 }
 
-// modelCall is a caller's next attempt.
+// modelCall is the next attempt of a caller; its fields are as in modelRun.
 type modelCall struct {
-	at    time.Time
-	what  Digest
-	fatal bool
-	comes int
-	polls bool
+	at      time.Time
+	digest  Digest
+	fatal   bool
+	retries int
+	polls   bool
 }
 
-// modelParts are the parts of the rule that a test may take away.
-type modelParts struct{ noSharing, noHistory, noRetry, noClearing, noCause, noRenewal bool }
+// modelParts selects the parts of the mechanism that a test disables.
+type modelParts struct{ noSharing, noHistory, noRetry, noClearing, noResponseState, noRenewal bool }
 
-// modelFleet is a fleet before one service, in virtual time. It keeps what the users' rule
-// counts, and how often a request that is not to blame is refused.
+// modelFleet simulates, in virtual time, the daemons and replicas of one service. A fatal request
+// crashes every replica that runs it; all other requests are harmless. The simulation counts the
+// arrivals of fatal requests that should have been refused, and the harmless requests that were.
 type modelFleet struct {
-	parts    modelParts
-	rng      *rand.Rand
-	now      time.Time
-	daemons  []*modelDaemon
-	replicas []*modelReplica
-	lives    int
-	log      []Record
-	put      []time.Duration // when each came to the log, by the store's clock
-	clock    time.Duration   // of the store, which stands still while it is silent
-	calls    []modelCall
-	rate     float64 // other requests a second
-	silent   time.Time
-	calm     time.Time // when the store was last silent
-	cut      int
-	cutUntil time.Time
-	// fatal requests: their ends, and arrivals after the third end and the contact.
-	ends   map[Digest][]time.Time
-	late   map[Digest]int
-	wrong  map[Digest]int // refusals of others
-	polled int            // those of the one that is polled
-	others int
+	parts            modelParts
+	rng              *rand.Rand
+	now              time.Time
+	daemons          []*modelDaemon
+	replicas         []*modelReplica
+	incarnations     int // replica processes started so far, to name them
+	log              []Record
+	appendedAt       []time.Duration // when each record was appended, by storeClock
+	storeClock       time.Duration   // clock of the store, which stops while the store is down
+	calls            []modelCall
+	rate             float64 // harmless requests per second
+	storeDownUntil   time.Time
+	storeRecovered   time.Time // end of the store's latest outage
+	partitionedZone  int       // zone that cannot reach the store until partitionedUntil; -1 for none
+	partitionedUntil time.Time
+	crashes          map[Digest][]time.Time // by fatal request
+	lateArrivals     map[Digest]int         // arrivals of fatal requests when mustRefuse was true
+	wronglyRefused   map[Digest]int         // refusals of harmless requests
+	polledRefused    int                    // refusals of the request that is polled
+	harmless         int                    // harmless requests sent so far, to name them
 }
 
 func newModelFleet(seed uint64, daemons int, parts modelParts) *modelFleet {
 	f := &modelFleet{
-		parts: parts, rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, cut: -1, rate: 10 + float64(daemons),
-		ends: map[Digest][]time.Time{}, late: map[Digest]int{}, wrong: map[Digest]int{},
+		parts: parts, rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, partitionedZone: -1, rate: 10 + float64(daemons),
+		crashes: map[Digest][]time.Time{}, lateArrivals: map[Digest]int{}, wronglyRefused: map[Digest]int{},
 	}
 	for i := range daemons {
 		d := &modelDaemon{zone: i % modelZones}
@@ -106,62 +107,70 @@
 	for range max(9, daemons/3) {
 		r := &modelReplica{}
 		f.replicas = append(f.replicas, r)
-		f.revive(r, 0)
+		f.restart(r, 0)
 	}
 	return f
 }
 
-// start begins a life of a daemon after a pause.
+// start starts a daemon, or restarts it after a pause.
 func (f *modelFleet) start(d *modelDaemon, after time.Duration) {
-	d.ledger, d.out, d.offset = NewLedger(), nil, 0
-	d.renewal, d.old = newRenewal(modelKept), modelKept/2
-	d.renewal.after = modelKept/2 + f.between(0, modelKept/4)
+	d.ledger, d.pending, d.offset = NewLedger(), nil, 0
+	d.renewal, d.recordAge = newRenewal(modelRetention), modelRetention/2
+	d.renewal.maxAge = modelRetention/2 + f.randomDuration(0, modelRetention/4)
 	if f.parts.noHistory {
 		d.offset = len(f.log)
 	}
-	d.up = f.now.Add(after)
-	d.troubled, d.reads = d.up, d.up
+	d.upAt = f.now.Add(after)
+	d.lastFault, d.nextRead = d.upAt, d.upAt
 }
 
-func (f *modelFleet) revive(r *modelReplica, after time.Duration) {
-	f.lives++
-	r.name, r.up, r.runs = fmt.Sprint("life", f.lives), f.now.Add(after), nil
+// restart starts a replica under a new name after a pause.
+func (f *modelFleet) restart(r *modelReplica, after time.Duration) {
+	f.incarnations++
+	r.name, r.upAt, r.runs = fmt.Sprint("life", f.incarnations), f.now.Add(after), nil
 }
 
-// between draws a time.
-func (f *modelFleet) between(from, to time.Duration) time.Duration {
+// randomDuration returns a random duration in [from, to).
+func (f *modelFleet) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(f.rng.Int64N(int64(to-from)))
 }
 
-func (f *modelFleet) runs(d *modelDaemon) bool { return !f.now.Before(d.up) && !f.now.Before(d.frozen) }
+func (f *modelFleet) isRunning(d *modelDaemon) bool {
+	return !f.now.Before(d.upAt) && !f.now.Before(d.frozenUntil)
+}
 
-func (f *modelFleet) isCut(d *modelDaemon) bool { return d.zone == f.cut && f.now.Before(f.cutUntil) }
+func (f *modelFleet) partitioned(d *modelDaemon) bool {
+	return d.zone == f.partitionedZone && f.now.Before(f.partitionedUntil)
+}
 
-// reaches says whether a daemon reaches the store.
-func (f *modelFleet) reaches(d *modelDaemon) bool { return !f.now.Before(f.silent) && !f.isCut(d) }
+// reachesStore reports whether a daemon can call the store.
+func (f *modelFleet) reachesStore(d *modelDaemon) bool {
+	return !f.now.Before(f.storeDownUntil) && !f.partitioned(d)
+}
 
-// inTouch says whether the rule binds a daemon.
-func (f *modelFleet) inTouch(d *modelDaemon) bool {
-	latest := d.troubled
-	for _, at := range []time.Time{f.calm, d.frozen} {
+// caughtUp reports whether a daemon has had modelCatchUpTime to catch up since the last fault
+// that affected it. Only then must it refuse what the other daemons refuse.
+func (f *modelFleet) caughtUp(d *modelDaemon) bool {
+	latest := d.lastFault
+	for _, at := range []time.Time{f.storeRecovered, d.frozenUntil} {
 		if at.After(latest) {
 			latest = at
 		}
 	}
-	if d.zone == f.cut && f.cutUntil.After(latest) {
-		latest = f.cutUntil
+	if d.zone == f.partitionedZone && f.partitionedUntil.After(latest) {
+		latest = f.partitionedUntil
 	}
-	return f.now.Sub(latest) >= modelContact
+	return f.now.Sub(latest) >= modelCatchUpTime
 }
 
-// step plays one short span.
+// step advances the simulation by modelStep.
 func (f *modelFleet) step() {
 	f.now = f.now.Add(modelStep)
-	if !f.now.Before(f.silent) {
-		f.clock += modelStep
+	if !f.now.Before(f.storeDownUntil) {
+		f.storeClock += modelStep
 	}
 	for _, d := range f.daemons {
-		if f.runs(d) && !f.parts.noSharing {
+		if f.isRunning(d) && !f.parts.noSharing {
 			f.share(d)
 		}
 	}
@@ -169,10 +178,10 @@
 		f.serve(r)
 	}
 	for expected := f.rate * modelStep.Seconds(); f.rng.Float64() < expected; expected-- {
-		f.others++
-		c := modelCall{at: f.now, what: DigestOf("other", fmt.Sprint(f.others)), comes: 1}
+		f.harmless++
+		c := modelCall{at: f.now, digest: DigestOf("other", fmt.Sprint(f.harmless)), retries: 1}
 		if f.rng.IntN(10) == 0 {
-			c.comes = 6 // one that does not wait, and repeats more often
+			c.retries = 6 // an impatient caller, which repeats more often
 		}
 		f.calls = append(f.calls, c)
 	}
@@ -187,148 +196,150 @@
 	}
 }
 
-// share lets a daemon read the log and append to it.
+// share makes a daemon read the log and append its pending records when they are due.
 func (f *modelFleet) share(d *modelDaemon) {
-	if !f.now.Before(d.reads) {
-		d.reads = f.now.Add(spare + readSlack)
-		if f.reaches(d) {
+	if !f.now.Before(d.nextRead) {
+		d.nextRead = f.now.Add(readInterval + modelForwardDelay)
+		if f.reachesStore(d) {
 			f.read(d)
 		}
 	}
-	if len(d.out) == 0 || f.now.Before(d.appends) {
+	if len(d.pending) == 0 || f.now.Before(d.nextAppend) {
 		return
 	}
-	if f.reaches(d) {
-		f.log = append(f.log, d.out...)
-		f.put = append(f.put, slices.Repeat([]time.Duration{f.clock}, len(d.out))...)
-		d.out = nil
+	if f.reachesStore(d) {
+		f.log = append(f.log, d.pending...)
+		f.appendedAt = append(f.appendedAt, slices.Repeat([]time.Duration{f.storeClock}, len(d.pending))...)
+		d.pending = nil
 		return
 	}
-	if d.appends = f.now.Add(shareMost); f.parts.noRetry {
-		d.out = nil
+	if d.nextAppend = f.now.Add(maxRetryDelay); f.parts.noRetry {
+		d.pending = nil
 	}
 }
 
-// read lets a daemon take what is new on the log and still kept, and renew what is due.
+// read makes a daemon apply the new records of the log that are still retained, and renew the
+// records that are due.
 func (f *modelFleet) read(d *modelDaemon) {
-	first, _ := slices.BinarySearch(f.put, f.clock-modelKept)
+	first, _ := slices.BinarySearch(f.appendedAt, f.storeClock-modelRetention)
 	for _, r := range f.log[max(d.offset, first):] {
-		d.renewal.noted(f.now, r, d.old)
-		d.ledger.take(r)
+		d.renewal.noteAppend(f.now, r, d.recordAge)
+		d.ledger.apply(r)
 	}
-	d.offset, d.old = len(f.log), 0
+	d.offset, d.recordAge = len(f.log), 0
 	if !f.parts.noRenewal {
-		d.out = append(d.out, d.renewal.due(f.now, d.ledger)...)
+		d.pending = append(d.pending, d.renewal.due(f.now, d.ledger)...)
 	}
 }
 
-// owed says whether a request may not reach replicas any more but for the last times: three
-// ended under it some time ago. Ends that were never on the log, and that only daemons saw
-// which were killed since, are known to nobody: those that are known count from then on.
-func (f *modelFleet) owed(what Digest) bool {
-	ends := f.ends[what]
-	if len(ends) < 3 || f.now.Sub(ends[2]) < modelContact {
+// mustRefuse reports whether a request may reach replicas only modelMaxArrivals more times, since
+// it crashed three of them at least modelCatchUpTime ago. Crashes that are neither in the log nor
+// in the ledger of any daemon, since the daemons that detected them were killed, are removed from
+// the count.
+func (f *modelFleet) mustRefuse(digest Digest) bool {
+	crashes := f.crashes[digest]
+	if len(crashes) < 3 || f.now.Sub(crashes[2]) < modelCatchUpTime {
 		return false
 	}
-	known := map[string]bool{}
+	reported := map[string]bool{}
 	for _, r := range f.log {
-		if r.Digest == what {
-			known[r.Upstream] = true
+		if r.Digest == digest {
+			reported[r.Upstream] = true
 		}
 	}
 	for _, d := range f.daemons {
-		for _, e := range d.ledger.Ends(what) {
-			known[e.Upstream] = true
+		for _, e := range d.ledger.Ends(digest) {
+			reported[e.Upstream] = true
 		}
 	}
-	if n := len(known); n < 3 {
-		f.ends[what], f.late[what] = ends[len(ends)-n:], 0
+	if n := len(reported); n < 3 {
+		f.crashes[digest], f.lateArrivals[digest] = crashes[len(crashes)-n:], 0
 		return false
 	}
 	return true
 }
 
-// call brings an attempt to a daemon that takes connections.
+// call delivers an attempt to a random running daemon.
 func (f *modelFleet) call(c modelCall) {
 	var open []*modelDaemon
 	for _, d := range f.daemons {
-		if f.runs(d) {
+		if f.isRunning(d) {
 			open = append(open, d)
 		}
 	}
 	if len(open) == 0 {
-		f.again(c)
+		f.scheduleRetry(c)
 		return
 	}
 	d := open[f.rng.IntN(len(open))]
-	if _, refused := d.ledger.Refuses(f.now, c.what); refused {
+	if _, refused := d.ledger.Refuses(f.now, c.digest); refused {
 		if !c.fatal {
-			f.wrong[c.what]++
+			f.wronglyRefused[c.digest]++
 			if c.polls {
-				f.polled++
+				f.polledRefused++
 			}
 		}
-		f.again(c)
+		f.scheduleRetry(c)
 		return
 	}
 	var live []*modelReplica
 	for _, r := range f.replicas {
-		if !f.now.Before(r.up) {
+		if !f.now.Before(r.upAt) {
 			live = append(live, r)
 		}
 	}
 	if len(live) == 0 {
-		f.again(c)
+		f.scheduleRetry(c)
 		return
 	}
-	if c.fatal && f.inTouch(d) && f.owed(c.what) {
-		f.late[c.what]++
+	if c.fatal && f.caughtUp(d) && f.mustRefuse(c.digest) {
+		f.lateArrivals[c.digest]++
 	}
 	run := modelRun{
-		what: c.what, daemon: d, began: f.now, fatal: c.fatal, comes: c.comes, polls: c.polls,
-		answers: f.now.Add(f.between(20*time.Millisecond, 100*time.Millisecond)), ends: f.now.Add(f.between(300*time.Millisecond, 2*time.Second)),
+		digest: c.digest, daemon: d, began: f.now, fatal: c.fatal, retries: c.retries, polls: c.polls,
+		responseAt: f.now.Add(f.randomDuration(20*time.Millisecond, 100*time.Millisecond)), endsAt: f.now.Add(f.randomDuration(300*time.Millisecond, 2*time.Second)),
 	}
 	if c.fatal {
-		run.ends = f.now.Add(f.between(crashLeast, crashMost))
+		run.endsAt = f.now.Add(f.randomDuration(minCrashDelay, maxCrashDelay))
 	}
-	if c.polls { // a plain call, which answers at its end
-		run.ends = f.now.Add(f.between(15*time.Millisecond, 60*time.Millisecond))
-		run.answers = run.ends
+	if c.polls { // a short call without streaming: the response starts at its end
+		run.endsAt = f.now.Add(f.randomDuration(15*time.Millisecond, 60*time.Millisecond))
+		run.responseAt = run.endsAt
 	}
 	r := live[f.rng.IntN(len(live))]
 	r.runs = append(r.runs, run)
 }
 
-// again brings a caller back, if it comes again.
-func (f *modelFleet) again(c modelCall) {
+// scheduleRetry schedules the next attempt of a caller, if it makes one.
+func (f *modelFleet) scheduleRetry(c modelCall) {
 	switch {
 	case c.fatal:
-		c.at = f.now.Add(f.between(200*time.Millisecond, 1200*time.Millisecond))
-		if f.rng.IntN(12) == 0 { // for longer than the log keeps anything
-			c.at = f.now.Add(f.between(modelKept, 2*modelKept))
+		c.at = f.now.Add(f.randomDuration(200*time.Millisecond, 1200*time.Millisecond))
+		if f.rng.IntN(12) == 0 { // longer than the retention time
+			c.at = f.now.Add(f.randomDuration(modelRetention, 2*modelRetention))
 		}
 	case c.polls:
 		c.at = f.now.Add(300 * time.Millisecond)
-	case c.comes == 0:
+	case c.retries == 0:
 		return
 	default:
-		c.comes--
-		c.at = f.now.Add(f.between(10*time.Millisecond, time.Second))
+		c.retries--
+		c.at = f.now.Add(f.randomDuration(10*time.Millisecond, time.Second))
 	}
 	f.calls = append(f.calls, c)
 }
 
-// serve lets the runs of a replica go on, or end with it.
+// serve completes the runs of a replica that are due, or crashes it.
 func (f *modelFleet) serve(r *modelReplica) {
 	left := r.runs[:0]
 	crashes := false
 	for _, run := range r.runs {
 		switch {
-		case run.fatal && !f.now.Before(run.ends):
+		case run.fatal && !f.now.Before(run.endsAt):
 			crashes = true
 			left = append(left, run)
-		case !run.fatal && !f.now.Before(run.ends):
-			f.whole(run)
+		case !run.fatal && !f.now.Before(run.endsAt):
+			f.complete(run)
 		default:
 			left = append(left, run)
 		}
@@ -339,44 +350,47 @@
 	}
 }
 
-func (f *modelFleet) whole(run modelRun) {
-	if d := run.daemon; f.runs(d) && !f.parts.noClearing && d.ledger.Ran(run.what, f.now) {
-		d.out = append(d.out, ranRecord(run.what, f.now))
+// complete records the completion of a run on its daemon, and schedules the next request of a
+// caller that polls.
+func (f *modelFleet) complete(run modelRun) {
+	if d := run.daemon; f.isRunning(d) && !f.parts.noClearing && d.ledger.Ran(run.digest, f.now) {
+		d.pending = append(d.pending, completionRecord(run.digest, f.now))
 	}
 	if run.polls {
-		f.again(modelCall{what: run.what, polls: true})
+		f.scheduleRetry(modelCall{digest: run.digest, polls: true})
 	}
 }
 
-// crash ends a replica, with all that runs there.
+// crash crashes a replica, which ends all of its runs.
 func (f *modelFleet) crash(r *modelReplica) {
 	for _, run := range r.runs {
 		if run.fatal {
-			f.ends[run.what] = append(f.ends[run.what], f.now)
+			f.crashes[run.digest] = append(f.crashes[run.digest], f.now)
 		}
-		// One that stands still sees it when it wakes; it tells nobody before.
-		if d := run.daemon; !f.now.Before(d.up) && d.up.Before(run.began) {
-			e := End{Upstream: r.name, At: f.now, Answering: !f.now.Before(run.answers) && !f.parts.noCause, Ran: f.now.Sub(run.began)}
-			d.ledger.Ended(run.what, e)
-			d.out = append(d.out, endRecord(run.what, e))
+		// A frozen daemon detects the crash at once, but reports it only when it runs again.
+		if d := run.daemon; !f.now.Before(d.upAt) && d.upAt.Before(run.began) {
+			e := End{Upstream: r.name, At: f.now, Answering: !f.now.Before(run.responseAt) && !f.parts.noResponseState, Ran: f.now.Sub(run.began)}
+			d.ledger.Ended(run.digest, e)
+			d.pending = append(d.pending, crashRecord(run.digest, e))
 		}
-		f.again(modelCall{what: run.what, fatal: run.fatal, comes: run.comes, polls: run.polls})
+		f.scheduleRetry(modelCall{digest: run.digest, fatal: run.fatal, retries: run.retries, polls: run.polls})
 	}
-	f.revive(r, f.between(2*time.Second, 5*time.Second))
+	f.restart(r, f.randomDuration(2*time.Second, 5*time.Second))
 }
 
-// playModel plays faults in series that overlap; fatal requests come all the while.
+// playModel runs the simulation with random faults that may overlap. If fatal is set, the faults
+// include fatal requests.
 func playModel(seed uint64, daemons int, parts modelParts, fatal bool) (f *modelFleet, faults []string) {
 	f = newModelFleet(seed, daemons, parts)
 	polled := DigestOf("polled")
-	f.calls = append(f.calls, modelCall{at: t0, what: polled, polls: true})
+	f.calls = append(f.calls, modelCall{at: t0, digest: polled, polls: true})
 	next := f.now.Add(2 * time.Second)
 	for f.now.Before(t0.Add(modelLength)) {
 		f.step()
 		if f.now.Before(next) {
 			continue
 		}
-		next = f.now.Add(f.between(500*time.Millisecond, 4*time.Second))
+		next = f.now.Add(f.randomDuration(500*time.Millisecond, 4*time.Second))
 		i := f.rng.IntN(len(modelFaults))
 		if !fatal {
 			i = 2 + f.rng.IntN(len(modelFaults)-2)
@@ -387,14 +401,15 @@
 	return f, faults
 }
 
-// mostLate returns the most arrivals of one fatal request that the rule counts.
-func (f *modelFleet) mostLate() (most int) {
-	for _, n := range f.late {
-		most = max(most, n)
+// maxLateArrivals returns the largest number of late arrivals of a fatal request.
+func (f *modelFleet) maxLateArrivals() (highest int) {
+	for _, n := range f.lateArrivals {
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
+// modelFleets are fleet sizes with the number of seeds to run for each.
 var modelFleets = []struct {
 	daemons int
 	seeds   uint64
@@ -403,41 +418,38 @@
 // moreSeeds multiplies the seeds: go test ./quarantine -args -seeds 20.
 var moreSeeds = flag.Uint64("seeds", 1, "how many times the usual seeds are played")
 
-// Symptom: a request under which three replicas have ended reaches more of them; or one that
-// is not to blame is refused.
-// Sequence: such requests, also two at once, come again at any daemon, while racks of replicas
-// crash, others flap, daemons are killed, all or some, freeze, join, are cut off, and the
-// store is silent.
-// Cause: what a daemon saw is known to it alone, or until its end; or ends that a request met
-// by chance are held against it.
+// Guards against a request that crashed three replicas and still reaches more of them, and against
+// refusals of harmless requests. One or two fatal requests at once are repeated at random daemons
+// while replicas crash, alone and in groups, daemons are killed, freeze, join or are partitioned,
+// and the store is unavailable. It fails if daemons do not share the crashes that they detect, lose
+// them in a restart, or hold unrelated crashes against a request.
 func TestFleetKeepsItsPromise(t *testing.T) {
 	for _, size := range modelFleets {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
-			wrong, others, polled := 0, 0, 0
+			refused, harmless, polledRefused := 0, 0, 0
 			for seed := range size.seeds * *moreSeeds {
 				f, faults := playModel(seed, size.daemons, modelParts{}, true)
-				if n := f.mostLate(); n > modelProbes {
-					t.Errorf("seed %d: %d arrivals after the third end; %q", seed, n, faults)
+				if n := f.maxLateArrivals(); n > modelMaxArrivals {
+					t.Errorf("seed %d: %d arrivals after the third crash; faults %q", seed, n, faults)
 				}
-				wrong, others, polled = wrong+len(f.wrong), others+f.others, polled+f.polled
+				refused, harmless, polledRefused = refused+len(f.wronglyRefused), harmless+f.harmless, polledRefused+f.polledRefused
 			}
-			t.Logf("%d of %d other requests are refused, and %d repeats of one that is polled", wrong, others, polled)
-			if share := float64(wrong) / float64(others); share > modelWrong {
-				t.Errorf("%d of %d other requests are refused", wrong, others)
+			t.Logf("%d of %d harmless requests were refused, and %d repeats of the polled request", refused, harmless, polledRefused)
+			if share := float64(refused) / float64(harmless); share > modelMaxRefusedShare {
+				t.Errorf("%d of %d harmless requests were refused", refused, harmless)
 			}
 		})
 	}
 }
 
-// Symptom: requests are refused on days on which replicas end for other reasons.
-// Sequence: the same without such requests.
-// Cause: a bound that chance reaches.
+// Guards against a threshold so low that unrelated crashes alone quarantine a request. It runs the
+// same simulation without fatal requests.
 func TestNobodyIsRefusedByChance(t *testing.T) {
 	for _, size := range modelFleets {
 		for seed := range size.seeds * *moreSeeds {
-			if f, faults := playModel(seed, size.daemons, modelParts{}, false); len(f.wrong) > 0 {
-				t.Errorf("%d daemons, seed %d: %d of %d requests are refused; %q", size.daemons, seed, len(f.wrong), f.others, faults)
+			if f, faults := playModel(seed, size.daemons, modelParts{}, false); len(f.wronglyRefused) > 0 {
+				t.Errorf("%d daemons, seed %d: %d of %d requests were refused; faults %q", size.daemons, seed, len(f.wronglyRefused), f.harmless, faults)
 			}
 		}
 	}
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -15,41 +15,41 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Broken is a run that broke off without the end of its answer.
+// Broken describes a run whose connection was lost before the end of the response.
 type Broken struct {
-	// Request is the id of the attempt.
+	// Request is the id of the attempt, which logs show as request.
 	Request string
 	Digest  Digest
-	// Upstream and Address are those of the upstream.
+	// Upstream is the name and Address the host and port of the upstream.
 	Upstream, Address string
-	// Step is the call that broke off.
+	// Step names the call whose connection was lost.
 	Step string
-	// Answering says that a part of the answer had come.
+	// Answering is set if a part of the response had arrived.
 	Answering bool
-	// Ran is how long the call had lasted.
+	// Ran is the time from the start of the call to the loss of its connection.
 	Ran time.Duration
 }
 
-// Sign is what a look at an upstream showed after a run broke off.
+// Sign is the result of probing an upstream after a run on it lost its connection.
 type Sign uint8
 
-// The signs.
+// Results of a probe.
 const (
-	// Unsure: nothing came back, as from behind a cut.
+	// Unsure: the probe got no answer, as during a network partition.
 	Unsure Sign = iota
-	// Lives: the upstream accepts connections; this run alone broke off.
+	// Lives: the upstream accepts connections, so only the connection of the run was lost.
 	Lives
-	// Ended: its host answers that nobody listens.
+	// Ended: the host refuses connections, so the upstream's process has terminated.
 	Ended
 )
 
-// String returns the word used in logs and metrics.
+// String returns the value used in logs and metrics.
 func (s Sign) String() string { return [...]string{"unsure", "lives", "ended"}[s] }
 
-// Dialer opens a connection to an upstream and closes it again.
+// Dialer probes an upstream: it opens a connection and closes it again.
 type Dialer func(ctx context.Context, address string) error
 
-// DialTCP is the Dialer of a daemon.
+// DialTCP is the Dialer used by a daemon.
 func DialTCP(ctx context.Context, address string) error {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -59,69 +59,72 @@
 	return errors.WithStack(conn.Close())
 }
 
-// Options wire a Keeper; Dial, Logger and Now are required.
+// Options configure a Keeper; Dial, Logger and Now are required.
 type Options struct {
 	Dial Dialer
-	// Log shares what this daemon sees; with nil it knows of its own runs alone.
+	// Log is the quarantine log shared by all daemons. If nil, the Keeper uses only the crashes
+	// that it detects itself.
 	Log Log
-	// Reads says whether this daemon is to read the log itself; others tell it of the log
-	// else. Nil is always.
+	// Reads reports whether this daemon is a reader, which reads the log itself. Otherwise it is
+	// a follower: it receives the records from another daemon, and passes them to Take. Nil means
+	// that it is always a reader.
 	Reads func() bool
-	// Wait is how long the log holds a reading while there is nothing new, and Kept how long
-	// it keeps a record.
+	// Wait is how long a read of the log blocks while there is no new record, and Kept is the
+	// retention time of the log.
 	Wait, Kept time.Duration
-	// Seen counts what looks at upstreams showed; nil counts nothing.
+	// Seen, if not nil, is called with the result of each probe.
 	Seen func(s Sign)
-	// Changed is told how many requests something is held against; nil is not told.
+	// Changed, if not nil, is called with the number of requests that have recorded crashes
+	// whenever that number changes.
 	Changed func(requests int)
 	Logger  log.Interface
 	Now     func() time.Time
 }
 
 const (
-	// lookTime bounds a look at an upstream: many times the way to it.
-	lookTime = 200 * time.Millisecond
-	// lookers is how many upstreams are looked at together, and maxLooks how many more
-	// wait for it: a whole rack may end at once.
-	lookers  = 8
-	maxLooks = 256
-	// maxRuns bounds the broken runs on one upstream that are told of.
-	maxRuns = 64
-	// forgetEvery is how often the ledger is cleared of what is too old to matter.
-	forgetEvery = time.Minute
+	// probeTimeout bounds the probe of an upstream; it is many times the network latency.
+	probeTimeout = 200 * time.Millisecond
+	// probeWorkers is the number of concurrent probes and maxQueuedProbes the number that may
+	// wait: all upstreams of a rack may crash at once.
+	probeWorkers    = 8
+	maxQueuedProbes = 256
+	// maxRunsPerUpstream bounds the lost runs of one upstream that are logged and recorded.
+	maxRunsPerUpstream = 64
+	// forgetInterval is how often expired entries are removed from the ledger.
+	forgetInterval = time.Minute
 )
 
-// Keeper looks at upstreams on which runs broke off, tells which requests were there, and
-// keeps a Ledger of those under which upstreams ended. It is a supervise.Service, and safe
-// for concurrent use.
+// Keeper probes upstreams on which runs lost their connection, logs which requests ran there,
+// and records crashes in a Ledger that it shares with the other daemons. It implements
+// supervise.Service and is safe for concurrent use.
 //
-// What goes wrong without it: replica after replica ends, and no line says that they did,
-// nor which requests they had in common; the same request goes on to the next one.
+// Without it a request that crashes its upstream is retried on one replica after another, and
+// no log message shows which request the crashes have in common.
 type Keeper struct {
 	o Options
-	// looks are the addresses that wait for a look.
-	looks chan string
-	// requests is how many requests the ledger holds anything against. While it is 0, which
-	// is nearly always, no digest is worked out.
-	requests atomic.Int64
+	// probes queues the addresses of upstreams to probe.
+	probes chan string
+	// requestsWithCrashes is the number of requests with recorded crashes. It is 0 nearly always, and
+	// then no digest is computed.
+	requestsWithCrashes atomic.Int64
 
-	// ready has a value while there are records to append.
-	ready chan struct{}
+	// pendingReady holds a value while records wait to be appended to the log.
+	pendingReady chan struct{}
 
-	mu     sync.Mutex // guards the fields below
-	broken map[string][]Broken
-	ledger *Ledger
-	// out are the records that are to be appended, in their order.
-	out     []Record
-	news    news
+	mu       sync.Mutex // guards the fields below
+	lostRuns map[string][]Broken
+	ledger   *Ledger
+	// pending are the records to append to the log, oldest first.
+	pending []Record
+	recent  recentRecords
 	renewal renewal
 }
 
-// NewKeeper returns a keeper that knows of nothing.
+// NewKeeper returns a Keeper with an empty ledger.
 func NewKeeper(o Options) *Keeper {
 	return &Keeper{
-		o: o, looks: make(chan string, maxLooks), ready: make(chan struct{}, 1),
-		broken: map[string][]Broken{}, ledger: NewLedger(), news: newNews(o.Now()), renewal: newRenewal(o.Kept),
+		o: o, probes: make(chan string, maxQueuedProbes), pendingReady: make(chan struct{}, 1),
+		lostRuns: map[string][]Broken{}, ledger: NewLedger(), recent: newRecentRecords(o.Now()), renewal: newRenewal(o.Kept),
 	}
 }
 
@@ -132,48 +135,48 @@
 func (k *Keeper) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	for range lookers {
-		wg.Go(func() { k.look(ctx) })
+	for range probeWorkers {
+		wg.Go(func() { k.probeLoop(ctx) })
 	}
 	if k.o.Log != nil {
-		wg.Go(func() { k.share(ctx) })
-		wg.Go(func() { k.follow(ctx) })
-		wg.Go(func() { k.renew(ctx) })
+		wg.Go(func() { k.appendLoop(ctx) })
+		wg.Go(func() { k.readLoop(ctx) })
+		wg.Go(func() { k.renewLoop(ctx) })
 	}
-	for clock.Sleep(ctx, forgetEvery) {
+	for clock.Sleep(ctx, forgetInterval) {
 		k.forget(k.o.Now())
 	}
 	return nil
 }
 
-// forget drops what is too old to matter.
+// forget removes expired entries from the ledger.
 func (k *Keeper) forget(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Forget(now)
 	k.renewal.forget(k.ledger)
-	k.counted()
+	k.updateCount()
 }
 
-// Ran notes that a request ran whole. It does not block.
+// Ran records that a request completed. It does not block.
 func (k *Keeper) Ran(now time.Time, digest func() Digest) {
-	if k.requests.Load() == 0 {
+	if k.requestsWithCrashes.Load() == 0 {
 		return
 	}
 	d := digest()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ledger.Ran(d, now) {
-		k.append(ranRecord(d, now))
-		k.counted()
-		k.o.Logger.WithField("digest", d.String()).Info("request ran whole, and is cleared")
+		k.enqueue(completionRecord(d, now))
+		k.updateCount()
+		k.o.Logger.WithField("digest", d.String()).Info("request completed: its crashes no longer count")
 	}
 }
 
-// Refuses says whether a request is not to be sent, and how many upstreams ended under it.
+// Refuses reports whether a request is quarantined, and the number of crashes recorded for it.
 // It does not block.
 func (k *Keeper) Refuses(now time.Time, digest func() Digest) (ends int, refused bool) {
-	if k.requests.Load() == 0 {
+	if k.requestsWithCrashes.Load() == 0 {
 		return 0, false
 	}
 	d := digest()
@@ -182,49 +185,50 @@
 	return k.ledger.Refuses(now, d)
 }
 
-// counted notes how many requests something is held against; k.mu is held.
-func (k *Keeper) counted() {
+// updateCount updates the number of requests with recorded crashes; k.mu must be held.
+func (k *Keeper) updateCount() {
 	n := k.ledger.Count()
-	if k.requests.Swap(int64(n)) != int64(n) && k.o.Changed != nil {
+	if k.requestsWithCrashes.Swap(int64(n)) != int64(n) && k.o.Changed != nil {
 		k.o.Changed(n)
 	}
 }
 
-// Broke takes a run that broke off. It does not block.
+// Broke records a run that lost its connection, and queues a probe of its upstream. It does
+// not block.
 func (k *Keeper) Broke(b Broken) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	waiting := k.broken[b.Address]
-	if len(waiting) >= maxRuns {
+	waiting := k.lostRuns[b.Address]
+	if len(waiting) >= maxRunsPerUpstream {
 		return
 	}
-	k.broken[b.Address] = append(waiting, b)
+	k.lostRuns[b.Address] = append(waiting, b)
 	if len(waiting) > 0 {
-		return // the look that is due is for this run too
+		return // the probe that is already queued covers this run too
 	}
 	select {
-	case k.looks <- b.Address:
+	case k.probes <- b.Address:
 	default:
-		delete(k.broken, b.Address)
-		k.o.Logger.WithFields(log.Fields{"request": b.Request, "upstream": b.Upstream}).Warn("upstream not looked at: too many broke off")
+		delete(k.lostRuns, b.Address)
+		k.o.Logger.WithFields(log.Fields{"request": b.Request, "upstream": b.Upstream}).Warn("upstream not probed: too many probes queued")
 	}
 }
 
-func (k *Keeper) look(ctx context.Context) {
+func (k *Keeper) probeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case address := <-k.looks:
-			k.looked(address, k.sign(ctx, address))
+		case address := <-k.probes:
+			k.finishProbe(address, k.probe(ctx, address))
 		}
 	}
 }
 
-// sign looks at an upstream. A connection that breaks off proves no end: replicas reset
-// single ones, and links lose them. One that the host refuses does.
-func (k *Keeper) sign(ctx context.Context, address string) Sign {
-	ctx, cancel := context.WithTimeout(ctx, lookTime)
+// probe dials an upstream. The lost connection of a run does not prove a crash, since replicas
+// reset single connections and networks drop them; a refused connection does.
+func (k *Keeper) probe(ctx context.Context, address string) Sign {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := k.o.Dial(ctx, address)
 	switch {
@@ -237,15 +241,16 @@
 	}
 }
 
-// looked takes what a look at an upstream showed.
-func (k *Keeper) looked(address string, s Sign) {
+// finishProbe logs the lost runs of a probed upstream, and records a crash for each of their
+// requests if the upstream has crashed.
+func (k *Keeper) finishProbe(address string, s Sign) {
 	if k.o.Seen != nil {
 		k.o.Seen(s)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	runs := k.broken[address]
-	delete(k.broken, address)
+	runs := k.lostRuns[address]
+	delete(k.lostRuns, address)
 	for _, b := range runs {
 		k.o.Logger.WithFields(log.Fields{
 			"request": b.Request, "digest": b.Digest.String(), "upstream": b.Upstream, "step": b.Step,
@@ -253,20 +258,20 @@
 		}).Info("run broke off")
 		if s == Ended {
 			e := End{Upstream: b.Upstream, At: k.o.Now().Truncate(time.Millisecond), Answering: b.Answering, Ran: b.Ran.Truncate(time.Millisecond)}
-			k.ended(b.Digest, e)
+			k.recordCrash(b.Digest, e)
 		}
 	}
-	k.counted()
+	k.updateCount()
 }
 
-// ended notes an end that this daemon saw, for those that it tells, too: they learn of it
-// while the log takes nothing.
-func (k *Keeper) ended(d Digest, e End) {
+// recordCrash records a crash that this daemon detected, and passes it on to the log and to the
+// followers. The followers receive it even while the log accepts no appends.
+func (k *Keeper) recordCrash(d Digest, e End) {
 	if !k.ledger.Ended(d, e) {
 		return
 	}
-	r := endRecord(d, e)
-	k.append(r)
-	k.news.add(r)
-	k.news.wake()
+	r := crashRecord(d, e)
+	k.enqueue(r)
+	k.recent.add(r)
+	k.recent.notify()
 }
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -21,26 +21,24 @@
 	"github.com/corianderturn/corianderturn/internal/waittest"
 )
 
-// Symptom: a replica is said to have ended that is well, or one that ended is not told of.
-// Sequence: a run breaks off, and its upstream is looked at in each of the states that it
-// may be in.
-// Cause: a broken connection taken for the end of a process.
+// Guards against probes that take a lost connection for a crash, or miss a crash. It probes a
+// listening port, a closed one and dialers that fail in other ways.
 func TestSigns(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := newTestKeeper(DialTCP, nil).sign(t.Context(), ln.Addr().String()); got != Lives {
-		t.Errorf("a listener: %v", got)
+	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != Lives {
+		t.Errorf("probe of a listening port: %v", got)
 	}
 	ln.Close()
-	if got := newTestKeeper(DialTCP, nil).sign(t.Context(), ln.Addr().String()); got != Ended {
-		t.Errorf("nobody listens: %v", got)
+	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != Ended {
+		t.Errorf("probe of a closed port: %v", got)
 	}
 	for _, err := range []error{context.DeadlineExceeded, syscall.ECONNRESET, syscall.EHOSTUNREACH} {
 		dial := func(context.Context, string) error { return errors.WithStack(err) }
-		if got := newTestKeeper(dial, nil).sign(t.Context(), "x"); got != Unsure {
-			t.Errorf("%v: %v", err, got)
+		if got := newTestKeeper(dial, nil).probe(t.Context(), "x"); got != Unsure {
+			t.Errorf("probe that fails with %v: %v", err, got)
 		}
 	}
 }
@@ -49,35 +47,35 @@
 	return NewKeeper(Options{Dial: dial, Logger: &log.Logger{Handler: h, Level: log.InfoLevel}, Now: time.Now})
 }
 
-// testKept is how long a testLog keeps a record.
-const testKept = time.Minute
+// testRetention is the retention time of a testLog.
+const testRetention = time.Minute
 
-// testLog is a log that daemons share; it refuses the first appends.
+// testLog is a Log in memory; its first failAppends appends fail.
 type testLog struct {
-	mu      sync.Mutex
-	refuses int
-	records []Record
-	put     []time.Time // when each was appended
-	changed chan struct{}
+	mu          sync.Mutex
+	failAppends int
+	records     []Record
+	appendedAt  []time.Time // when each record was appended
+	changed     chan struct{}
 }
 
 func newTestLog() *testLog { return &testLog{changed: make(chan struct{})} }
 
-// first returns the offset of the first record that is kept; l.mu is held.
+// first returns the offset of the oldest retained record; l.mu must be held.
 func (l *testLog) first() uint64 {
-	n, _ := slices.BinarySearchFunc(l.put, time.Now().Add(-testKept), time.Time.Compare)
+	n, _ := slices.BinarySearchFunc(l.appendedAt, time.Now().Add(-testRetention), time.Time.Compare)
 	return uint64(n)
 }
 
 func (l *testLog) Append(_ context.Context, list []Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.refuses > 0 {
-		l.refuses--
+	if l.failAppends > 0 {
+		l.failAppends--
 		return errors.New("the store answered 503")
 	}
 	l.records = append(l.records, list...)
-	l.put = append(l.put, slices.Repeat([]time.Time{time.Now()}, len(list))...)
+	l.appendedAt = append(l.appendedAt, slices.Repeat([]time.Time{time.Now()}, len(list))...)
 	close(l.changed)
 	l.changed = make(chan struct{})
 	return nil
@@ -105,30 +103,30 @@
 
 func (l *testLog) len() int { return len(l.all()) }
 
-// all returns all records that were ever appended.
+// all returns every record ever appended, including those past the retention time.
 func (l *testLog) all() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.records)
 }
 
-// start runs keepers that share the log, until the test ends.
+// start runs keepers that share the log until the test ends.
 func (l *testLog) start(t *testing.T, n int) []*Keeper {
-	out, stop := l.startLife(t, n)
+	out, stop := l.startStoppable(t, n)
 	t.Cleanup(stop)
 	return out
 }
 
-// startLife runs keepers that share the log, until stop.
-func (l *testLog) startLife(t *testing.T, n int) (out []*Keeper, stop func()) {
+// startStoppable runs keepers that share the log until stop is called.
+func (l *testLog) startStoppable(t *testing.T, n int) (out []*Keeper, stop func()) {
 	refused := func(context.Context, string) error { return syscall.ECONNREFUSED }
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	for i := range n {
-		k := NewKeeper(Options{Dial: refused, Log: l, Wait: time.Second, Kept: testKept, Logger: &log.Logger{Handler: discard.New()}, Now: time.Now})
-		k.renewal.after = testKept/2 + time.Duration(i)*testKept/16 // as likely as any
+		k := NewKeeper(Options{Dial: refused, Log: l, Wait: time.Second, Kept: testRetention, Logger: &log.Logger{Handler: discard.New()}, Now: time.Now})
+		k.renewal.maxAge = testRetention/2 + time.Duration(i)*testRetention/16 // fixed, where newRenewal draws it at random
 		out = append(out, k)
-		wg.Go(func() { _ = k.Run(ctx) }) // it ends with stop
+		wg.Go(func() { _ = k.Run(ctx) }) // returns when stop cancels ctx
 	}
 	return out, func() {
 		cancel()
@@ -136,19 +134,19 @@
 	}
 }
 
-func refuses(k *Keeper, now time.Time) bool {
+func refusesFatal(k *Keeper, now time.Time) bool {
 	_, refused := k.Refuses(now, func() Digest { return fatal })
 	return refused
 }
 
-// Symptom: each daemon sends a request on until three upstreams have ended under it there.
-// Sequence: three daemons see one end each, while the log refuses the first appends; a
-// fourth sees none. Then the request runs whole at one of them.
-// Cause: what one daemon saw is known to it alone, or lost with a failed append.
+// Guards against daemons that do not share crashes, so that each forwards a request until it has
+// itself seen three. Three daemons detect one crash each while the log rejects the first appends,
+// and a fourth must refuse the request too. Then the request completes at the fourth, and all
+// must accept it.
 func TestDaemonsShareEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := newTestLog()
-		shared.refuses = 4
+		shared.failAppends = 4
 		keepers := shared.start(t, 4)
 		for i, k := range keepers[:3] {
 			k.Broke(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
@@ -156,99 +154,96 @@
 		}
 		time.Sleep(10 * time.Second)
 		for i, k := range keepers {
-			if !refuses(k, time.Now()) {
-				t.Errorf("daemon %d sends it on", i)
+			if !refusesFatal(k, time.Now()) {
+				t.Errorf("daemon %d does not refuse the request", i)
 			}
 		}
 		keepers[3].Ran(time.Now(), func() Digest { return fatal })
-		const contact = 3 * time.Second // after it a daemon owes what others have seen
-		time.Sleep(contact)
+		const maxDelay = 3 * time.Second // time in which all daemons must have the record
+		time.Sleep(maxDelay)
 		for i, k := range keepers {
-			if refuses(k, time.Now()) || k.requests.Load() > 0 {
-				t.Errorf("daemon %d holds something against what ran whole", i)
+			if refusesFatal(k, time.Now()) || k.requestsWithCrashes.Load() > 0 {
+				t.Errorf("daemon %d still holds crashes against the completed request", i)
 			}
 		}
 	})
 }
 
-// Symptom: a daemon that does not read the log sends a request on that others refuse; or it
-// is told all of the log again and again.
-// Sequence: it is told by one daemon, in parts, and then by another one, which has been told
-// less.
-// Cause: numbers of one daemon taken for those of another.
+// Guards against a follower that misses records because it takes the positions of one daemon for
+// those of another, or that receives all records again and again. It reads in batches from one
+// daemon, and then from another that holds fewer records.
 func TestNewsArePassedOn(t *testing.T) {
 	reader, other := newTestKeeper(nil, discard.New()), newTestKeeper(nil, discard.New())
-	other.news.base += 1 << 20 // it started later
+	other.recent.base += 1 << 20 // as if started later
 	var records []Record
-	for i := range maxTold + 10 {
+	for i := range maxBatch + 10 {
 		records = append(records, Record{Digest: DigestOf(fmt.Sprint(i)), Upstream: "x", Millis: t0.UnixMilli()})
 	}
 	for i := range 3 {
 		records = append(records, Record{Digest: fatal, Upstream: fmt.Sprint(i), Millis: t0.UnixMilli()})
 	}
 	reader.Take(records)
-	other.Take(records[maxTold+10:])
+	other.Take(records[maxBatch+10:])
 	follower := newTestKeeper(nil, discard.New())
-	seen := uint64(0)
-	ask := func(k *Keeper) int {
-		list, next := k.Since(seen)
+	position := uint64(0)
+	read := func(k *Keeper) int {
+		list, next := k.Since(position)
 		follower.Take(list)
-		seen = next
+		position = next
 		return len(list)
 	}
-	if n := ask(reader); n != maxTold || !refuses(follower, t0.Add(time.Second)) {
-		t.Errorf("at first it is told %d records, and what is refused is not among them", n)
+	if n := read(reader); n != maxBatch || !refusesFatal(follower, t0.Add(time.Second)) {
+		t.Errorf("the first batch has %d records, or lacks those of the refused request", n)
 	}
-	if n := ask(reader); n > 0 {
-		t.Errorf("nothing is new, and it is told %d records", n)
+	if n := read(reader); n > 0 {
+		t.Errorf("%d records received although none is new", n)
 	}
-	if n := ask(other); n != 3 {
-		t.Errorf("another daemon tells it %d records", n)
+	if n := read(other); n != 3 {
+		t.Errorf("%d records received from the other daemon, want 3", n)
 	}
-	if more, _ := reader.News(seen); !more {
-		t.Error("the first daemon has nothing to tell to one that another one told")
+	if more, _ := reader.News(position); !more {
+		t.Error("the first daemon has no records for a position of the other daemon")
 	}
-	more, changed := other.News(seen)
+	more, changed := other.News(position)
 	if more {
-		t.Error("it is told of nothing")
+		t.Error("the other daemon has records before any was added")
 	}
 	other.Take(records[:2])
 	select {
 	case <-changed:
 	default:
-		t.Error("it is not woken")
+		t.Error("the channel was not closed when records were added")
 	}
-	if n := ask(other); n != 2 {
-		t.Errorf("it is told %d records of 2", n)
+	if n := read(other); n != 2 {
+		t.Errorf("%d records received, want 2", n)
 	}
 	other.Take(records[:2])
-	if more, _ := other.News(seen); more {
-		t.Error("what is not new is told again, as two daemons would that ask each other")
+	if more, _ := other.News(position); more {
+		t.Error("known records are passed on, so two daemons that follow each other would never stop")
 	}
-	reader.Take(make([]Record, 2*keptNews))
-	if n := len(reader.news.list); n > keptNews {
-		t.Errorf("%d records are kept", n)
+	reader.Take(make([]Record, 2*maxRecent))
+	if n := len(reader.recent.records); n > maxRecent {
+		t.Errorf("%d records kept", n)
 	}
 }
 
-// teller is one daemon that tells another one what is new.
-type teller struct {
+// forwarder forwards new records from one daemon to another.
+type forwarder struct {
 	from, to *Keeper
-	seen     uint64
+	position uint64
 }
 
-func (t *teller) tell() int {
-	list, next := t.from.Since(t.seen)
-	t.seen = next
+func (t *forwarder) forward() int {
+	list, next := t.from.Since(t.position)
+	t.position = next
 	t.to.Take(list)
 	return len(list)
 }
 
-// Symptom: two daemons tell each other the same without end, as fast as they can.
-// Sequence: each follows the other one, as daemons do that the store refuses by turns. One is
-// told of an end that is older than all that are remembered of its request, or of one more
-// request than are remembered.
-// Cause: what is told on as news, and forgotten at once.
+// Guards against two daemons that follow each other, as happens while the store is available only
+// to one of them at a time, and exchange the same records forever. One receives a crash older than
+// all those kept for its request, or of one request more than the ledger holds. It would pass the
+// record on as new and evict it at once.
 func TestNewsComeToRest(t *testing.T) {
 	const rounds = 100
 	old := Record{Digest: fatal, Upstream: "old", Millis: t0.UnixMilli()}
@@ -268,38 +263,35 @@
 			a, b := newTestKeeper(nil, discard.New()), newTestKeeper(nil, discard.New())
 			a.Take(list)
 			b.Take(list)
-			there, back := teller{a, b, a.news.next()}, teller{b, a, b.news.next()}
+			there, back := forwarder{a, b, a.recent.next()}, forwarder{b, a, b.recent.next()}
 			a.Take([]Record{old})
-			told := 0
+			forwarded := 0
 			for range rounds {
-				told += there.tell() + back.tell()
+				forwarded += there.forward() + back.forward()
 			}
-			if told > 2 {
-				t.Errorf("%d records are told after one that is new", told)
+			if forwarded > 2 {
+				t.Errorf("%d records forwarded after one new record", forwarded)
 			}
 		})
 	}
 }
 
-// Symptom: the memory of a daemon grows while the store is away.
-// Sequence: the log takes nothing for long, while upstreams end.
-// Cause: records wait without a bound.
+// Guards against unbounded memory use while upstreams crash and the log accepts no appends.
 func TestRecordsThatWaitAreBounded(t *testing.T) {
 	k := NewKeeper(Options{Log: newTestLog(), Logger: &log.Logger{Handler: discard.New()}, Now: time.Now})
-	for i := range 2 * maxOut {
+	for i := range 2 * maxPending {
 		k.mu.Lock()
-		k.append(Record{Digest: fatal, Millis: int64(i)})
+		k.enqueue(Record{Digest: fatal, Millis: int64(i)})
 		k.mu.Unlock()
 	}
-	k.again(make([]Record, maxShare))
-	if len(k.out) > maxOut {
-		t.Errorf("%d records wait", len(k.out))
+	k.requeue(make([]Record, maxAppendRecords))
+	if len(k.pending) > maxPending {
+		t.Errorf("%d records pending", len(k.pending))
 	}
 }
 
-// Symptom: a daemon ends, or believes a record that no daemon writes.
-// Sequence: bytes of another writer on the log.
-// Cause: a record that is taken as it comes.
+// Guards against a crash of the daemon, or an invalid record being accepted, when the log contains
+// bytes that no daemon wrote.
 func FuzzUnpack(f *testing.F) {
 	raw, err := Record{Digest: fatal, Upstream: "i-1", Millis: 1, Answering: true}.Pack()
 	if err != nil {
@@ -309,25 +301,24 @@
 	f.Add([]byte{0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r, err := Unpack(raw)
-		if err == nil && (len(r.Upstream) > maxUpstream || r.Millis <= 0) {
-			t.Errorf("took %+v", r)
+		if err == nil && (len(r.Upstream) > maxUpstreamLen || r.Millis <= 0) {
+			t.Errorf("accepted %+v", r)
 		}
 		l := NewLedger()
-		l.take(r)
+		l.apply(r)
 		l.Refuses(t0, r.Digest)
 	})
 }
 
-// Symptom: a replica ended, and no line tells which requests were on it.
-// Sequence: three runs break off on one upstream and one on another, while looks take time.
-// Cause: a look for each run, or a line for the first of them alone.
+// Guards against log messages that omit some of the requests on a crashed upstream, and against a
+// probe per lost run. Three runs are lost on one upstream and one on another while probes block.
 func TestRunsOnOneUpstreamAreToldTogether(t *testing.T) {
 	lines := memory.New()
-	looks := make(chan string, 10)
-	free := make(chan struct{})
+	probed := make(chan string, 10)
+	unblock := make(chan struct{})
 	k := newTestKeeper(func(_ context.Context, address string) error {
-		looks <- address
-		<-free
+		probed <- address
+		<-unblock
 		return syscall.ECONNREFUSED
 	}, lines)
 	ctx, stop := context.WithCancel(t.Context())
@@ -336,8 +327,8 @@
 	for _, b := range []Broken{{Request: "a", Address: "x"}, {Request: "b", Address: "x"}, {Request: "c", Address: "y"}, {Request: "d", Address: "x"}} {
 		k.Broke(b)
 	}
-	close(free)
-	told := func() map[string]any {
+	close(unblock)
+	logged := func() map[string]any {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		out := map[string]any{}
@@ -346,9 +337,9 @@
 		}
 		return out
 	}
-	waittest.Until(t, "all runs are told of", func() bool {
+	waittest.Until(t, "all lost runs are logged", func() bool {
 		k.mu.Lock()
-		waiting := len(k.broken)
+		waiting := len(k.lostRuns)
 		k.mu.Unlock()
 		return waiting == 0
 	})
@@ -357,10 +348,10 @@
 		t.Fatal(err)
 	}
 	want := map[string]any{"a": "ended", "b": "ended", "c": "ended", "d": "ended"}
-	if diff := cmp.Diff(want, told()); diff != "" {
+	if diff := cmp.Diff(want, logged()); diff != "" {
 		t.Error(diff)
 	}
-	if len(looks) > 3 {
-		t.Errorf("%d looks at two upstreams", len(looks))
+	if len(probed) > 3 {
+		t.Errorf("%d probes of two upstreams", len(probed))
 	}
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -7,357 +7,364 @@
 	"time"
 )
 
-// End is an upstream that ended while it ran a request.
+// End is the crash of an upstream while it ran a request.
 type End struct {
 	Upstream string
-	// At is the wall clock of the daemon that saw it.
+	// At is the wall-clock time of the daemon that detected the crash.
 	At time.Time
-	// Answering says that a part of the answer had come, and Ran how long the run had lasted.
+	// Answering is set if a part of the response had arrived; Ran is how long the run had lasted.
 	Answering bool
 	Ran       time.Duration
 }
 
-// What an end weighs against a request. Nearly all runs that meet the end of an upstream by
-// chance have begun to answer; one that the upstream ends of has mostly not, or ends it about
-// as long after its begin each time. The bound is three such ends, or four in the middle of
-// answers that had lasted for any time.
+// Weights of a crash. Nearly all runs that are hit by an unrelated crash have begun to respond. A
+// request that causes crashes mostly causes them before its response begins, or about the same
+// time after its start each time. The threshold is therefore three crashes of these two kinds,
+// or four during responses after runs of different durations.
 const (
-	silentWeight    = 4
-	answeringWeight = 3
-	bound           = 3 * silentWeight
-	// alikeRuns is how many times as long as the shortest the longest of runs may be that
-	// lasted about as long.
-	alikeRuns = 1.5
+	beforeResponseWeight = 4
+	duringResponseWeight = 3
+	quarantineThreshold  = 3 * beforeResponseWeight
+	// maxSimilarRatio is the largest ratio of the longest to the shortest run at which the
+	// durations of a request's runs count as similar.
+	maxSimilarRatio = 1.5
 )
 
 const (
-	// sameEnd is how far apart two daemons may see one end of an upstream, whose next life
-	// may bear its name.
-	sameEnd = time.Second
-	// firstRest is how long a request is not sent after the end that made it over the bound.
-	// It doubles with each further one; after maxProbes more it is not sent again.
-	firstRest = 10 * time.Minute
-	maxProbes = 3
-	// kept is how long a request is remembered after the last that was noted of it.
-	kept = 24 * time.Hour
-	// maxEntries bounds the requests that are remembered, about 400 bytes each, and maxEnds
-	// the ends of one; more than is needed for a verdict are of no use.
+	// sameCrashWindow: reports of crashes of the same upstream and request less than this apart
+	// are one crash. Further apart they are two, since a restarted upstream may keep its name.
+	sameCrashWindow = time.Second
+	// initialQuarantine is how long a request is refused after the crash that took it over the
+	// threshold. Then the request is tried again. The time doubles with each further crash; after
+	// maxTrials further crashes the request is refused until its entry expires.
+	initialQuarantine = 10 * time.Minute
+	maxTrials         = 3
+	// entryTTL is how long an entry is kept after the last event of its request.
+	entryTTL = 24 * time.Hour
+	// maxEntries bounds the requests in a ledger, about 400 bytes each, and maxCrashes the
+	// crashes of a request; more crashes would not change the decision.
 	maxEntries = 4096
-	maxEnds    = 16
-	// shrinkPart is the part of the entries that goes at once when there are too many.
-	shrinkPart = 16
+	maxCrashes = 16
+	// ledgerEvictFraction: when there are too many entries, one in ledgerEvictFraction is removed
+	// at once.
+	ledgerEvictFraction = 16
 )
 
-// entry is what is known of one request.
+// entry holds the recorded events of one request.
 type entry struct {
-	ends []End // since it last ran whole, in their order
-	// ran is when it last ran whole, as far as is known.
-	ran time.Time
-	// lifted says that it was over the bound until then.
-	lifted bool
-	// counted is the weight of the ends that no other request explains, once it was over the
-	// bound by all of them; see judge.
-	counted int
+	crashes []End // since the last completion, oldest first
+	// completed is the time of the last known completion.
+	completed time.Time
+	// cleared is set if the request was quarantined before its last completion.
+	cleared bool
+	// unattributedWeight is the weight of the crashes that evaluate did not attribute to another
+	// request. Below the threshold none are attributed, so it is the weight of all crashes.
+	unattributedWeight int
 }
 
-// Ledger holds under which requests upstreams ended, and says which are not sent any more.
+// Ledger records the crashes of upstreams per request, and decides which requests are refused.
 // It reads no clock and is not safe for concurrent use.
 //
-// Load pattern: one caller repeats a request that ends each upstream that runs it, at any
-// daemon; or many upstreams end for other reasons, one by one or together, with thousands
-// of runs on them. What ran whole since is innocent of the ends before, and an end that a
-// refused request explains is held against nobody else, so that of the others only those
-// are refused that met three ends in a row which nothing explains.
+// It is meant for two situations: a caller repeats, at any daemon, a request that crashes every
+// upstream that runs it; and many upstreams crash for other reasons, separately or together,
+// with thousands of runs on them. A request that completes is cleared of its earlier crashes,
+// and a crash attributed to a quarantined request does not count against others. So an
+// uninvolved request is refused only if it runs into three crashes in a row that no other
+// request accounts for.
 type Ledger struct {
 	entries map[Digest]*entry
-	// changed says that something was noted since the last judgement.
-	changed bool
+	// dirty is set if an event was recorded since the last evaluation.
+	dirty bool
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[Digest]*entry{}} }
 
-// Ended notes an end, and says whether it was news. The same end may be noted twice. One
-// that is older than all that are remembered of its request is none: two daemons that tell
-// each other what is news would never be done with it.
+// Ended records a crash, and reports whether it was new. Repeated reports of a crash are merged.
+// A crash older than all those kept for its request does not count as new: it would be dropped
+// at once, and two daemons that pass on new records to each other would never stop.
 func (l *Ledger) Ended(d Digest, e End) bool {
 	n := l.entry(d)
-	if !e.At.After(n.ran) {
+	if !e.At.After(n.completed) {
 		return false
 	}
-	for i := range n.ends {
-		if o := &n.ends[i]; o.Upstream == e.Upstream && e.At.Sub(o.At).Abs() < sameEnd {
+	for i := range n.crashes {
+		if o := &n.crashes[i]; o.Upstream == e.Upstream && e.At.Sub(o.At).Abs() < sameCrashWindow {
 			o.Answering, o.Ran = o.Answering && e.Answering, min(o.Ran, e.Ran)
-			l.changed = true
+			l.dirty = true
 			return false
 		}
 	}
-	if len(n.ends) == maxEnds && !e.At.After(n.ends[0].At) {
+	if len(n.crashes) == maxCrashes && !e.At.After(n.crashes[0].At) {
 		return false
 	}
-	l.changed = true
-	n.ends = append(n.ends, e)
-	slices.SortStableFunc(n.ends, func(a, b End) int { return a.At.Compare(b.At) })
-	n.ends = n.ends[max(0, len(n.ends)-maxEnds):]
+	l.dirty = true
+	n.crashes = append(n.crashes, e)
+	slices.SortStableFunc(n.crashes, func(a, b End) int { return a.At.Compare(b.At) })
+	n.crashes = n.crashes[max(0, len(n.crashes)-maxCrashes):]
 	return true
 }
 
-// entry returns what is known of a request, and makes room for it.
+// entry returns the entry of a request; if there is none, it adds one and may evict others.
 func (l *Ledger) entry(d Digest) *entry {
 	n := l.entries[d]
 	if n == nil {
 		n = &entry{}
 		l.entries[d] = n
-		l.shrink(d)
+		l.evict(d)
 	}
 	return n
 }
 
-// Ran notes that a request ran whole, and says whether that clears it of anything.
+// Ran records that a request completed, and reports whether that removed any of its crashes.
 func (l *Ledger) Ran(d Digest, at time.Time) bool {
 	n := l.entries[d]
-	if n == nil || !at.After(n.ran) {
+	if n == nil || !at.After(n.completed) {
 		return false
 	}
-	if n.weight() >= bound {
-		l.judge()
-		n.lifted = n.counted >= bound
+	if n.crashWeight() >= quarantineThreshold {
+		l.evaluate()
+		n.cleared = n.unattributedWeight >= quarantineThreshold
 	}
-	n.ran = at
-	l.changed = true
-	before := len(n.ends)
-	n.ends = slices.DeleteFunc(n.ends, func(e End) bool { return !e.At.After(at) })
-	return len(n.ends) < before
+	n.completed = at
+	l.dirty = true
+	before := len(n.crashes)
+	n.crashes = slices.DeleteFunc(n.crashes, func(e End) bool { return !e.At.After(at) })
+	return len(n.crashes) < before
 }
 
-// Known says whether anything was noted of a request.
+// Known reports whether the ledger has an entry for a request.
 func (l *Ledger) Known(d Digest) bool { return l.entries[d] != nil }
 
-// Ends returns the ends that are held against a request.
+// Ends returns the crashes recorded for a request since its last completion.
 func (l *Ledger) Ends(d Digest) []End {
 	n := l.entries[d]
 	if n == nil {
 		return nil
 	}
-	return slices.Clone(n.ends)
+	return slices.Clone(n.crashes)
 }
 
-// Lasting returns the requests of which all daemons have to know also when none of those that
-// live now does any more: those that are over the bound, and those that were and ran whole
-// since. It returns the newest, at most so many.
-func (l *Ledger) Lasting(most int) []Digest {
-	l.judge()
+// Lasting returns the requests whose records must survive a restart of all daemons: those that
+// are quarantined, and those that a completion released from quarantine. It returns at most limit
+// of them, the most recent first.
+func (l *Ledger) Lasting(limit int) []Digest {
+	l.evaluate()
 	var out []Digest
 	for d, n := range l.entries {
-		if n.counted >= bound || n.lifted {
+		if n.unattributedWeight >= quarantineThreshold || n.cleared {
 			out = append(out, d)
 		}
 	}
 	slices.SortFunc(out, func(a, b Digest) int {
-		return cmp.Or(l.entries[b].last().Compare(l.entries[a].last()), slices.Compare(a[:], b[:]))
+		return cmp.Or(l.entries[b].lastUpdate().Compare(l.entries[a].lastUpdate()), slices.Compare(a[:], b[:]))
 	})
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
-// Count returns how many requests something is held against.
+// Count returns the number of requests with recorded crashes.
 func (l *Ledger) Count() int {
 	sum := 0
 	for _, n := range l.entries {
-		if len(n.ends) > 0 {
+		if len(n.crashes) > 0 {
 			sum++
 		}
 	}
 	return sum
 }
 
-// Refuses says whether a request is not to be sent, and under how many ends.
+// Refuses reports whether a request is refused now, and the number of its crashes.
 func (l *Ledger) Refuses(now time.Time, d Digest) (ends int, refused bool) {
 	n := l.entries[d]
 	if n == nil {
 		return 0, false
 	}
-	if l.judge(); n.counted < bound {
-		return len(n.ends), false
+	if l.evaluate(); n.unattributedWeight < quarantineThreshold {
+		return len(n.crashes), false
 	}
-	probes := (n.counted - bound) / silentWeight
-	if probes >= maxProbes {
-		return len(n.ends), true
+	trials := (n.unattributedWeight - quarantineThreshold) / beforeResponseWeight
+	if trials >= maxTrials {
+		return len(n.crashes), true
 	}
-	rest := firstRest << probes
-	return len(n.ends), now.Sub(n.last()) < rest
+	duration := initialQuarantine << trials
+	return len(n.crashes), now.Sub(n.lastUpdate()) < duration
 }
 
-// judge works out what is counted against the requests that are over the bound, first against
-// those whose runs were the shortest: one that ends upstreams has mostly just begun. Ends that
-// one of them explains are not counted against the others.
+// evaluate computes the unattributed weight of all entries. Requests over the threshold are
+// evaluated in ascending order of their mean run duration, since a request that causes crashes
+// has mostly just started; crashes attributed to one of them do not count for the later ones.
 //
-// What goes wrong without it: a caller that asks for the same every second meets the ends of
-// replicas under somebody else's request three times in a row, and is refused for minutes.
-func (l *Ledger) judge() {
-	if !l.changed {
+// Without it a caller that repeats a request every second and runs into three crashes in a row
+// that another request caused would be refused for minutes.
+func (l *Ledger) evaluate() {
+	if !l.dirty {
 		return
 	}
-	l.changed = false
+	l.dirty = false
 	var suspects []suspect
 	for d, n := range l.entries {
-		if n.counted = n.weight(); n.counted >= bound {
-			suspects = append(suspects, suspect{d, n, n.counted})
+		if n.unattributedWeight = n.crashWeight(); n.unattributedWeight >= quarantineThreshold {
+			suspects = append(suspects, suspect{d, n, n.unattributedWeight})
 		}
 	}
 	slices.SortFunc(suspects, func(a, b suspect) int {
-		return cmp.Or(cmp.Compare(a.meanRan(), b.meanRan()), cmp.Compare(b.all, a.all), slices.Compare(a.digest[:], b.digest[:]))
+		return cmp.Or(cmp.Compare(a.meanDuration(), b.meanDuration()), cmp.Compare(b.totalWeight, a.totalWeight), slices.Compare(a.digest[:], b.digest[:]))
 	})
-	explained := explanations{}
+	attributed := attributions{}
 	for _, s := range suspects {
-		if s.counted = s.unexplained(explained); s.counted >= bound {
-			explained.add(s)
+		if s.unattributedWeight = s.weightNotAttributed(attributed); s.unattributedWeight >= quarantineThreshold {
+			attributed.add(s)
 		}
 	}
 }
 
-// suspect is a request that is over the bound by the weight of all of its ends.
+// suspect is an entry with the total weight of its crashes, as sorted by evaluate and evict.
 type suspect struct {
 	digest Digest
 	*entry
-	all int
+	totalWeight int
 }
 
-// explanation is an end that a refused request explains, and the weight of all of its ends.
-type explanation struct {
+// attribution is a crash attributed to a quarantined request, and that request's total weight.
+type attribution struct {
 	End
-	all int
+	totalWeight int
 }
 
-// explanations are by the upstream.
-type explanations map[string][]explanation
+// attributions maps the name of an upstream to its attributed crashes.
+type attributions map[string][]attribution
 
-func (x explanations) add(s suspect) {
-	for _, e := range s.ends {
-		x[e.Upstream] = append(x[e.Upstream], explanation{e, s.all})
+// add attributes all crashes of a quarantined request to it.
+func (x attributions) add(s suspect) {
+	for _, e := range s.crashes {
+		x[e.Upstream] = append(x[e.Upstream], attribution{e, s.totalWeight})
 	}
 }
 
-// shorter is how much shorter the run of a request has to be that explains the end of an
-// upstream under another one: of two that have both just begun, either may have done it.
-const shorter = 2
-
-// has says whether an end of an upstream under a request is explained: by one whose run was
-// much shorter, and against which there is as much. A call of milliseconds that met the ends
-// of another request by chance must not excuse that one for long.
-func (x explanations) has(e End, all int) bool {
-	return slices.ContainsFunc(x[e.Upstream], func(o explanation) bool {
-		return e.At.Sub(o.At).Abs() < sameEnd && shorter*o.Ran <= e.Ran && o.all >= all
+// minDurationRatio: a crash is attributed to another request on the upstream only if that
+// request's run was shorter by at least this factor. If both have just started, either may be
+// the cause.
+const minDurationRatio = 2
+
+// covers reports whether a crash of a request with the given total weight is attributed to a
+// quarantined request. That request's run must have been much shorter, and its total weight at
+// least as high. Without the second condition a call of a few milliseconds that happened to run
+// during the crashes would exonerate the request that causes them for a long time.
+func (x attributions) covers(e End, totalWeight int) bool {
+	return slices.ContainsFunc(x[e.Upstream], func(o attribution) bool {
+		return e.At.Sub(o.At).Abs() < sameCrashWindow && minDurationRatio*o.Ran <= e.Ran && o.totalWeight >= totalWeight
 	})
 }
 
-// unexplained sums what the ends weigh that are not explained.
-func (s suspect) unexplained(explained explanations) int {
-	return s.weigh(func(e End) bool { return !explained.has(e, s.all) })
+// weightNotAttributed returns the weight of the crashes not attributed to other requests.
+func (s suspect) weightNotAttributed(attributed attributions) int {
+	return s.sumWeights(func(e End) bool { return !attributed.covers(e, s.totalWeight) })
 }
 
-// weight sums what the ends weigh.
-func (n *entry) weight() int {
-	return n.weigh(func(End) bool { return true })
+// crashWeight returns the weight of all crashes of the request.
+func (n *entry) crashWeight() int {
+	return n.sumWeights(func(End) bool { return true })
 }
 
-// weigh sums what those ends weigh that count.
-func (n *entry) weigh(counts func(e End) bool) (sum int) {
-	answering := answeringWeight
-	if n.alike() {
-		answering = silentWeight
+// sumWeights returns the weight of the crashes for which counts returns true.
+func (n *entry) sumWeights(counts func(e End) bool) (sum int) {
+	answering := duringResponseWeight
+	if n.similarDurations() {
+		answering = beforeResponseWeight
 	}
-	for _, e := range n.ends {
+	for _, e := range n.crashes {
 		switch {
 		case !counts(e):
 		case e.Answering:
 			sum += answering
 		default:
-			sum += silentWeight
+			sum += beforeResponseWeight
 		}
 	}
 	return sum
 }
 
-// alike says whether the runs that ended in the middle of answers had lasted about as long
-// each time. A request that ends upstreams does so where it is run; those of others end
-// anywhere in their streams.
-func (n *entry) alike() bool {
+// similarDurations reports whether the runs that crashed during their response had lasted about
+// equally long. A request that causes crashes does so at the same point of its execution, whereas
+// unrelated crashes hit responses at any point.
+func (n *entry) similarDurations() bool {
 	shortest, longest := time.Duration(math.MaxInt64), time.Duration(0)
-	for _, e := range n.ends {
+	for _, e := range n.crashes {
 		if e.Answering {
 			shortest, longest = min(shortest, e.Ran), max(longest, e.Ran)
 		}
 	}
-	return float64(longest) <= alikeRuns*float64(shortest)
+	return float64(longest) <= maxSimilarRatio*float64(shortest)
 }
 
-func (n *entry) meanRan() (mean time.Duration) {
-	for _, e := range n.ends {
-		mean += e.Ran / time.Duration(len(n.ends))
+func (n *entry) meanDuration() (mean time.Duration) {
+	for _, e := range n.crashes {
+		mean += e.Ran / time.Duration(len(n.crashes))
 	}
 	return mean
 }
 
-// last is when anything was last noted.
-func (n *entry) last() time.Time {
-	at := n.ran
-	if len(n.ends) > 0 && n.ends[len(n.ends)-1].At.After(at) {
-		at = n.ends[len(n.ends)-1].At
+// lastUpdate returns the time of the latest event.
+func (n *entry) lastUpdate() time.Time {
+	at := n.completed
+	if len(n.crashes) > 0 && n.crashes[len(n.crashes)-1].At.After(at) {
+		at = n.crashes[len(n.crashes)-1].At
 	}
 	return at
 }
 
-// Forget drops what is too old to matter.
+// Forget removes the entries that were not updated for entryTTL.
 func (l *Ledger) Forget(now time.Time) {
 	for d, n := range l.entries {
-		if now.Sub(n.last()) >= kept {
+		if now.Sub(n.lastUpdate()) >= entryTTL {
 			delete(l.entries, d)
-			l.changed = true
+			l.dirty = true
 		}
 	}
 }
 
-// shrink keeps the ledger within its bound: of all but the newest request, those with the
-// least against them go, of several those that were noted the longest ago. Each entry takes
-// the end of an upstream, so that no caller can fill it with requests alone.
+// evict removes entries once there are more than maxEntries. It never removes the newest request;
+// of the others it removes those with the lowest weight first, and of equal ones the least
+// recently updated. Sending many requests does not fill the ledger, since an entry is added only
+// when an upstream crashes.
 //
-// A part of them goes at once. What goes wrong otherwise: when a rack ends, each of the
-// hundreds of records looks through all entries, and callers wait for it.
-func (l *Ledger) shrink(newest Digest) {
+// Several entries are removed at once. Otherwise each of the hundreds of records that arrive when
+// a rack fails would sort all entries while callers wait.
+func (l *Ledger) evict(newest Digest) {
 	if len(l.entries) <= maxEntries {
 		return
 	}
 	list := make([]suspect, 0, len(l.entries))
 	for d, n := range l.entries {
 		if d != newest {
-			list = append(list, suspect{d, n, n.weight()})
+			list = append(list, suspect{d, n, n.crashWeight()})
 		}
 	}
 	slices.SortFunc(list, func(a, b suspect) int {
-		return cmp.Or(cmp.Compare(a.all, b.all), a.last().Compare(b.last()), slices.Compare(a.digest[:], b.digest[:]))
+		return cmp.Or(cmp.Compare(a.totalWeight, b.totalWeight), a.lastUpdate().Compare(b.lastUpdate()), slices.Compare(a.digest[:], b.digest[:]))
 	})
-	for _, s := range list[:maxEntries/shrinkPart] {
+	for _, s := range list[:maxEntries/ledgerEvictFraction] {
 		delete(l.entries, s.digest)
 	}
-	l.changed = true
+	l.dirty = true
 }
 
-// Held is a request against which something is held.
+// Held is a request with recorded crashes.
 type Held struct {
 	Digest  Digest
 	Ends    []End
 	Refused bool
 }
 
-// List returns the requests against which something is held, the newest first.
+// List returns the requests with recorded crashes, the most recent crash first.
 func (l *Ledger) List(now time.Time) []Held {
 	var out []Held
 	for d, n := range l.entries {
-		if len(n.ends) == 0 {
+		if len(n.crashes) == 0 {
 			continue
 		}
 		_, refused := l.Refuses(now, d)
-		out = append(out, Held{Digest: d, Ends: slices.Clone(n.ends), Refused: refused})
+		out = append(out, Held{Digest: d, Ends: slices.Clone(n.crashes), Refused: refused})
 	}
 	slices.SortFunc(out, func(a, b Held) int {
 		return cmp.Or(b.Ends[len(b.Ends)-1].At.Compare(a.Ends[len(a.Ends)-1].At), slices.Compare(a.Digest[:], b.Digest[:]))
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -11,69 +11,74 @@
 
 var t0 = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
+// at returns the time d after t0.
 func at(d time.Duration) time.Time { return t0.Add(d) }
 
+// fatal is the digest of the fatal request: one that crashes every upstream that runs it.
 var fatal = DigestOf("fatal")
 
-// noted is one thing that a ledger is told.
-type noted struct {
+// ledgerEvent is a crash or a completion of the fatal request.
+type ledgerEvent struct {
 	after     time.Duration
-	upstream  string // of an end; "" is a whole run
+	upstream  string // that crashed; "" is a completion
 	answering bool
-	ran       time.Duration
+	duration  time.Duration
 }
 
-func ledgerOf(list []noted) *Ledger {
+// ledgerOf returns a ledger to which the events were applied in the given order.
+func ledgerOf(list []ledgerEvent) *Ledger {
 	l := NewLedger()
 	for _, n := range list {
 		if n.upstream == "" {
 			l.Ran(fatal, at(n.after))
 			continue
 		}
-		l.Ended(fatal, End{Upstream: n.upstream, At: at(n.after), Answering: n.answering, Ran: n.ran})
+		l.Ended(fatal, End{Upstream: n.upstream, At: at(n.after), Answering: n.answering, Ran: n.duration})
 	}
 	return l
 }
 
-// Symptom: a request that ends replicas is sent on, or one that met the ends of replicas by
-// chance is refused.
-// Sequence: the ends of the row, and the whole runs between them.
-// Cause: a bound that counts the wrong things.
+// Guards against decisions that let a fatal request through, or refuse one that ran into
+// unrelated crashes. Each row is a sequence of crashes and completions.
 func TestVerdicts(t *testing.T) {
-	end := func(after time.Duration, upstream string) noted { return noted{after: after, upstream: upstream} }
-	late := func(after time.Duration, upstream string, ran time.Duration) noted {
-		return noted{after, upstream, true, ran}
+	crash := func(after time.Duration, upstream string) ledgerEvent {
+		return ledgerEvent{after: after, upstream: upstream}
+	}
+	crashResponding := func(after time.Duration, upstream string, ran time.Duration) ledgerEvent {
+		return ledgerEvent{after, upstream, true, ran}
+	}
+	completion := func(after time.Duration) ledgerEvent { return ledgerEvent{after: after} }
+	threeCrashes := []ledgerEvent{crash(0, "a"), crash(time.Second, "b"), crash(2*time.Second, "c")}
+	andThen := func(more ...ledgerEvent) []ledgerEvent {
+		return append(append([]ledgerEvent{}, threeCrashes...), more...)
 	}
-	whole := func(after time.Duration) noted { return noted{after: after} }
-	three := []noted{end(0, "a"), end(time.Second, "b"), end(2*time.Second, "c")}
-	with := func(more ...noted) []noted { return append(append([]noted{}, three...), more...) }
 	const m, ms = time.Minute, time.Millisecond
 	for _, tc := range []struct {
 		name string
-		list []noted
+		list []ledgerEvent
 		now  time.Duration
 		want bool
 	}{
 		{"nothing", nil, 0, false},
-		{"two ends", three[:2], 3 * time.Second, false},
-		{"three ends", three, 3 * time.Second, true},
-		{"three ends, seen by a clock that is behind", three, -3 * time.Second, true},
-		{"one end, told by three daemons", []noted{end(0, "a"), end(100*time.Millisecond, "a"), end(900*time.Millisecond, "a")}, m, false},
-		{"three lives of one name", []noted{end(0, "a"), end(5*time.Second, "a"), end(10*time.Second, "a")}, m, true},
-		{"three ends in the middle of answers", []noted{late(0, "a", ms), late(1, "b", 2*ms), late(2, "c", 5*ms)}, m, false},
-		{"four ends in the middle of answers", []noted{late(0, "a", ms), late(1, "b", 2*ms), late(2, "c", 5*ms), late(3, "d", ms)}, m, true},
-		{"three in the middle of answers, as long after the begin", []noted{late(0, "a", 100*ms), late(1, "b", 110*ms), late(2, "c", 80*ms)}, m, true},
-		{"two in the middle of answers, as long after the begin", []noted{late(0, "a", 100*ms), late(1, "b", 110*ms)}, m, false},
-		{"a fourth after three that were, at another time", []noted{late(0, "a", 100*ms), late(1, "b", 110*ms), late(2, "c", 80*ms), late(3, "d", time.Second)}, m, true},
-		{"an end of which one daemon had no answer yet", []noted{late(0, "a", ms), end(0, "a"), end(1, "b"), end(2, "c")}, m, true},
-		{"a whole run among them", []noted{end(0, "a"), end(1, "b"), whole(time.Second), end(2*time.Second, "c")}, m, false},
-		{"a whole run before them", append([]noted{whole(-time.Second)}, three...), m, true},
-		{"a whole run after them", with(whole(m)), 2 * m, false},
-		{"an end that is told after a later whole run", []noted{end(-1, "z"), whole(m), end(0, "a"), end(1, "b"), end(2, "c")}, 2 * m, false},
-		{"three ends, long ago", three, 2*time.Second + firstRest, false},
-		{"a fourth, after the rest", with(end(firstRest+m, "d")), firstRest + 2*m, true},
-		{"a fourth, after its longer rest", with(end(firstRest+m, "d")), 3*firstRest + m, false},
-		{"six", with(end(20*m, "d"), end(60*m, "e"), end(3*60*m, "f")), 20 * time.Hour, true},
+		{"two ends", threeCrashes[:2], 3 * time.Second, false},
+		{"three ends", threeCrashes, 3 * time.Second, true},
+		{"three ends, seen by a clock that is behind", threeCrashes, -3 * time.Second, true},
+		{"one end, told by three daemons", []ledgerEvent{crash(0, "a"), crash(100*time.Millisecond, "a"), crash(900*time.Millisecond, "a")}, m, false},
+		{"three lives of one name", []ledgerEvent{crash(0, "a"), crash(5*time.Second, "a"), crash(10*time.Second, "a")}, m, true},
+		{"three ends in the middle of answers", []ledgerEvent{crashResponding(0, "a", ms), crashResponding(1, "b", 2*ms), crashResponding(2, "c", 5*ms)}, m, false},
+		{"four ends in the middle of answers", []ledgerEvent{crashResponding(0, "a", ms), crashResponding(1, "b", 2*ms), crashResponding(2, "c", 5*ms), crashResponding(3, "d", ms)}, m, true},
+		{"three in the middle of answers, as long after the begin", []ledgerEvent{crashResponding(0, "a", 100*ms), crashResponding(1, "b", 110*ms), crashResponding(2, "c", 80*ms)}, m, true},
+		{"two in the middle of answers, as long after the begin", []ledgerEvent{crashResponding(0, "a", 100*ms), crashResponding(1, "b", 110*ms)}, m, false},
+		{"a fourth after three that were, at another time", []ledgerEvent{crashResponding(0, "a", 100*ms), crashResponding(1, "b", 110*ms), crashResponding(2, "c", 80*ms), crashResponding(3, "d", time.Second)}, m, true},
+		{"an end of which one daemon had no answer yet", []ledgerEvent{crashResponding(0, "a", ms), crash(0, "a"), crash(1, "b"), crash(2, "c")}, m, true},
+		{"a whole run among them", []ledgerEvent{crash(0, "a"), crash(1, "b"), completion(time.Second), crash(2*time.Second, "c")}, m, false},
+		{"a whole run before them", append([]ledgerEvent{completion(-time.Second)}, threeCrashes...), m, true},
+		{"a whole run after them", andThen(completion(m)), 2 * m, false},
+		{"an end that is told after a later whole run", []ledgerEvent{crash(-1, "z"), completion(m), crash(0, "a"), crash(1, "b"), crash(2, "c")}, 2 * m, false},
+		{"three ends, long ago", threeCrashes, 2*time.Second + initialQuarantine, false},
+		{"a fourth, after the rest", andThen(crash(initialQuarantine+m, "d")), initialQuarantine + 2*m, true},
+		{"a fourth, after its longer rest", andThen(crash(initialQuarantine+m, "d")), 3*initialQuarantine + m, false},
+		{"six", andThen(crash(20*m, "d"), crash(60*m, "e"), crash(3*60*m, "f")), 20 * time.Hour, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, got := ledgerOf(tc.list).Refuses(at(tc.now), fatal); got != tc.want {
@@ -83,14 +88,13 @@
 	}
 }
 
-// Symptom: daemons disagree on a request for good, so that it goes on at some of them.
-// Sequence: the same ends and whole run are told to each in another order, some twice.
-// Cause: a verdict that rests on the order in which news come.
+// Guards against decisions that depend on the order of events, so that daemons which receive them in
+// different orders disagree permanently. It applies the same events in every order, twice each.
 func TestVerdictsRestOnNoOrder(t *testing.T) {
-	list := []noted{{0, "a", false, 0}, {time.Second, "", false, 0}, {2 * time.Second, "b", false, 0}, {3 * time.Second, "c", true, 0}, {4 * time.Second, "d", false, 0}, {5 * time.Second, "e", false, 0}}
+	list := []ledgerEvent{{0, "a", false, 0}, {time.Second, "", false, 0}, {2 * time.Second, "b", false, 0}, {3 * time.Second, "c", true, 0}, {4 * time.Second, "d", false, 0}, {5 * time.Second, "e", false, 0}}
 	want := ledgerOf(list).List(at(time.Minute))
-	var visit func(rest, order []noted)
-	visit = func(rest, order []noted) {
+	var visit func(rest, order []ledgerEvent)
+	visit = func(rest, order []ledgerEvent) {
 		if len(rest) == 0 {
 			if diff := cmp.Diff(want, ledgerOf(append(order, order...)).List(at(time.Minute))); diff != "" {
 				t.Fatalf("%v: %s", order, diff)
@@ -98,64 +102,61 @@
 			return
 		}
 		for i := range rest {
-			next := append(append([]noted{}, rest[:i]...), rest[i+1:]...)
-			visit(next, append(append([]noted{}, order...), rest[i]))
+			next := append(append([]ledgerEvent{}, rest[:i]...), rest[i+1:]...)
+			visit(next, append(append([]ledgerEvent{}, order...), rest[i]))
 		}
 	}
 	visit(list, nil)
 }
 
-// Symptom: the memory of a daemon grows, or a request that is refused is forgotten and ends
-// replicas again.
-// Sequence: racks of replicas end under thousands of other requests.
-// Cause: no bound, or one that forgets what matters first.
+// Guards against a ledger that grows without bound, or that evicts a quarantined request first,
+// while racks of replicas fail under thousands of other requests.
 func TestLedgerIsBounded(t *testing.T) {
-	l := ledgerOf([]noted{{0, "a", false, 0}, {1, "b", false, 0}, {2, "c", false, 0}})
+	l := ledgerOf([]ledgerEvent{{0, "a", false, 0}, {1, "b", false, 0}, {2, "c", false, 0}})
 	for i := range maxEntries + 200 {
 		l.Ended(DigestOf(fmt.Sprint(i)), End{Upstream: "x", At: at(time.Minute)})
 	}
 	if n := len(l.entries); n > maxEntries {
-		t.Errorf("%d requests are remembered", n)
+		t.Errorf("%d entries", n)
 	}
-	for i := range 4 * maxEnds {
+	for i := range 4 * maxCrashes {
 		l.Ended(fatal, End{Upstream: fmt.Sprint(i), At: at(time.Hour + time.Duration(i)*time.Second)})
 	}
-	if n := len(l.entries[fatal].ends); n > maxEnds {
-		t.Errorf("%d ends are remembered", n)
+	if n := len(l.entries[fatal].crashes); n > maxCrashes {
+		t.Errorf("%d crashes kept for a request", n)
 	}
 	if _, refused := l.Refuses(at(2*time.Hour), fatal); !refused {
-		t.Error("the request that is refused was forgotten")
+		t.Error("the quarantined request was evicted")
 	}
-	l.Forget(at(2 * kept))
+	l.Forget(at(2 * entryTTL))
 	if len(l.entries) > 0 {
-		t.Errorf("%d requests are remembered for good", len(l.entries))
+		t.Errorf("%d entries never expire", len(l.entries))
 	}
 }
 
-// Symptom: a caller that asks for the same every second is refused for minutes; or one that
-// ends replicas goes on since a shorter call is blamed for it.
-// Sequence: a request ends replicas, on which another one runs each time that has run for
-// longer, or for less.
-// Cause: ends that are held against whoever was there.
+// Guards against holding a crash against every request on the upstream. A caller that repeats a
+// harmless request would then be refused for minutes; nor must a shorter harmless call take the
+// blame for a fatal request. A second request runs on each replica that the fatal one crashes, for
+// longer or shorter than that.
 func TestEndsAreExplained(t *testing.T) {
-	const just = 100 * time.Millisecond
+	const shortRun = 100 * time.Millisecond
 	other := DigestOf("other")
 	for _, tc := range []struct {
 		name           string
-		ends, met      int           // under the fatal request, and of these under the other one
-		ran            time.Duration // of the other one
-		fatal, refused bool          // which of the two are refused
+		ends, met      int           // number of crashes of the fatal request, and of the other request
+		ran            time.Duration // duration of the other request's runs
+		fatal, refused bool          // whether the fatal and the other request are refused
 	}{
 		{"the other one has run for longer", 3, 3, time.Second, true, false},
 		{"it met one more that nothing explains", 3, 4, time.Second, true, true},
-		{"both have just begun", 3, 3, just, true, true},
-		{"the other one is a short call", 3, 3, just / 10, false, true},
-		{"it is a short call, and was not there a fourth time", 4, 3, just / 10, true, true},
+		{"both have just begun", 3, 3, shortRun, true, true},
+		{"the other one is a short call", 3, 3, shortRun / 10, false, true},
+		{"it is a short call, and was not there a fourth time", 4, 3, shortRun / 10, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := NewLedger()
 			for i := range max(tc.ends, tc.met) {
-				e := End{Upstream: fmt.Sprint("u", i), At: at(time.Duration(i) * 2 * time.Second), Ran: just}
+				e := End{Upstream: fmt.Sprint("u", i), At: at(time.Duration(i) * 2 * time.Second), Ran: shortRun}
 				if i < tc.ends {
 					l.Ended(fatal, e)
 				}
@@ -166,13 +167,13 @@
 			_, gotFatal := l.Refuses(at(time.Minute), fatal)
 			_, gotOther := l.Refuses(at(time.Minute), other)
 			if gotFatal != tc.fatal || gotOther != tc.refused {
-				t.Errorf("refused %v and the other one %v", gotFatal, gotOther)
+				t.Errorf("fatal request refused: %v, other request refused: %v", gotFatal, gotOther)
 			}
 		})
 	}
 }
 
-// A rack ends with hundreds of runs on it, and each daemon takes a record of each.
+// A rack fails with hundreds of runs on it, and a daemon applies a record of each.
 func BenchmarkRackEnds(b *testing.B) {
 	const runs = 600
 	records := make([]Record, runs)
@@ -184,7 +185,7 @@
 	}
 }
 
-// The same, where the ledger holds as many requests as it may.
+// As BenchmarkRackEnds, with a ledger that already holds maxEntries requests.
 func BenchmarkRackEndsFullLedger(b *testing.B) {
 	const runs = 600
 	k := newTestKeeper(nil, discard.New())
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -6,78 +6,81 @@
 )
 
 const (
-	// keptNews is how many records are kept for daemons that this one tells of the log, and
-	// maxTold bounds those that one answer tells, about 60 bytes each.
-	keptNews = 4096
-	maxTold  = 512
-	// newsPart is the part of the records that goes at once when there are too many, so that
-	// not each of hundreds moves all others.
-	newsPart = 16
+	// maxRecent bounds the records that a daemon keeps for its followers, and maxBatch those of
+	// one response to a follower, about 60 bytes each.
+	maxRecent = 4096
+	maxBatch  = 512
+	// recentEvictFraction: when there are too many records, one in recentEvictFraction is
+	// dropped at once, so that not every added record moves all the others.
+	recentEvictFraction = 16
 )
 
-// news are the last records that a daemon has taken, numbered in their order.
-type news struct {
-	// list are the last ones, of which the first has the number base.
-	list    []Record
+// recentRecords buffers the latest records that a daemon applied, at consecutive positions.
+type recentRecords struct {
+	// records are ordered by position; base is the position of the first.
+	records []Record
 	base    uint64
-	changed chan struct{} // closed and replaced as some are added
+	changed chan struct{} // closed and replaced when records are added
 }
 
-// newNews returns none. Numbers begin with the time of its start, so that those of two
-// lives, or of two daemons, are told apart.
-func newNews(now time.Time) news {
+// newRecentRecords returns an empty buffer. Its first position is derived from the start time, so
+// that the positions of two processes of one daemon, or of two daemons, do not overlap.
+func newRecentRecords(now time.Time) recentRecords {
 	const perMilli = 1 << 20
-	return news{base: uint64(now.UnixMilli()) * perMilli, changed: make(chan struct{})}
+	return recentRecords{base: uint64(now.UnixMilli()) * perMilli, changed: make(chan struct{})}
 }
 
-func (n *news) add(r Record) {
-	n.list = append(n.list, r)
-	if len(n.list) > keptNews {
-		const extra = keptNews / newsPart
-		n.list = append(n.list[:0], n.list[extra:]...)
+func (n *recentRecords) add(r Record) {
+	n.records = append(n.records, r)
+	if len(n.records) > maxRecent {
+		const extra = maxRecent / recentEvictFraction
+		n.records = append(n.records[:0], n.records[extra:]...)
 		n.base += extra
 	}
 }
 
-func (n *news) wake() {
+func (n *recentRecords) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-func (n *news) next() uint64 { return n.base + uint64(len(n.list)) }
+func (n *recentRecords) next() uint64 { return n.base + uint64(len(n.records)) }
 
-// knows says whether a number is one of these.
-func (n *news) knows(seen uint64) bool { return seen >= n.base && seen <= n.next() }
+// contains reports whether a position lies within the buffer.
+func (n *recentRecords) contains(position uint64) bool {
+	return position >= n.base && position <= n.next()
+}
 
-// News says whether there is anything to tell to a daemon that has been told up to a number,
-// and returns a channel that is closed when there is more.
-func (k *Keeper) News(seen uint64) (more bool, changed <-chan struct{}) {
+// News reports whether there are records for a follower that has received those before a
+// position, and returns a channel that is closed when more are added.
+func (k *Keeper) News(position uint64) (more bool, changed <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.news.knows(seen) {
-		return seen < k.news.next(), k.news.changed
+	if k.recent.contains(position) {
+		return position < k.recent.next(), k.recent.changed
 	}
-	return k.requests.Load() > 0, k.news.changed
+	return k.requestsWithCrashes.Load() > 0, k.recent.changed
 }
 
-// Since returns what is to be told to a daemon that has been told up to a number, and the
-// number up to which it is told then. One that was told by another daemon, or long ago, is
-// told what is held against requests now, first against those that are refused.
-func (k *Keeper) Since(seen uint64) (list []Record, next uint64) {
+// Since returns records for a follower that has received those before a position, and the
+// position to continue from. If the position is not in the buffer, because it comes from another
+// daemon or is too old, Since returns the crashes in the ledger instead, those of quarantined
+// requests first.
+func (k *Keeper) Since(position uint64) (list []Record, next uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.news.knows(seen) {
-		list = k.news.list[seen-k.news.base:]
-		list = slices.Clone(list[:min(len(list), maxTold)])
-		return list, seen + uint64(len(list))
+	if k.recent.contains(position) {
+		list = k.recent.records[position-k.recent.base:]
+		list = slices.Clone(list[:min(len(list), maxBatch)])
+		return list, position + uint64(len(list))
 	}
 	held := k.ledger.List(k.o.Now())
 	for _, refused := range []bool{true, false} {
 		for _, h := range held {
-			for i := 0; h.Refused == refused && i < len(h.Ends) && len(list) < maxTold; i++ {
-				list = append(list, endRecord(h.Digest, h.Ends[i]))
+			for i := 0; h.Refused == refused && i < len(h.Ends) && len(list) < maxBatch; i++ {
+				list = append(list, crashRecord(h.Digest, h.Ends[i]))
 			}
 		}
 	}
-	return list, k.news.next()
+	return list, k.recent.next()
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,58 +9,64 @@
 	"github.com/corianderturn/corianderturn/internal/safepack"
 )
 
-// Record is what daemons tell each other of a request: that an upstream ended under it, or,
-// where Upstream is empty, that it ran whole. The order in which records are taken, and how
-// often, makes no difference. It is comparable.
+// Record reports to other daemons that an upstream crashed while running a request or, if
+// Upstream is empty, that the request completed. Records may be applied in any order and
+// repeatedly with the same result. Record is comparable.
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 
 	Digest   Digest
 	Upstream string
-	// Millis is the wall clock of the daemon that saw it, in milliseconds.
-	Millis    int64
+	// Millis is the wall-clock time of the event in Unix milliseconds, by the clock of the daemon
+	// that detected it.
+	Millis int64
+	// Answering is set if a part of the response had arrived before the crash.
 	Answering bool
-	// RanMillis is how long the run had lasted, in milliseconds.
+	// RanMillis is how long the run had lasted at the crash, in milliseconds.
 	RanMillis int64
 }
 
-// at returns when it was seen.
+// at returns the time of the event.
 func (r Record) at() time.Time { return time.UnixMilli(r.Millis) }
 
-// endRecord and ranRecord make the two kinds.
-func endRecord(d Digest, e End) Record {
+// crashRecord returns the record of a crash.
+func crashRecord(d Digest, e End) Record {
 	return Record{Digest: d, Upstream: e.Upstream, Millis: e.At.UnixMilli(), Answering: e.Answering, RanMillis: e.Ran.Milliseconds()}
 }
 
-func ranRecord(d Digest, at time.Time) Record { return Record{Digest: d, Millis: at.UnixMilli()} }
+// completionRecord returns the record of a completion.
+func completionRecord(d Digest, at time.Time) Record {
+	return Record{Digest: d, Millis: at.UnixMilli()}
+}
 
-// Pack encodes a record for the log that daemons share.
+// Pack encodes a record for the quarantine log.
 func (r Record) Pack() ([]byte, error) {
 	raw, err := msgpack.Marshal(&r)
-	return raw, errors.Wrap(err, "encode a record of the quarantine")
+	return raw, errors.Wrap(err, "encode quarantine record")
 }
 
-// Bounds of what a record may hold: the name of an upstream, in bytes, and how long a run
-// had lasted, in milliseconds.
+// Limits of a valid record: the length of the upstream's name in bytes, and the duration of the
+// run in milliseconds.
 const (
-	maxUpstream = 256
-	maxRan      = 24 * 3600 * 1000
+	maxUpstreamLen = 256
+	maxRanMillis   = 24 * 3600 * 1000
 )
 
-// Unpack decodes what Pack encoded.
+// Unpack decodes and validates a record that Pack encoded.
 func Unpack(raw []byte) (r Record, err error) {
 	if err := safepack.Unmarshal(raw, &r); err != nil {
-		return r, errors.Wrap(err, "decode a record of the quarantine")
+		return r, errors.Wrap(err, "decode quarantine record")
 	}
-	if len(r.Upstream) > maxUpstream || r.Millis <= 0 || r.RanMillis < 0 || r.RanMillis > maxRan {
-		return r, errors.New("a record of the quarantine is out of its bounds")
+	if len(r.Upstream) > maxUpstreamLen || r.Millis <= 0 || r.RanMillis < 0 || r.RanMillis > maxRanMillis {
+		return r, errors.New("quarantine record: a field is out of range")
 	}
 	return r, nil
 }
 
-// take notes a record, and says whether it was news. That a request ran whole is noted
-// before anything is known against it, too: a daemon that starts may read the ends later.
-func (l *Ledger) take(r Record) bool {
+// apply adds a record to the ledger, and reports whether it was new. A completion is recorded
+// even for a request without entry: a daemon that has just started may receive it before the
+// earlier crashes that it clears.
+func (l *Ledger) apply(r Record) bool {
 	if r.Upstream == "" {
 		l.entry(r.Digest)
 		return l.Ran(r.Digest, r.at())
@@ -68,28 +74,28 @@
 	return l.Ended(r.Digest, End{Upstream: r.Upstream, At: r.at(), Answering: r.Answering, Ran: time.Duration(r.RanMillis) * time.Millisecond})
 }
 
-// records returns those by which another daemon knows of a request what this one does.
-func (l *Ledger) records(d Digest) (list []Record) {
+// recordsOf returns the records from which another daemon can restore the entry of a request.
+func (l *Ledger) recordsOf(d Digest) (list []Record) {
 	n := l.entries[d]
 	if n == nil {
 		return nil
 	}
-	if len(n.ends) == 0 {
-		return []Record{ranRecord(d, n.ran)}
+	if len(n.crashes) == 0 {
+		return []Record{completionRecord(d, n.completed)}
 	}
-	for _, e := range n.ends {
-		list = append(list, endRecord(d, e))
+	for _, e := range n.crashes {
+		list = append(list, crashRecord(d, e))
 	}
 	return list
 }
 
-// Lift returns a record by which nothing is held any more against a request, as if it had run
-// whole.
-func Lift(d Digest, at time.Time) Record { return ranRecord(d, at) }
+// Lift returns a record that removes a request from quarantine. It is a completion record, so
+// crashes up to that time no longer count.
+func Lift(d Digest, at time.Time) Record { return completionRecord(d, at) }
 
-// Note notes records, in any order.
+// Note applies records; their order does not matter.
 func (l *Ledger) Note(list []Record) {
 	for _, r := range list {
-		l.take(r)
+		l.apply(r)
 	}
 }
--- a/quarantine/renewal.go
+++ b/quarantine/renewal.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// maxRenewed bounds the requests whose records are kept on the log, a few records each.
-const maxRenewed = 64
+// maxRenewedRequests bounds the requests whose records are renewed, a few records each.
+const maxRenewedRequests = 64
 
-// renewal says which records are to be appended to the log once more, before it drops them.
+// renewal selects the records to append to the log again before its retention time ends.
 // It reads no clock and is not safe for concurrent use.
 //
-// What goes wrong without it: a request is refused, or lifted, for longer than the log keeps
-// records, all daemons are started anew, and it ends three more upstreams, or is refused
-// again where a daemon that was cut off comes back with its ends.
+// Without it a restart of all daemons loses what the log no longer holds. A request quarantined
+// for longer than the retention time could then crash three more upstreams, and one released
+// from quarantine could be refused again once a partitioned daemon reports its old crashes.
 type renewal struct {
-	// after is the time on the log after which records are renewed.
-	after time.Duration
-	// logged is when the records of a request last came to the log, as far as is known.
-	logged map[Digest]time.Time
+	// maxAge is the time after an append at which records are appended again.
+	maxAge time.Duration
+	// appendedAt is the estimated time at which a request's records were last appended.
+	appendedAt map[Digest]time.Time
 }
 
-// newRenewal returns the renewal for a log that keeps records for a time. Each daemon waits
-// for a time of its own, so that the others mostly see what the first one appended.
+// newRenewal returns the renewal for a log that keeps records for the time kept. Each daemon
+// draws its own maxAge, between a half and three quarters of kept, so that mostly one of them
+// renews a record and the others see its append.
 func newRenewal(kept time.Duration) renewal {
-	return renewal{after: kept/2 + rand.N(max(1, kept/4)), logged: map[Digest]time.Time{}}
+	return renewal{maxAge: kept/2 + rand.N(max(1, kept/4)), appendedAt: map[Digest]time.Time{}}
 }
 
-// noted takes that a record was appended, or read, which may have been on the log for some
-// time. It did not come there before it was seen.
-func (n *renewal) noted(now time.Time, r Record, old time.Duration) {
-	at := now.Add(-old)
-	if seen := r.at(); seen.After(at) && seen.Before(now) {
-		at = seen
+// noteAppend updates appendedAt for a record that was appended now, or was read and may have been
+// in the log for the time age. A record cannot have been appended before the event it reports.
+func (n *renewal) noteAppend(now time.Time, r Record, age time.Duration) {
+	at := now.Add(-age)
+	if observed := r.at(); observed.After(at) && observed.Before(now) {
+		at = observed
 	}
-	n.logged[r.Digest] = at
+	n.appendedAt[r.Digest] = at
 }
 
-// due returns what is to be appended now, and notes it.
+// due returns the records to append now, and marks them as appended.
 func (n *renewal) due(now time.Time, l *Ledger) (list []Record) {
-	for _, d := range l.Lasting(maxRenewed) {
-		if now.Sub(n.logged[d]) >= n.after {
-			n.logged[d] = now
-			list = append(list, l.records(d)...)
+	for _, d := range l.Lasting(maxRenewedRequests) {
+		if now.Sub(n.appendedAt[d]) >= n.maxAge {
+			n.appendedAt[d] = now
+			list = append(list, l.recordsOf(d)...)
 		}
 	}
 	return list
 }
 
-// forget drops the times of requests of which the ledger knows nothing any more.
+// forget removes requests that are no longer in the ledger.
 func (n *renewal) forget(l *Ledger) {
-	for d := range n.logged {
+	for d := range n.appendedAt {
 		if !l.Known(d) {
-			delete(n.logged, d)
+			delete(n.appendedAt, d)
 		}
 	}
 }
--- a/quarantine/renewal_test.go
+++ b/quarantine/renewal_test.go
@@ -7,89 +7,85 @@
 	"time"
 )
 
-// threeEnds lets three upstreams end under the fatal request, a second apart.
-func threeEnds(k *Keeper) {
+// crashThree reports three crashes under the fatal request, a second apart.
+func crashThree(k *Keeper) {
 	for i := range 3 {
 		k.Broke(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
 		time.Sleep(time.Second)
 	}
 }
 
-// Symptom: all daemons are started anew, and a request that was refused for long ends three
-// more upstreams.
-// Sequence: a request comes again and again, to two daemons in turn; the log keeps a minute.
-// Cause: records that nobody appends again before the log drops them; or that every daemon
-// does, each time.
+// Guards against a quarantined request whose records expire in the log, so that it crashes three more
+// upstreams after a restart of all daemons; and against every daemon renewing the same records. The
+// request is repeated at two daemons in turn, for longer than the log's retention time of a minute.
 func TestRefusedRequestsStayOnTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := newTestLog()
 		keepers := shared.start(t, 2)
-		threeEnds(keepers[0])
+		crashThree(keepers[0])
 		const seconds = 300
 		for i := range seconds {
-			if !refuses(keepers[i%2], time.Now()) {
-				t.Fatalf("sent on after %d s", i)
+			if !refusesFatal(keepers[i%2], time.Now()) {
+				t.Fatalf("not refused after %d s", i)
 			}
 			time.Sleep(time.Second)
 		}
-		// Three ends, again each half minute.
+		// Three crashes, renewed every half minute.
 		if got := shared.len(); got < 3*seconds/60 || got > 3*(1+seconds/30) {
-			t.Errorf("%d records on the log", got)
+			t.Errorf("%d records in the log", got)
 		}
 	})
 }
 
-// quietTime is how long a request does not come: for longer than the log keeps records.
-const quietTime = 5 * testKept
+// idleTime is how long a request is not repeated: longer than the log's retention time.
+const idleTime = 5 * testRetention
 
-// Symptom: a request that was refused ends three more upstreams.
-// Sequence: three upstreams end under it; it does not come for longer than the log keeps
-// records; all daemons are killed, and start again.
-// Cause: what is held is appended again only while the request comes.
+// Guards against renewing records only while their request is repeated. A request is quarantined
+// and then not sent for longer than the retention time; after a restart of all daemons it must
+// still be refused.
 func TestWhatIsRefusedOutlivesTheDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := newTestLog()
-		keepers, stop := shared.startLife(t, 3)
-		threeEnds(keepers[0])
-		time.Sleep(quietTime)
+		keepers, stop := shared.startStoppable(t, 3)
+		crashThree(keepers[0])
+		time.Sleep(idleTime)
 		stop()
-		// Three ends, again each half of the time for which they are kept.
-		if got, most := shared.len(), 3*(1+int(2*quietTime/testKept)); got > most {
-			t.Errorf("%d records on the log, want at most %d", got, most)
+		// Three crashes, renewed after every half of the retention time.
+		if got, most := shared.len(), 3*(1+int(2*idleTime/testRetention)); got > most {
+			t.Errorf("%d records in the log, want at most %d", got, most)
 		}
 		keepers = shared.start(t, 3)
 		time.Sleep(time.Second)
 		for i, k := range keepers {
-			if !refuses(k, time.Now()) {
-				t.Errorf("daemon %d sends it on", i)
+			if !refusesFatal(k, time.Now()) {
+				t.Errorf("daemon %d does not refuse the request", i)
 			}
 		}
 	})
 }
 
-// Symptom: a request that an operator has allowed again is refused.
-// Sequence: it is lifted; a daemon that could read nothing for longer than the log keeps
-// records comes back, and tells of the ends; all daemons are killed, and start again.
-// Cause: ends are appended again, and that they count no more is not.
+// Guards against refusing a request again that an operator has lifted from quarantine, because
+// crashes are renewed and the lift is not. A daemon that was partitioned for longer than the
+// retention time reports the old crashes after the lift; then all daemons restart.
 func TestWhatWasLiftedOutlivesTheDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := newTestLog()
-		keepers, stop := shared.startLife(t, 3)
-		threeEnds(keepers[0])
-		ends := shared.all()
+		keepers, stop := shared.startStoppable(t, 3)
+		crashThree(keepers[0])
+		crashes := shared.all()
 		if err := shared.Append(t.Context(), []Record{Lift(fatal, time.Now())}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(quietTime)
+		time.Sleep(idleTime)
 		stop()
-		if err := shared.Append(t.Context(), ends); err != nil {
+		if err := shared.Append(t.Context(), crashes); err != nil {
 			t.Fatal(err)
 		}
 		keepers = shared.start(t, 3)
 		time.Sleep(time.Second)
 		for i, k := range keepers {
-			if refuses(k, time.Now()) {
-				t.Errorf("daemon %d refuses it", i)
+			if refusesFatal(k, time.Now()) {
+				t.Errorf("daemon %d refuses the request", i)
 			}
 		}
 	})
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -11,204 +11,207 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Log is a log that all daemons share. Implementations are safe for concurrent use.
+// Log is the quarantine log shared by all daemons. Implementations are safe for concurrent use.
 type Log interface {
 	Append(ctx context.Context, list []Record) error
-	// Read returns the records from an offset on, or from the first that is kept, and the
-	// offset behind them; it waits up to wait for the first.
+	// Read returns the records from an offset on, or from the oldest retained record if that is
+	// later, and the offset after the last. It waits up to wait while there are none.
 	Read(ctx context.Context, from uint64, wait time.Duration) (list []Record, next uint64, err error)
 }
 
 const (
-	// gather is how long records are gathered for one append, of all that ran on an upstream.
-	gather = 5 * time.Millisecond
-	// shareTime bounds an append, and a reading besides its wait.
-	shareTime = 800 * time.Millisecond
-	// shareFirst and shareMost are the first and the longest pause after calls that failed.
-	shareFirst = 100 * time.Millisecond
-	shareMost  = 1500 * time.Millisecond
-	// maxShare bounds the records of one append, about 60 bytes each, and maxOut those that
-	// wait.
-	maxShare = 512
-	maxOut   = 4096
-	// renewEvery is how often a daemon looks for what is to be appended once more.
-	renewEvery = 500 * time.Millisecond
-	// spare is the pause between two readings, so that the ends of many upstreams come in few.
-	// It is short beside the time after which a daemon counts as in touch again.
-	spare = time.Second
-	// idle is how often a daemon that does not read the log looks whether it is to. It begins
-	// at the second look: one that asks the store for a moment, while its reader is gone, can
-	// do without.
-	idle = 500 * time.Millisecond
+	// batchDelay is how long records are collected before an append, so that the crashes of all
+	// runs on an upstream go into one.
+	batchDelay = 5 * time.Millisecond
+	// logCallTimeout bounds an append, and a read in addition to its wait.
+	logCallTimeout = 800 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed call to the log.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 1500 * time.Millisecond
+	// maxAppendRecords bounds the records of one append, about 60 bytes each, and maxPending
+	// those that wait to be appended.
+	maxAppendRecords = 512
+	maxPending       = 4096
+	// renewInterval is how often a daemon checks for records to renew.
+	renewInterval = 500 * time.Millisecond
+	// readInterval is the pause between two reads, which batches the crashes of many upstreams.
+	// It is short compared with the time in which a daemon must catch up after a fault.
+	readInterval = time.Second
+	// readerCheckInterval is how often a follower checks whether it has become a reader. It starts
+	// reading the log only if two consecutive checks say so: a follower that replaces its
+	// unreachable reader for a moment does not need to.
+	readerCheckInterval = 500 * time.Millisecond
 )
 
-// renew appends to the log once more what it is about to drop. Those that read it do so.
-func (k *Keeper) renew(ctx context.Context) {
-	for clock.Sleep(ctx, renewEvery) {
-		if k.reads() {
+// renewLoop periodically renews records in the log if this daemon is a reader.
+func (k *Keeper) renewLoop(ctx context.Context) {
+	for clock.Sleep(ctx, renewInterval) {
+		if k.readsLog() {
 			k.renewDue(k.o.Now())
 		}
 	}
 }
 
+// renewDue enqueues the records that are due for renewal.
 func (k *Keeper) renewDue(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.renewal.due(now, k.ledger) {
-		k.append(r)
+		k.enqueue(r)
 	}
 }
 
-// reads says whether this daemon reads the log itself.
-func (k *Keeper) reads() bool { return k.o.Reads == nil || k.o.Reads() }
+// readsLog reports whether this daemon is a reader; see Options.Reads.
+func (k *Keeper) readsLog() bool { return k.o.Reads == nil || k.o.Reads() }
 
-// Take takes what another daemon told. It does not block.
+// Take applies records received from another daemon. It does not block.
 //
-// Only what is new to this one is told on: two daemons that ask each other, as those do of
-// which the store refuses one, would tell each other the same for ever.
-func (k *Keeper) Take(list []Record) { k.take(list, 0, false) }
-
-// take takes records that may have been on the log for some time; those of the log itself
-// are told on in any case, since who is told of them knows by that how long the log keeps
-// them.
-func (k *Keeper) take(list []Record, old time.Duration, ofLog bool) {
+// Only records that are new to this daemon are passed on to its followers. Otherwise two daemons
+// that follow each other, as happens when the store is unavailable to one of them, would exchange
+// the same records forever.
+func (k *Keeper) Take(list []Record) { k.applyRecords(list, 0, false) }
+
+// applyRecords applies records that may have been in the log for up to age. Records read from the
+// log are passed on even if they are not new, because the followers derive from them when the log
+// will drop them.
+func (k *Keeper) applyRecords(list []Record, age time.Duration, fromLog bool) {
 	now := k.o.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	woken := false
+	changed := false
 	for _, r := range list {
-		k.renewal.noted(now, r, old)
-		isNews := k.ledger.take(r)
-		if isNews {
-			k.told(now, r)
+		k.renewal.noteAppend(now, r, age)
+		isNew := k.ledger.apply(r)
+		if isNew {
+			k.logRemote(now, r)
 		}
-		if isNews || ofLog {
-			k.news.add(r)
-			woken = true
+		if isNew || fromLog {
+			k.recent.add(r)
+			changed = true
 		}
 	}
-	if woken {
-		k.news.wake()
-		k.counted()
+	if changed {
+		k.recent.notify()
+		k.updateCount()
 	}
 }
 
-// told logs what another daemon saw. A first end is no news yet: when a rack ends, there are
-// hundreds of them, at each daemon.
-func (k *Keeper) told(now time.Time, r Record) {
+// logRemote logs a record from another daemon. The first crash of a request is not logged: when a
+// rack fails, each daemon receives hundreds of them.
+func (k *Keeper) logRemote(now time.Time, r Record) {
 	if len(k.ledger.Ends(r.Digest)) < 2 {
 		return
 	}
 	ends, refused := k.ledger.Refuses(now, r.Digest)
 	k.o.Logger.WithFields(log.Fields{
 		"digest": r.Digest.String(), "upstream": r.Upstream, "answering": r.Answering, "ends": ends, "refused": refused,
-	}).Info("told by another instance of a request")
+	}).Info("quarantine record received from another instance")
 }
 
-// append notes a record for the log; k.mu is held.
-func (k *Keeper) append(r Record) {
+// enqueue adds a record to those to append to the log; k.mu must be held.
+func (k *Keeper) enqueue(r Record) {
 	if k.o.Log == nil {
 		return
 	}
-	if len(k.out) == maxOut {
-		k.o.Logger.WithField("digest", k.out[0].Digest.String()).Warn("not shared: too many records wait for the log")
-		k.out = k.out[1:]
+	if len(k.pending) == maxPending {
+		k.o.Logger.WithField("digest", k.pending[0].Digest.String()).Warn("quarantine record dropped: too many records wait for the log")
+		k.pending = k.pending[1:]
 	}
-	k.renewal.noted(k.o.Now(), r, 0)
-	k.out = append(k.out, r)
-	k.wake()
+	k.renewal.noteAppend(k.o.Now(), r, 0)
+	k.pending = append(k.pending, r)
+	k.signalPending()
 }
 
-// share appends what waits for the log. After a failure it comes again at once, a little
-// later each time: the records are wanted at the others as soon as the log is back.
-func (k *Keeper) share(ctx context.Context) {
-	pause := shareFirst
+// appendLoop appends pending records to the log. Failed appends are retried with a short backoff,
+// because the other daemons need the records as soon as the log is available again.
+func (k *Keeper) appendLoop(ctx context.Context) {
+	pause := minRetryDelay
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.ready:
+		case <-k.pendingReady:
 		}
-		if !clock.Sleep(ctx, gather) {
+		if !clock.Sleep(ctx, batchDelay) {
 			return
 		}
-		list := k.waiting()
+		list := k.takePending()
 		if len(list) == 0 {
 			continue
 		}
-		if err := k.appendAll(ctx, list); err != nil {
-			k.o.Logger.WithField("records", len(list)).WithError(err).Warn("not shared yet")
-			k.again(list)
-			clock.Sleep(ctx, pause/2+rand.N(pause/2)) // daemons that saw the same end come one by one
-			pause = min(2*pause, shareMost)
+		if err := k.appendRecords(ctx, list); err != nil {
+			k.o.Logger.WithField("records", len(list)).WithError(err).Warn("append to the quarantine log failed, retrying")
+			k.requeue(list)
+			clock.Sleep(ctx, pause/2+rand.N(pause/2)) // jitter: daemons that detected the same crash do not retry at once
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		pause = shareFirst
+		pause = minRetryDelay
 	}
 }
 
-func (k *Keeper) appendAll(ctx context.Context, list []Record) error {
-	ctx, cancel := context.WithTimeout(ctx, shareTime)
+func (k *Keeper) appendRecords(ctx context.Context, list []Record) error {
+	ctx, cancel := context.WithTimeout(ctx, logCallTimeout)
 	defer cancel()
 	return k.o.Log.Append(ctx, list)
 }
 
-// waiting takes the first records that wait for the log.
-func (k *Keeper) waiting() []Record {
+// takePending removes and returns the oldest pending records.
+func (k *Keeper) takePending() []Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	n := min(len(k.out), maxShare)
-	list := k.out[:n:n]
-	if k.out = k.out[n:]; len(k.out) > 0 {
-		k.wake()
+	n := min(len(k.pending), maxAppendRecords)
+	list := k.pending[:n:n]
+	if k.pending = k.pending[n:]; len(k.pending) > 0 {
+		k.signalPending()
 	}
 	return list
 }
 
-// again puts records back that may not have been appended; one that was comes twice, which
-// makes no difference.
-func (k *Keeper) again(list []Record) {
+// requeue puts back records whose append failed. If it did succeed, they are appended twice,
+// which has no effect.
+func (k *Keeper) requeue(list []Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.out = append(slices.Clone(list), k.out...)
-	k.out = k.out[max(0, len(k.out)-maxOut):]
-	k.wake()
+	k.pending = append(slices.Clone(list), k.pending...)
+	k.pending = k.pending[max(0, len(k.pending)-maxPending):]
+	k.signalPending()
 }
 
-func (k *Keeper) wake() {
+func (k *Keeper) signalPending() {
 	select {
-	case k.ready <- struct{}{}:
+	case k.pendingReady <- struct{}{}:
 	default:
 	}
 }
 
-// follow reads the log while this daemon is to.
-func (k *Keeper) follow(ctx context.Context) {
-	next, pause, looks := uint64(0), shareFirst, 0
-	old := k.o.Kept / 2 // the records of the first reading may be older than others
+// readLoop reads the log while this daemon is a reader.
+func (k *Keeper) readLoop(ctx context.Context) {
+	next, pause, checks := uint64(0), minRetryDelay, 0
+	age := k.o.Kept / 2 // estimated age of the records of the first read
 	for ctx.Err() == nil {
-		if looks++; !k.reads() {
-			looks = 0
+		if checks++; !k.readsLog() {
+			checks = 0
 		}
-		if looks < 2 {
-			clock.Sleep(ctx, idle)
+		if checks < 2 {
+			clock.Sleep(ctx, readerCheckInterval)
 			continue
 		}
-		list, after, err := k.read(ctx, next)
+		list, following, err := k.readLog(ctx, next)
 		if err != nil {
-			k.o.Logger.WithError(err).Debug("quarantine not read")
+			k.o.Logger.WithError(err).Debug("read of the quarantine log failed")
 			clock.Sleep(ctx, pause/2+rand.N(pause/2))
-			pause = min(2*pause, shareMost)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		k.take(list, old, true)
-		next, pause, old = after, shareFirst, 0
-		clock.Sleep(ctx, spare)
+		k.applyRecords(list, age, true)
+		next, pause, age = following, minRetryDelay, 0
+		clock.Sleep(ctx, readInterval)
 	}
 }
 
-func (k *Keeper) read(ctx context.Context, from uint64) ([]Record, uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.o.Wait+shareTime)
+func (k *Keeper) readLog(ctx context.Context, from uint64) ([]Record, uint64, error) {
+	ctx, cancel := context.WithTimeout(ctx, k.o.Wait+logCallTimeout)
 	defer cancel()
 	return k.o.Log.Read(ctx, from, k.o.Wait)
 }
