--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -1,5 +1,5 @@
-// Package retry bounds how often requests are sent again: by one daemon, and by all daemons
-// that share an allowance. Nothing here reads a clock or sends anything.
+// Package retry limits how many requests are retried, by one daemon and by all daemons that share
+// a retry budget. It reads no clock and performs no I/O.
 package retry
 
 import (
@@ -7,94 +7,96 @@
 	"time"
 )
 
-// Limits bound the retries of one bucket in any span of Window: to Depth, Slack, and Ratio
-// for each first attempt of that span.
+// Limits are the parameters of a Bucket. In any span of Window it allows at most Depth + Slack
+// retries, plus Ratio retries for each first attempt of that span.
 type Limits struct {
-	// Ratio is the retries that each first attempt earns.
+	// Ratio is the credit, in retries, that each first attempt earns.
 	Ratio float64
-	// Depth is the most that may be saved up of what was earned.
+	// Depth is the maximum credit that can be accumulated.
 	Depth float64
-	// Slack is the retries in a window that need not be earned.
+	// Slack is the number of retries per window that need no credit.
 	Slack  float64
 	Window time.Duration
 }
 
-// Bucket bounds retries to what first attempts earn and a slack, so that failing upstreams
-// are not hit by a multiple of the load that made them fail. It is safe for concurrent use.
+// Bucket is a retry budget: it allows the retries for which first attempts have earned credit, and
+// a fixed number besides. So retries cannot multiply the load on upstreams that fail because of
+// overload. It is safe for concurrent use.
 type Bucket struct {
 	mu     sync.Mutex
 	limits Limits
-	earned float64
-	// spent is what was taken of the slack.
-	spent window
+	credit float64
+	// slackSpent counts the retries of the current window that were taken from the slack.
+	slackSpent slidingWindow
 }
 
-// NewBucket returns a bucket that has earned and spent nothing.
-func NewBucket(l Limits) *Bucket { return &Bucket{limits: l, spent: newWindow(l.Window)} }
+// NewBucket returns a bucket without credit whose slack is unspent.
+func NewBucket(l Limits) *Bucket { return &Bucket{limits: l, slackSpent: newSlidingWindow(l.Window)} }
 
-// Set changes the limits. What is saved up beyond the depth is lost. Where the length of
-// the window changes, what was spent of the slack counts as if it were spent now.
+// Set changes the limits. Credit above the new depth is lost. If the length of the window changes,
+// the slack spent in the old window counts as spent now.
 func (b *Bucket) Set(now time.Time, l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.Window != b.limits.Window {
-		spent := b.spent.sum(now)
-		b.spent = newWindow(l.Window)
-		b.spent.add(now, spent)
+		spent := b.slackSpent.sum(now)
+		b.slackSpent = newSlidingWindow(l.Window)
+		b.slackSpent.add(now, spent)
 	}
 	b.limits = l
-	b.earned = min(b.earned, l.Depth)
+	b.credit = min(b.credit, l.Depth)
 }
 
-// OnFirstAttempt adds what a first attempt earns.
+// OnFirstAttempt adds the credit for a first attempt.
 func (b *Bucket) OnFirstAttempt(time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned = min(b.limits.Depth, b.earned+b.limits.Ratio)
+	b.credit = min(b.limits.Depth, b.credit+b.limits.Ratio)
 }
 
-// roundOff is what sums of fractions may lack of a whole retry.
-const roundOff = 1e-9
+// roundingTolerance absorbs the rounding error of adding up fractions of a retry.
+const roundingTolerance = 1e-9
 
-// Allow takes n retries, from what was earned first, or says that not so many are left.
+// Allow takes n retries, from the credit first and then from the slack, and returns true. If fewer
+// are left it takes none and returns false.
 func (b *Bucket) Allow(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	needs := float64(n)
-	if b.held(now)+roundOff < needs {
+	wanted := float64(n)
+	if b.remaining(now)+roundingTolerance < wanted {
 		return false
 	}
-	earned := min(b.earned, needs)
-	b.earned -= earned
-	if rest := needs - earned; rest > 0 {
-		b.spent.add(now, rest)
+	fromCredit := min(b.credit, wanted)
+	b.credit -= fromCredit
+	if fromSlack := wanted - fromCredit; fromSlack > 0 {
+		b.slackSpent.add(now, fromSlack)
 	}
 	return true
 }
 
-// Held returns how many retries are left.
+// Held returns the number of retries left.
 func (b *Bucket) Held(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.held(now)
+	return b.remaining(now)
 }
 
-func (b *Bucket) held(now time.Time) float64 {
-	return b.earned + max(0, b.limits.Slack-b.spent.sum(now))
+func (b *Bucket) remaining(now time.Time) float64 {
+	return b.credit + max(0, b.limits.Slack-b.slackSpent.sum(now))
 }
 
-// Buckets keeps one bucket for each target, a model or a plain service, so that the traffic
-// of one pays for no retries of another. It is safe for concurrent use.
+// Buckets holds a bucket per target, which is a model or a plain service, so that the traffic of one
+// target earns no retries for another. It is safe for concurrent use.
 type Buckets struct {
 	mu       sync.Mutex
 	limits   Limits
 	byTarget map[string]*Bucket
 }
 
-// NewBuckets returns buckets with the same limits each.
+// NewBuckets returns buckets that all have the given limits.
 func NewBuckets(l Limits) *Buckets { return &Buckets{limits: l, byTarget: map[string]*Bucket{}} }
 
-// Set changes the limits of all.
+// Set changes the limits of all buckets.
 func (b *Buckets) Set(now time.Time, l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +106,7 @@
 	}
 }
 
-// Of returns the bucket of a target.
+// Of returns the bucket of a target, and creates it if needed.
 func (b *Buckets) Of(target string) *Bucket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -8,42 +8,42 @@
 	"pgregory.net/rapid"
 )
 
-// Load: engines refuse in bursts; the daemon has sent nothing else for a while. A request
-// that meets two of them may be tried a third time.
+// Guards against a budget that leaves a request without retries on a daemon without credit. Upstreams
+// reject requests in bursts, so a request that is rejected twice must be allowed a third attempt.
 func TestBucketAllowsItsSlackAtOnce(t *testing.T) {
 	b := NewBucket(Limits{Ratio: 0.2, Slack: 2.4, Window: testWindow})
 	for n := range 2 {
 		if !b.Allow(t0, 1) {
-			t.Errorf("a slack of 2.4 allows only %d retries in a row", n)
+			t.Errorf("only %d retries in a row allowed with a slack of 2.4", n)
 		}
 	}
 	if b.Allow(t0, 1) {
-		t.Error("a third one is")
+		t.Error("a third retry was allowed at once")
 	}
 	if b.Allow(t0.Add(testWindow-time.Second), 1) {
-		t.Error("a third one is within the window")
+		t.Error("a third retry was allowed within the window")
 	}
 	if !b.Allow(t0.Add(testWindow+time.Second), 1) {
-		t.Error("none is after the window")
+		t.Error("no retry was allowed after the window")
 	}
 }
 
-// What was earned and what need not be make up one retry together, and several are taken
-// at once or not at all.
+// Guards against a budget that does not add up credit and slack. Fractions of both make up one
+// retry, and several retries are taken at once or not at all.
 func TestBucketAddsUp(t *testing.T) {
 	b := NewBucket(Limits{Ratio: 0.25, Depth: 2, Slack: 0.5, Window: testWindow})
 	b.OnFirstAttempt(t0)
 	if b.Allow(t0, 1) {
-		t.Error("a quarter and a half were taken for one")
+		t.Error("a credit of 0.25 and a slack of 0.5 were accepted for one retry")
 	}
 	b.OnFirstAttempt(t0)
 	if b.Allow(t0, 2) || !b.Allow(t0, 1) || b.Held(t0) != 0 {
-		t.Errorf("two halves are not one; %g held", b.Held(t0))
+		t.Errorf("a credit of 0.5 and a slack of 0.5 do not make exactly one retry; %g left", b.Held(t0))
 	}
 }
 
-// What must hold in every span of the window's length, however attempts come: the depth,
-// the slack, and what the first attempts of this very span earn.
+// Guards against a bucket that allows more than its limits in any span of the window's length: depth,
+// slack, and the credit for the first attempts of that span. Attempts come at random times.
 func TestBucketHoldsItsBound(t *testing.T) {
 	const ratio, depth, slack = 0.2, 1.7, 3.4
 	for seed := range uint64(50) {
@@ -65,18 +65,15 @@
 		}
 		for _, from := range retries {
 			until := from.Add(testWindow)
-			if n, most := countWithin(retries, from, until), ratio*float64(countWithin(firsts, from, until))+depth+slack; float64(n) > most+roundOff {
+			if n, most := countWithin(retries, from, until), ratio*float64(countWithin(firsts, from, until))+depth+slack; float64(n) > most+roundingTolerance {
 				t.Fatalf("seed %d: %d retries in a window that allows %.1f", seed, n, most)
 			}
 		}
 	}
 }
 
-// TestRetriesStayWithinTheBudget
-//
-// Symptom: upstreams that fail are hit by twice the load, and stay down.
-// Sequence: every first attempt fails and each is tried again.
-// Cause: retries without a bound by the rate of first attempts.
+// Guards against retries that exceed the ratio to first attempts when every attempt fails. Upstreams
+// would then get up to twice the load, and could not recover.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const slack, window = 1, 5 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -93,11 +90,11 @@
 		}
 		windows := 1 + (time.Duration(n)*gap)/window
 		if bound := ratio*float64(n) + slack*float64(windows); float64(retries) > bound+1e-6 {
-			t.Fatalf("%d retries for %d first attempts at %v", retries, n, ratio)
+			t.Fatalf("%d retries for %d first attempts with ratio %v", retries, n, ratio)
 		}
 	})
 	b := NewBucket(Limits{Ratio: 0.2, Depth: 10, Slack: slack, Window: window})
 	if !b.Allow(t0, 1) || b.Allow(t0, 1) || !b.Allow(t0.Add(6*time.Second), 1) {
-		t.Error("a quiet daemon may retry once at first and once in five seconds")
+		t.Error("without first attempts, one retry must be allowed at once and another after the window of five seconds")
 	}
 }
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -7,72 +7,71 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Bounds are what all daemons together may send again to one target.
+// Bounds limit the retries that all daemons together may send to one target.
 type Bounds struct {
-	// Ratio is the retries for each first attempt, and Slack those besides, in any span
-	// of Window.
+	// Ratio is the number of retries allowed for each first attempt, and Slack the number allowed
+	// in addition, in any span of Window.
 	Ratio, Slack float64
 	Window       time.Duration
-	// Daemons is the least number of daemons that the slack is divided by.
+	// Daemons is the minimum number of daemons among which the slack is divided.
 	Daemons int
-	// First says that no daemon of the fleet has had a life before, and that all start at
-	// about the same moment.
+	// First is set when the fleet starts for the first time: all daemons start at about the same
+	// moment, and none has run before.
 	First bool
 }
 
-// Budgets keeps this daemon's part of the bounds, for each target by itself. It is safe for
+// Budgets enforces this daemon's share of the Bounds, separately for each target. It is safe for
 // concurrent use.
 //
-// Load pattern: a service rejects most requests, all daemons retry at once, and meanwhile
-// they are killed and started again, join, freeze, are cut off and get each other's
-// callers. Who has what a retry needs asks nobody, and no life knows what the one before it
-// spent. So the bound is held by what can be saved up: in any window a place in the fleet
-// sends at most its part of the slack beyond what requests of that very window earn,
-// whoever holds the place.
+// The bounds must hold while a service rejects most requests, so that all daemons retry, and
+// daemons restart, join, freeze, are partitioned or take over each other's callers. Daemons do not
+// coordinate a retry, and a process does not know what its predecessor spent. Therefore the limit
+// is on what can be accumulated: in any window the successive processes of one daemon together send
+// at most its share of the slack, plus what the requests of that window earn.
 //
-//   - A life begins with nothing saved. What it may add to what the life before it spent
-//     in the same window is only what its own requests earn.
-//   - A life may save up one retry. Its part of the slack opens when it has known its
-//     peers for a window: what the life before it spent is then past, and the count that
-//     it divides by is no longer that of the first moments. Where there was no life
-//     before, it opens with the count: callers who come ten seconds after the daemons
-//     would else find no slack in their first seconds.
-//   - What requests earn is lost beyond that depth. Earnings of ten seconds, spent at once
-//     before the callers go elsewhere and earn them there again, would count twice.
-//   - Requests that are read when the process has just stood still earn nothing: callers
-//     sent them earlier, in a window that they have paid for.
+//   - A process starts without credit. Beyond what its predecessor spent in the same window it can
+//     spend only what its own requests earn.
+//   - At first, credit is limited to one retry. The share of the slack becomes available once the
+//     process has known its peers for a window: by then the spending of its predecessor is out of
+//     the window, and the number of daemons to divide by is no longer that of the first moments. At
+//     the first start of a fleet there is no predecessor, so the share becomes available earlier;
+//     otherwise callers that arrive ten seconds after the start would find no slack.
+//   - Credit above the depth is lost. Otherwise the credit of ten seconds could be spent at once,
+//     just before the callers move to other daemons and earn credit there for the same window.
+//   - Requests that are read just after the process was stalled earn no credit: their callers sent
+//     them in an earlier window.
 type Budgets struct {
 	buckets *Buckets
 
 	mu      sync.Mutex
 	bounds  Bounds
 	daemons int
-	// counted is when the first number of daemons came; zero before. settled says that
-	// the part of the slack is open.
-	counted time.Time
-	settled bool
-	// ticked is when this process was last seen to run, and quiet until when requests
-	// earn nothing.
-	ticked, quiet time.Time
+	// firstCounted is when the number of daemons became known after the start or the latest stall
+	// of the process, or zero. settled is set once the share of the slack is available.
+	firstCounted time.Time
+	settled      bool
+	// lastTick is the time of the last call of tick. Requests earn no credit before noCreditUntil.
+	lastTick, noCreditUntil time.Time
 }
 
-// TickEvery is how often Counted is to be called.
+// TickEvery is the interval at which Counted must be called.
 const TickEvery = 200 * time.Millisecond
 
 const (
-	// stallGap is the time between two ticks from which on a process has stood still.
-	// A daemon that has a fifth of a core is late by a tenth of a second.
-	stallGap = 3 * TickEvery
-	// stallRest is how long after it the requests that waited in sockets are read.
-	stallRest = 500 * time.Millisecond
-	// countRest is how long after its first count a daemon knows all that started with
-	// it. Readers tell each other and their followers once a second.
-	countRest = 5 * time.Second
+	// stallThreshold is the time between two ticks from which the process counts as stalled. A
+	// daemon that has only a fifth of a core ticks a tenth of a second late.
+	stallThreshold = 3 * TickEvery
+	// stallDrainTime is how long after a stall the process still reads requests that had queued
+	// in its sockets.
+	stallDrainTime = 500 * time.Millisecond
+	// discoveryTime is how long after its first count a daemon has discovered all daemons that
+	// started with it. Daemons exchange their lists of members once a second.
+	discoveryTime = 5 * time.Second
 )
 
-// NewBudgets returns budgets with nothing saved up, for a life that begins now.
+// NewBudgets returns budgets without credit, for a process that starts now.
 func NewBudgets(now time.Time, bounds Bounds) *Budgets {
-	b := &Budgets{bounds: bounds, ticked: now}
+	b := &Budgets{bounds: bounds, lastTick: now}
 	b.buckets = NewBuckets(b.limits())
 	return b
 }
@@ -85,22 +84,22 @@
 	b.buckets.Set(now, b.limits())
 }
 
-// Counted tells that the process runs, and how many daemons there are; 0 is not known. The
-// largest number counts: too high a one only makes this daemon's part smaller. Call it
-// every TickEvery. It returns whether the part has changed.
+// Counted must be called every TickEvery while the process runs, with the number of daemons known
+// or 0 if it is unknown. The largest number ever passed is used, since one that is too high only
+// makes this daemon's share smaller. Counted reports whether the share has changed.
 func (b *Budgets) Counted(now time.Time, daemons int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tick(now)
-	if daemons == 0 && b.counted.IsZero() {
+	if daemons == 0 && b.firstCounted.IsZero() {
 		return false
 	}
-	if b.counted.IsZero() {
-		b.counted = now
+	if b.firstCounted.IsZero() {
+		b.firstCounted = now
 	}
 	before := b.share()
 	b.daemons = max(b.daemons, daemons)
-	b.settled = b.settled || now.Sub(b.counted) >= b.opening()
+	b.settled = b.settled || now.Sub(b.firstCounted) >= b.slackDelay()
 	if b.share() == before {
 		return false
 	}
@@ -108,73 +107,76 @@
 	return true
 }
 
-// opening is how long after the first count the part of the slack opens; b.mu is held.
-func (b *Budgets) opening() time.Duration {
+// slackDelay is the time from the first count until the share of the slack becomes available; b.mu
+// must be held.
+func (b *Budgets) slackDelay() time.Duration {
 	if b.bounds.First {
-		return min(countRest, b.bounds.Window)
+		return min(discoveryTime, b.bounds.Window)
 	}
 	return b.bounds.Window
 }
 
-// tick notes that the process runs; b.mu is held. Time in which it stood still brought no
-// word of others: a life that has not settled counts anew.
+// tick detects stalls of the process; b.mu must be held. The number of daemons is not updated during
+// a stall, so the wait for the share of the slack starts again if it is not over.
 func (b *Budgets) tick(now time.Time) {
-	if clock.Elapsed(b.ticked, now) > stallGap {
-		b.quiet = now.Add(stallRest)
-		b.counted = time.Time{}
+	if clock.Elapsed(b.lastTick, now) > stallThreshold {
+		b.noCreditUntil = now.Add(stallDrainTime)
+		b.firstCounted = time.Time{}
 	}
-	b.ticked = now
+	b.lastTick = now
 }
 
-// earns says whether a request that is read now was sent about now.
-func (b *Budgets) earns(now time.Time) bool {
+// earnsCredit reports whether a request read now was sent recently, rather than queued in a socket
+// during a stall of the process.
+func (b *Budgets) earnsCredit(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return clock.Elapsed(b.ticked, now) <= stallGap && !now.Before(b.quiet)
+	return clock.Elapsed(b.lastTick, now) <= stallThreshold && !now.Before(b.noCreditUntil)
 }
 
 const (
-	// slackShare is how much of the slack is divided. The rest is for what nobody can
-	// count: the one retry of each daemon that has joined unheard, a tenth of the fleet
-	// where the slack is two for each daemon, and permits whose requests arrive in a
-	// later window. A part of two or more lets a daemon retry twice in a row: of the
-	// retries of 295 daemons, with one in twenty requests rejected, the model denies
-	// 0.04 with 2.1 for each, 0.075 with 1.9 and 0.12 with 1.7.
-	slackShare = 0.95
-	// savedShare is how much of the part may be saved up of what was earned; the rest
-	// need not be earned, and comes back a window after it was spent. With one in ten
-	// requests rejected, 7 daemons deny 0.01 of the retries with a half, and 0.10 with
-	// nothing saved beyond one retry; with nine in ten they send 0.02 more than with all
-	// of it saved.
-	savedShare = 0.5
-	// leastDepth is what a daemon must be able to save up to retry at all.
-	leastDepth = 1
+	// dividedSlack is the fraction of the slack that is divided among the daemons. The rest covers
+	// retries that the division leaves out: one retry of each daemon that joined undiscovered (with
+	// a slack of two per daemon, enough for a tenth of the fleet), and retries that are permitted in
+	// one window and arrive in the next. The fraction is high because a share of two or more lets a
+	// daemon retry twice in a row: with 295 daemons and one in twenty requests rejected, the
+	// simulation denies 0.04 of the retries with a share of 2.1, 0.075 with 1.9 and 0.12 with 1.7.
+	dividedSlack = 0.95
+	// depthShare is the fraction of a daemon's share that limits its credit. The rest needs no
+	// credit, and becomes available again a window after it was spent. With one in ten requests
+	// rejected, 7 daemons deny 0.01 of the retries at a fraction of one half, and 0.10 at a depth
+	// of one retry; with nine in ten rejected, one half sends 0.02 more retries than all of it.
+	depthShare = 0.5
+	// minDepth is one retry: with a smaller depth a daemon could never retry on credit.
+	minDepth = 1
 )
 
-// limits returns those of each target; b.mu is held.
+// limits returns the limits of each target's bucket; b.mu must be held.
 func (b *Budgets) limits() Limits {
-	l := Limits{Ratio: b.bounds.Ratio, Depth: leastDepth, Window: b.bounds.Window}
+	l := Limits{Ratio: b.bounds.Ratio, Depth: minDepth, Window: b.bounds.Window}
 	if b.settled {
 		part := b.share().Part
-		l.Depth = max(leastDepth, savedShare*part)
+		l.Depth = max(minDepth, depthShare*part)
 		l.Slack = max(0, part-l.Depth)
 	}
 	return l
 }
 
-// Share is this daemon's part of the slack, and what it rests on.
+// Share is this daemon's share of the slack, and the values that it is computed from.
 type Share struct {
-	// Daemons is the number of daemons that the slack is divided by.
+	// Daemons is the number of daemons among which the slack is divided.
 	Daemons int
-	// Part is the retries in a window beyond what requests earn in it.
+	// Part is the share: the retries per window beyond those that this daemon's requests earn.
 	Part float64
-	// Settled says that the part is open; before, one retry may be saved up.
+	// Settled is set once the share is available; before, the credit of one retry is all that a
+	// daemon can accumulate.
 	Settled bool
-	// Counted is when the first number of daemons came.
+	// Counted is when the number of daemons became known after the start or the latest stall of the
+	// process, or zero.
 	Counted time.Time
 }
 
-// Share returns this daemon's part.
+// Share returns this daemon's current share.
 func (b *Budgets) Share() Share {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -183,27 +185,27 @@
 
 func (b *Budgets) share() Share {
 	daemons := max(b.bounds.Daemons, b.daemons)
-	return Share{Daemons: daemons, Part: slackShare * b.bounds.Slack / float64(daemons), Settled: b.settled, Counted: b.counted}
+	return Share{Daemons: daemons, Part: dividedSlack * b.bounds.Slack / float64(daemons), Settled: b.settled, Counted: b.firstCounted}
 }
 
 // Of returns the budget of a target.
-func (b *Budgets) Of(target string) *Budget { return &Budget{all: b, bucket: b.buckets.Of(target)} }
+func (b *Budgets) Of(target string) *Budget { return &Budget{budgets: b, bucket: b.buckets.Of(target)} }
 
-// Budget is one target's part of Budgets. It is safe for concurrent use.
+// Budget is the budget of one target. It is safe for concurrent use.
 type Budget struct {
-	all    *Budgets
-	bucket *Bucket
+	budgets *Budgets
+	bucket  *Bucket
 }
 
-// OnFirstAttempt notes a request that a caller sent, which earns part of a retry.
+// OnFirstAttempt records the first attempt of a request, which earns credit.
 func (t *Budget) OnFirstAttempt(now time.Time) {
-	if t.all.earns(now) {
+	if t.budgets.earnsCredit(now) {
 		t.bucket.OnFirstAttempt(now)
 	}
 }
 
-// Allow takes n retries, or says that not so many are left.
+// Allow takes n retries and returns true, or takes none and returns false if fewer are left.
 func (t *Budget) Allow(now time.Time, n int) bool { return t.bucket.Allow(now, n) }
 
-// Held returns how many retries are left.
+// Held returns the number of retries left.
 func (t *Budget) Held(now time.Time) float64 { return t.bucket.Held(now) }
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -12,51 +12,51 @@
 	"github.com/corianderturn/corianderturn/relay"
 )
 
-// The bounds that the model's fleets are held to; the slack grows with the fleet.
+// Parameters of the simulation, and the bounds that the fleet must keep; the slack grows with it.
 const (
 	modelRatio  = 0.2
 	modelWindow = 10 * time.Second
 	modelLength = 80 * time.Second
 	modelStep   = 5 * time.Millisecond
-	// modelTries is how many upstreams a request is sent to at most.
-	modelTries = 3
-	modelZones = 3
+	// modelMaxAttempts is the largest number of attempts per request, including the first.
+	modelMaxAttempts = 3
+	modelZones       = 3
 )
 
 func modelSlack(daemons int) float64 { return 40 + 2*float64(daemons) }
 
-// modelDaemon is one place in the fleet; its life ends with a kill.
+// modelDaemon is a simulated daemon; a restart replaces its budgets.
 type modelDaemon struct {
-	zone    int
-	budgets *Budgets
-	began   time.Time // of this life
-	up      time.Time // when it serves again; later than now while it is down
-	froze   time.Time // when it last stopped
-	frozen  time.Time // when it wakes
-	weight  float64   // of its callers
-	backlog int       // requests in its sockets
-	joined  bool      // it counts among the fleet
+	zone        int
+	budgets     *Budgets
+	startedAt   time.Time // start of the current process
+	upAt        time.Time // start of service; the daemon is down until then
+	frozenAt    time.Time // start of the latest freeze
+	frozenUntil time.Time // end of the latest freeze
+	weight      float64   // relative number of requests that its callers send
+	backlog     int       // requests queued in its sockets during a freeze
+	joined      bool      // part of the fleet
 }
 
-// modelFleet is a fleet before one service, in virtual time. It keeps what the users'
-// rule counts: the requests that callers sent and the arrivals beyond the first of each.
+// modelFleet simulates, in virtual time, the daemons in front of one service. It records when callers
+// sent requests and when the service received retries, to check them against the bounds.
 type modelFleet struct {
-	rng      *rand.Rand
-	now      time.Time
-	slack    float64
-	daemons  []*modelDaemon
-	rate     float64 // requests a second
-	rejects  float64 // share of arrivals that the service rejects
-	cut      int     // a zone that neither hears the others nor is heard; -1 for none
-	deaf     time.Time
-	requests []time.Time
-	extras   []time.Time
-	denied   int
-	asked    int
+	rng                 *rand.Rand
+	now                 time.Time
+	slack               float64
+	daemons             []*modelDaemon
+	rate                float64   // requests per second
+	rejectShare         float64   // fraction of the attempts that the service rejects
+	partitionedZone     int       // zone that is partitioned from the others; -1 for none
+	undiscoverableUntil time.Time // until then daemons that started after t0 are not discovered
+	requests            []time.Time
+	retries             []time.Time
+	retriesDenied       int
+	retriesWanted       int
 }
 
 func newModelFleet(seed uint64, daemons int, rate float64) *modelFleet {
-	f := &modelFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, slack: modelSlack(daemons), rate: rate, rejects: 0.05, cut: -1}
+	f := &modelFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), now: t0, slack: modelSlack(daemons), rate: rate, rejectShare: 0.05, partitionedZone: -1}
 	for i := range daemons {
 		d := &modelDaemon{zone: i % modelZones, weight: 0.5 + f.rng.Float64(), joined: true}
 		f.daemons = append(f.daemons, d)
@@ -67,69 +67,69 @@
 	return f
 }
 
-// start begins a life after a pause.
+// start starts a daemon, or restarts it after a pause.
 func (f *modelFleet) start(d *modelDaemon, after time.Duration) {
-	d.began = f.now.Add(after)
-	d.up, d.frozen, d.backlog = d.began, time.Time{}, 0
-	d.budgets = NewBudgets(d.began, Bounds{Ratio: modelRatio, Slack: f.slack, Window: modelWindow, Daemons: 1})
+	d.startedAt = f.now.Add(after)
+	d.upAt, d.frozenUntil, d.backlog = d.startedAt, time.Time{}, 0
+	d.budgets = NewBudgets(d.startedAt, Bounds{Ratio: modelRatio, Slack: f.slack, Window: modelWindow, Daemons: 1})
 }
 
-func (f *modelFleet) runs(d *modelDaemon) bool {
-	return d.joined && !f.now.Before(d.up) && !f.now.Before(d.frozen)
+func (f *modelFleet) isRunning(d *modelDaemon) bool {
+	return d.joined && !f.now.Before(d.upAt) && !f.now.Before(d.frozenUntil)
 }
 
-// hearing is who may be heard of, by zone: those that anybody hears, and those that joined
-// or were started again while nobody heard of them.
-type hearing struct{ known, unheard [modelZones]int }
+// daemonCounts is the number of daemons per zone: those that other daemons can discover, and those
+// that started while discovery does not work.
+type daemonCounts struct{ discoverable, undiscoverable [modelZones]int }
 
-func (f *modelFleet) hearing() (h hearing) {
+func (f *modelFleet) countDaemons() (counts daemonCounts) {
 	for _, d := range f.daemons {
 		switch {
 		case !d.joined:
-		case f.now.Before(f.deaf) && d.began.After(t0):
-			h.unheard[d.zone]++
+		case f.now.Before(f.undiscoverableUntil) && d.startedAt.After(t0):
+			counts.undiscoverable[d.zone]++
 		default:
-			h.known[d.zone]++
+			counts.discoverable[d.zone]++
 		}
 	}
-	return h
+	return counts
 }
 
-// knows returns how many daemons one has heard of: all that are there and on its side of a
-// cut, not at once but over the first second and a half of its life. A zone of which
-// nothing is heard is taken to be as large as the largest other one.
-func (f *modelFleet) knows(d *modelDaemon, h hearing) int {
-	const all = 1500 * time.Millisecond
-	if f.now.Before(f.deaf) && d.began.After(t0) {
+// discovered returns how many daemons a daemon has discovered. Within its side of a partition it
+// discovers all daemons gradually over the first second and a half after its start. A zone of which
+// it has discovered none is assumed to be as large as the largest of the others.
+func (f *modelFleet) discovered(d *modelDaemon, counts daemonCounts) int {
+	const rampUp = 1500 * time.Millisecond
+	if f.now.Before(f.undiscoverableUntil) && d.startedAt.After(t0) {
 		return 0
 	}
-	age := min(1, f.now.Sub(d.began).Seconds()/all.Seconds())
-	heard := map[string]int{}
-	for zone, n := range h.known {
-		if apart := f.cut >= 0 && (zone == f.cut) != (d.zone == f.cut); !apart {
-			heard[fmt.Sprint(zone)] = max(1, int(age*float64(n)))
+	age := min(1, f.now.Sub(d.startedAt).Seconds()/rampUp.Seconds())
+	byZone := map[string]int{}
+	for zone, n := range counts.discoverable {
+		if unreachable := f.partitionedZone >= 0 && (zone == f.partitionedZone) != (d.zone == f.partitionedZone); !unreachable {
+			byZone[fmt.Sprint(zone)] = max(1, int(age*float64(n)))
 		}
 	}
-	return relay.FleetSize(heard, []string{"0", "1", "2"})
+	return relay.FleetSize(byZone, []string{"0", "1", "2"})
 }
 
-// step plays one short span: faults that are over end, callers send, daemons count.
+// step advances the simulation by modelStep.
 func (f *modelFleet) step() {
 	f.now = f.now.Add(modelStep)
 	tick := f.now.Sub(t0)%TickEvery < modelStep
-	var heard hearing
+	var counts daemonCounts
 	if tick {
-		heard = f.hearing()
+		counts = f.countDaemons()
 	}
 	for _, d := range f.daemons {
-		if !f.runs(d) {
+		if !f.isRunning(d) {
 			continue
 		}
 		for ; d.backlog > 0; d.backlog-- {
 			f.serve(d)
 		}
 		if tick {
-			d.budgets.Counted(f.now, f.knows(d, heard))
+			d.budgets.Counted(f.now, f.discovered(d, counts))
 		}
 	}
 	for expected := f.rate * modelStep.Seconds(); f.rng.Float64() < expected; expected-- {
@@ -137,14 +137,14 @@
 	}
 }
 
-// send lets one caller send a request. The balancer leaves out daemons that are down, and
-// frozen ones after two missed probes.
+// send sends a request to a random daemon. The callers' load balancer leaves out daemons that are
+// down, and frozen daemons after two missed probes.
 func (f *modelFleet) send() {
-	const noticed = 2 * time.Second
+	const detection = 2 * time.Second
 	var open []*modelDaemon
 	sum := 0.0
 	for _, d := range f.daemons {
-		if !d.joined || f.now.Before(d.up) || f.now.Before(d.frozen) && f.now.Sub(d.froze) > noticed {
+		if !d.joined || f.now.Before(d.upAt) || f.now.Before(d.frozenUntil) && f.now.Sub(d.frozenAt) > detection {
 			continue
 		}
 		open, sum = append(open, d), sum+d.weight
@@ -158,28 +158,28 @@
 	for ; i < len(open)-1 && x > open[i].weight; i++ {
 		x -= open[i].weight
 	}
-	if d := open[i]; f.runs(d) {
+	if d := open[i]; f.isRunning(d) {
 		f.serve(d)
 	} else {
 		d.backlog++
 	}
 }
 
-// serve lets a daemon handle one request, with retries while the service rejects it.
+// serve handles one request on a daemon, which retries it while the service rejects it.
 func (f *modelFleet) serve(d *modelDaemon) {
 	budget := d.budgets.Of("service")
 	budget.OnFirstAttempt(f.now)
-	for try := 1; try < modelTries && f.rng.Float64() < f.rejects; try++ {
-		f.asked++
+	for try := 1; try < modelMaxAttempts && f.rng.Float64() < f.rejectShare; try++ {
+		f.retriesWanted++
 		if !budget.Allow(f.now, 1) {
-			f.denied++
+			f.retriesDenied++
 			return
 		}
-		f.extras = append(f.extras, f.now)
+		f.retries = append(f.retries, f.now)
 	}
 }
 
-// countWithin counts the times in a span; list is in order.
+// countWithin returns how many of the sorted times lie in [from, until).
 func countWithin(list []time.Time, from, until time.Time) int {
 	after := func(at time.Time) int {
 		return sort.Search(len(list), func(i int) bool { return !list[i].Before(at) })
@@ -187,30 +187,33 @@
 	return after(until) - after(from)
 }
 
-// worst returns by how many arrivals the worst window is over what is allowed, and what
-// was allowed in it; at most 0 where none is. The requests count in the window, in the one
-// before it or in the one half a window before it, whichever has most.
-func (f *modelFleet) worst() (over, allowed float64, at time.Duration) {
+// worstWindow returns the largest excess of retries over what is allowed in any window, with the
+// allowed number and the start of that window; the excess is at most 0 if all windows are within the
+// bounds. The number of requests is that of the window itself, of the one before it, or of the one
+// half a window before it, whichever is largest.
+func (f *modelFleet) worstWindow() (over, allowed float64, at time.Duration) {
 	over = -f.slack
-	for _, from := range f.extras {
+	for _, from := range f.retries {
 		most := 0
 		for _, back := range []time.Duration{0, modelWindow / 2, modelWindow} {
 			most = max(most, countWithin(f.requests, from.Add(-back), from.Add(modelWindow-back)))
 		}
 		limit := modelRatio*float64(most) + f.slack
-		if o := float64(countWithin(f.extras, from, from.Add(modelWindow))) - limit; o > over {
+		if o := float64(countWithin(f.retries, from, from.Add(modelWindow))) - limit; o > over {
 			over, allowed, at = o, limit, from.Sub(t0)
 		}
 	}
 	return over, allowed, at
 }
 
-// modelFault is one kind of trouble.
+// modelFault is a kind of fault that play injects.
 type modelFault struct {
 	name string
 	do   func(f *modelFleet)
 }
 
+// modelFaults are the faults that a schedule refers to by index. Those from "rejects" on set the
+// fraction of attempts that the service rejects.
 var modelFaults = []modelFault{
 	{"kill all", func(f *modelFleet) {
 		for _, d := range f.daemons {
@@ -227,15 +230,15 @@
 	{"freeze", func(f *modelFleet) {
 		last := time.Duration(1000+f.rng.IntN(3000)) * time.Millisecond
 		for _, d := range f.daemons {
-			if f.runs(d) && f.rng.IntN(5) < 2 {
-				d.froze, d.frozen = f.now, f.now.Add(last)
+			if f.isRunning(d) && f.rng.IntN(5) < 2 {
+				d.frozenAt, d.frozenUntil = f.now, f.now.Add(last)
 			}
 		}
 	}},
 	{"freeze half", func(f *modelFleet) {
 		for i, d := range f.daemons {
-			if f.runs(d) && i%2 == 0 {
-				d.froze, d.frozen = f.now, f.now.Add(3*time.Second)
+			if f.isRunning(d) && i%2 == 0 {
+				d.frozenAt, d.frozenUntil = f.now, f.now.Add(3*time.Second)
 			}
 		}
 	}},
@@ -247,15 +250,15 @@
 		}
 	}},
 	{"join unheard", func(f *modelFleet) {
-		f.deaf = f.now.Add(8 * time.Second)
+		f.undiscoverableUntil = f.now.Add(8 * time.Second)
 		for range 1 + len(f.daemons)/10 {
 			d := &modelDaemon{zone: f.rng.IntN(modelZones), weight: 0.5 + f.rng.Float64(), joined: true}
 			f.daemons = append(f.daemons, d)
 			f.start(d, time.Second)
 		}
 	}},
-	{"cut", func(f *modelFleet) { f.cut = f.rng.IntN(modelZones) }},
-	{"heal", func(f *modelFleet) { f.cut = -1 }},
+	{"cut", func(f *modelFleet) { f.partitionedZone = f.rng.IntN(modelZones) }},
+	{"heal", func(f *modelFleet) { f.partitionedZone = -1 }},
 	{"callers move", func(f *modelFleet) {
 		for _, d := range f.daemons {
 			d.weight = 0.1 + f.rng.Float64()
@@ -264,26 +267,26 @@
 			}
 		}
 	}},
-	{"rejects", func(f *modelFleet) { f.rejects = 0.5 + 0.45*f.rng.Float64() }},
-	{"rejects little", func(f *modelFleet) { f.rejects = 0.05 }},
-	{"rejects nearly all", func(f *modelFleet) { f.rejects = 0.9 }},
-	{"rejects less", func(f *modelFleet) { f.rejects = 0.3 * f.rng.Float64() }},
+	{"rejects", func(f *modelFleet) { f.rejectShare = 0.5 + 0.45*f.rng.Float64() }},
+	{"rejects little", func(f *modelFleet) { f.rejectShare = 0.05 }},
+	{"rejects nearly all", func(f *modelFleet) { f.rejectShare = 0.9 }},
+	{"rejects less", func(f *modelFleet) { f.rejectShare = 0.3 * f.rng.Float64() }},
 }
 
-// modelSchedule draws which fault comes when. Faults come in series and overlap; the
-// service rejects most of the time, since budgets bind only then.
+// modelSchedule returns random faults by time. Faults occur in series and overlap; the service
+// rejects requests most of the time, because the budgets have no effect otherwise.
 func modelSchedule(rng *rand.Rand) map[time.Duration][]int {
 	out := map[time.Duration][]int{}
 	add := func(at time.Duration, fault int) {
 		at = at.Truncate(modelStep)
 		out[at] = append(out[at], fault)
 	}
-	const rejects = 9
+	const firstReject = 9
 	for at := 12 * time.Second; at < modelLength; at += time.Duration(3+rng.IntN(10)) * time.Second {
-		add(at, rejects+rng.IntN(3))
+		add(at, firstReject+rng.IntN(3))
 	}
 	for at := 13 * time.Second; at < modelLength; at += time.Duration(500+rng.IntN(9000)) * time.Millisecond {
-		add(at, rng.IntN(rejects))
+		add(at, rng.IntN(firstReject))
 	}
 	return out
 }
@@ -293,7 +296,7 @@
 	return f, f.play(modelSchedule(f.rng))
 }
 
-// play plays a schedule to its end and tells what came when.
+// play runs a schedule of indices into modelFaults to its end, and describes the faults.
 func (f *modelFleet) play(schedule map[time.Duration][]int) (faults []string) {
 	for f.now.Before(t0.Add(modelLength)) {
 		f.step()
@@ -305,8 +308,8 @@
 	return faults
 }
 
-// modelFleets are sizes of fleets with the requests a second that they get. A service
-// whose callers repeat at once gets about twice the usual.
+// modelFleets are fleet sizes with their requests per second, which are about twice the usual rate,
+// as if the callers of the service repeated failed requests at once.
 var modelFleets = []struct {
 	daemons int
 	rate    float64
@@ -316,36 +319,34 @@
 // moreSeeds multiplies the seeds: go test ./retry -args -seeds 20 plays 320, 80 and 20.
 var moreSeeds = flag.Uint64("seeds", 1, "how many times the usual seeds are played")
 
-// Symptom: within ten seconds a service gets more repeats than the fleet may send.
-// Sequence: it rejects most requests while daemons are killed and started again, join,
-// freeze and wake, are cut off from each other, and callers move from one to another.
-// Cause: what a life spent is forgotten with it; a part of the ratio that was earned by
-// requests of ten seconds is spent at their end, and earned again where the callers go;
-// requests that waited in the sockets of a frozen daemon earn retries when they are read;
-// and who knows few others takes the slack for its own.
+// Guards against a fleet that exceeds its bounds within ten seconds. The service rejects most requests
+// while daemons restart, join, freeze or are partitioned, and callers move between daemons. The
+// bounds would be exceeded if a restarted daemon spent its share again, if credit accumulated over
+// ten seconds were spent just before the callers earn it again elsewhere, if requests queued on a
+// frozen daemon earned credit, or if a daemon that has discovered few others took too large a share.
 func TestFleetStaysWithinItsBounds(t *testing.T) {
 	for _, size := range modelFleets {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
 			for seed := range size.seeds * *moreSeeds {
 				f, faults := playModel(seed, size.daemons, size.rate)
-				over, allowed, at := f.worst()
+				over, allowed, at := f.worstWindow()
 				if over > 0 {
-					t.Errorf("seed %d: %.1f over %.1f in the ten seconds from %v; %q", seed, over, allowed, at, faults)
+					t.Errorf("seed %d: %.1f over the %.1f allowed in the ten seconds from %v; faults %q", seed, over, allowed, at, faults)
 				}
 			}
 		})
 	}
 }
 
-// The faults of the drawn plays one by one, in the order that shows each cause best. While
-// the service rejects little, budgets fill up.
+// Guards against the same failures as TestFleetStaysWithinItsBounds, with selected sequences of
+// faults that show one cause each. Budgets accumulate credit while the service rejects little.
 func TestFleetStaysWithinItsBoundsThrough(t *testing.T) {
 	const all, little = "rejects nearly all", "rejects little"
 	for name, tc := range map[string]struct {
 		daemons int
 		rate    float64
-		faults  map[float64]string // by second
+		faults  map[float64]string // names by time in seconds
 	}{
 		"no fault":             {7, 130, map[float64]string{18: all}},
 		"all killed twice":     {7, 130, map[float64]string{18: all, 19: "kill all", 23: "kill all"}},
@@ -367,38 +368,37 @@
 				schedule[time.Duration(at*float64(time.Second))] = []int{i}
 			}
 			f.play(schedule)
-			if over, allowed, at := f.worst(); over > 0 {
-				t.Errorf("%.1f over %.1f in the ten seconds from %v", over, allowed, at)
+			if over, allowed, at := f.worstWindow(); over > 0 {
+				t.Errorf("%.1f over the %.1f allowed in the ten seconds from %v", over, allowed, at)
 			}
 		})
 	}
 }
 
-// Symptom: requests fail beside upstreams that would serve them, while the fleet may still
-// send many retries.
-// Sequence: none; one in twenty requests is rejected, a quarter of what the ratio pays for,
-// and then nine of ten, on a fleet that has run for a while.
-// Cause: an allowance cut into parts that are too small to use.
+// Guards against dividing the budget into shares too small to use, so that requests fail although
+// other upstreams could serve them and the fleet may still send many retries. On a fleet that has
+// run for a while, without faults, the service rejects one in twenty requests, which takes a
+// quarter of the retries that the ratio allows, and then nine of ten.
 func TestFleetUsesItsBounds(t *testing.T) {
-	const while = 15 * time.Second
+	const warmUp = 15 * time.Second
 	for _, size := range modelFleets {
 		f := newModelFleet(1, size.daemons, size.rate)
-		for f.now.Before(t0.Add(while)) {
+		for f.now.Before(t0.Add(warmUp)) {
 			f.step()
 		}
-		f.asked, f.denied = 0, 0
+		f.retriesWanted, f.retriesDenied = 0, 0
 		for f.now.Before(t0.Add(modelLength)) {
 			f.step()
 		}
-		if share := float64(f.denied) / float64(f.asked); share > 0.05 {
-			t.Errorf("%d daemons: %.3f of the retries are denied", size.daemons, share)
+		if share := float64(f.retriesDenied) / float64(f.retriesWanted); share > 0.05 {
+			t.Errorf("%d daemons: a fraction of %.3f of the retries is denied", size.daemons, share)
 		}
-		f.rejects = 0.9
+		f.rejectShare = 0.9
 		from := f.now.Add(modelWindow)
 		for f.now.Before(from.Add(3 * modelWindow)) {
 			f.step()
 		}
-		used := float64(countWithin(f.extras, from, f.now))
+		used := float64(countWithin(f.retries, from, f.now))
 		allowed := modelRatio*float64(countWithin(f.requests, from, f.now)) + 3*modelSlack(size.daemons)
 		if used < 0.6*allowed {
 			t.Errorf("%d daemons: %.0f retries of %.0f allowed", size.daemons, used, allowed)
@@ -409,7 +409,7 @@
 func TestModelIsRepeatable(t *testing.T) {
 	a, _ := playModel(3, 7, 100)
 	b, _ := playModel(3, 7, 100)
-	if !slices.Equal(a.extras, b.extras) {
-		t.Error("the same seed gives another play")
+	if !slices.Equal(a.retries, b.retries) {
+		t.Error("the same seed gives different results")
 	}
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// windowParts is the number of parts that a window is counted in. More are exacter: what
-// was spent counts until its whole part has left the window.
-const windowParts = 20
+// windowSlots is the number of slots into which a window is divided. An amount counts until its
+// whole slot has left the window, so more slots make the window more precise.
+const windowSlots = 20
 
-// window sums what was spent in the last span of a fixed length. It is not safe for
+// slidingWindow sums the amounts added during the last span of a fixed length. It is not safe for
 // concurrent use.
-type window struct {
-	part time.Duration
-	// spent is a ring over parts, which are numbered from the first moment seen; last is
-	// the newest part.
-	spent [windowParts + 1]float64
-	begin time.Time
-	last  int64
+type slidingWindow struct {
+	slotLength time.Duration
+	// slots is a ring buffer. Slots are numbered from the start; newest is the number of the most
+	// recent one.
+	slots  [windowSlots + 1]float64
+	start  time.Time
+	newest int64
 }
 
-// newWindow returns an empty window of a length.
-func newWindow(length time.Duration) window { return window{part: max(length/windowParts, 1)} }
+// newSlidingWindow returns an empty window of the given length.
+func newSlidingWindow(length time.Duration) slidingWindow {
+	return slidingWindow{slotLength: max(length/windowSlots, 1)}
+}
 
-// sum returns what was spent in the window that ends now.
-func (w *window) sum(now time.Time) float64 {
+// sum returns the total of the window that ends now.
+func (w *slidingWindow) sum(now time.Time) float64 {
 	w.advance(now)
 	sum := 0.0
-	for _, n := range w.spent {
+	for _, n := range w.slots {
 		sum += n
 	}
 	return sum
 }
 
-// add notes that n was spent now.
-func (w *window) add(now time.Time, n float64) {
+// add adds an amount at the time now.
+func (w *slidingWindow) add(now time.Time, n float64) {
 	w.advance(now)
-	w.spent[w.slot(w.last)] += n
+	w.slots[w.index(w.newest)] += n
 }
 
-func (w *window) slot(part int64) int64 { return part % int64(len(w.spent)) }
+func (w *slidingWindow) index(slot int64) int64 { return slot % int64(len(w.slots)) }
 
-// advance forgets the parts that the window has left. A moment before the newest part
-// counts to that: the clock is read by many goroutines.
-func (w *window) advance(now time.Time) {
-	if w.begin.IsZero() {
-		w.begin = now
+// advance clears the slots that have left the window. A time before the newest slot counts as the
+// newest slot, because concurrent callers read the clock before they take the lock.
+func (w *slidingWindow) advance(now time.Time) {
+	if w.start.IsZero() {
+		w.start = now
 	}
-	part := int64(now.Sub(w.begin) / w.part)
-	w.last = max(w.last, part-int64(len(w.spent)))
-	for w.last < part {
-		w.last++
-		w.spent[w.slot(w.last)] = 0
+	slot := int64(now.Sub(w.start) / w.slotLength)
+	w.newest = max(w.newest, slot-int64(len(w.slots)))
+	for w.newest < slot {
+		w.newest++
+		w.slots[w.index(w.newest)] = 0
 	}
 }
