--- a/teams/teams.go
+++ b/teams/teams.go
@@ -1,6 +1,7 @@
-// Package teams finds the team of a request by the key that it carries, on both edges.
+// Package teams identifies the team of a request by its API key. Both HTTP interfaces for callers
+// use it: that of package frontend and that of package platform.
 //
-// A key is never kept, compared, logged or passed on; its digest is.
+// A key is never stored, compared, logged or forwarded. Only its digest is.
 package teams
 
 import (
@@ -13,36 +14,36 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Digest stands for a key.
+// Digest is the SHA-256 digest of an API key.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Index finds a team by the digest of its key. It is immutable.
-type Index struct{ byDigest map[Digest]string }
+// Index maps the digests of API keys to the names of their teams. It is immutable.
+type Index struct{ teamByDigest map[Digest]string }
 
-// NewIndex returns the index of the teams' keys. Two teams must not have a key in common.
+// NewIndex returns the index of the key digests of each team. It fails if two teams share a key.
 func NewIndex(keys map[string][]Digest) (*Index, error) {
-	i := &Index{byDigest: make(map[Digest]string, len(keys))}
+	i := &Index{teamByDigest: make(map[Digest]string, len(keys))}
 	for team, digests := range keys {
 		for _, d := range digests {
-			if other, taken := i.byDigest[d]; taken && other != team {
+			if other, exists := i.teamByDigest[d]; exists && other != team {
 				return nil, errors.Errorf("teams %s and %s have a key in common", min(team, other), max(team, other))
 			}
-			i.byDigest[d] = team
+			i.teamByDigest[d] = team
 		}
 	}
 	return i, nil
 }
 
-// Find returns the team that holds the key of a request's header.
+// Find returns the team whose key a request's header carries.
 func (i *Index) Find(h http.Header) (string, *errkind.Error) {
-	key, err := keyOf(h)
+	key, err := bearerKey(h)
 	if err != nil {
 		return "", err
 	}
-	team, ok := i.byDigest[DigestOf(key)]
+	team, ok := i.teamByDigest[DigestOf(key)]
 	if !ok {
 		return "", errkind.New(errkind.Unauthorized, "the key belongs to no team of the version in force")
 	}
@@ -50,19 +51,19 @@
 }
 
 const (
-	// Header is where callers send their key.
-	Header = "Authorization"
-	scheme = "bearer "
+	// Header is the name of the header in which callers send their API key.
+	Header       = "Authorization"
+	bearerPrefix = "bearer "
 )
 
-// keyOf returns the key that a header carries.
-func keyOf(h http.Header) (string, *errkind.Error) {
+// bearerKey returns the key from the Authorization header, which must use the Bearer scheme.
+func bearerKey(h http.Header) (string, *errkind.Error) {
 	values := h.Values(Header)
 	if len(values) > 1 {
 		return "", errkind.New(errkind.BadRequest, "the header "+Header+" is sent twice")
 	}
-	if len(values) == 0 || len(values[0]) <= len(scheme) || !strings.EqualFold(values[0][:len(scheme)], scheme) {
+	if len(values) == 0 || len(values[0]) <= len(bearerPrefix) || !strings.EqualFold(values[0][:len(bearerPrefix)], bearerPrefix) {
 		return "", errkind.New(errkind.Unauthorized, "send "+Header+": Bearer and a key of the team")
 	}
-	return strings.TrimSpace(values[0][len(scheme):]), nil
+	return strings.TrimSpace(values[0][len(bearerPrefix):]), nil
 }
--- a/teams/teams_test.go
+++ b/teams/teams_test.go
@@ -8,7 +8,8 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Guards against a team that is taken for another one, or a caller that is let in without a key.
+// Guards against identifying a caller as another team, accepting one without a valid key, and
+// including the key in an error.
 func TestFind(t *testing.T) {
 	index, err := NewIndex(map[string][]Digest{
 		"red": {DigestOf("r1"), DigestOf("r2")}, "blue": {DigestOf("b1")}, "none": nil,
@@ -44,10 +45,11 @@
 	}
 }
 
-// Guards against a key that names now one team and now another.
+// Guards against an index in which the team of a key is ambiguous: a key of two teams must be
+// rejected, and one listed twice for the same team accepted.
 func TestTwoTeamsWithOneKey(t *testing.T) {
 	if _, err := NewIndex(map[string][]Digest{"red": {DigestOf("k")}, "blue": {DigestOf("k")}}); err == nil {
-		t.Error("accepted")
+		t.Error("a key shared by two teams was accepted")
 	}
 	if _, err := NewIndex(map[string][]Digest{"red": {DigestOf("k"), DigestOf("k")}}); err != nil {
 		t.Error(err)
