--- a/fleet/content.go
+++ b/fleet/content.go
@@ -2,15 +2,15 @@
 
 import "github.com/corianderturn/corianderturn/bundle"
 
-// The pools of an engine service are named after it and the role.
+// A pool of an engine service is named after the service with the role as suffix.
 const (
 	prefillSuffix = "/prefill"
 	decodeSuffix  = "/decode"
 )
 
-// content describes services, upstreams and routes as a bundle. The platform's
-// store vouches for them, so that nothing of it is signed.
-func (r *Registry) content() *bundle.Bundle {
+// buildBundle converts the services, upstreams and routes to a bundle. The bundle is
+// not signed because its contents come from the platform's store, which is trusted.
+func (r *Registry) buildBundle() *bundle.Bundle {
 	b := &bundle.Bundle{
 		Models:    map[string]bundle.Model{},
 		Pools:     map[string]bundle.Pool{},
@@ -34,12 +34,13 @@
 		}
 	}
 	for name, m := range r.members {
-		b.Upstreams[name] = r.upstream(m)
+		b.Upstreams[name] = r.bundleUpstream(m)
 	}
 	return b
 }
 
-// ClassOf returns the class of a route's requests: each route has its own targets.
+// ClassOf returns the class of a route's requests. Each route has a class of its own
+// because each route has its own latency targets.
 func ClassOf(r Route) bundle.Class { return bundle.Class(r.Name) }
 
 func addService(b *bundle.Bundle, name string, s Service) {
@@ -67,7 +68,7 @@
 	}
 }
 
-func (r *Registry) upstream(m *member) bundle.Upstream {
+func (r *Registry) bundleUpstream(m *member) bundle.Upstream {
 	up := bundle.Upstream{
 		Pool: m.Service, DataCentre: m.DataCentre, Address: m.Address, State: bundle.StateServing, Life: m.Born,
 	}
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -1,9 +1,9 @@
-// Package fleet joins the configuration in force with the upstreams that have
-// registered themselves into what requests are decided on: a table of routes, and
-// a bundle for the board and the policy.
+// Package fleet combines the current configuration with the registered upstreams into
+// the view that requests are routed by: a table of routes, and a bundle for packages
+// board and policy.
 //
-// Registry decides without I/O: events and the time in, an immutable View out.
-// Watcher reads the events from a Store and is the registry's one writer.
+// Registry does no I/O: it consumes events with their time and produces immutable
+// Views. Watcher reads the events from a Store and is the only writer of its Registry.
 package fleet
 
 import (
@@ -13,67 +13,68 @@
 	"github.com/corianderturn/corianderturn/teams"
 )
 
-// Config is one version of the configuration, whole. It is immutable.
+// Config is one complete version of the configuration. It is immutable.
 type Config struct {
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   CallerLimits
-	// Teams are those whose keys are asked for; where there are none, no key is.
+	// Teams are the customers with API keys. If there are none, requests need no key.
 	Teams []Team
 }
 
-// Team is who sends requests.
+// Team is a customer, with its API keys, priority and rate limit.
 type Team struct {
 	Name string
-	// Keys are the digests of its keys.
+	// Keys are the digests of the team's API keys.
 	Keys []teams.Digest
-	// Priority goes before that of a route; nil leaves the route's.
+	// Priority overrides the priority of the route; nil keeps the route's priority.
 	Priority *int
-	// Limit is what it may use, in tokens if Tokens is set, else in requests. PlainTokens is
-	// what a request without a count of tokens counts.
+	// Limit is the team's rate limit, in tokens if Tokens is set, else in requests.
+	// PlainTokens is the number of tokens charged for a request without a token count.
 	Limit       quota.Limit
 	Tokens      bool
 	PlainTokens int
 }
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the retry semantics of a route's requests.
 type Kind uint8
 
-// The kinds. The zero value is the cautious one.
+// The kinds. The zero value is the most restrictive one.
 const (
-	// Once may run at most once for each request.
+	// Once means that a request may be executed at most once.
 	Once Kind = iota
-	// Idempotent may run more than once.
+	// Idempotent means that a request may be executed more than once.
 	Idempotent
-	// Stream answers with a series of events; it may run at most once unless the
-	// route is resumable.
+	// Stream means that the response is a stream of events. A request may be executed
+	// at most once unless the route is resumable.
 	Stream
 )
 
-// Route says how the requests of a host and path prefix are handled.
+// Route defines how requests to a host and path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout bounds the whole answer. FirstTarget and GapTarget are the latency
-	// targets of the first byte or event and of the pause between events; 0 when
-	// there is none.
+	// Timeout bounds the time to the end of the response. FirstTarget is the latency
+	// target of the first byte or event and GapTarget that of the interval between two
+	// events; 0 means no target.
 	Timeout, FirstTarget, GapTarget time.Duration
-	// Priority is the urgency, 0 being the highest.
+	// Priority orders requests; 0 is the highest.
 	Priority int
-	// Targets are the services, of which one is drawn for each request by weight.
+	// Targets are the services of the route. Each request goes to one of them, selected
+	// at random by weight.
 	Targets []Target
-	// MaxSends bounds the upstreams to which one request is sent; at least 1.
+	// MaxSends is the maximum number of upstreams that one request is sent to; at least 1.
 	MaxSends int
-	// Resumable says that another engine may go on with a broken stream.
+	// Resumable means that a broken stream may be continued on another engine.
 	Resumable bool
-	// Public says that its requests need no key.
+	// Public means that requests need no API key.
 	Public bool
 }
 
-// Target is one service of a route.
+// Target is one service of a route with its share of the requests.
 type Target struct {
 	Service string
 	Weight  float64
@@ -82,31 +83,34 @@
 // Service is a set of interchangeable upstreams.
 type Service struct {
 	HealthPath string
-	// MaxConns is how many connections one upstream accepts from all daemons; 0 when
-	// it is not known.
+	// MaxConns is the number of connections that one upstream accepts from all daemons
+	// together; 0 means unknown.
 	MaxConns int
-	// Engine is set for model engines.
+	// Engine describes the model engines; nil for a plain service.
 	Engine *Engine
 }
 
-// Engine describes the engines of one service.
+// Engine describes the model engines of one service, which are all alike.
 type Engine struct {
-	Slots        int
+	// Slots is the number of requests that an engine runs concurrently.
+	Slots int
+	// MemoryTokens is the KV cache capacity of an engine in tokens.
 	MemoryTokens int
 	// TokenBytes is the size of the KV cache for one token.
 	TokenBytes int64
-	// LinkBytesPerSecond is the rate of an engine's KV link; 0 means unlimited.
+	// LinkBytesPerSecond is the bandwidth of an engine's KV transfer link; 0 means
+	// unlimited.
 	LinkBytesPerSecond int64
-	// HandleLife is how long a prefill's result is kept, and MaxHold the longest
-	// reservation of a slot.
+	// HandleLife is how long an engine keeps the KV cache of a finished prefill.
+	// MaxHold is the longest reservation of a slot.
 	HandleLife, MaxHold time.Duration
-	// RoleSwitch is how long an engine is away when it changes its role.
+	// RoleSwitch is how long an engine is unavailable while it changes its role.
 	RoleSwitch time.Duration
-	// EventTokens is how many tokens one event of a stream holds; at least 1.
+	// EventTokens is the number of tokens in one event of a stream; at least 1.
 	EventTokens int
 }
 
-// CallerLimits bound what a caller may send.
+// CallerLimits bounds the size of client requests and the time that clients may take.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -114,20 +118,21 @@
 	IdleTimeout    time.Duration
 }
 
-// Role is what an engine does now.
+// Role is the current role of an upstream.
 type Role uint8
 
 // The roles.
 const (
-	RolePlain Role = iota // no engine
+	RolePlain Role = iota // upstream of a plain service, not an engine
 	RolePrefill
 	RoleDecode
 )
 
-// Registration is what an upstream says of itself. It is comparable.
+// Registration is the record by which an upstream announces itself. It is comparable.
 type Registration struct {
-	// Name is the same in all lives of the upstream, and Born tells them apart: the
-	// milliseconds of its own wall clock at its start, 0 where it does not tell.
+	// Name stays the same when the upstream restarts. Born identifies the incarnation:
+	// the start time by the upstream's own wall clock in Unix milliseconds, or 0 if the
+	// upstream does not report it.
 	Name       string
 	Born       int64
 	Service    string
@@ -138,5 +143,5 @@
 	Draining   bool
 }
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (r Role) String() string { return [...]string{"plain", "prefill", "decode"}[r] }
--- a/fleet/patience.go
+++ b/fleet/patience.go
@@ -6,64 +6,72 @@
 )
 
 const (
-	// patienceWindow is how long the longest deadline of a route is remembered.
-	patienceWindow = 30 * time.Second
-	// returnSlack is how much shorter than the longest a deadline may be on a first
-	// attempt: callers count from before they connect.
-	returnSlack = 40 * time.Millisecond
-	// aloneShare is the least part of a route's requests that must state the longest
-	// deadline for a shorter one to mean a return, and aloneWeight the part of a new
-	// request in that share. Where callers state whatever they like, nothing can be
-	// told: taken for callers who return, half of them were refused as late already.
-	aloneShare  = 0.35
-	aloneWeight = 0.02
-	// fewest is how many requests of a route have to be known: among the first ones of
-	// callers who state whatever they like, many are the longest so far.
-	fewest = 12
+	// deadlineWindow is the length of one window. The longest deadline of a route is
+	// taken over the current window and the previous one.
+	deadlineWindow = 30 * time.Second
+	// firstAttemptTolerance is how much shorter than the longest deadline the deadline
+	// of a first attempt may be: clients start their deadline before they connect.
+	firstAttemptTolerance = 40 * time.Millisecond
+	// minFirstAttemptShare is a precondition for detecting retries: at least this share
+	// of a route's requests must have the longest deadline. Where clients choose their
+	// deadlines freely, the share is lower, and a shorter deadline says nothing about
+	// retries. When such requests counted as retries, half of them were refused because
+	// their first token was expected to be late.
+	minFirstAttemptShare = 0.35
+	// minSampleWeight is the smallest weight of a new request in the moving average of
+	// that share.
+	minSampleWeight = 0.02
+	// minRequests is the number of requests that a route must have had before retries
+	// are detected. The share is too high at first: each of the first requests is likely
+	// to have the longest deadline so far, even where clients choose deadlines freely.
+	minRequests = 12
 )
 
-// Patience tells callers who come back after a refusal by their deadlines. Callers
-// of one route state the same deadline at first, and what is left of it when they
-// come back. It reads no clock and is safe for concurrent use.
+// Patience detects client retries after a refusal from the deadlines of requests. All
+// clients of a route send the same deadline with a first attempt, and the remaining
+// time with a retry. Patience reads no clock and is safe for concurrent use.
 type Patience struct {
 	mu      sync.Mutex
-	byRoute map[string]*longest
+	byRoute map[string]*deadlineStats
 }
 
-// longest is the longest deadline of the present window and of the one before.
-type longest struct {
-	now, before time.Duration
-	since       time.Time
-	// share is the part of the requests that stated it, and seen their number.
-	share float64
-	seen  int
+// deadlineStats holds the deadline statistics of one route.
+type deadlineStats struct {
+	// longest is the longest deadline of the current window, which began at windowStart,
+	// and previousLongest that of the window before.
+	longest, previousLongest time.Duration
+	windowStart              time.Time
+	// firstAttemptShare is a moving average: the share of requests whose deadline is
+	// within firstAttemptTolerance of the longest.
+	firstAttemptShare float64
+	requests          int
 }
 
-// NewPatience returns an empty memory.
-func NewPatience() *Patience { return &Patience{byRoute: map[string]*longest{}} }
+// NewPatience returns a detector without statistics.
+func NewPatience() *Patience { return &Patience{byRoute: map[string]*deadlineStats{}} }
 
-// Waited takes a request's deadline and returns how long its caller has been
-// waiting before; 0 when it asks for the first time.
+// Waited records the deadline of a request and returns how long its client has already
+// waited since its first attempt; 0 for a first attempt.
 func (p *Patience) Waited(now time.Time, route string, deadline time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.byRoute[route]
-	if l == nil {
-		l = &longest{since: now}
-		p.byRoute[route] = l
+	stats := p.byRoute[route]
+	if stats == nil {
+		stats = &deadlineStats{windowStart: now}
+		p.byRoute[route] = stats
 	}
-	if now.Sub(l.since) >= patienceWindow {
-		l.before, l.now, l.since = l.now, 0, now
+	if now.Sub(stats.windowStart) >= deadlineWindow {
+		stats.previousLongest, stats.longest, stats.windowStart = stats.longest, 0, now
 	}
-	l.now = max(l.now, deadline)
-	waited := max(l.now, l.before) - deadline
-	first := 0.0
-	if waited <= returnSlack {
-		first = 1
+	stats.longest = max(stats.longest, deadline)
+	waited := max(stats.longest, stats.previousLongest) - deadline
+	firstAttempt := 0.0
+	if waited <= firstAttemptTolerance {
+		firstAttempt = 1
 	}
-	l.seen++
-	l.share += max(aloneWeight, 1/float64(l.seen)) * (first - l.share)
-	if first == 1 || l.seen < fewest || l.share < aloneShare {
+	stats.requests++
+	stats.firstAttemptShare += max(minSampleWeight, 1/float64(stats.requests)) * (firstAttempt - stats.firstAttemptShare)
+	if firstAttempt == 1 || stats.requests < minRequests || stats.firstAttemptShare < minFirstAttemptShare {
 		return 0
 	}
 	return waited
--- a/fleet/patience_test.go
+++ b/fleet/patience_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Symptom: half of the requests of a route are refused, "the first token would be
-// late", beside idle engines.
-// Sequence: each caller states a deadline of its own.
-// Cause: whoever states less than the longest one was taken for a caller who returns.
+// Guards against refusing half of a route's requests because their first token would be
+// late, while engines are idle. This happened where clients choose their deadlines
+// freely: every deadline below the longest one was taken for a retry.
 func TestDeadlinesThatDifferTellNothing(t *testing.T) {
 	p := NewPatience()
 	taken := 0
@@ -25,7 +24,7 @@
 
 func TestWaited(t *testing.T) {
 	p := NewPatience()
-	for range fewest {
+	for range minRequests {
 		p.Waited(at(0), "drafts", 13*time.Second)
 		p.Waited(at(0), "look-ups", 500*time.Millisecond)
 	}
@@ -36,14 +35,14 @@
 		deadline int
 		want     int
 	}{
-		{0, "drafts", 13900, 0},        // nothing to compare with
+		{0, "drafts", 13900, 0},        // the longest so far
 		{10, "drafts", 14000, 0},       // the longest so far
-		{20, "drafts", 13970, 0},       // within what connecting takes
-		{30, "drafts", 13500, 500},     // back after a refusal
+		{20, "drafts", 13970, 0},       // within firstAttemptTolerance
+		{30, "drafts", 13500, 500},     // a retry
 		{40, "look-ups", 600, 0},       // another route
 		{29000, "drafts", 13000, 1000}, // still the same window
-		{31000, "drafts", 9000, 5000},  // the window before counts
-		{62000, "drafts", 9000, 0},     // callers have become less patient
+		{31000, "drafts", 9000, 5000},  // compared with the previous window
+		{62000, "drafts", 9000, 0},     // the windows with longer deadlines are over
 	} {
 		if got := p.Waited(at(step.at), step.route, ms(step.deadline)); got != ms(step.want) {
 			t.Errorf("at %d ms, %s, deadline %d ms: waited %v, want %d ms", step.at, step.route, step.deadline, got, step.want)
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -9,62 +9,66 @@
 )
 
 const (
-	// lapseGrace is how long registrations that went while the store was away are
-	// believed after its return. The platform states that upstreams that live
-	// register again within about two seconds, and that the others are gone.
-	lapseGrace = 2 * time.Second
-	// massShare is the part of a service's upstreams above which those that go
-	// between two readings are taken to have lapsed together rather than left.
-	// Upstreams leave a few at a time; all leases of a store run out at once.
-	massShare = 0.5
-	// queueShare is how much of its target for the first token a request may wait
-	// for a slot. A caller who is refused by then has most of its target left to come
-	// back in.
+	// reregistrationGrace is how long an upstream stays in use after its registration
+	// expired. By the platform's specification, upstreams that are alive register
+	// again within about two seconds of the end of a store outage, and the others are
+	// gone.
+	reregistrationGrace = 2 * time.Second
+	// massExpiryShare is the share of a service's upstreams above which registrations
+	// that disappear between two reads count as expired leases, not as withdrawals.
+	// Upstreams leave a few at a time, whereas after a failure of the store all leases
+	// expire together.
+	massExpiryShare = 0.5
+	// queueShare is the part of the first token's latency target that a request may
+	// wait for a slot. A client that is refused after that wait has most of the target
+	// left for a retry.
 	queueShare = 0.125
 )
 
-// View is what is in force. It is immutable.
+// View combines the current configuration and upstreams. It is immutable.
 type View struct {
-	// Config is nil before the first configuration was read.
+	// Config is the current configuration; nil until the first one has been read.
 	Config *Config
 	Routes *Table
 	Teams  *Roll
-	// Bundle describes services and upstreams to the board; its number grows with
-	// every view.
+	// Bundle describes services and upstreams for package board. Its number increases
+	// with every view.
 	Bundle *bundle.Version
-	// Members are the upstreams that are believed to exist.
+	// Members are the registered upstreams by name, including those whose registration
+	// has expired while its grace period lasts.
 	Members map[string]Registration
 }
 
-// Registry holds the configuration and the upstreams. It is not safe for
-// concurrent use.
+// Registry holds the current configuration and the registered upstreams. It is not
+// safe for concurrent use.
 type Registry struct {
-	config  *Config
-	routes  *Table
-	teams   *Roll
-	members map[string]*member
-	number  uint64
-	changed bool
-	// touched are the upstreams that changed since the last view.
-	touched map[string]bool
-	last    View
+	config     *Config
+	routes     *Table
+	teams      *Roll
+	members    map[string]*member
+	viewNumber uint64
+	changed    bool
+	// changedUpstreams are the names of the upstreams that changed since the last view.
+	changedUpstreams map[string]bool
+	lastView         View
 }
 
 // member is one registered upstream.
 type member struct {
 	Registration
-	// lapsed is when its registration went while it may live on; zero else.
-	lapsed time.Time
+	// expiredAt is when the registration expired although the upstream may be alive;
+	// zero if it has not expired.
+	expiredAt time.Time
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{members: map[string]*member{}, touched: map[string]bool{}}
+	return &Registry{members: map[string]*member{}, changedUpstreams: map[string]bool{}}
 }
 
-// SetConfig puts a version in force and says whether it was newer than the one
-// before; an older one is ignored, however it came. An error says why a newer one
-// is rejected; the one before stays in force.
+// SetConfig replaces the configuration if c is newer, and returns whether it did. An
+// older version is ignored: records may arrive out of order. An error means that a
+// newer version is invalid; the previous one then stays in force.
 func (r *Registry) SetConfig(c *Config) (newer bool, err error) {
 	if c == nil || r.config != nil && c.Version <= r.config.Version {
 		return false, nil
@@ -77,39 +81,41 @@
 	return true, nil
 }
 
-// Put takes an upstream's registration.
+// Put adds or updates an upstream's registration.
 func (r *Registry) Put(reg Registration) {
 	m := r.members[reg.Name]
 	if m == nil {
 		r.members[reg.Name] = &member{Registration: reg}
-		r.touch(reg.Name)
+		r.markChanged(reg.Name)
 		return
 	}
-	before := m.Registration
-	m.Registration, m.lapsed = reg, time.Time{}
-	if before != reg {
-		r.touch(reg.Name)
+	previous := m.Registration
+	m.Registration, m.expiredAt = reg, time.Time{}
+	if previous != reg {
+		r.markChanged(reg.Name)
 	}
 }
 
-func (r *Registry) touch(name string) {
+func (r *Registry) markChanged(name string) {
 	r.changed = true
-	r.touched[name] = true
+	r.changedUpstreams[name] = true
 }
 
-// Drop takes the news that registrations are gone. Those that went while the store
-// was away, and those of which most of a service goes at once, may only have
-// lapsed; such upstreams stay in use for the grace.
+// Drop handles registrations that have disappeared from the store. afterOutage means
+// that the store was unreachable before they were found missing.
 //
-// What goes wrong: leases run out while upstreams cannot renew them. Every daemon
-// would then refuse all requests, "no upstream", in front of a fleet that is well.
-// A registration that goes after the store's return is one that was withdrawn, and
-// its upstream must get nothing new.
-func (r *Registry) Drop(now time.Time, names []string, away bool) {
-	gone := map[string]int{}
+// Upstreams cannot renew their leases while the store is down. If every registration
+// that disappeared then were removed, all daemons would refuse all requests
+// ("no upstream") although the upstreams are healthy. So registrations that disappeared
+// during an outage, or together with most of their service, count as expired, and their
+// upstreams stay in use for reregistrationGrace. All other registrations that disappear
+// were withdrawn: their upstreams get no new requests. An upstream that was draining is
+// removed in either case.
+func (r *Registry) Drop(now time.Time, names []string, afterOutage bool) {
+	removedByService := map[string]int{}
 	for _, name := range names {
 		if m := r.members[name]; m != nil {
-			gone[m.Service]++
+			removedByService[m.Service]++
 		}
 	}
 	for _, name := range names {
@@ -117,31 +123,32 @@
 		if m == nil {
 			continue
 		}
-		if !m.Draining && (away || r.mass(m.Service, gone[m.Service])) {
-			if m.lapsed.IsZero() {
-				m.lapsed = now
+		if !m.Draining && (afterOutage || r.isMassExpiry(m.Service, removedByService[m.Service])) {
+			if m.expiredAt.IsZero() {
+				m.expiredAt = now
 			}
 			continue
 		}
 		delete(r.members, name)
-		r.touch(name)
+		r.markChanged(name)
 	}
 }
 
-// mass says whether n upstreams are most of a service of more than two.
-func (r *Registry) mass(service string, n int) bool {
-	all := 0
+// isMassExpiry reports whether the loss of n upstreams of a service counts as expired
+// leases: more than two, and more than massExpiryShare of the service.
+func (r *Registry) isMassExpiry(service string, n int) bool {
+	total := 0
 	for _, m := range r.members {
 		if m.Service == service {
-			all++
+			total++
 		}
 	}
-	return n > 2 && float64(n) > massShare*float64(all)
+	return n > 2 && float64(n) > massExpiryShare*float64(total)
 }
 
-// Replace takes a complete list of registrations; away says that the store was not
-// reached before.
-func (r *Registry) Replace(now time.Time, list []Registration, away bool) {
+// Replace applies a complete list of registrations. Those that are not in it are
+// dropped as Drop describes.
+func (r *Registry) Replace(now time.Time, list []Registration, afterOutage bool) {
 	listed := make(map[string]bool, len(list))
 	for _, reg := range list {
 		listed[reg.Name] = true
@@ -153,70 +160,71 @@
 			missing = append(missing, name)
 		}
 	}
-	r.Drop(now, missing, away)
+	r.Drop(now, missing, afterOutage)
 }
 
-// Expire drops what lapsed and did not come back, and returns when it is due again;
-// zero when nothing has lapsed.
+// Expire removes expired upstreams that did not register again within
+// reregistrationGrace. It returns when the next grace period ends; zero if none is
+// running.
 func (r *Registry) Expire(now time.Time) (next time.Time) {
 	for name, m := range r.members {
-		if m.lapsed.IsZero() {
+		if m.expiredAt.IsZero() {
 			continue
 		}
-		ends := m.lapsed.Add(lapseGrace)
-		if !now.Before(ends) {
+		graceEnd := m.expiredAt.Add(reregistrationGrace)
+		if !now.Before(graceEnd) {
 			delete(r.members, name)
-			r.touch(name)
-		} else if next.IsZero() || ends.Before(next) {
-			next = ends
+			r.markChanged(name)
+		} else if next.IsZero() || graceEnd.Before(next) {
+			next = graceEnd
 		}
 	}
 	return next
 }
 
-// View returns what is in force when that has changed since the last call. Where the
-// configuration is the same, it costs what copying the upstreams does, and says which of
-// them changed.
+// View returns a new view, or false if nothing has changed since the last call. While
+// the configuration stays the same, it copies the upstreams of the last view and
+// rebuilds only those that changed; the bundle then lists them in Changes.
 func (r *Registry) View() (View, bool) {
 	if !r.changed {
 		return View{}, false
 	}
 	r.changed = false
-	r.number++
-	if r.last.Bundle != nil && r.last.Config == r.config {
-		r.last = r.next()
+	r.viewNumber++
+	if r.lastView.Bundle != nil && r.lastView.Config == r.config {
+		r.lastView = r.incrementalView()
 	} else {
-		r.last = r.whole()
+		r.lastView = r.fullView()
 	}
-	clear(r.touched)
-	return r.last, true
+	clear(r.changedUpstreams)
+	return r.lastView, true
 }
 
-// whole builds a view of everything.
-func (r *Registry) whole() View {
+// fullView builds a view from the complete state of the registry.
+func (r *Registry) fullView() View {
 	v := View{Config: r.config, Routes: r.routes, Teams: r.teams, Members: make(map[string]Registration, len(r.members))}
 	for name, m := range r.members {
 		v.Members[name] = m.Registration
 	}
-	v.Bundle = &bundle.Version{Bundle: r.content(), Number: r.number}
+	v.Bundle = &bundle.Version{Bundle: r.buildBundle(), Number: r.viewNumber}
 	return v
 }
 
-// next builds a view from the last one and what was touched since.
-func (r *Registry) next() View {
-	v, content := r.last, *r.last.Bundle.Bundle
+// incrementalView builds a view from the last one and the upstreams changed since.
+func (r *Registry) incrementalView() View {
+	v, content := r.lastView, *r.lastView.Bundle.Bundle
 	v.Members, content.Upstreams = maps.Clone(v.Members), maps.Clone(content.Upstreams)
-	for name := range r.touched {
+	for name := range r.changedUpstreams {
 		if m := r.members[name]; m != nil {
-			v.Members[name], content.Upstreams[name] = m.Registration, r.upstream(m)
+			v.Members[name], content.Upstreams[name] = m.Registration, r.bundleUpstream(m)
 			continue
 		}
 		delete(v.Members, name)
 		delete(content.Upstreams, name)
 	}
 	v.Bundle = &bundle.Version{
-		Bundle: &content, Number: r.number,
-		Changes: &bundle.Changes{Since: r.last.Bundle.Number, Upstreams: slices.Sorted(maps.Keys(r.touched))},
+		Bundle: &content, Number: r.viewNumber,
+		Changes: &bundle.Changes{Since: r.lastView.Bundle.Number, Upstreams: slices.Sorted(maps.Keys(r.changedUpstreams))},
 	}
 	return v
 }
--- a/fleet/registry_test.go
+++ b/fleet/registry_test.go
@@ -15,7 +15,7 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// testConfig is a version with one engine service and one plain service.
+// testConfig returns a configuration with one engine service and one plain service.
 func testConfig(version uint64) *Config {
 	return &Config{
 		Version: version,
@@ -30,11 +30,11 @@
 	}
 }
 
-func app(name string) Registration {
+func appRegistration(name string) Registration {
 	return Registration{Name: name, Service: "app", Address: name + ":1", DataCentre: "dc1"}
 }
 
-func registryOf(regs ...Registration) *Registry {
+func newTestRegistry(regs ...Registration) *Registry {
 	r := NewRegistry()
 	_, _ = r.SetConfig(testConfig(3))
 	for _, reg := range regs {
@@ -43,8 +43,8 @@
 	return r
 }
 
-// serving returns the names of the upstreams that may take new work.
-func serving(t *testing.T, r *Registry) map[string]bool {
+// servingUpstreams returns the names of the upstreams that may get new requests.
+func servingUpstreams(t *testing.T, r *Registry) map[string]bool {
 	t.Helper()
 	r.changed = true
 	v, ok := r.View()
@@ -60,9 +60,8 @@
 	return out
 }
 
-// Symptom: requests of a dropped route are answered again after a while.
-// Sequence: version 5 is read, then an older record of the feed arrives late.
-// Cause: the registry took whatever came last.
+// Guards against serving a deleted route again because an older version of the
+// configuration arrived after a newer one and replaced it.
 func TestConfigNeverGoesBack(t *testing.T) {
 	r := NewRegistry()
 	for _, step := range []struct {
@@ -78,66 +77,63 @@
 	}
 }
 
-// Symptom: a leaving upstream gets new requests for seconds.
-// Sequence: it reports that it drains, or its registration is withdrawn, while the
-// store is well.
-// Cause: a grace meant for outages.
+// Guards against sending new requests for seconds to an upstream that reported that it
+// is draining, or that withdrew its registration, while the store is reachable. The
+// grace period applies after outages only.
 func TestLeavingUpstreamIsLeftOutAtOnce(t *testing.T) {
-	r := registryOf(app("a"), app("b"), app("c"), app("d"))
-	draining := app("a")
+	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"), appRegistration("d"))
+	draining := appRegistration("a")
 	draining.Draining = true
 	r.Put(draining)
 	r.Drop(at(0), []string{"b"}, false)
 	want := map[string]bool{"c": true, "d": true}
-	if diff := cmp.Diff(want, serving(t, r)); diff != "" {
+	if diff := cmp.Diff(want, servingUpstreams(t, r)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Symptom: every request is refused, no-upstream, in front of replicas that are well.
-// Sequence: the store is away, leases run out, and the first reading after its
-// return shows no registration; two seconds later they are back, all but one.
-// Cause: a lapse taken for a withdrawal.
+// Guards against refusing every request ("no-upstream") although the upstreams are
+// healthy. While the store is down, leases expire, and the first read after the outage
+// returns no registration. Two seconds later all but one have registered again.
 func TestLapsedUpstreamsStayForTheGrace(t *testing.T) {
-	r := registryOf(app("a"), app("b"))
+	r := newTestRegistry(appRegistration("a"), appRegistration("b"))
 	r.Replace(at(0), nil, true)
-	if got := serving(t, r); len(got) != 2 {
-		t.Fatalf("right after the return: %v", got)
+	if got := servingUpstreams(t, r); len(got) != 2 {
+		t.Fatalf("serving right after the outage: %v, want 2 upstreams", got)
 	}
-	r.Put(app("a"))
+	r.Put(appRegistration("a"))
 	if next := r.Expire(at(1000)); next != at(2000) {
-		t.Errorf("expiry at %v", next)
+		t.Errorf("next expiry at %v, want 2 s after the outage", next)
 	}
 	r.Expire(at(2000))
-	if diff := cmp.Diff(map[string]bool{"a": true}, serving(t, r)); diff != "" {
+	if diff := cmp.Diff(map[string]bool{"a": true}, servingUpstreams(t, r)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Symptom: a replica that had left got a request 2.2 s later.
-// Sequence: the store was away for one daemon; a second after its return a
-// registration is withdrawn.
-// Cause: the grace was counted from the return, for whatever went after it too.
+// Guards against sending a request to an upstream 2.2 s after it withdrew its
+// registration. The store had been unreachable for one daemon, and the grace period also
+// covered registrations withdrawn after the outage.
 func TestWithdrawalAfterTheReturnHasNoGrace(t *testing.T) {
-	r := registryOf(app("a"), app("b"), app("c"))
-	r.Replace(at(0), []Registration{app("a"), app("b"), app("c")}, true)
+	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"))
+	r.Replace(at(0), []Registration{appRegistration("a"), appRegistration("b"), appRegistration("c")}, true)
 	r.Drop(at(1000), []string{"b"}, false)
-	if serving(t, r)["b"] {
-		t.Error("b still gets work")
+	if servingUpstreams(t, r)["b"] {
+		t.Error("b still gets new requests")
 	}
 }
 
-// Symptom: as in TestLapsedUpstreamsStayForTheGrace, with no outage to be seen.
-// Sequence: the store drops all leases at once while this daemon reads it.
-// Cause: nothing told a lapse of most of a service from replicas leaving one by one.
+// Guards against the failure of TestLapsedUpstreamsStayForTheGrace when the daemon sees
+// no outage: the store loses all leases at once while the daemon can read it. The loss
+// of most of a service must not be handled like upstreams that leave one by one.
 func TestMassLossIsALapse(t *testing.T) {
-	r := registryOf(app("a"), app("b"), app("c"), app("d"))
+	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"), appRegistration("d"))
 	r.Drop(at(0), []string{"a", "b", "c"}, false)
-	if got := serving(t, r); len(got) != 4 {
-		t.Errorf("serving %v", got)
+	if got := servingUpstreams(t, r); len(got) != 4 {
+		t.Errorf("serving %v, want 4 upstreams", got)
 	}
 	r.Expire(at(2000))
-	if diff := cmp.Diff(map[string]bool{"d": true}, serving(t, r)); diff != "" {
+	if diff := cmp.Diff(map[string]bool{"d": true}, servingUpstreams(t, r)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -145,7 +141,7 @@
 func TestContent(t *testing.T) {
 	prefill := Registration{Name: "p", Service: "llm", Address: "p:1", DataCentre: "dc1", Role: RolePrefill}
 	decode := Registration{Name: "d", Service: "llm", Address: "d:1", DataCentre: "dc1", Role: RoleDecode}
-	r := registryOf(prefill, decode, app("a"))
+	r := newTestRegistry(prefill, decode, appRegistration("a"))
 	v, ok := r.View()
 	if !ok {
 		t.Fatal("no view")
@@ -162,25 +158,24 @@
 		t.Errorf("class %+v", got)
 	}
 	if !b.Pools["app"].Queues {
-		t.Error("plain services queue by themselves")
+		t.Error("the pool of a plain service must have Queues set")
 	}
 	if _, again := r.View(); again {
-		t.Error("a view without a change")
+		t.Error("got a new view although nothing changed")
 	}
-	turned := decode
-	turned.Role = RolePrefill
-	r.Put(turned)
+	switched := decode
+	switched.Role = RolePrefill
+	r.Put(switched)
 	if v, ok = r.View(); !ok || v.Bundle.Bundle.Upstreams["d"].Pool != model.PrefillPool {
-		t.Error("a change of role is not in the view")
+		t.Error("the change of role is missing from the view")
 	}
 	if v.Bundle.Number != 2 {
-		t.Errorf("view %d, want the second", v.Bundle.Number)
+		t.Errorf("view number %d, want 2", v.Bundle.Number)
 	}
 }
 
-// Symptom: a daemon routes by registrations that are no more.
-// Cause: a view that was made from the one before and its changes, and differs from one
-// that is made of everything.
+// Guards against routing by registrations that no longer exist: an incremental view must
+// equal a view that is built from the complete state.
 func TestViewsMadeOfChangesAreWhole(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := NewRegistry()
@@ -198,12 +193,12 @@
 		default:
 			r.Put(Registration{Name: name, Service: "s", Address: fmt.Sprint(rng.IntN(3)), Draining: rng.IntN(4) == 0})
 		}
-		before := r.last
+		before := r.lastView
 		v, ok := r.View()
 		if !ok {
 			continue
 		}
-		want := r.whole()
+		want := r.fullView()
 		if d := cmp.Diff(want.Members, v.Members); d != "" {
 			t.Fatalf("step %d: %s", i, d)
 		}
@@ -211,7 +206,7 @@
 			t.Fatalf("step %d: %s", i, d)
 		}
 		if c := v.Bundle.Changes; c != nil && c.Since != before.Bundle.Number {
-			t.Fatalf("step %d: changes since %d, the view before is %d", i, c.Since, before.Bundle.Number)
+			t.Fatalf("step %d: changes since view %d, want since view %d", i, c.Since, before.Bundle.Number)
 		}
 	}
 }
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Table finds routes. It is immutable.
+// Table looks up routes by host and path. It is immutable.
 type Table struct {
 	byHost map[string][]Route
 }
 
-// NewTable returns the table of routes.
+// NewTable returns a table of the given routes.
 func NewTable(routes []Route) *Table {
 	t := &Table{byHost: map[string][]Route{}}
 	for _, r := range routes {
@@ -23,8 +23,8 @@
 	return t
 }
 
-// Match returns the route of a host whose prefix is the longest that begins the
-// path. The host may carry a port.
+// Match returns the route of a host with the longest prefix of the path. The port of
+// the host, if any, is ignored.
 func (t *Table) Match(host, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[host] {
@@ -35,8 +35,9 @@
 	return Route{}, false
 }
 
-// Pick returns the service for one request; draw is uniform from 0 to 1. Services
-// without a weight get nothing unless no service has one.
+// Pick selects the service for one request by weight; draw is a random number, uniform
+// in [0, 1). Services without a positive weight get no requests. If no service has a
+// positive weight, the first one gets them all.
 func (r Route) Pick(draw float64) string {
 	if len(r.Targets) == 0 {
 		return ""
@@ -45,15 +46,15 @@
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
 	}
-	at := draw * total
+	remaining := draw * total
 	for _, t := range r.Targets {
 		if t.Weight <= 0 {
 			continue
 		}
-		if at < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		remaining -= t.Weight
 	}
 	return r.Targets[0].Service
 }
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -12,7 +12,7 @@
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "long"},
 		{"a.example:8080", "/x/z", "short"},
-		{"A.EXAMPLE", "/x", "all"}, // a prefix ends with a slash
+		{"A.EXAMPLE", "/x", "all"}, // does not match the prefix "/x/"
 		{"b.example", "/x/", "other"},
 		{"b.example", "/y/", ""},
 		{"c.example", "/x/", ""},
--- a/fleet/teams.go
+++ b/fleet/teams.go
@@ -8,31 +8,31 @@
 	"github.com/corianderturn/corianderturn/teams"
 )
 
-// maxUnits bounds what a limit may say, in units a second: far beyond any fleet, and small
-// enough that sums of it are exact.
+// maxUnits is the largest number accepted in a team's limit: units per second, units of
+// burst or tokens per request. It is far beyond any real limit, and small enough that
+// sums of such numbers are exact in float64.
 const maxUnits = 1e15
 
-// Roll finds the teams of a configuration. It is immutable.
+// Roll looks up the teams of a configuration by key and by name. It is immutable.
 type Roll struct {
 	index  *teams.Index
 	byName map[string]Team
 }
 
-// NewRoll returns the teams of a configuration by key and name; an error says why the
-// configuration cannot be put in force.
+// NewRoll builds the lookup of the given teams. It returns an error if they are invalid.
 //
-// What goes wrong without the checks: a key names now one team and now another, or a limit
-// below zero or of no number refuses all of a team's requests, or none.
+// Without the checks, a key that two teams share would identify one of them at random,
+// and a negative or NaN limit would refuse all requests of a team, or none.
 func NewRoll(list []Team) (*Roll, error) {
 	r := &Roll{byName: make(map[string]Team, len(list))}
 	keys := make(map[string][]teams.Digest, len(list))
 	for _, t := range list {
-		if _, twice := r.byName[t.Name]; t.Name == "" || twice {
-			return nil, errors.Errorf("a team has no name, or that of another one: %q", t.Name)
+		if _, duplicate := r.byName[t.Name]; t.Name == "" || duplicate {
+			return nil, errors.Errorf("empty or duplicate team name %q", t.Name)
 		}
 		for _, n := range []float64{t.Limit.Rate, t.Limit.Burst, float64(t.PlainTokens)} {
 			if !(n >= 0 && n <= maxUnits) || math.IsNaN(n) {
-				return nil, errors.Errorf("team %s has a limit of %v", t.Name, n)
+				return nil, errors.Errorf("team %s: limit %v is negative, too large or not a number", t.Name, n)
 			}
 		}
 		r.byName[t.Name], keys[t.Name] = t, t.Keys
@@ -42,14 +42,14 @@
 	return r, err
 }
 
-// Index returns the teams by their keys.
+// Index returns the lookup of teams by key.
 func (r *Roll) Index() *teams.Index { return r.index }
 
-// Team returns a team by its name.
+// Team returns the team of the given name.
 func (r *Roll) Team(name string) (Team, bool) {
 	t, ok := r.byName[name]
 	return t, ok
 }
 
-// Empty says that the configuration has no teams, and that no key is asked for.
+// Empty reports whether the configuration has no teams, so that requests need no key.
 func (r *Roll) Empty() bool { return len(r.byName) == 0 }
--- a/fleet/teams_test.go
+++ b/fleet/teams_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderturn/corianderturn/teams"
 )
 
-// Guards against a version that contradicts itself and takes the place of one that holds.
+// Guards against replacing a valid configuration by one with invalid teams.
 func TestVersionsThatContradictThemselves(t *testing.T) {
 	key := []teams.Digest{teams.DigestOf("k")}
 	good := []Team{{Name: "red", Keys: key, Limit: quota.Limit{Rate: 5}}, {Name: "blue"}}
@@ -33,9 +33,9 @@
 	}
 	v, _ := r.View()
 	if team, err := v.Teams.Index().Find(http.Header{teams.Header: {"Bearer k"}}); team != "red" || err != nil {
-		t.Errorf("the version before is not in force: %q, %v", team, err)
+		t.Errorf("the previous version is not in force: %q, %v", team, err)
 	}
 	if _, known := v.Teams.Team("blue"); !known || v.Teams.Empty() {
-		t.Error("a team without keys is not known")
+		t.Error("the team without keys is not found")
 	}
 }
--- a/fleet/watcher.go
+++ b/fleet/watcher.go
@@ -15,10 +15,10 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// ErrTrimmed says that the records from an offset on are not kept any more.
-var ErrTrimmed = errors.New("the store has dropped the records asked for")
+// ErrTrimmed means that the store no longer keeps the records at the requested offset.
+var ErrTrimmed = errors.New("the requested records have been trimmed from the store")
 
-// Feed names one of the store's feeds.
+// Feed identifies one of the store's feeds, which are logs of keyed records.
 type Feed uint8
 
 // The feeds.
@@ -29,48 +29,52 @@
 	FeedUpstreams
 )
 
-// String returns the word used in logs.
+// String returns the name used in logs.
 func (f Feed) String() string { return [...]string{"config", "upstreams"}[f] }
 
-// Change is one record of a feed; one field is set.
+// Change is one record of a feed. Exactly one field is set.
 type Change struct {
+	// Config is a new version of the configuration.
 	Config *Config
-	Put    *Registration
-	Gone   string
+	// Put is a new or updated registration.
+	Put *Registration
+	// Gone is the name of an upstream whose registration was removed.
+	Gone string
 }
 
-// Batch is what one call to the store returned.
+// Batch is the result of one call to the store.
 type Batch struct {
 	Changes []Change
-	// Next is the offset to read from next.
+	// Next is the offset of the next read.
 	Next uint64
-	// Away says that the store was not reached before this call.
+	// Away means that the store was unreachable before this call.
 	Away bool
-	// Whole says that Changes are the newest records of all keys, and that what is not
-	// among them is gone.
+	// Whole means that Changes is a snapshot with the newest record of every key; keys
+	// that are not in it have been removed.
 	Whole bool
 }
 
 // Store reads the feeds. Implementations are safe for concurrent use.
 type Store interface {
-	// Newest returns the newest record of every key and the offset from which on
-	// later ones stand.
+	// Newest returns a snapshot, with the newest record of every key, and the offset
+	// after it.
 	Newest(ctx context.Context, f Feed) (Batch, error)
-	// Read returns the records from an offset on, or all newest ones; it waits up to wait
-	// for the first. It returns ErrTrimmed when records are missing.
+	// Read returns the records from an offset on, or a snapshot instead (Batch.Whole). It
+	// waits up to wait for the first record. It returns ErrTrimmed if the store no longer
+	// keeps the record at the offset.
 	Read(ctx context.Context, f Feed, from uint64, wait time.Duration) (Batch, error)
 }
 
-// Intervals are how often the store is asked.
+// Intervals holds the timing of calls to the store.
 type Intervals struct {
-	// Wait is how long the store holds a reading while there is nothing new. A
-	// connection that went silent is noticed after it.
+	// Wait is how long the store may hold a read open until there is a new record (long
+	// polling). It also bounds how long a dead connection goes unnoticed.
 	Wait time.Duration
-	// Retry is the pause after a failed call.
+	// Retry is the delay after a failed call.
 	Retry time.Duration
 }
 
-// Bounded is a Store whose calls are over within Timeout and their wait.
+// Bounded is a Store with a timeout on each call. A Read may also take its wait.
 type Bounded struct {
 	Store   Store
 	Timeout time.Duration
@@ -90,90 +94,92 @@
 	return b.Store.Read(ctx, f, from, wait)
 }
 
-// Options wire a Watcher.
+// Options configures a Watcher.
 type Options struct {
 	Store     Store
 	Intervals Intervals
-	// Apply is told of each new view, in order, by one goroutine at a time.
+	// Apply is called with each new view, in order and never concurrently.
 	Apply  func(now time.Time, v View)
 	Logger log.Interface
 	Now    func() time.Time
 }
 
-// Watcher keeps the view up to date. It is a supervise.Service.
+// Watcher reads both feeds of a store and keeps the view up to date. It is a
+// supervise.Service.
 type Watcher struct {
-	o      Options
-	expiry *time.Timer
-	view   atomic.Pointer[View]
+	options     Options
+	expiryTimer *time.Timer
+	view        atomic.Pointer[View]
 
 	mu       sync.Mutex // guards the fields below
 	registry *Registry
-	read     [2]bool
-	failing  [2]bool
+	loaded   [2]bool // by feed: at least one read has succeeded
+	failing  [2]bool // by feed: the last read failed
 }
 
-// NewWatcher returns a watcher that has read nothing yet.
+// NewWatcher returns a watcher. It reads nothing before Run.
 func NewWatcher(o Options) *Watcher {
-	w := &Watcher{o: o, registry: NewRegistry(), expiry: time.NewTimer(0)}
-	w.expiry.Stop()
+	w := &Watcher{options: o, registry: NewRegistry(), expiryTimer: time.NewTimer(0)}
+	w.expiryTimer.Stop()
 	return w
 }
 
 // Name implements supervise.Service.
 func (w *Watcher) Name() string { return "fleet" }
 
-// View returns what is in force, or nil before the first reading.
+// View returns the current view, or nil before the first one.
 func (w *Watcher) View() *View { return w.view.Load() }
 
-// Ready says whether both feeds were read and a configuration is in force.
+// Ready reports whether both feeds have been read and a configuration is in force.
 func (w *Watcher) Ready() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.read[FeedConfig] && w.read[FeedUpstreams] && w.registry.config != nil
+	return w.loaded[FeedConfig] && w.loaded[FeedUpstreams] && w.registry.config != nil
 }
 
 // Run implements supervise.Service.
 func (w *Watcher) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { w.follow(ctx, FeedConfig) })
-	wg.Go(func() { w.expire(ctx) })
-	w.follow(ctx, FeedUpstreams)
+	wg.Go(func() { w.followFeed(ctx, FeedConfig) })
+	wg.Go(func() { w.runExpiry(ctx) })
+	w.followFeed(ctx, FeedUpstreams)
 	return nil
 }
 
-// follow reads one feed until ctx ends: first whole, then from where it stands.
-func (w *Watcher) follow(ctx context.Context, f Feed) {
-	next, whole := uint64(0), true
+// followFeed reads one feed until ctx ends: first a snapshot, then the records after it,
+// and a snapshot again if the next records have been trimmed.
+func (w *Watcher) followFeed(ctx context.Context, f Feed) {
+	next, needSnapshot := uint64(0), true
 	for ctx.Err() == nil {
-		batch, err := w.ask(ctx, f, next, whole)
+		batch, err := w.readFeed(ctx, f, next, needSnapshot)
 		switch {
 		case err == nil:
-			w.take(f, batch, whole || batch.Whole)
-			next, whole = batch.Next, false
+			w.applyBatch(f, batch, needSnapshot || batch.Whole)
+			next, needSnapshot = batch.Next, false
 		case errors.Is(err, ErrTrimmed):
-			whole = true
+			needSnapshot = true
 		default:
 			if ctx.Err() != nil {
 				return
 			}
-			w.failed(f, err)
-			if !clock.Sleep(ctx, w.o.Intervals.Retry) {
+			w.recordFailure(f, err)
+			if !clock.Sleep(ctx, w.options.Intervals.Retry) {
 				return
 			}
 		}
 	}
 }
 
-// expire drops what lapsed as soon as its grace is over.
-func (w *Watcher) expire(ctx context.Context) {
+// runExpiry removes expired upstreams as soon as their grace period is over.
+func (w *Watcher) runExpiry(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.expiry.C:
+		case <-w.expiryTimer.C:
 			w.mu.Lock()
-			w.settle(w.o.Now())
+			w.expireAndPublish(w.options.Now())
 			w.mu.Unlock()
 		}
 	}
@@ -185,102 +191,104 @@
 	return w.failing[f]
 }
 
-func (w *Watcher) ask(ctx context.Context, f Feed, from uint64, whole bool) (Batch, error) {
-	wait := w.o.Intervals.Wait
+func (w *Watcher) readFeed(ctx context.Context, f Feed, from uint64, snapshot bool) (Batch, error) {
+	wait := w.options.Intervals.Wait
 	if w.isFailing(f) {
-		// What the first reading after an outage shows as gone may only have lapsed. One
-		// that waits would show what is withdrawn long after the return among it.
+		// Registrations that the first read after an outage reports as removed count as
+		// expired. A read that waits could also report registrations that were withdrawn
+		// long after the outage, and these would count as expired too.
 		wait = 0
 	}
-	if whole {
-		return w.o.Store.Newest(ctx, f)
+	if snapshot {
+		return w.options.Store.Newest(ctx, f)
 	}
-	return w.o.Store.Read(ctx, f, from, wait)
+	return w.options.Store.Read(ctx, f, from, wait)
 }
 
-// take applies a batch and publishes the view that it leads to.
-func (w *Watcher) take(f Feed, b Batch, whole bool) {
-	now := w.o.Now()
+// applyBatch applies a batch to the registry and publishes the new view.
+func (w *Watcher) applyBatch(f Feed, b Batch, snapshot bool) {
+	now := w.options.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	away := w.failing[f] || b.Away
+	afterOutage := w.failing[f] || b.Away
 	if w.failing[f] {
 		w.failing[f] = false
-		w.o.Logger.WithField("feed", f.String()).Info("store reached again")
+		w.options.Logger.WithField("feed", f.String()).Info("store reachable again")
 	}
-	w.read[f] = true
+	w.loaded[f] = true
 	if f == FeedConfig {
-		w.takeConfig(b)
+		w.applyConfig(b)
 	} else {
-		w.takeUpstreams(now, b, whole, away)
+		w.applyRegistrations(now, b, snapshot, afterOutage)
 	}
-	w.settle(now)
+	w.expireAndPublish(now)
 }
 
-// settle drops what lapsed, publishes the view and sets the timer for what lapses
-// next; w.mu is held.
-func (w *Watcher) settle(now time.Time) {
+// expireAndPublish removes upstreams whose grace period is over, sets the timer for the
+// next end of a grace period and publishes the view. The caller holds w.mu.
+func (w *Watcher) expireAndPublish(now time.Time) {
 	if next := w.registry.Expire(now); !next.IsZero() {
-		w.expiry.Reset(next.Sub(now))
+		w.expiryTimer.Reset(next.Sub(now))
 	}
 	w.publish(now)
 }
 
-func (w *Watcher) takeConfig(b Batch) {
+func (w *Watcher) applyConfig(b Batch) {
 	for _, c := range b.Changes {
 		if c.Config == nil {
 			continue
 		}
-		line := w.o.Logger.WithFields(log.Fields{"version": c.Config.Version, "routes": len(c.Config.Routes), "teams": len(c.Config.Teams)})
+		logger := w.options.Logger.WithFields(log.Fields{"version": c.Config.Version, "routes": len(c.Config.Routes), "teams": len(c.Config.Teams)})
 		switch newer, err := w.registry.SetConfig(c.Config); {
 		case err != nil:
-			line.WithError(err).Error("configuration rejected: the one before stays in force")
+			logger.WithError(err).Error("configuration rejected: the previous one stays in force")
 		case newer:
-			line.Info("configuration in force")
+			logger.Info("configuration in force")
 		}
 	}
 }
 
-func (w *Watcher) takeUpstreams(now time.Time, b Batch, whole, away bool) {
-	if whole {
+func (w *Watcher) applyRegistrations(now time.Time, b Batch, snapshot, afterOutage bool) {
+	if snapshot {
 		list := make([]Registration, 0, len(b.Changes))
 		for _, c := range b.Changes {
 			if c.Put != nil {
 				list = append(list, *c.Put)
 			}
 		}
-		w.registry.Replace(now, list, away)
+		w.registry.Replace(now, list, afterOutage)
 		return
 	}
-	gone := map[string]bool{} // by the last record of each name
+	removed := map[string]bool{} // names whose last record in the batch is a removal
 	for _, c := range b.Changes {
 		switch {
 		case c.Put != nil:
 			w.registry.Put(*c.Put)
-			delete(gone, c.Put.Name)
+			delete(removed, c.Put.Name)
 		case c.Gone != "":
-			gone[c.Gone] = true
+			removed[c.Gone] = true
 		}
 	}
-	w.registry.Drop(now, slices.Sorted(maps.Keys(gone)), away)
+	w.registry.Drop(now, slices.Sorted(maps.Keys(removed)), afterOutage)
 }
 
-// publish swaps the new view in; w.mu is held.
+// publish stores the new view, if there is one, and passes it to Apply. The caller holds
+// w.mu.
 func (w *Watcher) publish(now time.Time) {
 	v, changed := w.registry.View()
 	if !changed {
 		return
 	}
 	w.view.Store(&v)
-	w.o.Apply(now, v)
-	w.o.Logger.WithFields(log.Fields{"view": v.Bundle.Number, "upstreams": len(v.Members)}).Info("view in force")
+	w.options.Apply(now, v)
+	w.options.Logger.WithFields(log.Fields{"view": v.Bundle.Number, "upstreams": len(v.Members)}).Info("view updated")
 }
 
-func (w *Watcher) failed(f Feed, err error) {
+func (w *Watcher) recordFailure(f Feed, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.failing[f] {
 		w.failing[f] = true
-		w.o.Logger.WithField("feed", f.String()).WithError(err).Warn("store not reached")
+		w.options.Logger.WithField("feed", f.String()).WithError(err).Warn("store unreachable")
 	}
 }
--- a/fleet/watcher_test.go
+++ b/fleet/watcher_test.go
@@ -16,18 +16,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeStore holds two feeds in memory. Each change wakes waiting readers.
+// fakeStore is an in-memory Store. Each update wakes waiting readers.
 type fakeStore struct {
-	mu      sync.Mutex
-	feeds   [2][]Change
-	first   [2]uint64 // offset of the first record that is kept
-	down    bool
-	changed chan struct{}
+	mu        sync.Mutex
+	feeds     [2][]Change
+	firstKept [2]uint64 // by feed: offset of the first record that is not trimmed
+	down      bool
+	changed   chan struct{}
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{changed: make(chan struct{})} }
 
-func (s *fakeStore) change(fn func()) {
+func (s *fakeStore) update(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn()
@@ -36,7 +36,7 @@
 }
 
 func (s *fakeStore) add(f Feed, c Change) {
-	s.change(func() { s.feeds[f] = append(s.feeds[f], c) })
+	s.update(func() { s.feeds[f] = append(s.feeds[f], c) })
 }
 
 var errDown = errors.New("the store is down")
@@ -47,7 +47,7 @@
 	if s.down {
 		return Batch{}, errDown
 	}
-	// The records in order end in the newest of each key; Gone ones are left out.
+	// The newest record of each key; removed keys are left out.
 	last := map[string]Change{}
 	for _, c := range s.feeds[f] {
 		switch {
@@ -74,7 +74,7 @@
 		case s.down:
 			s.mu.Unlock()
 			return Batch{}, errDown
-		case from < s.first[f]:
+		case from < s.firstKept[f]:
 			s.mu.Unlock()
 			return Batch{}, ErrTrimmed
 		case from < b.Next:
@@ -94,8 +94,9 @@
 	}
 }
 
-// watch runs a watcher over s; what returns views as they come into force.
-func watch(t *testing.T, s *fakeStore) (w *Watcher, views <-chan View) {
+// startWatcher runs a watcher of s until the test ends, and returns it with the channel
+// of the views that it publishes.
+func startWatcher(t *testing.T, s *fakeStore) (w *Watcher, views <-chan View) {
 	t.Helper()
 	out := make(chan View, 64)
 	w = NewWatcher(Options{
@@ -117,8 +118,8 @@
 	return w, out
 }
 
-// until waits for a view that ok accepts.
-func until(t *testing.T, views <-chan View, ok func(View) bool) View {
+// waitForView returns the first view that ok accepts.
+func waitForView(t *testing.T, views <-chan View, ok func(View) bool) View {
 	t.Helper()
 	const bound = 20 * time.Second
 	limit := time.After(bound)
@@ -134,81 +135,80 @@
 	}
 }
 
-func version(n uint64) func(View) bool {
+func hasVersion(n uint64) func(View) bool {
 	return func(v View) bool { return v.Config != nil && v.Config.Version == n }
 }
 
 func TestWatcherFollowsBothFeeds(t *testing.T) {
 	s := newFakeStore()
 	s.add(FeedConfig, Change{Config: testConfig(3)})
-	w, views := watch(t, s)
-	until(t, views, version(3))
-	a := app("a")
+	w, views := startWatcher(t, s)
+	waitForView(t, views, hasVersion(3))
+	a := appRegistration("a")
 	s.add(FeedUpstreams, Change{Put: &a})
-	v := until(t, views, func(v View) bool { return len(v.Members) == 1 })
+	v := waitForView(t, views, func(v View) bool { return len(v.Members) == 1 })
 	if !w.Ready() || w.View().Bundle.Number != v.Bundle.Number {
 		t.Error("not ready with both feeds read")
 	}
 	s.add(FeedConfig, Change{Config: testConfig(7)})
-	until(t, views, version(7))
+	waitForView(t, views, hasVersion(7))
 	s.add(FeedUpstreams, Change{Gone: "a"})
-	until(t, views, func(v View) bool { return len(v.Members) == 0 })
+	waitForView(t, views, func(v View) bool { return len(v.Members) == 0 })
 }
 
-// Symptom: a daemon stays on an old version for good.
-// Sequence: the store drops the records that the daemon has not read yet.
-// Cause: reading on from an offset that is not kept any more.
+// Guards against a daemon that keeps an old configuration forever because the store
+// trimmed records that the daemon had not read yet, and the daemon goes on reading at the
+// trimmed offset.
 func TestWatcherReadsWholeAfterTrim(t *testing.T) {
 	s := newFakeStore()
 	s.add(FeedConfig, Change{Config: testConfig(3)})
-	_, views := watch(t, s)
-	until(t, views, version(3))
-	s.change(func() {
+	_, views := startWatcher(t, s)
+	waitForView(t, views, hasVersion(3))
+	s.update(func() {
 		s.feeds[FeedConfig] = append(s.feeds[FeedConfig], Change{Config: testConfig(4)}, Change{Config: testConfig(5)})
-		s.first[FeedConfig] = 3
+		s.firstKept[FeedConfig] = 3
 	})
-	until(t, views, version(5))
+	waitForView(t, views, hasVersion(5))
 }
 
-// Symptom: callers are refused while the store is down, or a new version is not
-// seen after its return.
-// Sequence: both feeds were read, the store fails, a version is written, it returns.
-// Cause: a view given up for want of news, or a reader that ended with the error.
+// Guards against refusing requests while the store is down because the view was
+// discarded, and against missing a new version after the outage because the reader
+// stopped at the error.
 func TestWatcherKeepsTheViewWhileTheStoreIsDown(t *testing.T) {
 	s := newFakeStore()
-	a := app("a")
+	a := appRegistration("a")
 	s.add(FeedConfig, Change{Config: testConfig(3)})
 	s.add(FeedUpstreams, Change{Put: &a})
-	w, views := watch(t, s)
-	until(t, views, func(v View) bool { return v.Config != nil && len(v.Members) == 1 })
-	s.change(func() { s.down = true })
+	w, views := startWatcher(t, s)
+	waitForView(t, views, func(v View) bool { return v.Config != nil && len(v.Members) == 1 })
+	s.update(func() { s.down = true })
 	if !w.Ready() || len(w.View().Members) != 1 {
-		t.Error("the view went with the store")
+		t.Error("the view was discarded with the store down")
 	}
-	s.change(func() {
+	s.update(func() {
 		s.down = false
 		s.feeds[FeedConfig] = append(s.feeds[FeedConfig], Change{Config: testConfig(4)})
 	})
-	until(t, views, version(4))
+	waitForView(t, views, hasVersion(4))
 }
 
-// Symptom: a replica that had left got a request 2.0 s later.
-// Sequence: the store was away; the first reading after its return waits there, and
-// ends a second later with a registration that was withdrawn just then.
-// Cause: whatever the first reading showed as gone was taken for a lapse.
+// Guards against sending a request to an upstream 2.0 s after it withdrew its
+// registration. The first read after an outage waited in the store, ended a second later
+// with that withdrawal, and the registration was handled as expired.
 func TestWithdrawalAfterTheReturnIsNoLapse(t *testing.T) {
 	s := newFakeStore()
-	a, b := app("a"), app("b")
+	a, b := appRegistration("a"), appRegistration("b")
 	s.add(FeedConfig, Change{Config: testConfig(3)})
 	s.add(FeedUpstreams, Change{Put: &a})
 	s.add(FeedUpstreams, Change{Put: &b})
-	w, views := watch(t, s)
-	until(t, views, func(v View) bool { return v.Config != nil && len(v.Members) == 2 })
-	s.change(func() { s.down = true })
+	w, views := startWatcher(t, s)
+	waitForView(t, views, func(v View) bool { return v.Config != nil && len(v.Members) == 2 })
+	s.update(func() { s.down = true })
 	waittest.Until(t, "the failure is noticed", func() bool { return w.isFailing(FeedUpstreams) })
-	s.change(func() { s.down = false })
+	s.update(func() { s.down = false })
 	waittest.Until(t, "the return is noticed", func() bool { return !w.isFailing(FeedUpstreams) })
 	s.add(FeedUpstreams, Change{Gone: "b"})
-	// The clock stands still, so that what has lapsed is never dropped.
-	until(t, views, func(v View) bool { return len(v.Members) == 1 })
+	// The test clock does not advance: an upstream that counts as expired would never be
+	// removed.
+	waitForView(t, views, func(v View) bool { return len(v.Members) == 1 })
 }
