--- a/orders/bench_test.go
+++ b/orders/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/corianderturn/corianderturn/members"
 )
 
-// BenchmarkDue is what each version, and each tick, costs one daemon of 370 over
-// 12,000 upstreams.
+// BenchmarkDue measures the cost of a new bundle ("set") and of a tick ("due") on one
+// of 370 daemons that share 12,000 upstreams.
 func BenchmarkDue(b *testing.B) {
 	now := time.Unix(1000, 0)
 	t := members.NewTable(members.Config{Node: wire.NodeID{Instance: "entry-000", Incarnation: 1}, DataCentre: "dc-0"}, now)
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -9,178 +9,180 @@
 
 // Config holds the planner's intervals and bounds.
 type Config struct {
-	// ReadEvery is the time between readings of an upstream that is in its wanted
-	// state, for up to fullRate upstreams; beyond that it grows with their number.
-	// It bounds how long a late order of an older version can stand on an
-	// upstream that ignores fencing numbers.
+	// ReadEvery is the interval at which the state of an upstream is read while it is
+	// the desired state. For more than fullRateUpstreams upstreams, the interval grows
+	// with their number. The interval bounds how long the effect of a delayed order from
+	// an older bundle lasts on an upstream that ignores fencing numbers.
 	ReadEvery time.Duration
-	// RetryEvery is the time between readings while the state is not yet reached.
+	// RetryEvery is the interval at which the state is read until it is the desired one.
 	RetryEvery time.Duration
-	// MaxLoading bounds the upstreams that load at once, so that a new version
-	// does not meet the weight store's rate limit all at once.
+	// MaxLoading bounds the number of upstreams that load models at once, so that a new
+	// bundle does not exceed the rate limit of the weight store.
 	MaxLoading int
 }
 
-// fullRate is the number of own upstreams up to which each is read every
-// ReadEvery. At the design size a daemon has 32, read every 8 s: with their
-// answers about 1.5 KB/s.
-const fullRate = 8
+// fullRateUpstreams is the number of upstreams per steward up to which each one is read
+// every ReadEvery. In the largest deployment that the system is designed for, a daemon
+// is the steward of 32 upstreams and reads each one every 8 s, which takes about
+// 1.5 KB/s including the responses.
+const fullRateUpstreams = 8
 
-// DefaultConfig returns the intervals used when settings give none.
+// DefaultConfig returns the default intervals and bounds.
 func DefaultConfig() Config {
 	return Config{ReadEvery: 2 * time.Second, RetryEvery: 500 * time.Millisecond, MaxLoading: 8}
 }
 
-// Action asks the runner to read an upstream's state and to pass the reading to
-// Planner.Observed, which returns the orders to send, or to call Planner.Failed.
+// Action requests that the runner read the state of an upstream. The runner passes the
+// state to Planner.Observed, which returns the orders to send, or calls Planner.Failed
+// if the read failed.
 type Action struct {
 	Upstream string
 	Address  string
 }
 
-// Planner keeps what is known of each upstream this daemon gives orders to.
-// It is not safe for concurrent use; its runner owns it.
+// Planner decides which upstreams to read and which orders to send them, so that each
+// reaches the state that the current bundle requires. It is not safe for concurrent use;
+// Runner serializes access to it.
 type Planner struct {
-	config  Config
-	number  uint64
-	wanted  map[string]Wanted
-	entries map[string]*entry
-	// own names the upstreams this daemon is steward of, as of generation; stale
-	// says that the version changed since.
-	own        []string
-	generation uint64
-	stale      bool
+	config          Config
+	bundleNumber    uint64
+	desired         map[string]Wanted
+	reconciliations map[string]*reconciliation
+	// assigned are the names of the upstreams that this daemon is the steward of, as of
+	// generation. assignedStale means that the bundle has changed since.
+	assigned      []string
+	generation    uint64
+	assignedStale bool
 }
 
-type entry struct {
-	nextRead time.Time
-	reached  bool
-	loading  bool
-	// reading is set from the action until its result, so that one upstream has
-	// one reading under way at a time.
-	reading bool
+// reconciliation is the progress of one upstream towards its desired state.
+type reconciliation struct {
+	nextRead       time.Time
+	inDesiredState bool
+	loadInFlight   bool
+	// readInFlight is set from the action until its result, so that an upstream has at
+	// most one read in flight.
+	readInFlight bool
 }
 
-// NewPlanner returns a planner that wants nothing yet.
+// NewPlanner returns a planner without a bundle.
 func NewPlanner(config Config) *Planner {
-	return &Planner{config: config, wanted: map[string]Wanted{}, entries: map[string]*entry{}}
+	return &Planner{config: config, desired: map[string]Wanted{}, reconciliations: map[string]*reconciliation{}}
 }
 
-// SetVersion takes the version in force. A version below the one already held
-// is ignored: orders must never go back.
+// SetVersion sets the current bundle. An older one is ignored, because orders must never
+// return an upstream to an older bundle.
 func (p *Planner) SetVersion(v *bundle.Version) {
-	if v == nil || v.Number <= p.number {
+	if v == nil || v.Number <= p.bundleNumber {
 		return
 	}
-	p.number, p.stale = v.Number, true
-	before := p.wanted
-	p.wanted = WantedBy(v.Bundle)
-	for name := range p.entries {
-		if _, ok := p.wanted[name]; !ok {
-			delete(p.entries, name)
+	p.bundleNumber, p.assignedStale = v.Number, true
+	previous := p.desired
+	p.desired = WantedBy(v.Bundle)
+	for name := range p.reconciliations {
+		if _, ok := p.desired[name]; !ok {
+			delete(p.reconciliations, name)
 		}
 	}
-	for name, w := range p.wanted {
-		// An upstream of which nothing else is wanted is not read again at once:
-		// versions come every two seconds at the design size.
-		if p.entries[name] == nil || !w.equal(before[name]) {
-			p.entries[name] = &entry{}
+	for name, w := range p.desired {
+		// An upstream whose desired state has not changed keeps its schedule of reads: in
+		// the largest deployment there is a new bundle every two seconds.
+		if p.reconciliations[name] == nil || !w.equal(previous[name]) {
+			p.reconciliations[name] = &reconciliation{}
 		}
 	}
 }
 
-// assign works out the own upstreams, when the version or the members changed.
+// updateAssigned recomputes the upstreams that this daemon is the steward of, if the
+// bundle or the generation changed.
 //
-// What goes wrong: asking for each upstream of the fleet at each tick costs 8% of
-// a core at 12,000 upstreams (BenchmarkDue). One would notice daemons busy
-// without requests.
-func (p *Planner) assign(generation uint64, mine func(upstream, dataCentre string) bool) {
-	if !p.stale && generation == p.generation {
+// Calling isSteward for every upstream at each tick would take 8% of a core with 12,000
+// upstreams (BenchmarkDue), even in a daemon without requests.
+func (p *Planner) updateAssigned(generation uint64, isSteward func(upstream, dataCentre string) bool) {
+	if !p.assignedStale && generation == p.generation {
 		return
 	}
-	p.stale, p.generation, p.own = false, generation, p.own[:0]
-	for name, w := range p.wanted {
-		if mine(name, w.DataCentre) {
-			p.own = append(p.own, name)
+	p.assignedStale, p.generation, p.assigned = false, generation, p.assigned[:0]
+	for name, w := range p.desired {
+		if isSteward(name, w.DataCentre) {
+			p.assigned = append(p.assigned, name)
 			continue
 		}
-		// Another daemon is steward now; what this one last saw must not hold
-		// back its other loads.
-		p.entries[name].loading = false
+		// Another daemon is the steward, so this upstream must not count towards
+		// MaxLoading here.
+		p.reconciliations[name].loadInFlight = false
 	}
 }
 
-// Due returns the upstreams to read now among those that mine accepts; mine
-// tells whether this daemon is the upstream's steward, and may answer otherwise
-// only with another generation.
-func (p *Planner) Due(now time.Time, generation uint64, mine func(upstream, dataCentre string) bool) []Action {
-	p.assign(generation, mine)
+// Due returns the upstreams to read now, among those that this daemon is the steward of.
+// isSteward reports whether it is; its results may change only with the generation.
+func (p *Planner) Due(now time.Time, generation uint64, isSteward func(upstream, dataCentre string) bool) []Action {
+	p.updateAssigned(generation, isSteward)
 	var out []Action
-	for _, name := range p.own {
-		e := p.entries[name]
-		if e.reading || now.Before(e.nextRead) {
+	for _, name := range p.assigned {
+		e := p.reconciliations[name]
+		if e.readInFlight || now.Before(e.nextRead) {
 			continue
 		}
-		e.reading = true
-		out = append(out, Action{Upstream: name, Address: p.wanted[name].Address})
+		e.readInFlight = true
+		out = append(out, Action{Upstream: name, Address: p.desired[name].Address})
 	}
 	return out
 }
 
-// Observed takes a reading of an upstream's state and returns the orders to
-// send to it, with the number they were decided under. Orders are decided anew
-// from each reading, so that one that was lost is sent again and one that was
-// undone by a late older order is repeated.
+// Observed records the state read from an upstream and returns the orders to send to it.
+// Orders are computed from each state anew, so that an order is sent again if it was lost
+// or if a delayed older order has undone it.
 func (p *Planner) Observed(now time.Time, upstream string, state engineapi.State) []engineapi.Order {
-	e, ok := p.entries[upstream]
+	e, ok := p.reconciliations[upstream]
 	if !ok {
 		return nil
 	}
-	e.reading = false
-	orders := p.wanted[upstream].missing(state, p.number)
-	e.loading = len(state.Loading) > 0
-	e.reached = len(orders) == 0 && !e.loading
-	e.nextRead = now.Add(p.interval(e))
-	if len(orders) == 0 || e.loading {
+	e.readInFlight = false
+	orders := p.desired[upstream].missingOrders(state, p.bundleNumber)
+	e.loadInFlight = len(state.Loading) > 0
+	e.inDesiredState = len(orders) == 0 && !e.loadInFlight
+	e.nextRead = now.Add(p.readInterval(e))
+	if len(orders) == 0 || e.loadInFlight {
 		return nil
 	}
-	if p.loadingCount() >= p.config.MaxLoading {
+	if p.loadsInFlight() >= p.config.MaxLoading {
 		return nil
 	}
-	e.loading = true
+	e.loadInFlight = true
 	return orders
 }
 
-// Failed takes a reading that could not be made.
+// Failed records that the state of an upstream could not be read.
 func (p *Planner) Failed(now time.Time, upstream string) {
-	e, ok := p.entries[upstream]
+	e, ok := p.reconciliations[upstream]
 	if !ok {
 		return
 	}
-	e.reading = false
-	e.loading = false
-	e.reached = false
+	e.readInFlight = false
+	e.loadInFlight = false
+	e.inDesiredState = false
 	e.nextRead = now.Add(p.config.RetryEvery)
 }
 
-// Current says whether orders decided under number may still be sent: they may
-// not once a newer version is known.
-func (p *Planner) Current(number uint64) bool { return number == p.number }
+// Current reports whether orders computed from the bundle of the given number may still
+// be sent, which is no longer the case once the planner has a newer bundle.
+func (p *Planner) Current(bundleNumber uint64) bool { return bundleNumber == p.bundleNumber }
 
-// Number returns the number of the version that the planner works on.
-func (p *Planner) Number() uint64 { return p.number }
+// Number returns the number of the current bundle.
+func (p *Planner) Number() uint64 { return p.bundleNumber }
 
-func (p *Planner) interval(e *entry) time.Duration {
-	if e.reached {
-		return p.config.ReadEvery * time.Duration(max(1, len(p.own)/fullRate))
+func (p *Planner) readInterval(e *reconciliation) time.Duration {
+	if e.inDesiredState {
+		return p.config.ReadEvery * time.Duration(max(1, len(p.assigned)/fullRateUpstreams))
 	}
 	return p.config.RetryEvery
 }
 
-func (p *Planner) loadingCount() int {
+func (p *Planner) loadsInFlight() int {
 	n := 0
-	for _, e := range p.entries {
-		if e.loading {
+	for _, e := range p.reconciliations {
+		if e.loadInFlight {
 			n++
 		}
 	}
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -31,16 +31,16 @@
 	}}
 }
 
-func all(string, string) bool { return true }
+func isStewardOfAll(string, string) bool { return true }
 
-// engine is an upstream that ignores fencing numbers: it does what it is told.
-type engine struct{ engineapi.State }
+// fakeEngine is an upstream that carries out every order, whatever its fencing number.
+type fakeEngine struct{ engineapi.State }
 
-func newEngine(role string) *engine {
-	return &engine{engineapi.State{Role: role, Models: map[string]string{}, Adapters: map[string]string{}}}
+func newFakeEngine(role string) *fakeEngine {
+	return &fakeEngine{engineapi.State{Role: role, Models: map[string]string{}, Adapters: map[string]string{}}}
 }
 
-func (e *engine) apply(o engineapi.Order) {
+func (e *fakeEngine) apply(o engineapi.Order) {
 	switch o.Kind {
 	case engineapi.OrderSetRole:
 		e.Role = o.Role
@@ -51,12 +51,13 @@
 	}
 }
 
-// settle reads and orders until the planner sends nothing more.
-func settle(t *testing.T, p *Planner, e *engine, now time.Time) []engineapi.Order {
+// reconcileUntilStable runs ten rounds of reads and orders, enough to reach the desired
+// state, and returns the orders.
+func reconcileUntilStable(t *testing.T, p *Planner, e *fakeEngine, now time.Time) []engineapi.Order {
 	t.Helper()
 	var sent []engineapi.Order
 	for range 10 {
-		for range p.Due(now, 0, all) {
+		for range p.Due(now, 0, isStewardOfAll) {
 			for _, o := range p.Observed(now, "d1", e.State) {
 				e.apply(o)
 				sent = append(sent, o)
@@ -70,40 +71,38 @@
 func TestPlannerReachesWantedState(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(7, "v1"))
-	e := newEngine("prefill")
+	e := newFakeEngine("prefill")
 	want := []engineapi.Order{
 		{Fence: 7, Kind: engineapi.OrderSetRole, Role: "decode"},
 		{Fence: 7, Kind: engineapi.OrderLoadModel, Model: "m", Version: "v1"},
 		{Fence: 7, Kind: engineapi.OrderLoadAdapter, Model: "m", Adapter: "a", Version: "v1"},
 	}
-	if diff := cmp.Diff(want, settle(t, p, e, start)); diff != "" {
+	if diff := cmp.Diff(want, reconcileUntilStable(t, p, e, start)); diff != "" {
 		t.Fatalf("orders (-want +got):\n%s", diff)
 	}
-	if len(p.entries) != 1 || !p.entries["d1"].reached {
-		t.Fatalf("d1 alone takes orders and has reached its state; got %+v", p.entries)
+	if len(p.reconciliations) != 1 || !p.reconciliations["d1"].inDesiredState {
+		t.Fatalf("reconciliations: %+v, want d1 alone, in its desired state", p.reconciliations)
 	}
 }
 
-// Symptom: an upstream that ignores fencing numbers serves an old model
-// version long after a newer bundle is in force.
-// Sequence: version 8 is reached; an order of version 7, delayed on the
-// network, arrives and is obeyed.
-// Cause: the upstream does not check, and an order once accepted was held done.
+// Guards against an upstream that goes on serving an old model version because an order
+// from bundle 7, delayed in the network, was carried out after bundle 8 had been applied.
+// An upstream that ignores fencing numbers accepts such an order, so that its state must
+// be read again even after its orders were accepted.
 func TestOrderSentLateOrder(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(8, "v2"))
-	e := newEngine("decode")
-	settle(t, p, e, start)
+	e := newFakeEngine("decode")
+	reconcileUntilStable(t, p, e, start)
 	e.apply(engineapi.Order{Fence: 7, Kind: engineapi.OrderLoadModel, Model: "m", Version: "v1"})
-	settle(t, p, e, start.Add(p.config.ReadEvery+10*p.config.RetryEvery))
+	reconcileUntilStable(t, p, e, start.Add(p.config.ReadEvery+10*p.config.RetryEvery))
 	if got := e.Models["m"]; got != "v2" {
 		t.Fatalf("model version %q after a late order, want v2", got)
 	}
 }
 
-// Symptom: a daemon orders an old version after a newer one.
-// Sequence: version 8 is known; version 7 is offered by a slow source.
-// Cause: the planner took whatever it was given last.
+// Guards against sending orders from an older bundle that a slow source delivers after a
+// newer one.
 func TestPlannerNeverGoesBack(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(8, "v2"))
@@ -113,33 +112,31 @@
 	}
 }
 
-// Symptom: an upstream is never ordered again.
-// Sequence: an order is sent and lost; the next reading shows the old state.
-// Cause: the order was counted as done when it was sent.
+// Guards against an upstream that stays in its old state because its order was lost: an
+// order must not count as carried out when it is sent.
 func TestOrderReadBackLostOrder(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(7, "v1"))
-	e := newEngine("decode")
-	p.Due(start, 0, all)
+	e := newFakeEngine("decode")
+	p.Due(start, 0, isStewardOfAll)
 	if lost := p.Observed(start, "d1", e.State); len(lost) == 0 {
-		t.Fatal("no order for a state that differs")
+		t.Fatal("no order for an upstream that is not in its desired state")
 	}
-	if again := settle(t, p, e, start.Add(p.config.RetryEvery)); len(again) == 0 {
+	if again := reconcileUntilStable(t, p, e, start.Add(p.config.RetryEvery)); len(again) == 0 {
 		t.Fatal("a lost order was not sent again")
 	}
 }
 
-// Symptom: the weight store is flooded and every replica loads slowly.
-// Sequence: a bundle changes the version of a model on many upstreams.
-// Cause: nothing bounds the loads under way.
+// Guards against overloading the weight store, so that all upstreams load slowly, when a
+// bundle changes the version of a model on many upstreams.
 func TestPlannerBoundsLoads(t *testing.T) {
 	v := version(7, "v1")
 	v.Bundle.Upstreams["d3"] = bundle.Upstream{Pool: "d", Address: "d3:1", State: bundle.StateServing}
 	p := NewPlanner(Config{ReadEvery: time.Second, RetryEvery: time.Second, MaxLoading: 1})
 	p.SetVersion(v)
 	ordered := 0
-	for _, a := range p.Due(start, 0, all) {
-		if len(p.Observed(start, a.Upstream, newEngine("decode").State)) > 0 {
+	for _, a := range p.Due(start, 0, isStewardOfAll) {
+		if len(p.Observed(start, a.Upstream, newFakeEngine("decode").State)) > 0 {
 			ordered++
 		}
 	}
@@ -148,9 +145,9 @@
 	}
 }
 
-// Symptom: a daemon orders an upstream that is another's, or leaves its own alone.
-// Sequence: the stewards change; a version changes one upstream, or none.
-// Cause: the own upstreams are worked out once too seldom, or all read each time.
+// Guards against reading an upstream that another daemon is the steward of, against
+// missing an upstream after the stewards or the bundle changed, and against reading
+// upstreams again whose desired state a new bundle leaves unchanged.
 func TestPlannerReadsWhatIsItsOwn(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	v := version(7, "v1")
@@ -167,22 +164,22 @@
 		want       string
 	}{
 		{v, 1, one, "d1"},
-		{v, 1, all, ""},
-		{v, 2, all, "d3"},
-		{&same, 2, all, ""},
-		{moved, 2, all, "d3"},
-		{version(10, "v1"), 2, all, ""},
-		{version(11, "v2"), 2, all, "d1"},
+		{v, 1, isStewardOfAll, ""},
+		{v, 2, isStewardOfAll, "d3"},
+		{&same, 2, isStewardOfAll, ""},
+		{moved, 2, isStewardOfAll, "d3"},
+		{version(10, "v1"), 2, isStewardOfAll, ""},
+		{version(11, "v2"), 2, isStewardOfAll, "d1"},
 	} {
 		p.SetVersion(step.version)
 		got := ""
 		for _, a := range p.Due(start, step.generation, step.mine) {
 			got += a.Upstream
-			e := p.entries[a.Upstream]
-			e.reading, e.reached, e.nextRead = false, true, start.Add(time.Hour)
+			e := p.reconciliations[a.Upstream]
+			e.readInFlight, e.inDesiredState, e.nextRead = false, true, start.Add(time.Hour)
 		}
 		if got != step.want {
-			t.Errorf("step %d: %q is read, want %q", i, got, step.want)
+			t.Errorf("step %d: read %q, want %q", i, got, step.want)
 		}
 	}
 }
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	tick = 100 * time.Millisecond
-	// callTimeout bounds one reading or one order.
+	tickInterval = 100 * time.Millisecond
+	// callTimeout bounds the read of an upstream's state and the orders that follow.
 	callTimeout = 2 * time.Second
-	// maxCalls bounds the readings under way at once.
-	maxCalls = 32
+	// maxConcurrentReads bounds the number of upstreams that are read at once.
+	maxConcurrentReads = 32
 )
 
-// Engines is the part of the engine client that orders need.
+// Engines is the client of the engines' control API.
 type Engines interface {
 	State(ctx context.Context, address string) (engineapi.State, error)
 	Order(ctx context.Context, address string, o engineapi.Order) (engineapi.OrderReply, error)
 }
 
-// Options wire a Runner to the daemon.
+// Options configures a Runner.
 type Options struct {
 	Config  Config
 	Engines Engines
-	// Current returns the version in force, nil before the first.
+	// Current returns the current bundle; nil before the first one.
 	Current func() *bundle.Version
-	// Mine says whether this daemon is the steward of an upstream now.
+	// Mine reports whether this daemon is currently the steward of an upstream, that is,
+	// the one daemon that sends it orders.
 	Mine func(upstream, dataCentre string) bool
-	// Generation changes whenever Mine may answer otherwise.
+	// Generation returns a number that changes whenever the results of Mine may change.
 	Generation func() uint64
-	// Frozen says whether this process was stopped and its view is not fresh yet.
+	// Frozen reports whether this process was suspended and has not refreshed its view of
+	// the other daemons since.
 	Frozen func(now time.Time) bool
 	Logger log.Interface
 }
 
-// Runner gives orders to the upstreams of which this daemon is the steward. It
-// is a supervise.Service.
+// Runner reads the upstreams that this daemon is the steward of and sends them orders.
+// It is a supervise.Service.
 type Runner struct {
 	options Options
 
@@ -61,9 +63,9 @@
 // Run implements supervise.Service.
 func (r *Runner) Run(ctx context.Context) error {
 	r.reset()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	calls := pool.New().WithMaxGoroutines(maxCalls)
+	calls := pool.New().WithMaxGoroutines(maxConcurrentReads)
 	defer calls.Wait()
 	for {
 		select {
@@ -71,22 +73,22 @@
 			return nil
 		case <-ticker.C:
 		}
-		for _, a := range r.due(time.Now()) {
+		for _, a := range r.dueReads(time.Now()) {
 			calls.Go(func() { r.reconcile(ctx, a) })
 		}
 	}
 }
 
-// reset forgets the readings under way when a failed run is started again. Their
-// results will never come; their upstreams would not be read once more, and one
-// would notice orders that stop for some upstreams after a logged panic.
+// reset discards the state of the planner when Run is started again after a failure.
+// Reads that were in flight then never deliver a result, and their upstreams would
+// never be read again: orders to some upstreams would stop after a logged panic.
 func (r *Runner) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planner = NewPlanner(r.options.Config)
 }
 
-func (r *Runner) due(now time.Time) []Action {
+func (r *Runner) dueReads(now time.Time) []Action {
 	if r.options.Frozen(now) {
 		return nil
 	}
@@ -96,12 +98,13 @@
 	return r.planner.Due(now, r.options.Generation(), r.options.Mine)
 }
 
-// reconcile reads one upstream's state and sends the orders that it lacks.
+// reconcile reads the state of one upstream and sends the orders that lead to its desired
+// state.
 func (r *Runner) reconcile(ctx context.Context, a Action) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := r.options.Engines.State(ctx, a.Address)
-	orders, number := r.decide(a.Upstream, state, err)
+	orders, number := r.missingOrders(a.Upstream, state, err)
 	for _, o := range orders {
 		if !r.maySend(number) {
 			return
@@ -114,7 +117,7 @@
 	}
 }
 
-func (r *Runner) decide(upstream string, state engineapi.State, err error) ([]engineapi.Order, uint64) {
+func (r *Runner) missingOrders(upstream string, state engineapi.State, err error) ([]engineapi.Order, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -125,20 +128,21 @@
 	return r.planner.Observed(now, upstream, state), r.planner.Number()
 }
 
-// maySend is asked right before each order leaves.
+// maySend reports whether an order from the bundle of the given number may still be
+// sent. It is called right before each order.
 //
-// What goes wrong: a daemon that was stopped between deciding and sending, or
-// heard of a newer version meanwhile, delivers an order of an old version, and an
-// upstream that ignores fencing numbers obeys. One would notice a replica whose
-// model version goes back. Asking anew leaves only the sending call itself.
-func (r *Runner) maySend(number uint64) bool {
+// Without this check, a daemon that was suspended or got a newer bundle after it computed
+// the order would send an outdated order, and an upstream that ignores fencing numbers
+// would return to an old model version. With it, only a suspension during the call that
+// sends the order can still have this effect.
+func (r *Runner) maySend(bundleNumber uint64) bool {
 	if r.options.Frozen(time.Now()) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planner.SetVersion(r.options.Current())
-	return r.planner.Current(number)
+	return r.planner.Current(bundleNumber)
 }
 
 func (r *Runner) logOrder(upstream string, o engineapi.Order, reply engineapi.OrderReply, err error) {
--- a/orders/runner_test.go
+++ b/orders/runner_test.go
@@ -12,29 +12,28 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// hooked is an engine that needs all its items, and calls what happens right
-// after a reading or an order.
-type hooked struct {
-	*engine
+// hookedEngine is an engine that records orders without carrying them out, and calls a
+// hook after each read of its state and each order.
+type hookedEngine struct {
+	*fakeEngine
 	afterState, afterOrder func()
-	got                    []engineapi.Order
+	received               []engineapi.Order
 }
 
-func (h *hooked) State(context.Context, string) (engineapi.State, error) {
+func (h *hookedEngine) State(context.Context, string) (engineapi.State, error) {
 	defer h.afterState()
-	return h.engine.State, nil
+	return h.fakeEngine.State, nil
 }
 
-func (h *hooked) Order(_ context.Context, _ string, o engineapi.Order) (engineapi.OrderReply, error) {
+func (h *hookedEngine) Order(_ context.Context, _ string, o engineapi.Order) (engineapi.OrderReply, error) {
 	defer h.afterOrder()
-	h.got = append(h.got, o)
+	h.received = append(h.received, o)
 	return engineapi.OrderReply{Accepted: true}, nil
 }
 
-// Symptom: an upstream that ignores fencing numbers goes back to an old version.
-// Sequence: a daemon reads an upstream's state and decides on orders; before it
-// sends them it is stopped and goes on, or hears of a newer version.
-// Cause: orders sent because they were right when they were decided.
+// Guards against returning an upstream that ignores fencing numbers to an old version: a
+// daemon that is suspended, or gets a newer bundle, between computing its orders and
+// sending them must not send them.
 func TestOrderSentDaemonFrozen(t *testing.T) {
 	var frozen bool
 	var current *bundle.Version
@@ -53,24 +52,24 @@
 		{"newer version after the first order", nothing, adopt, 1},
 	} {
 		frozen, current = false, version(7, "v1")
-		h := &hooked{engine: newEngine("prefill"), afterState: c.afterState, afterOrder: c.afterOrder}
+		h := &hookedEngine{fakeEngine: newFakeEngine("prefill"), afterState: c.afterState, afterOrder: c.afterOrder}
 		r := NewRunner(Options{
-			Config: DefaultConfig(), Engines: h, Mine: all, Generation: func() uint64 { return 0 },
+			Config: DefaultConfig(), Engines: h, Mine: isStewardOfAll, Generation: func() uint64 { return 0 },
 			Current: func() *bundle.Version { return current },
 			Frozen:  func(time.Time) bool { return frozen },
 			Logger:  &log.Logger{Handler: discard.New()},
 		})
-		due := r.due(start)
+		due := r.dueReads(start)
 		if len(due) != 1 {
 			t.Fatalf("due: %v", due)
 		}
 		r.reconcile(t.Context(), due[0])
-		if len(h.got) != c.want {
-			t.Errorf("%s: %d orders sent, want %d", c.name, len(h.got), c.want)
+		if len(h.received) != c.want {
+			t.Errorf("%s: %d orders sent, want %d", c.name, len(h.received), c.want)
 		}
 		frozen = true
-		if again := r.due(start.Add(time.Hour)); again != nil {
-			t.Errorf("%s: a stopped daemon reads %v", c.name, again)
+		if again := r.dueReads(start.Add(time.Hour)); again != nil {
+			t.Errorf("%s: a suspended daemon reads %v", c.name, again)
 		}
 	}
 }
--- a/orders/wanted.go
+++ b/orders/wanted.go
@@ -1,14 +1,13 @@
-// Package orders brings each upstream to the state that the bundle in force
-// wants: its role, its models and its adapters. Planner decides without I/O;
-// Runner reads states and sends orders over the network.
+// Package orders reconciles each upstream with the current bundle: its role, its models
+// and its adapters. Planner does no I/O; Runner reads the states of upstreams and sends
+// orders over the network.
 //
-// An order states a wanted end state of one item and carries the bundle's
-// number as its fencing number. Some upstreams refuse an order whose number is
-// below one they have seen; others ignore the number, so an order of an old
-// version that arrives late undoes a newer one there. Planner therefore never
-// counts an order as done because it was accepted: an item is in its wanted
-// state only while a reading of the upstream's own state says so, and readings
-// go on for as long as the version is in force.
+// An order states the desired state of one item (a role, a model or an adapter) and
+// carries the number of the bundle as its fencing number. Some upstreams refuse an order
+// whose number is lower than one they have seen. Others ignore the number, so that a
+// delayed order from an old bundle undoes a newer one there. Planner therefore does not
+// count an order as carried out when it is accepted: an item is in its desired state only
+// if the upstream reports so, and upstreams are read for as long as the bundle is current.
 package orders
 
 import (
@@ -20,18 +19,18 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Wanted is the end state that a bundle asks of one upstream.
+// Wanted is the desired state of one upstream according to a bundle.
 type Wanted struct {
 	Address    string
 	DataCentre string
 	Role       bundle.PoolRole
-	// Models maps a model to its version, Adapters an adapter to the version of
-	// its model.
+	// Models maps each model to its version, Adapters each adapter to the version of its
+	// model.
 	Models   map[string]string
 	Adapters map[AdapterName]string
 }
 
-// AdapterName names an adapter of a model.
+// AdapterName identifies an adapter of a model.
 type AdapterName struct {
 	Model   string
 	Adapter string
@@ -42,14 +41,14 @@
 
 func compareAdapters(a, b AdapterName) int { return strings.Compare(a.StateKey(), b.StateKey()) }
 
-// WantedBy returns what b asks of each upstream that takes orders, by name.
-// Plain services take none; a leaving upstream keeps what it has.
-// Upstreams of a pool share their maps, which must not be changed.
+// WantedBy returns the desired state of each upstream that gets orders, by name. Upstreams
+// of plain services and leaving upstreams get none. The maps are shared by the upstreams
+// of a pool and must not be modified.
 func WantedBy(b *bundle.Bundle) map[string]Wanted {
 	out := make(map[string]Wanted, len(b.Upstreams))
 	pools := make(map[string]Wanted, len(b.Pools))
 	for name, pool := range b.Pools {
-		pools[name] = wantedOf(b, name, pool.Role)
+		pools[name] = poolDesiredState(b, name, pool.Role)
 	}
 	for name, u := range b.Upstreams {
 		pool := b.Pools[u.Pool]
@@ -63,8 +62,9 @@
 	return out
 }
 
-// wantedOf returns what b asks of every upstream of a pool.
-func wantedOf(b *bundle.Bundle, pool string, role bundle.PoolRole) Wanted {
+// poolDesiredState returns the desired state of the upstreams of a pool, without address
+// and data centre.
+func poolDesiredState(b *bundle.Bundle, pool string, role bundle.PoolRole) Wanted {
 	w := Wanted{
 		Role:     role,
 		Models:   make(map[string]string),
@@ -87,10 +87,10 @@
 		maps.Equal(w.Models, o.Models) && maps.Equal(w.Adapters, o.Adapters)
 }
 
-// missing returns the orders that would bring state to w, roles first, then
-// models, then adapters of models that are loaded, each in order of name.
-// Items that the upstream says it is loading are left out.
-func (w Wanted) missing(state engineapi.State, fence uint64) []engineapi.Order {
+// missingOrders returns the orders that lead from state to w: first the role, then models,
+// then adapters of models that are loaded, each sorted by name. Items that the upstream
+// reports as being loaded are left out.
+func (w Wanted) missingOrders(state engineapi.State, fence uint64) []engineapi.Order {
 	var out []engineapi.Order
 	if state.Role != string(w.Role) {
 		out = append(out, engineapi.Order{Fence: fence, Kind: engineapi.OrderSetRole, Role: string(w.Role)})
