--- a/roles/lease.go
+++ b/roles/lease.go
@@ -2,77 +2,83 @@
 
 import "time"
 
-// Holding is what the store says of this daemon's membership.
+// Holding is the store's response to a daemon that joins the group or renews its
+// membership.
 type Holding struct {
-	// Generation grows with each change of the group.
+	// Generation increases with each change of the group.
 	Generation uint64
-	// Owner says that this daemon holds the one part that stands for the lease.
+	// Owner means that this daemon owns the partition that represents the lease.
 	Owner bool
 }
 
-// Lease decides whether this daemon may give orders, from what the store answered
-// and when it was asked.
+// Lease decides whether this daemon may send orders, from the responses of the store and
+// the times of the requests. It is not safe for concurrent use.
 //
-// What goes wrong: two daemons that believe they hold the lease order the same
-// engine in turn, and an engine that checks no fence takes both. So a new holder
-// waits until orders of the one before it can no longer arrive, and one that cannot
-// renew stops before the store gives the lease away. It is not safe for concurrent
-// use.
+// At no time may two daemons send orders: they could order the same engine in turn, and
+// an engine that does not check fencing tokens would carry out both orders. So a new
+// holder waits until orders of the previous one can no longer arrive, and a holder that
+// cannot renew its membership stops before the store passes the lease on.
 type Lease struct {
-	ttl, quiet time.Duration
-	opens      time.Time // see Bootstrap; zero when it does not hold
-	holding    Holding
-	since      time.Time // since when this daemon has held it without a gap
-	renewed    time.Time // when the last answered join was sent
+	ttl, quietPeriod time.Duration
+	ordersOpenAt     time.Time // set by Bootstrap; zero without it
+	holding          Holding
+	heldSince        time.Time // start of the uninterrupted tenure; zero if not held
+	renewedAt        time.Time // when the last successful join was sent
 }
 
-// NewLease returns a lease that is not held. ttl is how long the store believes in
-// a silent member, and quiet how long orders of two holders must be apart.
-func NewLease(ttl, quiet time.Duration) *Lease { return &Lease{ttl: ttl, quiet: quiet} }
+// NewLease returns a lease that is not held. ttl is the time after which the store
+// expires a membership that is not renewed. quiet is the minimum time between the last
+// order of one holder and the first order of the next.
+func NewLease(ttl, quiet time.Duration) *Lease { return &Lease{ttl: ttl, quietPeriod: quiet} }
 
-// Bootstrap says that all daemons start for the first time about now, and that none
-// gives orders before opens. Who holds the lease by then needs no quiet time: nobody has
-// given an order before. Daemons may start a quarter of the ttl apart.
+// Bootstrap declares that all daemons are starting for the first time, at most a quarter
+// of the ttl apart, and that none of them sends orders before opens. A daemon that holds
+// the lease by then need not wait for the quiet period, because no order has been sent
+// before.
 //
-// What it buys: engines that are to change their role do so before callers come, instead
-// of refusing prompts for six seconds under load.
-func (l *Lease) Bootstrap(opens time.Time) { l.opens = opens }
+// This way engines change their roles before clients connect. Later, an engine that
+// changes its role would refuse prompts for six seconds under load.
+func (l *Lease) Bootstrap(opens time.Time) { l.ordersOpenAt = opens }
 
-// opening says that this daemon held the lease for long enough before the orders opened
-// that whoever held it before had lost it by then.
-func (l *Lease) opening(now time.Time) bool {
-	return !l.opens.IsZero() && !now.Before(l.opens) && !l.since.After(l.opens.Add(-l.ttl))
+// bootstrapped reports whether orders are open after a Bootstrap and this daemon had
+// already held the lease for the ttl when they opened. Any previous holder had then lost
+// the lease.
+func (l *Lease) bootstrapped(now time.Time) bool {
+	return !l.ordersOpenAt.IsZero() && !now.Before(l.ordersOpenAt) && !l.heldSince.After(l.ordersOpenAt.Add(-l.ttl))
 }
 
-// Early says that a fence rests on Bootstrap alone. An order may then be given only to an
-// engine that has had none, in case the assumption does not hold.
-func (l *Lease) Early(now time.Time) bool { return now.Before(l.since.Add(l.ttl + l.quiet)) }
+// Early reports whether this daemon has held the lease for less than the ttl plus the
+// quiet period, so that it may send orders only because of Bootstrap. An order may then be
+// sent only to an engine that has had none, in case this is not the first start after all.
+func (l *Lease) Early(now time.Time) bool { return now.Before(l.heldSince.Add(l.ttl + l.quietPeriod)) }
 
-// Joined takes the store's answer to a join that was sent at the given time.
+// Joined records the store's response to a join that was sent at the given time.
 func (l *Lease) Joined(sent, now time.Time, h Holding) {
-	gap := l.renewed.IsZero() || !now.Before(l.renewed.Add(l.ttl))
+	expired := l.renewedAt.IsZero() || !now.Before(l.renewedAt.Add(l.ttl))
 	switch {
 	case !h.Owner:
-		l.since = time.Time{}
-	case !l.holding.Owner || gap:
-		l.since = now
+		l.heldSince = time.Time{}
+	case !l.holding.Owner || expired:
+		l.heldSince = now
 	}
-	l.holding, l.renewed = h, sent
+	l.holding, l.renewedAt = h, sent
 }
 
-// Held says whether the store last told that this daemon holds the lease.
+// Held reports whether this daemon holds the lease according to the last response of the
+// store.
 func (l *Lease) Held() bool { return l.holding.Owner }
 
-// Generation returns the last generation that the store told; 0 before the first.
+// Generation returns the group's generation from the last response of the store; 0 before
+// the first one.
 func (l *Lease) Generation() uint64 { return l.holding.Generation }
 
-// Fence returns the fencing token for an order at this moment, or false when this
-// daemon must not give any. A later holder's token is higher: the lease changes
-// hands only with a new generation.
+// Fence returns the fencing token for an order sent now, or false if this daemon must not
+// send any. Each holder has a higher token than the previous one, because the holder
+// changes only with the generation.
 func (l *Lease) Fence(now time.Time) (uint64, bool) {
-	const margin = 4 // the last quarter of the ttl is left for the order to arrive
-	valid := l.holding.Owner && now.Before(l.renewed.Add(l.ttl-l.ttl/margin))
-	if !valid || l.Early(now) && !l.opening(now) {
+	const margin = 4 // the last quarter of the ttl is reserved for the order to arrive
+	valid := l.holding.Owner && now.Before(l.renewedAt.Add(l.ttl-l.ttl/margin))
+	if !valid || l.Early(now) && !l.bootstrapped(now) {
 		return 0, false
 	}
 	return l.holding.Generation, true
--- a/roles/lease_test.go
+++ b/roles/lease_test.go
@@ -16,45 +16,46 @@
 	}
 	l.Joined(at(0), at(5), Holding{Generation: 4, Owner: true})
 	if _, ok := l.Fence(at(6)); ok {
-		t.Error("a new holder orders at once")
+		t.Error("a new holder may send orders at once")
 	}
 	for ms := 500; ms <= 5500; ms += 500 {
 		l.Joined(at(ms), at(ms+5), Holding{Generation: 4, Owner: true})
 	}
 	if fence, ok := l.Fence(at(5510)); !ok || fence != 4 {
-		t.Errorf("fence %d, %t after the wait", fence, ok)
+		t.Errorf("fence %d, %t after the quiet period, want 4, true", fence, ok)
 	}
 	if _, ok := l.Fence(at(7100)); ok {
-		t.Error("a holder that did not renew orders")
+		t.Error("a holder that did not renew its membership may send orders")
 	}
 	l.Joined(at(9000), at(9005), Holding{Generation: 9, Owner: true})
 	if _, ok := l.Fence(at(9010)); ok {
-		t.Error("a holder that comes back after a gap orders at once")
+		t.Error("a holder whose membership had expired may send orders at once")
 	}
 }
 
-// Symptom: an engine that checks no fence takes orders of two daemons in turn.
-// Sequence: any: joins are delayed or lost, a daemon freezes between two steps, the
-// store deals the part out anew or lets the membership lapse.
-// Cause: two daemons that both believe they hold the lease, or that hand it over faster
-// than an order takes to arrive.
+// Guards against orders of two daemons at the same engine, which an engine that does not
+// check fencing tokens would carry out in turn. Two daemons must never hold the lease at
+// the same time, and orders of successive holders must be at least the quiet period apart,
+// also if joins are delayed or lost, a daemon freezes, the store reassigns the partition
+// or a membership expires.
 func TestTwoHoldersAreApart(t *testing.T) {
 	for seed := range uint64(300) {
-		playLeases(t, seed, [2]*Lease{NewLease(ttl, quiet), NewLease(ttl, quiet)})
+		simulateLeases(t, seed, [2]*Lease{NewLease(ttl, quiet), NewLease(ttl, quiet)})
 	}
 }
 
-// The same where all start together and orders open early.
+// Checks the same for daemons that start together with Bootstrap.
 func TestTwoHoldersAreApartAfterABootstrap(t *testing.T) {
 	for seed := range uint64(300) {
 		leases := [2]*Lease{NewLease(ttl, quiet), NewLease(ttl, quiet)}
 		leases[0].Bootstrap(at(4000))
 		leases[1].Bootstrap(at(4300))
-		playLeases(t, seed, leases)
+		simulateLeases(t, seed, leases)
 	}
 }
 
-// Load: a fleet starts; its engines are to change their roles before callers come.
+// Guards against orders that open too late or too early when the whole system starts.
+// Engines should change their roles before clients connect.
 func TestBootstrapOpensOrdersEarly(t *testing.T) {
 	join := func(l *Lease, from, until int) {
 		for ms := from; ms <= until; ms += 500 {
@@ -62,9 +63,9 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		from  int // when the lease is got
-		opens int // when orders open
-		at    int
+		from  int // when the daemon gets the lease, in ms
+		opens int // when orders open, in ms
+		at    int // when Fence is called, in ms
 		want  bool
 	}{
 		"held in time":             {500, 3000, 3100, true},
@@ -77,21 +78,21 @@
 			l.Bootstrap(at(tc.opens))
 			join(l, tc.from, tc.at)
 			if _, ok := l.Fence(at(tc.at)); ok != tc.want {
-				t.Errorf("orders allowed: %t", ok)
+				t.Errorf("orders allowed: %t, want otherwise", ok)
 			}
 		})
 	}
 }
 
-// Symptom: an engine turns twice, by two daemons.
-// Sequence: a daemon restarts while the platform still tells it of a first start; it
-// gets the lease and orders an engine that its former holder has just ordered.
-// Cause: a bootstrap that was none, believed against what the engine says.
+// Guards against an engine that changes its role twice on the orders of two daemons: a
+// daemon that restarts with a setting for the first start gets the lease and orders an
+// engine that the previous holder has just ordered. The engine's count of orders shows
+// that this is not the first start.
 func TestEarlyOrdersGoToFreshEnginesOnly(t *testing.T) {
 	for orders, want := range map[uint64]int{0: 2, 1: 0} {
 		now := t0
 		e := &fakeEngines{state: State{Role: fleet.RolePrefill, Orders: orders}}
-		r := runnerOf(e, &now)
+		r := newTestRunner(e, &now)
 		r.lease = NewLease(ttl, quiet)
 		r.lease.Bootstrap(at(8500))
 		for ms := 6500; ms <= 8500; ms += 500 {
@@ -102,58 +103,61 @@
 		if !ok {
 			t.Fatal("orders are not open")
 		}
-		r.order(context.Background(), fence)
+		r.sendOrders(context.Background(), fence)
 		if len(e.orders) != want {
-			t.Errorf("engines that had %d orders: %q", orders, e.orders)
+			t.Errorf("orders to engines that had accepted %d: %q", orders, e.orders)
 		}
 	}
 }
 
-// playLeases plays two daemons against a store that deals out the one part.
-func playLeases(t *testing.T, seed uint64, leases [2]*Lease) {
+// simulateLeases runs two daemons against a store that assigns the single partition of the
+// group, with random delays, losses and freezes. It fails if orders of the two daemons are
+// less than the quiet period apart or their fencing tokens do not increase.
+func simulateLeases(t *testing.T, seed uint64, leases [2]*Lease) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var heard [2]time.Time  // when the store last heard of each
-	var frozen [2]time.Time // until when each stands still
-	var told [2]uint64
+	var lastJoin [2]time.Time // by daemon: when the store received its last join
+	var frozenUntil [2]time.Time
+	var knownGeneration [2]uint64
 	owner, generation := -1, uint64(0)
-	lastBy, lastAt, lastFence := -1, time.Time{}, uint64(0)
+	lastDaemon, lastAt, lastFence := -1, time.Time{}, uint64(0)
 	for ms := 0; ms < 60_000; ms += 100 {
 		now := at(ms)
-		if owner >= 0 && now.Sub(heard[owner]) >= ttl || rng.IntN(200) == 0 && owner >= 0 && told[owner] == generation {
+		if owner >= 0 && now.Sub(lastJoin[owner]) >= ttl || rng.IntN(200) == 0 && owner >= 0 && knownGeneration[owner] == generation {
 			generation++
-			if other := 1 - owner; now.Sub(heard[other]) < ttl {
-				// A member that is alive gives the part up only once it has heard of it.
-				if now.Sub(heard[owner]) >= ttl {
+			if other := 1 - owner; now.Sub(lastJoin[other]) < ttl {
+				// The store reassigns the partition only when the owner's membership has
+				// expired; a live owner keeps it in the new generation.
+				if now.Sub(lastJoin[owner]) >= ttl {
 					owner = other
 				}
-			} else if now.Sub(heard[owner]) >= ttl {
+			} else if now.Sub(lastJoin[owner]) >= ttl {
 				owner = -1
 			}
 		}
 		for d := range 2 {
-			if now.Before(frozen[d]) {
+			if now.Before(frozenUntil[d]) {
 				continue
 			}
 			if rng.IntN(100) == 0 {
-				frozen[d] = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
+				frozenUntil[d] = now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)
 				continue
 			}
 			if rng.IntN(4) > 0 { // else the join is lost
-				heard[d] = now
+				lastJoin[d] = now
 				if owner < 0 {
 					owner, generation = d, generation+1
 				}
-				told[d] = generation
+				knownGeneration[d] = generation
 				leases[d].Joined(now, now.Add(10*time.Millisecond), Holding{Generation: generation, Owner: owner == d})
 			}
 			fence, ok := leases[d].Fence(now.Add(20 * time.Millisecond))
 			if !ok {
 				continue
 			}
-			if lastBy >= 0 && lastBy != d && (now.Sub(lastAt) < quiet || fence <= lastFence) {
-				t.Fatalf("seed %d: daemon %d orders with fence %d %v after the other with %d", seed, d, fence, now.Sub(lastAt), lastFence)
+			if lastDaemon >= 0 && lastDaemon != d && (now.Sub(lastAt) < quiet || fence <= lastFence) {
+				t.Fatalf("seed %d: daemon %d may send orders with fence %d, %v after the other one with fence %d", seed, d, fence, now.Sub(lastAt), lastFence)
 			}
-			lastBy, lastAt, lastFence = d, now, fence
+			lastDaemon, lastAt, lastFence = d, now, fence
 		}
 	}
 }
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -9,169 +9,181 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// Member is one engine as it is registered.
+// Member is one registered engine.
 type Member struct {
 	Name       string
 	Address    string
 	DataCentre string
 	Role       fleet.Role
-	Born       int64 // tells the lives of one name apart
+	Born       int64 // identifies the incarnation; see fleet.Registration
 }
 
-// Order moves one engine to a role.
+// Order changes the role of one engine.
 type Order struct {
 	Member Member
 	To     fleet.Role
 }
 
 const (
-	// giveSlack is how far under the exact number, which has room to spare, the prefill
-	// engines may be left by an order that takes one away: one of three is much. With 0.1 a
-	// fleet of 14 kept four, with decode engines missing, and served 0.63 of the worth instead
-	// of 0.68; with more it goes down to two, of which a crash leaves none.
-	giveSlack = 0.35
-	// takeSlack is how far under the exact number they must be before one is brought
-	// back, for takeAfter: an engine that changes serves neither pool for seconds, and
-	// most that crash are back within that time.
-	takeSlack = 0.8
-	takeAfter = 4 * time.Second
-	// tolerance is how far off the exact number they must be besides, as a part of it and in
-	// whole engines, before orders begin once callers have come; from then on they go on to
-	// the exact number. A burst makes prompts look half as dear again as they are. Without it
-	// 128 engines took eleven orders more on quiet days, in bursts that were over before the
-	// engines were back, and served 0.66 to 0.70 of the worth instead of 0.74 to 0.78.
-	tolerance = 0.5
-	// settleTime is how long an order is counted as carried out although the
-	// registration does not show it yet, besides the time of the change itself.
+	// toDecodeSlack is how far, in engines, an order to decode may bring the number of
+	// prefill engines below the wanted number. The wanted number is not rounded and
+	// includes prefillHeadroom. Without slack a small pool keeps an engine too many: one of
+	// three is a large part. With a slack of 0.1, a fleet of 14 kept four prefill engines
+	// while decode engines were missing, and its goodput was 0.63 instead of 0.68. With a
+	// slack above 0.35 it goes down to two prefill engines, and crashes may leave none.
+	toDecodeSlack = 0.35
+	// toPrefillSlack is how far, in engines, the number of prefill engines must be below
+	// the wanted number, for at least toPrefillDelay, before an engine is ordered to
+	// prefill. An engine that changes its role serves neither pool for seconds, and most
+	// crashed engines are back within that time.
+	toPrefillSlack = 0.8
+	toPrefillDelay = 4 * time.Second
+	// burstTolerance is the part of the wanted number of prefill engines, rounded down to
+	// whole engines, by which the actual number must be off before orders begin once
+	// clients have connected. Orders then continue until the wanted number is reached.
+	// During a burst, prefill seems half as expensive again as it is. Without the
+	// tolerance, 128 engines got eleven more orders on quiet days, for bursts that were
+	// over before the engines had changed their roles, and the goodput was 0.66 to 0.70
+	// instead of 0.74 to 0.78.
+	burstTolerance = 0.5
+	// settleTime is the time allowed, beyond the role change itself, until the engine's
+	// registration shows the new role. Until then the engine counts in the new role.
 	settleTime = 4 * time.Second
-	// steady is the time in which the wanted share moves most of the way to a new one: an
-	// engine that changes serves nobody for seconds, and a burst is over in as many.
-	steady = 10 * time.Second
-	// memory is how long the largest number of engines is remembered.
-	memory = 30 * time.Second
-	// underWay bounds the orders that are not carried out yet, as a share of the
-	// engines, and at least one; earlyUnderWay does so before callers come, when an
-	// engine that is away is missed by nobody.
-	underWay      = 0.15
-	earlyUnderWay = 0.25
+	// shareTimeConstant is the time constant of the exponential smoothing of the wanted
+	// share: an engine that changes its role is unavailable for seconds, and a burst does
+	// not last longer than that.
+	shareTimeConstant = 10 * time.Second
+	// peakWindow is how long the largest number of engines is remembered.
+	peakWindow = 30 * time.Second
+	// maxPendingShare bounds the number of pending orders, as a share of the engines; one
+	// is always allowed. earlyMaxPendingShare is the bound before clients connect, when
+	// nothing is lost while an engine is unavailable.
+	maxPendingShare      = 0.15
+	earlyMaxPendingShare = 0.25
 )
 
-// Planner decides on orders for the engines of one service. It is not safe for
-// concurrent use.
+// Planner computes the orders that move the engines of one service between prefill and
+// decode. It is not safe for concurrent use.
 type Planner struct {
-	change  time.Duration
-	pending map[string]pending
-	avoid   map[string]time.Time // engines that did not answer, until when
-	// share is the smoothed share of the engines that should prefill, as of shareAt.
-	share   float64
-	shareAt time.Time
-	short   time.Time // since when prefill has been short; zero when it is not
-	// giving and taking say that orders go on to the exact number.
-	giving, taking bool
-	// most is the largest number of engines seen of late, at mostAt.
-	most   int
-	mostAt time.Time
+	switchTime time.Duration
+	pending    map[string]pendingOrder
+	avoidUntil map[string]time.Time // by engine that did not respond
+	// share is the smoothed share of the engines that should prefill, as of shareUpdated.
+	share        float64
+	shareUpdated time.Time
+	shortSince   time.Time // since when prefill engines have been missing; zero if none are
+	// movingToDecode and movingToPrefill mean that orders to decode or to prefill have
+	// begun and continue without burstTolerance until the wanted number is reached.
+	movingToDecode, movingToPrefill bool
+	// peakEngines is the largest number of engines within peakWindow, last seen at peakAt.
+	peakEngines int
+	peakAt      time.Time
 }
 
-type pending struct {
-	to    fleet.Role
-	born  int64
-	until time.Time
+// pendingOrder is an order that was sent and that the engine's registration does not show
+// yet.
+type pendingOrder struct {
+	to          fleet.Role
+	incarnation int64
+	until       time.Time
 }
 
-// NewPlanner returns a planner for engines that take change to turn.
-func NewPlanner(change time.Duration) *Planner {
-	return &Planner{change: change, pending: map[string]pending{}, avoid: map[string]time.Time{}}
+// NewPlanner returns a planner for engines that need switchTime to change their role.
+func NewPlanner(switchTime time.Duration) *Planner {
+	return &Planner{switchTime: switchTime, pending: map[string]pendingOrder{}, avoidUntil: map[string]time.Time{}}
 }
 
-// Given notes that an order was sent, whatever became of it.
+// Given records an order as pending, whether or not the engine accepted it.
 func (p *Planner) Given(now time.Time, o Order) {
-	p.pending[o.Member.Name] = pending{to: o.To, born: o.Member.Born, until: now.Add(p.change + settleTime)}
+	p.pending[o.Member.Name] = pendingOrder{to: o.To, incarnation: o.Member.Born, until: now.Add(p.switchTime + settleTime)}
 }
 
-// Unreachable notes that an engine did not answer, so that another one is picked
-// until it may have come back.
+// Unreachable records that an engine did not respond. No orders are planned for it during
+// settleTime.
 func (p *Planner) Unreachable(now time.Time, m Member) {
-	p.avoid[m.Name] = now.Add(settleTime)
+	p.avoidUntil[m.Name] = now.Add(settleTime)
 }
 
-// Next returns the next order, if one is due. share is the part of the engines that
-// should prefill; early says that no callers have come yet.
+// Next returns the next order, if one is due. share is the share of the engines that
+// should prefill; early means that no clients have connected yet.
 func (p *Planner) Next(now time.Time, members []Member, share float64, early bool) (Order, bool) {
-	p.expire(now, members)
-	prefill, decode := p.split(members)
-	n := len(prefill) + len(decode)
-	if n < 2 {
+	p.removeFinished(now, members)
+	prefill, decode := p.splitByRole(members)
+	engines := len(prefill) + len(decode)
+	if engines < 2 {
 		return Order{}, false
 	}
-	want := max(1, p.smooth(now, share)*float64(n))
-	if n >= p.most || !now.Before(p.mostAt.Add(memory)) {
-		p.most, p.mostAt = n, now
+	wantPrefill := max(1, p.smoothShare(now, share)*float64(engines))
+	if engines >= p.peakEngines || !now.Before(p.peakAt.Add(peakWindow)) {
+		p.peakEngines, p.peakAt = engines, now
 	}
-	have := float64(len(prefill))
-	limit := underWay
+	prefillEngines := float64(len(prefill))
+	limit := maxPendingShare
 	if early {
-		limit = earlyUnderWay
+		limit = earlyMaxPendingShare
 	}
-	p.noteShort(now, have < want-max(takeSlack, p.off(want, early, p.taking)) || len(prefill) == 0)
-	if len(p.pending) >= max(1, int(math.Floor(limit*float64(n)))) {
+	p.updateShortSince(now, prefillEngines < wantPrefill-max(toPrefillSlack, p.burstMargin(wantPrefill, early, p.movingToPrefill)) || len(prefill) == 0)
+	if len(p.pending) >= max(1, int(math.Floor(limit*float64(engines)))) {
 		return Order{}, false
 	}
-	give := n == p.most && len(prefill) > 1 && have-1 >= want-giveSlack+p.off(want, early, p.giving)
-	take := !p.short.IsZero() && now.Sub(p.short) >= takeAfter && len(decode) > 1
-	p.giving, p.taking = give, take
+	toDecode := engines == p.peakEngines && len(prefill) > 1 && prefillEngines-1 >= wantPrefill-toDecodeSlack+p.burstMargin(wantPrefill, early, p.movingToDecode)
+	toPrefill := !p.shortSince.IsZero() && now.Sub(p.shortSince) >= toPrefillDelay && len(decode) > 1
+	p.movingToDecode, p.movingToPrefill = toDecode, toPrefill
 	switch {
-	case give:
-		// While engines are missing none is moved away from prefill: the next one that
-		// is lost may be one of the few that are left there.
-		return p.choose(now, prefill, fleet.RoleDecode)
-	case take:
-		return p.choose(now, decode, fleet.RolePrefill)
+	case toDecode:
+		// While engines are missing (engines < p.peakEngines), none is moved away from
+		// prefill: the next crash may hit one of the few prefill engines.
+		return p.chooseEngine(now, prefill, fleet.RoleDecode)
+	case toPrefill:
+		return p.chooseEngine(now, decode, fleet.RolePrefill)
 	}
 	return Order{}, false
 }
 
-// off returns how many engines more than the slack the pools must be off for an order;
-// under says that orders of this kind are under way.
-func (p *Planner) off(want float64, early, under bool) float64 {
-	if early || under {
+// burstMargin returns the number of engines by which the number of prefill engines must be
+// off before orders in one direction begin. moving means that they have begun already.
+func (p *Planner) burstMargin(want float64, early, moving bool) float64 {
+	if early || moving {
 		return 0
 	}
-	return math.Floor(tolerance * want)
+	return math.Floor(burstTolerance * want)
 }
 
-// smooth follows the wanted share slowly.
-func (p *Planner) smooth(now time.Time, share float64) float64 {
-	part := 1.0
-	if !p.shareAt.IsZero() {
-		part = 1 - math.Exp(-now.Sub(p.shareAt).Seconds()/steady.Seconds())
+// smoothShare adds a value of the wanted share to its exponential moving average and
+// returns the average.
+func (p *Planner) smoothShare(now time.Time, share float64) float64 {
+	weight := 1.0
+	if !p.shareUpdated.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(p.shareUpdated).Seconds()/shareTimeConstant.Seconds())
 	}
-	p.share += part * (share - p.share)
-	p.shareAt = now
+	p.share += weight * (share - p.share)
+	p.shareUpdated = now
 	return p.share
 }
 
-// expire forgets orders that are carried out, that took too long, or whose engine
-// is gone or was started again, which ends the order with its former life.
-func (p *Planner) expire(now time.Time, members []Member) {
+// removeFinished removes pending orders that were carried out, that took too long, or
+// whose engine is gone or has restarted, since a restart cancels the order. It also
+// removes engines from avoidUntil whose time is over.
+func (p *Planner) removeFinished(now time.Time, members []Member) {
 	byName := map[string]Member{}
 	for _, m := range members {
 		byName[m.Name] = m
 	}
-	for name, until := range p.avoid {
+	for name, until := range p.avoidUntil {
 		if !now.Before(until) {
-			delete(p.avoid, name)
+			delete(p.avoidUntil, name)
 		}
 	}
 	for name, o := range p.pending {
-		if m, ok := byName[name]; !ok || m.Role == o.to || m.Born != o.born || !now.Before(o.until) {
+		if m, ok := byName[name]; !ok || m.Role == o.to || m.Born != o.incarnation || !now.Before(o.until) {
 			delete(p.pending, name)
 		}
 	}
 }
 
-// split sorts the engines by the role that they have or were ordered to.
-func (p *Planner) split(members []Member) (prefill, decode []Member) {
+// splitByRole splits the engines by role. An engine with a pending order counts in the
+// role that it was ordered to take.
+func (p *Planner) splitByRole(members []Member) (prefill, decode []Member) {
 	for _, m := range members {
 		role := m.Role
 		if o, ok := p.pending[m.Name]; ok {
@@ -186,27 +198,27 @@
 	return prefill, decode
 }
 
-func (p *Planner) noteShort(now time.Time, short bool) {
+func (p *Planner) updateShortSince(now time.Time, short bool) {
 	switch {
 	case !short:
-		p.short = time.Time{}
-	case p.short.IsZero():
-		p.short = now
+		p.shortSince = time.Time{}
+	case p.shortSince.IsZero():
+		p.shortSince = now
 	}
 }
 
-// choose returns the order for one of the engines that answer.
-func (p *Planner) choose(now time.Time, list []Member, to fleet.Role) (Order, bool) {
-	list = slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return now.Before(p.avoid[m.Name]) })
+// chooseEngine returns an order for one of the engines that are not to be avoided.
+func (p *Planner) chooseEngine(now time.Time, list []Member, to fleet.Role) (Order, bool) {
+	list = slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return now.Before(p.avoidUntil[m.Name]) })
 	if len(list) == 0 {
 		return Order{}, false
 	}
-	return Order{Member: pick(list), To: to}, true
+	return Order{Member: pickEngine(list), To: to}, true
 }
 
-// pick returns an engine of the data centre that has most of them, so that each
-// keeps some of both.
-func pick(list []Member) Member {
+// pickEngine returns an engine of the data centre that has the most engines in the list,
+// so that engines of both roles stay spread over the data centres.
+func pickEngine(list []Member) Member {
 	count := map[string]int{}
 	for _, m := range list {
 		count[m.DataCentre]++
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -16,8 +16,8 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// engines returns a fleet of which the first p prefill, spread over three data centres.
-func engines(p, n int) []Member {
+// newEngines returns n engines spread over three data centres. The first p of them prefill.
+func newEngines(p, n int) []Member {
 	var out []Member
 	for i := range n {
 		m := Member{Name: fmt.Sprintf("e%02d", i), DataCentre: fmt.Sprintf("dc%d", i%3), Role: fleet.RoleDecode}
@@ -29,11 +29,11 @@
 	return out
 }
 
-const change = 6 * time.Second
+const switchTime = 6 * time.Second
 
-// play lets a planner act every half second on engines that turn at once, and
-// returns how many prefill at the end.
-func play(p *Planner, from int, members []Member, share float64, steps int) int {
+// runPlanner calls the planner every half second, carries out its orders at once, and
+// returns the number of prefill engines at the end.
+func runPlanner(p *Planner, from int, members []Member, share float64, steps int) int {
 	for i := range steps {
 		now := at(from + 500*i)
 		o, ok := p.Next(now, members, share, false)
@@ -60,66 +60,65 @@
 	return n
 }
 
-// Load: decode memory is full at each burst while five of fourteen engines read
-// prompts, of which three would do.
+// Guards against a lack of decode memory in bursts while five of fourteen engines prefill,
+// although three would suffice.
 func TestPlannerGivesIdlePrefillToDecode(t *testing.T) {
 	for _, tc := range []struct {
 		prefill, n int
 		share      float64
 		want       int
 	}{
-		{5, 14, 0.19, 3}, // 2.66 engines
-		{3, 9, 0.18, 2},  // 1.62
-		{5, 14, 0.36, 5}, // as it should be
-		{1, 14, 0.02, 1}, // never none
-		{2, 14, 0.02, 1}, // down to one
-		{2, 14, 0.40, 5}, // long prompts: back, up to takeSlack under 5.6
-		{0, 6, 0.20, 1},  // none is left after crashes
-		{1, 1, 0.50, 1},  // one engine alone serves both
+		{5, 14, 0.19, 3}, // 2.66 engines wanted
+		{3, 9, 0.18, 2},  // 1.62 engines wanted
+		{5, 14, 0.36, 5}, // the wanted number
+		{1, 14, 0.02, 1}, // at least one engine prefills
+		{2, 14, 0.02, 1}, // down to one engine
+		{2, 14, 0.40, 5}, // long prompts: at most toPrefillSlack below 5.6
+		{0, 6, 0.20, 1},  // all prefill engines have crashed
+		{1, 1, 0.50, 1},  // a single engine gets no orders
 	} {
-		members := engines(tc.prefill, tc.n)
-		if got := play(NewPlanner(change), 0, members, tc.share, 400); got != tc.want {
+		members := newEngines(tc.prefill, tc.n)
+		if got := runPlanner(NewPlanner(switchTime), 0, members, tc.share, 400); got != tc.want {
 			t.Errorf("%d of %d, share %v: %d prefill, want %d", tc.prefill, tc.n, tc.share, got, tc.want)
 		}
 	}
 }
 
-// Symptom: a day with a crash is served half as well as without a planner.
-// Sequence: engines crash at the peak, the share of those that are left says that one
-// prefill engine too many is there, it is moved, and the next crash takes the last.
-// Cause: the planner acted on a fleet of which a part was missing.
+// Guards against losing all prefill engines, which halved the goodput of a day compared
+// with no planner. Engines crash at the peak, so that the remaining ones seem to include
+// one prefill engine too many. The planner moves it to decode, and the next crash hits the
+// last prefill engine.
 func TestPlannerKeepsPrefillWhileEnginesAreMissing(t *testing.T) {
-	p := NewPlanner(change)
-	members := engines(3, 14)
-	play(p, 0, members, 0.19, 10)
+	p := NewPlanner(switchTime)
+	members := newEngines(3, 14)
+	runPlanner(p, 0, members, 0.19, 10)
 	left := append([]Member(nil), members[:9]...) // decode engines are gone
-	if got := play(p, 5000, left, 0.19, 8); got != 3 {
+	if got := runPlanner(p, 5000, left, 0.19, 8); got != 3 {
 		t.Errorf("%d prefill engines are left of 3", got)
 	}
 }
 
-// Symptom: engines turn back and forth all day, and those that turn serve nobody.
-// Sequence: an order is given, the registration tells the old role for seconds, and
-// the planner orders another engine for the same need; then it has too few.
-// Cause: orders under way were not counted.
+// Guards against engines that change their roles back and forth all day and are
+// unavailable meanwhile. The registration shows the old role for seconds after an order. If
+// the planner ignored pending orders, it would order more engines than are needed.
 func TestPlannerCountsOrdersUnderWay(t *testing.T) {
-	p := NewPlanner(change)
-	members := engines(5, 14) // registrations never change in this test
-	given := 0
-	for i := range 16 { // 8 s, less than an order is counted for
+	p := NewPlanner(switchTime)
+	members := newEngines(5, 14) // registrations never change in this test
+	sent := 0
+	for i := range 16 { // 8 s, during which orders stay pending
 		if o, ok := p.Next(at(500*i), members, 0.19, false); ok {
 			p.Given(at(500*i), o)
-			given++
+			sent++
 		}
 	}
-	if given != 2 {
-		t.Errorf("%d orders, want the 2 that are needed", given)
+	if sent != 2 {
+		t.Errorf("%d orders, want the 2 that are needed", sent)
 	}
 }
 
 func TestPlannerPicksAnotherEngineWhenOneIsSilent(t *testing.T) {
-	p := NewPlanner(change)
-	members := engines(5, 14)
+	p := NewPlanner(switchTime)
+	members := newEngines(5, 14)
 	first, ok := p.Next(at(0), members, 0.19, false)
 	if !ok {
 		t.Fatal("no order")
@@ -127,13 +126,13 @@
 	p.Unreachable(at(0), first.Member)
 	second, ok := p.Next(at(500), members, 0.19, false)
 	if !ok || second.Member.Name == first.Member.Name {
-		t.Errorf("ordered %q again", second.Member.Name)
+		t.Errorf("second order for %q, want one for another engine than the first", second.Member.Name)
 	}
 }
 
 func TestPlannerSpreadsPrefillOverDataCentres(t *testing.T) {
-	members := engines(6, 15) // two in each
-	play(NewPlanner(change), 0, members, 0.2, 200)
+	members := newEngines(6, 15) // two prefill engines in each data centre
+	runPlanner(NewPlanner(switchTime), 0, members, 0.2, 200)
 	seen := map[string]int{}
 	for _, m := range members {
 		if m.Role == fleet.RolePrefill {
@@ -150,7 +149,7 @@
 	w := NewWork()
 	first, learned := w.PrefillShare(at(0), e)
 	if first < 0.1 || first > 0.4 || learned {
-		t.Errorf("share before anything is known: %v, learned %v", first, learned)
+		t.Errorf("share without samples: %v, learned %v", first, learned)
 	}
 	for range 60 {
 		w.Finished(at(0), Sample{Prompt: 12000, Answer: 100, Held: 500 * time.Millisecond})
@@ -158,7 +157,7 @@
 	}
 	long, learned := w.PrefillShare(at(0), e)
 	if !learned {
-		t.Error("sixty completions teach nothing")
+		t.Error("nothing learned from sixty completions")
 	}
 	for range 60 {
 		w.Finished(at(1), Sample{Prompt: 500, Answer: 2000, Held: 10 * time.Second})
@@ -169,11 +168,10 @@
 	}
 }
 
-// Symptom: decode engines are ordered to prefill in the middle of a burst, and a hundred
-// prompts are read in vain for them while daemons find out.
-// Sequence: the holder of the orders, one daemon of ninety, has seen its first dozen
-// prompts, all in a burst, in which each waited as long as it was read.
-// Cause: a dozen samples were taken for what a prompt costs.
+// Guards against moving decode engines to prefill during a burst, which wasted a hundred
+// prefills whose decode engines were gone. The lease holder, one of ninety daemons, had
+// only a dozen samples of prefills, all from the burst, in which each prompt waited as long
+// as its prefill took.
 func TestOneBurstMovesNoEngine(t *testing.T) {
 	w := NewWork()
 	e := Engine{Slots: 12, MemoryTokens: 30000}
@@ -187,10 +185,9 @@
 	}
 }
 
-// Symptom: on some days all but one engine leave prefill.
-// Sequence: a prefill is repeated on the same engine, which has kept the prompt and
-// answers at once; from then on prefill is taken for ten times as fast.
-// Cause: the quickest prefill counted in full.
+// Guards against moving all but one engine away from prefill. When a prefill is repeated on
+// an engine that has the prompt in its cache, it takes almost no time. A single such sample
+// must not make prefill seem ten times as fast.
 func TestOneKeptPromptTeachesLittle(t *testing.T) {
 	w := NewWork()
 	e := Engine{Slots: 12, MemoryTokens: 30000}
@@ -201,7 +198,7 @@
 	before, _ := w.PrefillShare(at(0), e)
 	w.Prefilled(at(0), 3000, time.Millisecond)
 	if after, _ := w.PrefillShare(at(0), e); after < 0.95*before {
-		t.Errorf("share %v after one kept prompt, %v before", after, before)
+		t.Errorf("share %v after one cached prompt, %v before", after, before)
 	}
 }
 
@@ -210,29 +207,27 @@
 	quiet = 3 * time.Second
 )
 
-// Symptom: an engine stays in its old role for seconds although prefill is short.
-// Sequence: it is ordered to prefill, crashes, and is back under its name before the
-// order's time is over.
-// Cause: the order was counted as under way in a life that never got it.
+// Guards against an engine that keeps its old role for seconds although prefill engines are
+// missing. It is ordered to prefill, crashes and registers again under its name. The order
+// must not stay pending for the new incarnation, which never received it.
 func TestOrderEndsWithTheLifeThatGotIt(t *testing.T) {
-	p := NewPlanner(change)
-	members := engines(3, 6)
+	p := NewPlanner(switchTime)
+	members := newEngines(3, 6)
 	order := Order{Member: members[5], To: fleet.RolePrefill}
 	p.Given(at(0), order)
-	p.expire(at(1), members)
+	p.removeFinished(at(1), members)
 	if len(p.pending) != 1 {
-		t.Fatal("the order is forgotten")
+		t.Fatal("the order is no longer pending")
 	}
 	members[5].Born = 7
-	p.expire(at(2), members)
+	p.removeFinished(at(2), members)
 	if len(p.pending) != 0 {
-		t.Error("the order outlived its engine")
+		t.Error("the order is still pending after the engine restarted")
 	}
 }
 
-// Load: 128 engines under bursts, in which prompts look half as dear again as they are.
-// Symptom: engines change their role in each burst, and are away for the rest of it.
-// Cause: an order for each engine that the pools seem to be off.
+// Guards against engines that change their roles in each burst and are unavailable for the
+// rest of it. During a burst the wanted share seems to be 1.6 times its real value.
 func TestPlannerSitsBurstsOut(t *testing.T) {
 	const n, share = 128, 0.21
 	fleetOf := func(prefill int) []Member {
@@ -253,14 +248,13 @@
 			seen *= 1.6
 		}
 		if o, ok := p.Next(now, fleetOf(27), seen, false); ok {
-			t.Fatalf("ordered %s to %s after %v", o.Member.Name, o.To, at)
+			t.Fatalf("%s ordered to %s after %v, want no order", o.Member.Name, o.To, at)
 		}
 	}
 }
 
-// Symptom: a pool that is half of what its load needs stays so.
-// Sequence: engines turn out to read four times slower than was assumed.
-// Cause: a tolerance for bursts that also holds back what is far off.
+// Guards against a burst tolerance that also suppresses orders that are needed: prefill is
+// four times as slow as assumed, and the pool must grow from 27 to about 64 engines.
 func TestPlannerFollowsWhatIsFarOff(t *testing.T) {
 	const n = 128
 	members := make([]Member, n)
--- a/roles/runner.go
+++ b/roles/runner.go
@@ -10,171 +10,173 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Group is the store's membership of daemons.
+// Group is the group of daemons in the store from which the lease holder is chosen.
 type Group interface {
-	// Join joins the group or renews the membership; generation is the last one told.
+	// Join joins the group or renews the membership. generation is the one from the last
+	// response.
 	Join(ctx context.Context, generation uint64, ttl time.Duration) (Holding, error)
-	// Leave gives the membership up.
+	// Leave ends the membership.
 	Leave(ctx context.Context) error
 }
 
-// State is what an engine tells of itself.
+// State is the state that an engine reports.
 type State struct {
 	Role fleet.Role
 	Busy bool // an order is being carried out
-	// Orders counts the orders that it has accepted in this life, and Born tells the life;
-	// 0 where it does not.
+	// Orders is the number of orders accepted since the engine started. Born identifies
+	// its incarnation; 0 if the engine does not report it.
 	Orders uint64
 	Born   int64
 }
 
-// Engines reads engines and orders them.
+// Engines is the client of the engines' control API.
 type Engines interface {
 	State(ctx context.Context, m Member) (State, error)
-	// SetRole sends one order, which the engine refuses when it has accepted others
-	// than expected.
+	// SetRole sends one order. The engine refuses it if the number of orders that it has
+	// accepted differs from expected.
 	SetRole(ctx context.Context, m Member, to fleet.Role, fence, expected uint64) error
 }
 
-// Options wire a Runner; all are required.
+// Options configures a Runner. All fields are required unless stated otherwise.
 type Options struct {
 	Group   Group
 	Engines Engines
 	View    func() *fleet.View
-	// Work returns what the completions of a service cost.
+	// Work returns the cost estimates for completions of a service.
 	Work  func(service string) *Work
-	TTL   time.Duration
-	Quiet time.Duration
-	Every time.Duration // between renewals of the holder
-	Call  time.Duration // bounds one call
-	// Bootstrap is how long after the start of Run orders open when the whole system
-	// starts for the first time; 0 when it does not.
+	TTL   time.Duration // see NewLease
+	Quiet time.Duration // see NewLease
+	Every time.Duration // interval at which the lease holder renews its membership
+	Call  time.Duration // timeout of a call to the store, and of an order with its read
+	// Bootstrap is the time from the start of Run until orders open, when the whole
+	// system starts for the first time; 0 otherwise.
 	Bootstrap time.Duration
-	// Candidate says whether this daemon is to have the lease if no other has; nil is
-	// always. Each member of the group is a call to the store every few seconds.
+	// Candidate reports whether this daemon should join the group and so may get the
+	// lease; nil means always. Each member costs a call to the store every few seconds.
 	Candidate func() bool
-	// Joined is told the group's generation after each renewal; nil tells nobody.
+	// Joined is called with the group's generation after each renewal; may be nil.
 	Joined func(generation uint64)
 	Logger log.Interface
 	Now    func() time.Time
 }
 
-// Runner keeps the lease and gives orders while it holds it. It is a
+// Runner competes for the lease and sends orders while it holds it. It is a
 // supervise.Service.
 type Runner struct {
-	o        Options
+	options  Options
 	lease    *Lease
 	planners map[string]*Planner
-	leading  bool
-	member   bool // the store may take this daemon for one of the group
-	// opens is when orders open; zero unless the system starts for the first time.
-	opens time.Time
+	mayOrder bool
+	joined   bool // this daemon may be a member of the group
+	// ordersOpenAt is when orders open if the system starts for the first time; else zero.
+	ordersOpenAt time.Time
 }
 
 // NewRunner returns a runner.
-func NewRunner(o Options) *Runner { return &Runner{o: o} }
+func NewRunner(o Options) *Runner { return &Runner{options: o} }
 
 // Name implements supervise.Service.
 func (r *Runner) Name() string { return "roles" }
 
 // Run implements supervise.Service.
 func (r *Runner) Run(ctx context.Context) error {
-	r.lease, r.planners = NewLease(r.o.TTL, r.o.Quiet), map[string]*Planner{}
-	if r.o.Bootstrap > 0 {
-		r.opens = r.o.Now().Add(r.o.Bootstrap)
-		r.lease.Bootstrap(r.opens)
-	}
-	for ok := true; ok; ok = clock.Sleep(ctx, r.pause()) {
-		r.attend(ctx)
-		if fence, ok := r.lease.Fence(r.o.Now()); ok {
-			r.order(ctx, fence)
+	r.lease, r.planners = NewLease(r.options.TTL, r.options.Quiet), map[string]*Planner{}
+	if r.options.Bootstrap > 0 {
+		r.ordersOpenAt = r.options.Now().Add(r.options.Bootstrap)
+		r.lease.Bootstrap(r.ordersOpenAt)
+	}
+	for ok := true; ok; ok = clock.Sleep(ctx, r.renewalDelay()) {
+		r.maintainMembership(ctx)
+		if fence, ok := r.lease.Fence(r.options.Now()); ok {
+			r.sendOrders(ctx, fence)
 		}
-		r.noteLead()
+		r.logLeaseChange()
 	}
-	if r.member {
+	if r.joined {
 		r.leave(context.WithoutCancel(ctx))
 	}
 	return nil
 }
 
-// attend keeps the membership of a candidate, and gives up that of a daemon which is one
-// no more. One that was a candidate for a moment only has asked nobody.
-func (r *Runner) attend(ctx context.Context) {
-	candidate := r.o.Candidate == nil || r.o.Candidate()
+// maintainMembership renews the membership of a candidate, and ends it once the daemon is
+// no longer a candidate.
+func (r *Runner) maintainMembership(ctx context.Context) {
+	candidate := r.options.Candidate == nil || r.options.Candidate()
 	switch {
 	case candidate:
 		r.renew(ctx)
-	case r.member:
+	case r.joined:
 		r.leave(ctx)
 	}
 }
 
 func (r *Runner) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.Call)
+	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
 	defer cancel()
-	r.member = false
-	r.lease.Joined(r.o.Now(), r.o.Now(), Holding{Generation: r.lease.Generation()})
-	if err := r.o.Group.Leave(ctx); err != nil {
-		r.o.Logger.WithError(err).Info("membership left to lapse")
+	r.joined = false
+	r.lease.Joined(r.options.Now(), r.options.Now(), Holding{Generation: r.lease.Generation()})
+	if err := r.options.Group.Leave(ctx); err != nil {
+		r.options.Logger.WithError(err).Info("failed to leave the group: membership will expire")
 	}
 }
 
-// candidateEvery is how often a daemon that is no candidate looks whether it has become
-// one before orders open; it asks nobody for that. A candidate that joined 0.7 s late had
-// the lease too late for the first orders, which then came under load.
-const candidateEvery = 100 * time.Millisecond
-
-// pause returns the time until the next renewal. Who holds the lease renews often, so
-// that one lost call does not end it; the others only keep their membership, each
-// renewal of which is a call that the store counts. Until orders open all renew often:
-// whoever is to have the lease then must have it in time.
-func (r *Runner) pause() time.Duration {
-	switch early := r.o.Now().Before(r.opens); {
-	case early && !r.member:
-		return candidateEvery
+// candidateCheckInterval is the interval at which a daemon that has not joined the group
+// checks whether it is a candidate, until orders open. The check is local. When a
+// candidate joined 0.7 s late, it got the lease too late for the first orders, and engines
+// changed their roles under load.
+const candidateCheckInterval = 100 * time.Millisecond
+
+// renewalDelay returns the time until the next renewal. The lease holder renews often, so
+// that it does not lose the lease with one failed call. The other members renew only as
+// often as they must, because calls to the store are limited. Until orders open, all
+// renew often, so that one of them gets the lease in time.
+func (r *Runner) renewalDelay() time.Duration {
+	switch early := r.options.Now().Before(r.ordersOpenAt); {
+	case early && !r.joined:
+		return candidateCheckInterval
 	case early:
-		return r.o.Every / 2
+		return r.options.Every / 2
 	case r.lease.Held():
-		return r.o.Every
+		return r.options.Every
 	}
-	return r.o.TTL * 2 / 3
+	return r.options.TTL * 2 / 3
 }
 
 func (r *Runner) renew(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.Call)
+	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
 	defer cancel()
-	sent := r.o.Now()
-	r.member = true // even without an answer the store may have taken the call
-	h, err := r.o.Group.Join(ctx, r.lease.Generation(), r.o.TTL)
+	sent := r.options.Now()
+	r.joined = true // even if the call fails, the store may have processed it
+	h, err := r.options.Group.Join(ctx, r.lease.Generation(), r.options.TTL)
 	if err != nil {
-		r.o.Logger.WithError(err).Debug("membership not renewed")
+		r.options.Logger.WithError(err).Debug("membership not renewed")
 		return
 	}
-	r.lease.Joined(sent, r.o.Now(), h)
-	if r.o.Joined != nil {
-		r.o.Joined(h.Generation)
+	r.lease.Joined(sent, r.options.Now(), h)
+	if r.options.Joined != nil {
+		r.options.Joined(h.Generation)
 	}
 }
 
-// noteLead logs when this daemon gains or loses the right to give orders.
-func (r *Runner) noteLead() {
-	fence, leads := r.lease.Fence(r.o.Now())
-	if leads == r.leading {
+// logLeaseChange logs when this daemon gains or loses the right to send orders.
+func (r *Runner) logLeaseChange() {
+	fence, leads := r.lease.Fence(r.options.Now())
+	if leads == r.mayOrder {
 		return
 	}
-	r.leading = leads
-	r.o.Logger.WithFields(log.Fields{"leads": leads, "fence": fence}).Info("orders lease")
+	r.mayOrder = leads
+	r.options.Logger.WithFields(log.Fields{"leads": leads, "fence": fence}).Info("orders lease changed")
 }
 
-// orderPart is the part of a service's engines, one in so many and at least one, that may
-// be ordered between two renewals once callers have come. One alone took 128 engines half
-// a minute to follow a load that was new.
-const orderPart = 32
+// enginesPerOrder is the number of engines of a service per order that may be sent between
+// two renewals once clients have connected; one order is always allowed. With a limit of
+// one order, 128 engines took half a minute to adapt to a new load.
+const enginesPerOrder = 32
 
-// order gives the orders that are due: all of them while no callers have come, else a few
-// for each service.
-func (r *Runner) order(ctx context.Context, fence uint64) {
-	v := r.o.View()
+// sendOrders sends the orders that are due: all of them before clients connect, else a
+// limited number for each service (see enginesPerOrder).
+func (r *Runner) sendOrders(ctx context.Context, fence uint64) {
+	v := r.options.View()
 	if v == nil || v.Config == nil {
 		return
 	}
@@ -187,26 +189,27 @@
 			p = NewPlanner(s.Engine.RoleSwitch)
 			r.planners[name] = p
 		}
-		early := r.lease.Early(r.o.Now())
-		share, _ := r.o.Work(name).PrefillShare(r.o.Now(), Engine{Slots: s.Engine.Slots, MemoryTokens: s.Engine.MemoryTokens})
-		members := membersOf(v, name)
-		for given := 0; r.holds(fence) && (early || given < max(1, len(members)/orderPart)); given++ {
-			o, ok := p.Next(r.o.Now(), members, share, early)
+		early := r.lease.Early(r.options.Now())
+		share, _ := r.options.Work(name).PrefillShare(r.options.Now(), Engine{Slots: s.Engine.Slots, MemoryTokens: s.Engine.MemoryTokens})
+		members := engineMembers(v, name)
+		for attempts := 0; r.holdsFence(fence) && (early || attempts < max(1, len(members)/enginesPerOrder)); attempts++ {
+			o, ok := p.Next(r.options.Now(), members, share, early)
 			if !ok {
 				break
 			}
-			r.give(ctx, p, o, fence, share)
+			r.sendOrder(ctx, p, o, fence, share)
 		}
 	}
 }
 
-// holds says whether the lease is still the one of a fence.
-func (r *Runner) holds(fence uint64) bool {
-	now, ok := r.lease.Fence(r.o.Now())
+// holdsFence reports whether this daemon may still send orders with the given fencing
+// token.
+func (r *Runner) holdsFence(fence uint64) bool {
+	now, ok := r.lease.Fence(r.options.Now())
 	return ok && now == fence
 }
 
-func membersOf(v *fleet.View, service string) []Member {
+func engineMembers(v *fleet.View, service string) []Member {
 	var out []Member
 	for _, m := range v.Members {
 		if m.Service == service && !m.Draining && m.Role != fleet.RolePlain {
@@ -216,36 +219,37 @@
 	return out
 }
 
-// give reads the engine, orders it when it still is what it seemed, and notes the
-// order whatever its answer: without one it may be carried out late.
-func (r *Runner) give(ctx context.Context, p *Planner, o Order, fence uint64, share float64) {
-	ctx, cancel := context.WithTimeout(ctx, r.o.Call)
+// sendOrder reads the state of the engine and sends it the order unless the state rules
+// this out. Once the state has been read, the order counts as pending whatever happens
+// next: even an order without a response may be carried out later.
+func (r *Runner) sendOrder(ctx context.Context, p *Planner, o Order, fence uint64, share float64) {
+	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
 	defer cancel()
-	entry := r.o.Logger.WithFields(log.Fields{"upstream": o.Member.Name, "to": o.To.String(), "fence": fence, "share": share})
-	state, err := r.o.Engines.State(ctx, o.Member)
+	entry := r.options.Logger.WithFields(log.Fields{"upstream": o.Member.Name, "to": o.To.String(), "fence": fence, "share": share})
+	state, err := r.options.Engines.State(ctx, o.Member)
 	if err != nil {
-		p.Unreachable(r.o.Now(), o.Member)
-		entry.WithError(err).Info("order not given: the engine did not answer")
+		p.Unreachable(r.options.Now(), o.Member)
+		entry.WithError(err).Info("order not sent: engine did not respond")
 		return
 	}
-	p.Given(r.o.Now(), o)
+	p.Given(r.options.Now(), o)
 	if state.Born != o.Member.Born && state.Born != 0 && o.Member.Born != 0 {
-		entry.Info("order not given: the engine was started again and has not registered yet")
+		entry.Info("order not sent: engine restarted and has not registered again")
 		return
 	}
 	if state.Busy || state.Role == o.To {
-		entry.WithField("busy", state.Busy).Info("order not given: the engine turns already")
+		entry.WithField("busy", state.Busy).Info("order not sent: engine is busy or already has the role")
 		return
 	}
-	if !r.holds(fence) {
-		entry.Info("order not given: the lease is over")
+	if !r.holdsFence(fence) {
+		entry.Info("order not sent: lease lost")
 		return
 	}
-	if state.Orders > 0 && r.lease.Early(r.o.Now()) {
-		entry.Info("order not given: the engine has had orders, and the lease is young")
+	if state.Orders > 0 && r.lease.Early(r.options.Now()) {
+		entry.Info("order not sent: engine has had orders and the lease is new")
 		return
 	}
-	if err := r.o.Engines.SetRole(ctx, o.Member, o.To, fence, state.Orders); err != nil {
+	if err := r.options.Engines.SetRole(ctx, o.Member, o.To, fence, state.Orders); err != nil {
 		entry.WithError(err).Warn("order unanswered or refused")
 		return
 	}
--- a/roles/runner_test.go
+++ b/roles/runner_test.go
@@ -14,18 +14,19 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// fakeGroup always gives the part; fakeEngines record orders.
+// fakeGroup makes every member the owner of the partition.
 type fakeGroup struct{ fail bool }
 
 func (g *fakeGroup) Join(context.Context, uint64, time.Duration) (Holding, error) {
 	if g.fail {
-		return Holding{}, errors.New("the store is away")
+		return Holding{}, errors.New("store unreachable")
 	}
 	return Holding{Generation: 7, Owner: true}, nil
 }
 
 func (g *fakeGroup) Leave(context.Context) error { return nil }
 
+// fakeEngines reports one state for all engines and records the orders.
 type fakeEngines struct {
 	state  State
 	err    error
@@ -39,13 +40,13 @@
 	return nil
 }
 
-// runnerOf returns a runner that holds its lease at the clock's time.
-func runnerOf(e *fakeEngines, now *time.Time) *Runner {
+// newTestRunner returns a runner that may send orders, and sets now to that time.
+func newTestRunner(e *fakeEngines, now *time.Time) *Runner {
 	v := &fleet.View{
-		Config:  &fleet.Config{Services: map[string]fleet.Service{"llm": {Engine: &fleet.Engine{Slots: 12, MemoryTokens: 30000, RoleSwitch: change}}, "app": {}}},
+		Config:  &fleet.Config{Services: map[string]fleet.Service{"llm": {Engine: &fleet.Engine{Slots: 12, MemoryTokens: 30000, RoleSwitch: switchTime}}, "app": {}}},
 		Members: map[string]fleet.Registration{},
 	}
-	for _, m := range engines(5, 14) {
+	for _, m := range newEngines(5, 14) {
 		v.Members[m.Name] = fleet.Registration{Name: m.Name, Service: "llm", DataCentre: m.DataCentre, Role: m.Role}
 	}
 	work := NewWork()
@@ -66,20 +67,20 @@
 func TestRunnerOrdersWithFenceAndExpectation(t *testing.T) {
 	now := t0
 	e := &fakeEngines{state: State{Role: fleet.RolePrefill, Orders: 3}}
-	r := runnerOf(e, &now)
+	r := newTestRunner(e, &now)
 	fence, ok := r.lease.Fence(now)
 	if !ok {
 		t.Fatal("the lease is not held")
 	}
-	r.order(context.Background(), fence)
+	r.sendOrders(context.Background(), fence)
 	if d := cmp.Diff([]string{"e00 decode 7 3"}, e.orders); d != "" {
 		t.Error(d)
 	}
 }
 
-// Symptom: an engine that is turning gets a second order, and turns back late.
-// Sequence: the engine reports that it is busy, or has the role already.
-// Cause: an order given on the registration alone, which is seconds old.
+// Guards against a second order for an engine that is changing its role or has changed it
+// already. The registration is seconds old, so the engine's own state must be read before
+// each order.
 func TestRunnerLeavesTurningEnginesAlone(t *testing.T) {
 	for name, e := range map[string]*fakeEngines{
 		"busy":   {state: State{Role: fleet.RolePrefill, Busy: true}},
@@ -87,9 +88,9 @@
 		"silent": {err: errors.New("no answer")},
 	} {
 		now := t0
-		r := runnerOf(e, &now)
+		r := newTestRunner(e, &now)
 		fence, _ := r.lease.Fence(now)
-		r.order(context.Background(), fence)
+		r.sendOrders(context.Background(), fence)
 		if len(e.orders) != 0 {
 			t.Errorf("%s: orders %q", name, e.orders)
 		}
--- a/roles/work.go
+++ b/roles/work.go
@@ -1,12 +1,13 @@
-// Package roles moves engines between prefill and decode so that both pools are
-// equally busy. Work and Planner decide without I/O; Lease says whether this daemon
-// is the one that may give orders; Runner wires them to the network.
+// Package roles moves engines between prefill and decode so that both pools are equally
+// busy. Work estimates the costs of completions and Planner computes orders, both without
+// I/O. Lease determines whether this daemon may send orders, and Runner connects them to
+// the network.
 //
-// Load pattern: prompts and answers of which one kind costs prefill engines time and
-// the other costs decode engines memory, in a mix that shifts over minutes, on a
-// fixed number of engines. Splitting the engines in the ratio of the two costs lets
-// both pools reach their limit at the same load (the argument of Splitwise and of
-// planners such as Dynamo's; the ratio is learned here, not profiled).
+// Prompts cost prefill engines time and answers cost decode engines memory, in a mix that
+// shifts within minutes, while the number of engines is fixed. If the engines are split in
+// the ratio of the two costs, both pools reach their limit at the same load. This is the
+// approach of Splitwise and of planners such as Dynamo's; here the ratio is estimated from
+// live traffic instead of profiled.
 package roles
 
 import (
@@ -18,112 +19,122 @@
 
 // Sample is one finished completion.
 type Sample struct {
-	// Prompt and Answer are its tokens, and Held how long its decode engine worked on it.
+	// Prompt and Answer are its numbers of tokens. Held is how long it occupied its decode
+	// engine.
 	Prompt, Answer int
 	Held           time.Duration
 }
 
 const (
-	// The completion by which engines are split until the costs are learned: drafts of
-	// the users read about 3,000 tokens in 90 ms and make about 700 in 3.5 s. It
-	// orders engines before the first callers come, and refuses nothing.
-	firstPrompt  = 3000
-	firstAnswer  = 700
-	firstHeld    = 3500 * time.Millisecond
-	firstPrefill = 90 * time.Millisecond
-	// fewestDone and fewestRead are how many completions and prefills must be known for
-	// the costs to be; an order takes an engine away for seconds. The holder of the orders
-	// among ninety daemons sees one request in ninety: with twelve, all of one burst, in
-	// which every prompt had waited, it took prefill for twice as dear and ordered four
-	// decode engines away under load, for which 117 prompts were read in vain.
-	fewestDone = 48
-	fewestRead = 48
+	// The costs of a completion that are assumed until enough samples are known. They are
+	// typical of the users' drafts: a prompt of 3,000 tokens, prefilled in 90 ms, and an
+	// answer of 700 tokens, decoded in 3.5 s. They determine the roles of the engines
+	// before the first clients connect; no request is refused because of them.
+	defaultPromptTokens = 3000
+	defaultAnswerTokens = 700
+	defaultDecodeTime   = 3500 * time.Millisecond
+	defaultPrefillTime  = 90 * time.Millisecond
+	// minCompletions and minPrefills are the numbers of completions and prefills needed
+	// for an estimate of the costs, because a wrong order makes an engine unavailable for
+	// seconds. One of ninety daemons, which sees one request in ninety, had an estimate
+	// from twelve samples, all from one burst in which every prompt had waited in a queue.
+	// It overestimated the cost of prefill by a factor of two and moved four decode engines
+	// to prefill under load; 117 prompts were prefilled in vain.
+	minCompletions = 48
+	minPrefills    = 48
 )
 
-// Work learns what one completion costs each pool. It is safe for concurrent use.
+// Work estimates how much of a prefill engine and of a decode engine one completion of a
+// service takes. It is safe for concurrent use.
 type Work struct {
-	mu       sync.Mutex
-	prompt   estimate.Mean
-	answer   estimate.Mean
-	held     estimate.Mean  // seconds
-	perToken estimate.Speed // of prefill
+	mu              sync.Mutex
+	promptTokens    estimate.Mean
+	answerTokens    estimate.Mean
+	decodeSeconds   estimate.Mean
+	prefillPerToken estimate.Speed // prefill time per prompt token
 }
 
-// NewWork returns costs of which nothing is known.
+// NewWork returns an estimator without samples.
 func NewWork() *Work { return &Work{} }
 
-// Finished takes a completion.
+// Finished adds a finished completion to the estimates.
 func (w *Work) Finished(now time.Time, s Sample) {
 	if s.Prompt <= 0 || s.Held <= 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.prompt.Add(now, float64(s.Prompt))
-	w.answer.Add(now, float64(s.Answer))
-	w.held.Add(now, s.Held.Seconds())
+	w.promptTokens.Add(now, float64(s.Prompt))
+	w.answerTokens.Add(now, float64(s.Answer))
+	w.decodeSeconds.Add(now, s.Held.Seconds())
 }
 
-// Prefilled takes a prefill of so many tokens with none ahead of it. One that waited in
-// a queue, or found the prompt kept from an earlier try, tells little of the engine's
-// speed, which is learned from the quick ones that are not odd.
+// Prefilled adds the time of a prefill of the given number of tokens that had no prompt
+// ahead of it. A prefill may still have waited in a queue, or have found the prompt in the
+// engine's cache. estimate.Speed uses a low quantile, so that neither distorts the
+// estimate.
 func (w *Work) Prefilled(now time.Time, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.perToken.Add(now, took/time.Duration(tokens))
+	w.prefillPerToken.Add(now, took/time.Duration(tokens))
 }
 
-// Engine is what bounds one engine.
+// Engine describes the capacity of one engine: its slots, and its KV cache in tokens. Zero
+// means no limit.
 type Engine struct {
 	Slots, MemoryTokens int
 }
 
-// PrefillShare returns the share of engines, 0 to 1, that should prefill: one
-// completion takes perToken x prompt of a prefill engine, and of a decode engine the
-// time that it is held, times the larger part of its memory or its slots. learned says
-// that it rests on completions that were seen.
+// PrefillShare returns the share of the engines, 0 to 1, that should prefill. A completion
+// costs prefill the time to prefill its prompt. It costs decode the time that it occupies
+// its engine, times the fraction of the engine that it takes (of the slots or the memory,
+// whichever is larger). learned means that the costs are estimated from samples, not
+// assumed.
 func (w *Work) PrefillShare(now time.Time, e Engine) (share float64, learned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	prompt, ok := w.prompt.Value(now)
-	perToken, read := w.perToken.Value(now)
-	done, _ := w.prompt.Samples()
-	reads, _ := w.perToken.Samples()
-	if !ok || !read || done < fewestDone || reads < fewestRead {
-		return e.share(firstPrefill.Seconds(), firstHeld.Seconds(), firstPrompt, firstAnswer), false
+	prompt, promptKnown := w.promptTokens.Value(now)
+	perToken, prefillKnown := w.prefillPerToken.Value(now)
+	completions, _ := w.promptTokens.Samples()
+	prefills, _ := w.prefillPerToken.Samples()
+	if !promptKnown || !prefillKnown || completions < minCompletions || prefills < minPrefills {
+		return e.prefillShare(defaultPrefillTime.Seconds(), defaultDecodeTime.Seconds(), defaultPromptTokens, defaultAnswerTokens), false
 	}
-	answer, _ := w.answer.Value(now)
-	held, _ := w.held.Value(now)
-	return e.share(prompt*perToken.Seconds(), held, prompt, answer), true
+	answer, _ := w.answerTokens.Value(now)
+	held, _ := w.decodeSeconds.Value(now)
+	return e.prefillShare(prompt*perToken.Seconds(), held, prompt, answer), true
 }
 
-// share returns the part of the engines that should prefill for completions that take a
-// prefill engine and a decode engine for so many seconds, and hold so many tokens.
-func (e Engine) share(prefill, held, prompt, answer float64) float64 {
-	decode := held * e.part(prompt+answer/2)
-	prefill *= headroom
-	return prefill / (prefill + decode)
+// prefillShare returns the share of the engines that should prefill if a completion with
+// the given numbers of tokens takes prefillSeconds on a prefill engine and decodeSeconds on
+// a decode engine. On average, a completion in decode holds its prompt and half its answer
+// in memory.
+func (e Engine) prefillShare(prefillSeconds, decodeSeconds, promptTokens, answerTokens float64) float64 {
+	decodeCost := decodeSeconds * e.loadFraction(promptTokens+answerTokens/2)
+	prefillSeconds *= prefillHeadroom
+	return prefillSeconds / (prefillSeconds + decodeCost)
 }
 
-// headroom is how many times as much prefill there is to be as the mean load needs. A
-// decode engine takes what fits into its memory and does it in time, whereas prompts queue
-// for each other within a target of a second. With 1.0, 22 of 128 engines read prompts, and
-// of 5,736 streams of a day with bursts 1,298 were late; with 1.4, 29 did, and 398 were. With
-// 1.8 decode engines were missing.
-const headroom = 1.3
+// prefillHeadroom is the ratio of the prefill capacity to the mean load. A decode engine
+// runs every completion that fits into its memory at once, whereas prompts queue one after
+// the other and must meet a latency target of one second. On a day with bursts, 128
+// engines served 5,736 streams: with a headroom of 1.0, 22 engines were prefilling and
+// 1,298 streams were late; with 1.4, 29 engines were and 398 streams were late. With 1.8
+// there were too few decode engines.
+const prefillHeadroom = 1.3
 
-// part returns the part of an engine that a completion takes which holds so many tokens
-// in the mean.
-func (e Engine) part(tokens float64) float64 {
-	part := 0.0
+// loadFraction returns the fraction of an engine that a completion takes which holds the
+// given mean number of tokens: of its slots or of its memory, whichever is larger.
+func (e Engine) loadFraction(tokens float64) float64 {
+	fraction := 0.0
 	if e.Slots > 0 {
-		part = 1 / float64(e.Slots)
+		fraction = 1 / float64(e.Slots)
 	}
 	if e.MemoryTokens > 0 {
-		part = max(part, tokens/float64(e.MemoryTokens))
+		fraction = max(fraction, tokens/float64(e.MemoryTokens))
 	}
-	return part
+	return fraction
 }
