--- a/bundle/watch/core.go
+++ b/bundle/watch/core.go
@@ -13,10 +13,10 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// judgement is one record's verdict, for logs and metrics.
-type judgement struct {
+// recordResult is the verdict on one record, for logs and metrics.
+type recordResult struct {
 	source  string // "log" or "peer"
-	offset  uint64 // on the log
+	offset  uint64 // on the log; 0 for a record from a peer
 	verdict bundle.Verdict
 	err     error
 }
@@ -27,81 +27,87 @@
 	sourcePeer = "peer"
 )
 
-// actions are what the runner must do after an event.
+// actions is what the Watcher must do after the core handled an event.
 type actions struct {
-	// fetch asks a peer; nil when there is nothing to ask.
+	// fetch is a call to make to a peer; nil for none.
 	fetch *fetchJob
-	// checkpoint is to be appended to the log; nil when none is due.
+	// checkpoint must be appended to the log; nil if none is due.
 	checkpoint []byte
-	judged     []judgement
-	// thawed says that the process was found to have been frozen.
-	thawed bool
+	results    []recordResult
+	// wasFrozen is set if the process was suspended for longer than freezeThreshold.
+	wasFrozen bool
 }
 
-// core decides all that a Watcher does. It is owned by one goroutine.
+// core makes all decisions of a Watcher. It does no I/O and must be used by one
+// goroutine only.
 type core struct {
-	chain   *bundle.Chain
-	renewal *renewal
-	ready   *readiness
-	peers   *peers
-	first   uint64 // the oldest offset the log keeps, as last read
+	chain       *bundle.Chain
+	checkpoints *checkpointSchedule
+	ready       *readiness
+	peers       *peers
+	oldest      uint64 // the oldest offset that the log retains, as of the last read
 }
 
 func newCore(now time.Time, trust bundle.Trust, checkpointEvery time.Duration, rng *rand.Rand) *core {
 	return &core{
-		chain:   bundle.NewChain(trust),
-		renewal: newRenewal(now, checkpointEvery, rng),
-		ready:   newReadiness(now),
-		peers:   newPeers(rng),
+		chain:       bundle.NewChain(trust),
+		checkpoints: newCheckpointSchedule(now, checkpointEvery, rng),
+		ready:       newReadiness(now),
+		peers:       newPeers(rng),
 	}
 }
 
-// logRead takes the outcome of a read from an offset that began at a time.
-func (c *core) logRead(now, began time.Time, from uint64, reply infraapi.ReadReply, err error) actions {
+// handleRead processes the result of a read of the log from an offset. began is
+// the time at which the read was started.
+func (c *core) handleRead(now, began time.Time, from uint64, reply infraapi.ReadReply, err error) actions {
 	var act actions
 	switch {
 	case errors.Is(err, infra.ErrTrimmed):
-		c.first = reply.First
+		c.oldest = reply.First
 		c.chain.Trimmed(reply.First)
 		return act
 	case err != nil:
-		c.ready.logRead(began, true, false, c.chain.CaughtUp(), c.behind())
+		c.ready.handleRead(began, true, false, c.chain.CaughtUp(), c.peerAhead())
 		return act
 	}
-	c.first = reply.First
+	c.oldest = reply.First
 	c.chain.Live(reply.Next)
 	for _, rec := range reply.Records {
 		if rec.Offset != c.chain.Next() {
-			// The chain moved to another offset meanwhile; the next read starts there.
+			// The chain's next offset was changed by a peer's position or by a checkpoint
+			// in this reply; the next read starts at the new offset.
 			break
 		}
-		act.judged = append(act.judged, c.offerLog(now, rec))
+		act.results = append(act.results, c.offerLog(now, rec))
 	}
 	atEnd := c.chain.Next() >= reply.Next && from <= reply.Next
-	c.ready.logRead(began, false, atEnd, c.chain.CaughtUp(), c.behind())
+	c.ready.handleRead(began, false, atEnd, c.chain.CaughtUp(), c.peerAhead())
 	return act
 }
 
-func (c *core) offerLog(now time.Time, rec infraapi.Record) judgement {
+// offerLog offers a log record to the chain. A valid checkpoint postpones this
+// daemon's next one.
+func (c *core) offerLog(now time.Time, rec infraapi.Record) recordResult {
 	verdict, err := c.chain.OfferLog(rec.Offset, rec.Data)
 	if verdict == bundle.Base || verdict == bundle.Confirmed {
 		if through, ok := bundle.CheckpointThrough(rec.Data); ok {
-			c.renewal.seen(now, through, time.UnixMilli(rec.TimeMS))
+			c.checkpoints.observe(now, through, time.UnixMilli(rec.TimeMS))
 		}
 	}
-	return judgement{source: sourceLog, offset: rec.Offset, verdict: verdict, err: err}
+	return recordResult{source: sourceLog, offset: rec.Offset, verdict: verdict, err: err}
 }
 
-// notice takes a peer's version from its heartbeat. It reports a peer that
-// has another version for the number in force here.
-func (c *core) notice(now time.Time, from wire.NodeID, number uint64, digest []byte) (conflict bool) {
-	c.peers.notice(now, from, number)
+// handleHeartbeat records a peer's version. It reports a conflict if the peer has
+// another record than this daemon for the number in force here.
+func (c *core) handleHeartbeat(now time.Time, from wire.NodeID, number uint64, digest []byte) (conflict bool) {
+	c.peers.update(now, from, number)
 	v := c.chain.InForce()
 	return v != nil && number == v.Number && len(digest) > 0 && !bytes.Equal(digest, v.Digest[:])
 }
 
-// fetched takes a peer's answer to a call that began at a time.
-func (c *core) fetched(now, began time.Time, job fetchJob, reply wire.BundleRecords, err error) actions {
+// handleFetch processes a peer's response to a call, or the call's error. began is
+// the time at which the call was started.
+func (c *core) handleFetch(now, began time.Time, job fetchJob, reply wire.BundleRecords, err error) actions {
 	var act actions
 	if err != nil || reply.Busy {
 		c.peers.failed(now, job.from)
@@ -109,51 +115,53 @@
 	}
 	for _, record := range reply.Records {
 		verdict, err := c.chain.Offer(record)
-		act.judged = append(act.judged, judgement{source: sourcePeer, verdict: verdict, err: err})
+		act.results = append(act.results, recordResult{source: sourcePeer, verdict: verdict, err: err})
 		if verdict == bundle.Invalid || verdict == bundle.Unsupported || verdict == bundle.Gap {
 			c.peers.failed(now, job.from)
 			break
 		}
 	}
-	c.peers.answered(job.from, reply.Number)
+	c.peers.succeeded(job.from, reply.Number)
 	if reply.CaughtUp && len(reply.Digest) == len(bundle.Digest{}) {
-		c.seek(now, bundle.Digest(reply.Digest), reply.Through)
+		c.usePeerPosition(now, bundle.Digest(reply.Digest), reply.Through)
 	}
 	if reply.Number <= c.number() {
-		c.ready.peerAnswered(began, c.chain.Based(), c.behind(), c.doubts())
+		c.ready.handlePeerResponse(began, c.chain.Based(), c.peerAhead(), c.untrustedRecord())
 	}
 	return act
 }
 
-// seek takes a peer's place on the log. The checkpoint that the daemon will
-// not read then counts as written now.
-func (c *core) seek(now time.Time, digest bundle.Digest, through uint64) {
+// usePeerPosition offers the chain a peer's position on the log as the base. If it
+// is accepted, the chain may skip the last checkpoint on the log. The schedule then
+// treats the position as a checkpoint that was written now.
+func (c *core) usePeerPosition(now time.Time, digest bundle.Digest, through uint64) {
 	if c.chain.SeekTo(digest, through) {
-		c.renewal.seen(now, through, now)
+		c.checkpoints.observe(now, through, now)
 	}
 }
 
-// tick is called a few times a second.
+// tick is called every tickInterval.
 func (c *core) tick(now time.Time) actions {
 	var act actions
-	act.thawed = c.ready.tick(now)
+	act.wasFrozen = c.ready.tick(now)
 	if c.chain.InForce() != nil {
-		c.ready.settle(now, c.behind())
+		c.ready.confirmOnTimeout(now, c.peerAhead())
 	}
-	if c.chain.CaughtUp() && !c.ready.logDown && c.renewal.check(now, c.first, c.chain.Doubt()) {
+	if c.chain.CaughtUp() && !c.ready.readFailed && c.checkpoints.isDue(now, c.oldest, c.chain.Doubt()) {
 		if data, ok := c.chain.Checkpoint(); ok {
-			c.renewal.tried(now)
+			c.checkpoints.appendStarted(now)
 			act.checkpoint = data
 		}
 	}
-	act.fetch = c.peers.next(now, need{
+	act.fetch = c.peers.nextCall(now, fetchNeed{
 		number:  c.number(),
-		urgent:  c.chain.InForce() == nil || c.ready.logDown,
+		urgent:  c.chain.InForce() == nil || c.ready.readFailed,
 		confirm: !c.ready.confirmed || !c.chain.Based(),
 	})
 	return act
 }
 
+// number returns the number of the version in force, or 0.
 func (c *core) number() uint64 {
 	if v := c.chain.InForce(); v != nil {
 		return v.Number
@@ -161,12 +169,12 @@
 	return 0
 }
 
-// behind reports whether a peer told of a higher version than the one in force.
-func (c *core) behind() bool { return c.peers.highest() > c.number() }
+// peerAhead reports whether a peer announced a higher version than the one in force here.
+func (c *core) peerAhead() bool { return c.peers.highest() > c.number() }
 
-// doubts reports whether the log holds a record that may have been in force by
-// a key that is no longer trusted.
-func (c *core) doubts() bool { return errors.Is(c.chain.Lost(), bundle.ErrUntrusted) }
+// untrustedRecord reports whether the chain has no base because of a log record that
+// may have been adopted under a key that is no longer trusted.
+func (c *core) untrustedRecord() bool { return errors.Is(c.chain.Lost(), bundle.ErrUntrusted) }
 
-// readyNow reports whether the version in force may be served.
-func (c *core) readyNow() bool { return c.ready.confirmed && c.chain.InForce() != nil }
+// isReady reports whether there is a version in force and it is confirmed as current.
+func (c *core) isReady() bool { return c.ready.confirmed && c.chain.InForce() != nil }
--- a/bundle/watch/core_test.go
+++ b/bundle/watch/core_test.go
@@ -25,12 +25,14 @@
 	peerB   = wire.NodeID{Instance: "b", Incarnation: 1}
 )
 
+// testKey returns a key that is derived from a seed.
 func testKey(id string, seed byte) bundle.Key {
 	b := make([]byte, ed25519.SeedSize)
 	b[0] = seed
 	return bundle.Key{ID: id, Private: ed25519.NewKeyFromSeed(b)}
 }
 
+// must returns v and panics on an error, which only a mistake in the test causes.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -38,8 +40,8 @@
 	return v
 }
 
-// chainOf returns n signed records, each on the one before.
-func chainOf(n int) [][]byte {
+// recordChain returns n signed snapshots; each one extends the one before it.
+func recordChain(n int) [][]byte {
 	var out [][]byte
 	var body bundle.Body
 	for i := range n {
@@ -52,23 +54,29 @@
 	return out
 }
 
-// rig is a core with a clock of the test's own.
-type rig struct {
+// coreHarness runs a core with a simulated clock.
+type coreHarness struct {
 	t    *testing.T
 	now  time.Time
 	core *core
 }
 
-func newRig(t *testing.T, seed uint64) *rig { return newRigWith(t, seed, trusted) }
+// newCoreHarness returns a harness whose core trusts ana and ben.
+func newCoreHarness(t *testing.T, seed uint64) *coreHarness {
+	return newCoreHarnessWith(t, seed, trusted)
+}
 
-func newRigWith(t *testing.T, seed uint64, trust bundle.Trust) *rig {
-	return &rig{t: t, now: start, core: newCore(start, trust, time.Hour, rand.New(rand.NewPCG(seed, 0)))}
+// newCoreHarnessWith returns a harness whose core has the given trusted keys.
+func newCoreHarnessWith(t *testing.T, seed uint64, trust bundle.Trust) *coreHarness {
+	return &coreHarness{t: t, now: start, core: newCore(start, trust, time.Hour, rand.New(rand.NewPCG(seed, 0)))}
 }
 
-func (r *rig) pass(d time.Duration) actions {
+// advance moves the clock on in steps of one tick, and returns the last fetch and
+// the last checkpoint that the core asked for.
+func (r *coreHarness) advance(d time.Duration) actions {
 	var last actions
-	for ; d > 0; d -= tickEvery {
-		r.now = r.now.Add(tickEvery)
+	for ; d > 0; d -= tickInterval {
+		r.now = r.now.Add(tickInterval)
 		act := r.core.tick(r.now)
 		if act.fetch != nil {
 			last.fetch = act.fetch
@@ -80,207 +88,213 @@
 	return last
 }
 
-// read feeds a read from the chain's place of a log that keeps records from first on.
-func (r *rig) read(first uint64, log [][]byte) {
+// readLog passes the records of a log, which retains those from offset first on, to
+// the core until it has read to the end.
+func (r *coreHarness) readLog(first uint64, log [][]byte) {
 	for {
 		from := r.core.chain.Next()
 		reply := infraapi.ReadReply{First: first, Next: uint64(len(log))}
 		if from < first {
-			r.core.logRead(r.now, r.now, from, reply, infra.ErrTrimmed)
+			r.core.handleRead(r.now, r.now, from, reply, infra.ErrTrimmed)
 			continue
 		}
 		if from < uint64(len(log)) {
 			reply.Records = []infraapi.Record{{Offset: from, Data: log[from], TimeMS: r.now.UnixMilli()}}
 		}
-		r.core.logRead(r.now, r.now, from, reply, nil)
+		r.core.handleRead(r.now, r.now, from, reply, nil)
 		if r.core.chain.Next() >= uint64(len(log)) {
 			return
 		}
 	}
 }
 
-func (r *rig) down() {
-	r.core.logRead(r.now, r.now, r.core.chain.Next(), infraapi.ReadReply{}, errDown)
+// failRead passes a failed read of the log to the core.
+func (r *coreHarness) failRead() {
+	r.core.handleRead(r.now, r.now, r.core.chain.Next(), infraapi.ReadReply{}, errDown)
 }
 
-// answer feeds a peer's answer to the call that the core asked for.
-func (r *rig) answer(job *fetchJob, began time.Time, from *core) {
+// respond passes a peer's response to a call to the core. from is the peer's core,
+// and began the time at which the call was started.
+func (r *coreHarness) respond(job *fetchJob, began time.Time, from *core) {
 	v := from.chain.View()
-	r.core.fetched(r.now, began, *job, wire.BundleRecords{
+	r.core.handleFetch(r.now, began, *job, wire.BundleRecords{
 		Records: v.RecordsAfter(job.after), Number: v.Number, Digest: v.Digest[:], CaughtUp: v.CaughtUp, Through: v.Through,
 	}, nil)
 }
 
-func (r *rig) want(what string, number uint64, ready bool) {
+// check compares the version number in force and the readiness with the expected ones.
+func (r *coreHarness) check(what string, number uint64, ready bool) {
 	r.t.Helper()
-	if r.core.number() != number || r.core.readyNow() != ready {
-		r.t.Errorf("%s: version %d, ready %t; want %d, %t", what, r.core.number(), r.core.readyNow(), number, ready)
+	if r.core.number() != number || r.core.isReady() != ready {
+		r.t.Errorf("%s: version %d, ready %t; want %d, %t", what, r.core.number(), r.core.isReady(), number, ready)
 	}
 }
 
 func TestReadyFromLog(t *testing.T) {
-	r := newRig(t, 1)
-	records := chainOf(3)
-	r.want("start", 0, false)
-	r.read(0, nil)
-	r.want("empty log", 0, false)
+	r := newCoreHarness(t, 1)
+	records := recordChain(3)
+	r.check("start", 0, false)
+	r.readLog(0, nil)
+	r.check("empty log", 0, false)
 	from := r.core.chain.Next()
-	r.core.logRead(r.now, r.now, from, infraapi.ReadReply{Next: 3, Records: []infraapi.Record{{Data: records[0]}}}, nil)
-	r.want("in the middle of the log", 1, false)
-	r.read(0, records)
-	r.want("at the log's end", 3, true)
-	r.down()
-	r.pass(time.Minute)
-	r.want("log down later", 3, true)
+	r.core.handleRead(r.now, r.now, from, infraapi.ReadReply{Next: 3, Records: []infraapi.Record{{Data: records[0]}}}, nil)
+	r.check("in the middle of the log", 1, false)
+	r.readLog(0, records)
+	r.check("at the log's end", 3, true)
+	r.failRead()
+	r.advance(time.Minute)
+	r.check("log down later", 3, true)
 }
 
-// Symptom: a daemon that starts in a data centre cut off from the log never serves, or serves an old version.
-// Sequence: the log is down; a peer tells of version 3; the daemon fetches; the answer is lost once.
-// Cause: with the log silent, a peer's highest number has to count, and only once it is adopted.
+// A daemon that starts while the log is unreachable must get the version from a
+// peer, even if the first call fails, and must become ready only after it adopted
+// the highest version that a peer announced. Otherwise it would never become
+// ready, or would use an old version.
 func TestReadyFromPeer(t *testing.T) {
-	peer := newRig(t, 2)
-	peer.read(0, chainOf(3))
-	r := newRig(t, 1)
-	r.down()
-	r.pass(2 * giveUpAfter)
-	r.want("nobody to ask", 0, false)
+	peer := newCoreHarness(t, 2)
+	peer.readLog(0, recordChain(3))
+	r := newCoreHarness(t, 1)
+	r.failRead()
+	r.advance(2 * unreachableTimeout)
+	r.check("nobody to ask", 0, false)
 	if r.core.ready.confirmed {
-		t.Error("nothing in force was confirmed")
+		t.Error("confirmed although no version is in force")
 	}
-	r.core.notice(r.now, peerB, 3, nil)
-	job := r.pass(tickEvery).fetch
+	r.core.handleHeartbeat(r.now, peerB, 3, nil)
+	job := r.advance(tickInterval).fetch
 	if job == nil || job.from != peerB {
-		t.Fatalf("asked %v", job)
+		t.Fatalf("called %v", job)
 	}
-	r.core.fetched(r.now, r.now, *job, wire.BundleRecords{}, errDown)
-	r.want("answer lost", 0, false)
-	if r.pass(failedPause/2).fetch != nil {
-		t.Error("asked a peer again at once that had failed")
+	r.core.handleFetch(r.now, r.now, *job, wire.BundleRecords{}, errDown)
+	r.check("answer lost", 0, false)
+	if r.advance(failureBackoff/2).fetch != nil {
+		t.Error("called a peer again within its backoff")
 	}
-	job = r.pass(failedPause).fetch
+	job = r.advance(failureBackoff).fetch
 	if job == nil {
-		t.Fatal("never asked again")
+		t.Fatal("never called again")
 	}
-	r.answer(job, r.now, peer.core)
-	r.want("adopted", 3, true)
+	r.respond(job, r.now, peer.core)
+	r.check("adopted", 3, true)
 }
 
-// Symptom: a daemon that starts while retention dropped every base takes an old version as current.
-// Sequence: the log is read to its end but holds no checkpoint; a peer is asked.
-// Cause: the end of a log that cannot be judged proves nothing.
+// Retention dropped the start of the log, and no checkpoint is left. A daemon that
+// starts now has no base, so reading the log to its end must not confirm its
+// version, which may be old. It must get the version and a position from a peer.
 func TestReadyWithoutBase(t *testing.T) {
-	peer := newRig(t, 2)
-	log := chainOf(3)
-	peer.read(0, log)
-	r := newRig(t, 1)
-	r.read(1, log)
-	r.want("no base", 0, false)
-	r.core.notice(r.now, peerB, 3, nil)
-	job := r.pass(confirmEvery).fetch
+	peer := newCoreHarness(t, 2)
+	log := recordChain(3)
+	peer.readLog(0, log)
+	r := newCoreHarness(t, 1)
+	r.readLog(1, log)
+	r.check("no base", 0, false)
+	r.core.handleHeartbeat(r.now, peerB, 3, nil)
+	job := r.advance(confirmInterval).fetch
 	if job == nil {
-		t.Fatal("no peer was asked")
+		t.Fatal("no peer was called")
 	}
-	r.answer(job, r.now, peer.core)
-	r.want("adopted, the log not read from there yet", 3, false)
-	r.read(1, log)
-	r.want("log read to its end", 3, true)
+	r.respond(job, r.now, peer.core)
+	r.check("adopted, the log not read from there yet", 3, false)
+	r.readLog(1, log)
+	r.check("log read to its end", 3, true)
 	if !r.core.chain.CaughtUp() {
-		t.Error("the peer's place on the log was not taken")
+		t.Error("the peer's position on the log did not become the base")
 	}
 }
 
-// Symptom: a thawed daemon says it is ready with the version it had before the freeze.
-// Sequence: frozen for a minute; answers to a read and a call from before the freeze arrive; then fresh ones.
-// Cause: an answer to a call that began before the freeze is as old as the freeze.
+// A process is frozen for a minute, so its version may be outdated. Responses to
+// reads and calls that were started before the freeze may be just as old and must
+// not make the daemon ready again; those started after it must. If neither the log
+// nor a peer responds, the daemon becomes ready after unreachableTimeout.
 func TestThaw(t *testing.T) {
-	log := chainOf(2)
-	peer := newRig(t, 2)
-	peer.read(0, log[:1])
-	r := newRig(t, 1)
-	r.read(0, log[:1])
-	r.want("before", 1, true)
+	log := recordChain(2)
+	peer := newCoreHarness(t, 2)
+	peer.readLog(0, log[:1])
+	r := newCoreHarness(t, 1)
+	r.readLog(0, log[:1])
+	r.check("before", 1, true)
 	before := r.now
 	r.now = r.now.Add(time.Minute)
-	if !r.core.tick(r.now).thawed {
-		t.Error("the freeze went unnoticed")
+	if !r.core.tick(r.now).wasFrozen {
+		t.Error("the freeze was not detected")
 	}
-	r.want("thawed", 1, false)
-	r.core.logRead(r.now, before, 1, infraapi.ReadReply{Next: 1}, nil)
-	r.want("read from before the freeze", 1, false)
-	r.down()
-	r.core.notice(r.now, peerB, 1, nil)
-	r.answer(&fetchJob{from: peerB, after: 1}, before, peer.core)
-	r.want("peer's answer from before the freeze", 1, false)
-	r.read(0, log)
-	r.want("read again", 2, true)
+	r.check("thawed", 1, false)
+	r.core.handleRead(r.now, before, 1, infraapi.ReadReply{Next: 1}, nil)
+	r.check("read from before the freeze", 1, false)
+	r.failRead()
+	r.core.handleHeartbeat(r.now, peerB, 1, nil)
+	r.respond(&fetchJob{from: peerB, after: 1}, before, peer.core)
+	r.check("peer's answer from before the freeze", 1, false)
+	r.readLog(0, log)
+	r.check("read again", 2, true)
 
 	r.now = r.now.Add(time.Minute)
 	r.core.tick(r.now)
-	r.down()
-	r.pass(giveUpAfter - tickEvery)
-	r.want("cut off from everybody", 2, false)
-	r.pass(tickEvery)
-	r.want("cut off for long", 2, true)
+	r.failRead()
+	r.advance(unreachableTimeout - tickInterval)
+	r.check("cut off from everybody", 2, false)
+	r.advance(tickInterval)
+	r.check("cut off for long", 2, true)
 }
 
 func TestFetchWaitsForTheLog(t *testing.T) {
-	r := newRig(t, 1)
-	r.read(0, chainOf(1))
-	r.core.notice(r.now, peerB, 2, nil)
-	if job := r.pass(fetchDelay - tickEvery).fetch; job != nil {
-		t.Error("asked a peer before the log had its time")
+	r := newCoreHarness(t, 1)
+	r.readLog(0, recordChain(1))
+	r.core.handleHeartbeat(r.now, peerB, 2, nil)
+	if job := r.advance(fetchDelay - tickInterval).fetch; job != nil {
+		t.Error("called a peer before the end of fetchDelay")
 	}
-	job := r.pass(tickEvery).fetch
+	job := r.advance(tickInterval).fetch
 	if job == nil || job.after != 1 {
-		t.Fatalf("asked %v", job)
+		t.Fatalf("called %v", job)
 	}
-	if r.pass(time.Minute).fetch != nil {
-		t.Error("a second call is out")
+	if r.advance(time.Minute).fetch != nil {
+		t.Error("a second call was made while one is in flight")
 	}
 	calls := 0
 	for range 100 {
-		r.core.fetched(r.now, r.now, *job, wire.BundleRecords{Records: [][]byte{{1}}, Number: 2}, nil)
-		r.core.peers.versions[peerB] = peerVersion{number: 2, heard: r.now}
-		if r.pass(tickEvery).fetch != nil {
+		r.core.handleFetch(r.now, r.now, *job, wire.BundleRecords{Records: [][]byte{{1}}, Number: 2}, nil)
+		r.core.peers.versions[peerB] = peerVersion{number: 2, lastHeard: r.now}
+		if r.advance(tickInterval).fetch != nil {
 			calls++
 		}
 	}
-	if limit := fetchBurst + int(100*tickEvery/time.Second)*fetchRate; calls > limit {
-		t.Errorf("%d calls, the bound is %d", calls, limit)
+	if limit := fetchBurst + int(100*tickInterval/time.Second)*fetchRate; calls > limit {
+		t.Errorf("%d calls, want at most %d", calls, limit)
 	}
 }
 
 func TestConflictIsNoticed(t *testing.T) {
-	r := newRig(t, 1)
-	r.read(0, chainOf(1))
+	r := newCoreHarness(t, 1)
+	r.readLog(0, recordChain(1))
 	digest := r.core.chain.InForce().Digest
-	if r.core.notice(r.now, peerB, 1, digest[:]) || !r.core.notice(r.now, peerB, 1, make([]byte, len(digest))) {
-		t.Error("a peer with another record for our number must be noticed, and only that")
+	if r.core.handleHeartbeat(r.now, peerB, 1, digest[:]) || !r.core.handleHeartbeat(r.now, peerB, 1, make([]byte, len(digest))) {
+		t.Error("want a conflict for a peer with another record for the same number, and only then")
 	}
 }
 
-// Symptom: retention drops the version in force, and daemons that start find no base.
-// Sequence: nothing is published for hours; or a burst of records makes retention drop the last checkpoint early.
-// Cause: somebody has to append a checkpoint in time, and a whole fleet must not do it at once.
+// If retention drops the last checkpoint, because nothing was published for hours or
+// because of a burst of records, daemons that start find no base. The daemons must
+// append a checkpoint in time, but not all of them at once.
 func TestRenewal(t *testing.T) {
-	log := chainOf(2)
-	fleet := make([]*rig, 20)
-	for i := range fleet {
-		fleet[i] = newRig(t, uint64(i))
-		fleet[i].read(0, log)
+	log := recordChain(2)
+	daemons := make([]*coreHarness, 20)
+	for i := range daemons {
+		daemons[i] = newCoreHarness(t, uint64(i))
+		daemons[i].readLog(0, log)
 	}
 	run := func(first uint64, d time.Duration) (appended int) {
 		for ; d > 0; d -= time.Minute {
 			var due [][]byte
-			for _, r := range fleet {
-				if act := r.pass(time.Minute); act.checkpoint != nil {
+			for _, r := range daemons {
+				if act := r.advance(time.Minute); act.checkpoint != nil {
 					due = append(due, act.checkpoint)
 				}
 			}
 			log = append(log, due...)
 			appended += len(due)
-			for _, r := range fleet {
-				r.read(first, log)
+			for _, r := range daemons {
+				r.readLog(first, log)
 			}
 		}
 		return appended
@@ -292,13 +306,13 @@
 		t.Errorf("%d checkpoints by 20 daemons after the period, want about 1", n)
 	}
 	if n := run(0, 30*time.Minute); n != 0 {
-		t.Errorf("%d checkpoints although one is fresh", n)
+		t.Errorf("%d checkpoints although the last one is recent", n)
 	}
 	first := uint64(len(log))
 	if n := run(first, 16*time.Minute); n < 1 || n > 5 {
-		t.Errorf("%d checkpoints after the last was made unusable, want about 1", n)
+		t.Errorf("%d checkpoints after the last one was trimmed, want about 1", n)
 	}
-	fresh := newRig(t, 99)
-	fresh.read(first, log)
-	fresh.want("fresh daemon on the trimmed log", 2, true)
+	fresh := newCoreHarness(t, 99)
+	fresh.readLog(first, log)
+	fresh.check("fresh daemon on the trimmed log", 2, true)
 }
--- a/bundle/watch/loops.go
+++ b/bundle/watch/loops.go
@@ -13,9 +13,9 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// readLoop long-polls the log. After a failure it waits twice as long as
-// before, up to a bound and with jitter, so that hundreds of daemons do not
-// come back to a log at the same moment.
+// readLoop reads the log with long polling. After failures it waits with
+// exponential backoff and jitter, so that hundreds of daemons do not return to a
+// recovered log at the same moment.
 func (w *Watcher) readLoop(ctx context.Context, from uint64, jitter *rand.Rand, out chan<- readDone) {
 	next := make(chan uint64, 1)
 	backoff := backoffMin
@@ -44,31 +44,32 @@
 	}
 }
 
+// readOnce makes one read of the log and bounds its duration.
 func (w *Watcher) readOnce(ctx context.Context, from uint64) readDone {
 	wait := w.pollWait()
-	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutSlack)
 	defer cancel()
 	d := readDone{began: w.opts.Clock(), from: from}
-	d.reply, d.err = w.opts.Log.Read(ctx, w.opts.Stream, from, maxRead, wait)
+	d.reply, d.err = w.opts.Log.Read(ctx, w.opts.Stream, from, maxReadRecords, wait)
 	if d.err == nil && from > d.reply.Next {
-		// Offsets never go back by the log's contract; adopting from such a log
-		// could let an old record win again.
+		// The contract of the log is that its end never goes back. On a log that lost
+		// records, another record could be adopted for a version that was decided.
 		d.err = errors.Errorf("the log ends at %d, before offset %d that was read", d.reply.Next, from)
 	}
 	return d
 }
 
-// pollWait returns how long a read may wait for a record. A daemon that is not
-// ready wants to know whether there is any: after a thaw a long read would keep
-// it from dispatching for as long as nothing is published.
+// pollWait returns how long a read may wait for a record. While this daemon is not
+// ready, the wait is short: the daemon becomes ready only when a read returns, and
+// a long poll returns late if nothing is published.
 func (w *Watcher) pollWait() time.Duration {
 	if w.Ready() {
 		return w.opts.PollWait
 	}
-	return min(tickEvery, w.opts.PollWait)
+	return min(tickInterval, w.opts.PollWait)
 }
 
-// fetchLoop makes the calls to peers, one at a time.
+// fetchLoop makes the calls to peers, one at a time, and sends their results to out.
 func (w *Watcher) fetchLoop(ctx context.Context, jobs <-chan fetchJob, out chan<- fetchDone) {
 	for {
 		select {
@@ -85,10 +86,11 @@
 	}
 }
 
+// fetchOnce makes one call to a peer, with a timeout.
 func (w *Watcher) fetchOnce(ctx context.Context, job fetchJob) fetchDone {
 	d := fetchDone{began: w.opts.Clock(), job: job}
 	if w.opts.Fetch == nil {
-		d.err = errors.New("no way to ask peers")
+		d.err = errors.New("the Fetch option is not set")
 		return d
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -97,8 +99,9 @@
 	return d
 }
 
-// appendLoop appends checkpoints. A lost reply is not followed up: the core
-// reads the log and sees whether a checkpoint stands there.
+// appendLoop appends checkpoints to the log. It does not retry: if the append took
+// effect, the core reads the checkpoint from the log, and otherwise schedules
+// another one.
 func (w *Watcher) appendLoop(ctx context.Context, checkpoints <-chan []byte) {
 	for {
 		select {
@@ -110,6 +113,7 @@
 	}
 }
 
+// appendOnce appends one checkpoint, with a timeout, and logs the result.
 func (w *Watcher) appendOnce(ctx context.Context, data []byte) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
--- a/bundle/watch/options.go
+++ b/bundle/watch/options.go
@@ -1,8 +1,8 @@
-// Package watch keeps the bundle version in force up to date: it reads the
-// log, fetches from peers what the log cannot bring, renews the checkpoint on
-// the log, and tells subscribers of each new version.
+// Package watch keeps the bundle version in force up to date. It reads the log,
+// fetches records from peers if the log does not deliver them, appends checkpoints
+// to the log, and notifies subscribers of each new version.
 //
-// What decides is the type core, which does no I/O; Watcher runs it.
+// The type core makes the decisions and does no I/O; Watcher runs it.
 package watch
 
 import (
@@ -21,43 +21,47 @@
 
 // Defaults of the options.
 const (
-	// DefaultStream is the log's stream for bundle records.
+	// DefaultStream is the name of the log stream that holds the bundle records.
 	DefaultStream = "bundles"
-	// DefaultCheckpointEvery suits a log that keeps records for an hour or longer.
+	// DefaultCheckpointEvery suits a log that retains records for an hour or longer.
 	DefaultCheckpointEvery = 15 * time.Minute
-	// DefaultPollWait is how long one read of the log waits for a record.
+	// DefaultPollWait is the maximum time that a read of the log waits for a record.
 	DefaultPollWait = 5 * time.Second
 )
 
-// Fetch asks a peer for records; it ends with ctx.
+// Fetch requests bundle records from a peer. It must return when ctx is done.
 type Fetch func(ctx context.Context, from wire.NodeID, get wire.BundleGet) (wire.BundleRecords, error)
 
 // Options configure a Watcher.
 type Options struct {
-	// Log and Trust are needed.
+	// Log and Trust are required.
 	Log   infra.Log
 	Trust bundle.Trust
-	// Stream is the log's stream; "" means DefaultStream.
+	// Stream is the name of the log stream; "" means DefaultStream.
 	Stream string
-	// Fetch asks peers; nil means that there are none.
+	// Fetch requests records from peers; nil means that there are no peers.
 	Fetch Fetch
-	// Rand is a seeded source, used from one goroutine only; it is needed.
+	// Rand is a seeded source of random numbers. It is required, and must not be
+	// used elsewhere while the Watcher runs.
 	Rand *rand.Rand
-	// Clock gives the time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
-	// CheckpointEvery is the longest time without a checkpoint on the log. It must
-	// be well under the log's retention; 0 means DefaultCheckpointEvery.
+	// CheckpointEvery is the age of the last checkpoint on the log from which on a
+	// new one is due. It must be well below the log's retention time; 0 means
+	// DefaultCheckpointEvery.
 	CheckpointEvery time.Duration
-	// PollWait is how long one read waits for a record; 0 means DefaultPollWait.
+	// PollWait is the maximum time that a read of the log waits for a record; 0
+	// means DefaultPollWait.
 	PollWait time.Duration
 	// Logger and Meter are optional.
 	Logger log.Interface
 	Meter  metric.Meter
 }
 
+// provision checks the required options and sets the defaults of the others.
 func (o *Options) provision() error {
 	if o.Log == nil || o.Rand == nil {
-		return errors.New("watch: Log and Rand are needed")
+		return errors.New("watch: Log and Rand are required")
 	}
 	if len(o.Trust.Authors) == 0 || len(o.Trust.Reviewers) == 0 {
 		return errors.New("watch: no trusted author or reviewer key")
--- a/bundle/watch/ready.go
+++ b/bundle/watch/ready.go
@@ -3,72 +3,80 @@
 import "time"
 
 const (
-	// frozenAfter is the gap between two ticks from which on this process counts
-	// as having been stopped: its view is then as old as the gap.
-	frozenAfter = 2 * time.Second
-	// giveUpAfter is how long a daemon with a version in force stays unready
-	// while neither the log nor a peer answers. After it, it serves what it has.
-	giveUpAfter = 5 * time.Second
+	// freezeThreshold is the gap between two ticks above which the process is assumed
+	// to have been frozen, that is suspended. Its state is then as old as the gap.
+	freezeThreshold = 2 * time.Second
+	// unreachableTimeout is how long a daemon with a version in force stays unready
+	// while neither the log nor a peer responds. After that, it uses this version.
+	unreachableTimeout = 5 * time.Second
 )
 
-// readiness decides whether the version in force is the highest that the log
-// or the peers can show. It starts unready, stays ready once confirmed, and
-// starts over when the process was frozen.
+// readiness decides whether the version in force is confirmed as current: no
+// higher version can be learned from the log or the peers. It starts unconfirmed.
+// Once confirmed, it stays so until the process is found to have been frozen.
 //
-// A call that was sent before the freeze proves nothing: its answer may be as
-// old as the freeze. So each answer comes with the time its call began.
+// A response to a call that was sent before the freeze may be as old as the
+// freeze and confirms nothing. So every response is passed with the time at which
+// its call was started.
 type readiness struct {
-	since     time.Time // of the start or the last thaw
-	lastTick  time.Time
-	confirmed bool
-	logDown   bool // the last read failed
-	atEnd     bool // the log was read to its end since then
+	startedAt  time.Time // start of the process, or the detection of the last freeze
+	lastTick   time.Time
+	confirmed  bool
+	readFailed bool // whether the last read of the log failed
+	readToEnd  bool // whether a read that began after startedAt reached the end of the log
 }
 
 func newReadiness(now time.Time) *readiness {
-	return &readiness{since: now, lastTick: now}
+	return &readiness{startedAt: now, lastTick: now}
 }
 
 // tick reports whether the process was frozen since the last tick.
 func (r *readiness) tick(now time.Time) bool {
-	frozen := now.Sub(r.lastTick) > frozenAfter
+	frozen := now.Sub(r.lastTick) > freezeThreshold
 	r.lastTick = now
 	if frozen {
-		r.since = now
+		r.startedAt = now
 		r.confirmed = false
-		r.atEnd = false
+		r.readToEnd = false
 	}
 	return frozen
 }
 
-// logRead tells of a read that began at a time. shown says whether the log, as
-// read so far, shows the version in force; behind whether a peer told of a higher one.
-func (r *readiness) logRead(began time.Time, failed, atEnd, shown, behind bool) {
-	r.logDown = failed
-	if failed || !atEnd || began.Before(r.since) {
+// handleRead processes a read of the log that was started at began. caughtUp is set
+// if the log as read so far yields the version in force, and peerAhead if a peer
+// announced a higher version.
+func (r *readiness) handleRead(began time.Time, failed, atEnd, caughtUp, peerAhead bool) {
+	r.readFailed = failed
+	if failed || !atEnd || began.Before(r.startedAt) {
 		return
 	}
-	r.atEnd = true
-	r.confirmed = r.confirmed || shown && !behind
+	r.readToEnd = true
+	r.confirmed = r.confirmed || caughtUp && !peerAhead
 }
 
-// peerAnswered tells of a peer's answer to a call that began at a time, after
-// its records were taken. It counts when the log cannot say. It does not count
-// while the log holds a record that this daemon's keys cannot judge: a peer that
-// started with the same keys knows no more, and a version that is long replaced
-// would be served. A peer that does know gives its place on the log, which is a base.
-func (r *readiness) peerAnswered(began time.Time, based, behind, doubts bool) {
-	if began.Before(r.since) || behind {
+// handlePeerResponse processes a peer's response, whose records have been offered
+// to the chain, to a call that was started at began. The response confirms the
+// version in force if the log is unreachable, or if it was read to its end but
+// provides no base.
+//
+// In the second case, untrustedRecord is set if the base is missing because of a
+// record that this daemon's keys cannot verify. Then the response confirms
+// nothing: a peer that started with the same keys has the same outdated version.
+// A peer that can evaluate the log sends its position, which becomes the base.
+func (r *readiness) handlePeerResponse(began time.Time, based, peerAhead, untrustedRecord bool) {
+	if began.Before(r.startedAt) || peerAhead {
 		return
 	}
-	logSilent := r.logDown || r.atEnd && !based && !doubts
-	r.confirmed = r.confirmed || logSilent
+	logInconclusive := r.readFailed || r.readToEnd && !based && !untrustedRecord
+	r.confirmed = r.confirmed || logInconclusive
 }
 
-// settle confirms a version that neither the log nor a peer could be asked
-// about for a while: a data centre cut off from both goes on serving.
-func (r *readiness) settle(now time.Time, behind bool) {
-	if r.logDown && !behind && now.Sub(r.since) >= giveUpAfter {
+// confirmOnTimeout confirms the version in force after unreachableTimeout without a
+// response from the log or a peer, unless a peer announced a higher version. This
+// lets a data centre that is cut off from the log and from its peers continue to
+// work.
+func (r *readiness) confirmOnTimeout(now time.Time, peerAhead bool) {
+	if r.readFailed && !peerAhead && now.Sub(r.startedAt) >= unreachableTimeout {
 		r.confirmed = true
 	}
 }
--- a/bundle/watch/renewal.go
+++ b/bundle/watch/renewal.go
@@ -5,68 +5,75 @@
 	"time"
 )
 
-// renewal decides when this daemon appends a checkpoint. One on the log is
-// enough for everybody, so each daemon waits a random time after the need
-// arose; the first one's append shows up in the others' reads and ends it.
+// checkpointSchedule decides when this daemon appends a checkpoint to the log. One
+// checkpoint is enough for all daemons. So when one is due, each daemon waits for a
+// random time, and the others stop waiting when they read the first one's
+// checkpoint.
 //
-// Without it retention drops the records that the version in force is made
-// of, and a daemon that starts then finds no base. One would notice daemons
-// that stay unready with "gap" verdicts. The start of the log counts as a
-// checkpoint through offset 0.
-type renewal struct {
-	every time.Duration
-	rng   *rand.Rand
-	// through is the offset that the last good checkpoint speaks from, and at when it was written.
-	through uint64
-	at      time.Time
-	// due is when this daemon acts; zero while there is no need.
+// Without checkpoints, retention would drop the records that the version in force
+// is built from. Daemons that start afterwards would find no base, and stay
+// unready with "gap" verdicts. The start of the log counts as a checkpoint whose
+// Through offset is 0.
+type checkpointSchedule struct {
+	period time.Duration
+	rng    *rand.Rand
+	// through is the highest Through offset of the valid checkpoints read so far, and
+	// writtenAt the time at which that checkpoint was written.
+	through   uint64
+	writtenAt time.Time
+	// due is when this daemon appends a checkpoint; zero while none is needed.
 	due time.Time
 }
 
-// jitterShare is the part of the period over which daemons spread their appends.
-const jitterShare = 4
+// jitterDivisor sets the random delay of an append: up to period/jitterDivisor.
+// isDue also divides the period by it while the log holds an unverifiable record.
+const jitterDivisor = 4
 
-func newRenewal(now time.Time, every time.Duration, rng *rand.Rand) *renewal {
-	return &renewal{every: every, rng: rng, at: now}
+func newCheckpointSchedule(now time.Time, period time.Duration, rng *rand.Rand) *checkpointSchedule {
+	return &checkpointSchedule{period: period, rng: rng, writtenAt: now}
 }
 
-// seen tells of a checkpoint on the log that agrees with this daemon's chain.
-// written is the log's clock; a log that runs ahead counts as now.
-func (r *renewal) seen(now time.Time, through uint64, written time.Time) {
+// observe records a checkpoint on the log that agrees with this daemon's chain.
+// written is the time by the log's clock; a time in the future counts as now.
+func (r *checkpointSchedule) observe(now time.Time, through uint64, written time.Time) {
 	if written.After(now) {
 		written = now
 	}
-	if through < r.through || through == r.through && written.Before(r.at) {
+	if through < r.through || through == r.through && written.Before(r.writtenAt) {
 		return
 	}
 	r.through = through
-	r.at = written
+	r.writtenAt = written
 	r.due = time.Time{}
 }
 
-// check reports whether to append now. first is the oldest offset the log
-// keeps: a checkpoint that speaks from below it is of no use to anybody new.
-// The same holds for one from below doubt, the end of the last record that a
-// new daemon cannot judge; but anybody may append such records at any rate, so
-// the wait after the last checkpoint is only made shorter.
-func (r *renewal) check(now time.Time, first, doubt uint64) bool {
-	every := r.every
-	if r.through < doubt {
-		every /= jitterShare
+// isDue reports whether to append a checkpoint now. One is needed when the last
+// checkpoint is older than the period, or when its Through offset is below oldest,
+// the oldest offset that the log retains: a daemon that starts now could not use it.
+//
+// unverifiedEnd is the offset after the last record that a starting daemon cannot
+// verify. A checkpoint whose Through offset is below it cannot be used either. But
+// anybody who can append to the log can add such records at any rate, so in this
+// case the period is only shortened.
+func (r *checkpointSchedule) isDue(now time.Time, oldest, unverifiedEnd uint64) bool {
+	maxAge := r.period
+	if r.through < unverifiedEnd {
+		maxAge /= jitterDivisor
 	}
-	if r.through >= first && now.Sub(r.at) < every {
+	if r.through >= oldest && now.Sub(r.writtenAt) < maxAge {
 		r.due = time.Time{}
 		return false
 	}
 	if r.due.IsZero() {
-		r.due = now.Add(time.Duration(r.rng.Int64N(int64(r.every/jitterShare) + 1)))
+		r.due = now.Add(time.Duration(r.rng.Int64N(int64(r.period/jitterDivisor) + 1)))
 	}
 	return !now.Before(r.due)
 }
 
-// tried waits before another append: reading the log will say whether this
-// one took effect.
-func (r *renewal) tried(now time.Time) {
-	spread := r.every / jitterShare
+// appendStarted schedules the next attempt. If the append that was just started
+// takes effect, this daemon reads the checkpoint from the log and cancels the
+// attempt.
+func (r *checkpointSchedule) appendStarted(now time.Time) {
+	spread := r.period / jitterDivisor
 	r.due = now.Add(spread + time.Duration(r.rng.Int64N(int64(spread)+1)))
 }
--- a/bundle/watch/report.go
+++ b/bundle/watch/report.go
@@ -28,11 +28,11 @@
 	m.number, errs[0] = meter.Int64Gauge("corianderturn.bundle.number",
 		metric.WithDescription("Number of the bundle version in force."))
 	m.verdicts, errs[1] = meter.Int64Counter("corianderturn.bundle.verdicts",
-		metric.WithDescription("Bundle records judged, by source and verdict."))
+		metric.WithDescription("Bundle records evaluated, by source and verdict."))
 	m.conflicts, errs[2] = meter.Int64Counter("corianderturn.bundle.conflicts",
-		metric.WithDescription("Heartbeats that name another record for an adopted number; must stay 0."))
+		metric.WithDescription("Conflicts: heartbeats, log records or peers' records with another record than the adopted one for the same number; must stay 0."))
 	m.thaws, errs[3] = meter.Int64Counter("corianderturn.bundle.thaws",
-		metric.WithDescription("Times this process was found to have been frozen."))
+		metric.WithDescription("Times that this process was found to have been suspended."))
 	for _, err := range errs {
 		if err != nil {
 			return nil, errors.Wrap(err, "watch: instruments")
@@ -41,23 +41,26 @@
 	return m, nil
 }
 
+// adopted records the number of a new version in force.
 func (m *metrics) adopted(number uint64) { m.number.Record(context.Background(), int64(number)) }
 
-// report writes the judgements and the thaw to the log and the metrics.
+// report logs the verdicts on records and the detection of a freeze, and counts
+// them in the metrics.
 func (w *Watcher) report(act actions) {
 	ctx := context.Background()
-	if act.thawed {
+	if act.wasFrozen {
 		w.metrics.thaws.Add(ctx, 1)
-		w.opts.Logger.Warn("process was frozen; bundle version is asked for again")
+		w.opts.Logger.Warn("process was frozen; the bundle version must be confirmed again")
 	}
-	for _, j := range act.judged {
+	for _, j := range act.results {
 		w.metrics.verdicts.Add(ctx, 1, metric.WithAttributes(
 			attribute.String("source", j.source), attribute.String("verdict", j.verdict.String())))
-		w.reportJudgement(ctx, j)
+		w.reportResult(ctx, j)
 	}
 }
 
-func (w *Watcher) reportJudgement(ctx context.Context, j judgement) {
+// reportResult logs the verdict on one record and counts a conflict.
+func (w *Watcher) reportResult(ctx context.Context, j recordResult) {
 	line := w.opts.Logger.WithField("source", j.source).WithField("offset", j.offset).WithField("verdict", j.verdict.String())
 	if j.err != nil {
 		line = line.WithError(j.err)
@@ -65,16 +68,17 @@
 	switch {
 	case errors.Is(j.err, bundle.ErrConflict):
 		w.metrics.conflicts.Add(ctx, 1)
-		line.Error("bundle record contradicts the chain")
+		line.Error("bundle record conflicts with an adopted one")
 	case j.verdict == bundle.Invalid, j.verdict == bundle.Unsupported:
-		line.Warn("bundle record refused")
+		line.Warn("bundle record rejected")
 	default:
-		line.Debug("bundle record judged")
+		line.Debug("bundle record evaluated")
 	}
 }
 
-// reportConflict tells of a peer that has another version for our number.
-func (w *Watcher) reportConflict(n notice) {
+// reportConflict reports a peer that has another record than this daemon for the
+// number in force here.
+func (w *Watcher) reportConflict(n heartbeat) {
 	w.metrics.conflicts.Add(context.Background(), 1)
 	w.opts.Logger.WithField("peer", n.from.Instance).WithField("number", n.number).Error("peer has another version for this number")
 }
--- a/bundle/watch/watcher.go
+++ b/bundle/watch/watcher.go
@@ -16,54 +16,57 @@
 )
 
 const (
-	// tickEvery is the core's step.
-	tickEvery = 250 * time.Millisecond
-	// maxRead bounds the records of one read, so that even the largest fit the
-	// client's bound of an answer.
-	maxRead = 8
-	// callSlack is added to the wait of a read before it is given up.
-	callSlack = 5 * time.Second
-	// fetchTimeout bounds one call to a peer.
+	// tickInterval is the time between two ticks of the core.
+	tickInterval = 250 * time.Millisecond
+	// maxReadRecords is the maximum number of records of one read. This many records
+	// of bundle.MaxRecord bytes fit in a response of infra.MaxReply bytes.
+	maxReadRecords = 8
+	// readTimeoutSlack is added to the long-polling time of a read to give its timeout.
+	readTimeoutSlack = 5 * time.Second
+	// fetchTimeout is the timeout of one call to a peer.
 	fetchTimeout = 3 * time.Second
-	// appendTimeout bounds one append of a checkpoint.
+	// appendTimeout is the timeout of one append of a checkpoint.
 	appendTimeout = 10 * time.Second
-	// backoffMin and backoffMax bound the pause after a failed read.
+	// backoffMin and backoffMax are the first and the maximum backoff after failed reads.
 	backoffMin = 100 * time.Millisecond
 	backoffMax = 3 * time.Second
-	// serveRate and serveBurst bound what peers get, in bytes a second and bytes.
+	// serveRate and serveBurst limit the records served to peers, in bytes per second
+	// and in bytes at once.
 	serveRate  = 4 << 20
 	serveBurst = 2 * bundle.MaxServe
-	// inboxSize bounds the notices that wait; more are dropped, as the
-	// next heartbeat repeats them.
-	inboxSize = 256
+	// heartbeatQueueSize is the maximum number of queued heartbeats. Further ones are
+	// dropped, because a peer's next heartbeat repeats its version.
+	heartbeatQueueSize = 256
 )
 
-// Watcher keeps the version in force up to date.
+// Watcher keeps the bundle version in force up to date. Run drives it; the other
+// methods that are safe for concurrent use say so.
 type Watcher struct {
 	opts Options
-	core *core // owned by Run's goroutine
+	core *core // used only by Run's goroutine once Run was called
 
 	current  atomic.Pointer[bundle.Version]
 	view     atomic.Pointer[bundle.View]
 	ready    atomic.Bool
 	lastTick atomic.Int64 // in nanoseconds since the epoch
 
-	inbox       chan notice
-	subscribers []func(*bundle.Version)
-	serve       *rate.Limiter
-	metrics     *metrics
+	heartbeats   chan heartbeat
+	subscribers  []func(*bundle.Version)
+	serveLimiter *rate.Limiter
+	metrics      *metrics
 }
 
 var _ supervise.Service = (*Watcher)(nil)
 
-// notice is what a heartbeat tells of a peer's version.
-type notice struct {
+// heartbeat is the part of a peer's heartbeat that announces its version in force.
+type heartbeat struct {
 	from   wire.NodeID
 	number uint64
 	digest []byte
 }
 
-// readDone is the outcome of one read of the log. next gets the offset to read from then.
+// readDone is the result of one read of the log. The receiver sends the offset of
+// the next read to next.
 type readDone struct {
 	began time.Time
 	from  uint64
@@ -72,7 +75,7 @@
 	next  chan<- uint64
 }
 
-// fetchDone is the outcome of one call to a peer.
+// fetchDone is the result of one call to a peer.
 type fetchDone struct {
 	began time.Time
 	job   fetchJob
@@ -80,7 +83,7 @@
 	err   error
 }
 
-// New returns a watcher. An error names the option that is missing.
+// New returns a watcher that has not been started. It fails if a required option is missing.
 func New(opts Options) (*Watcher, error) {
 	if err := opts.provision(); err != nil {
 		return nil, err
@@ -90,11 +93,11 @@
 		return nil, err
 	}
 	w := &Watcher{
-		opts:    opts,
-		core:    newCore(opts.Clock(), opts.Trust, opts.CheckpointEvery, opts.Rand),
-		inbox:   make(chan notice, inboxSize),
-		serve:   rate.NewLimiter(serveRate, serveBurst),
-		metrics: m,
+		opts:         opts,
+		core:         newCore(opts.Clock(), opts.Trust, opts.CheckpointEvery, opts.Rand),
+		heartbeats:   make(chan heartbeat, heartbeatQueueSize),
+		serveLimiter: rate.NewLimiter(serveRate, serveBurst),
+		metrics:      m,
 	}
 	w.view.Store(w.core.chain.View())
 	return w, nil
@@ -107,29 +110,31 @@
 func (w *Watcher) Current() *bundle.Version { return w.current.Load() }
 
 // Subscribe registers a function that is called with each new version, in
-// growing order and from one goroutine. Versions that arrive together are
-// told as the last of them. Call it before Run; the function must not block.
+// ascending order and from one goroutine. Of several versions that are adopted at
+// once, only the last is passed. Subscribe must be called before Run, and the
+// function must not block.
 func (w *Watcher) Subscribe(f func(*bundle.Version)) { w.subscribers = append(w.subscribers, f) }
 
-// Ready reports whether the version in force is the highest that the log or
-// the peers can show. It is false from the moment a frozen process goes on,
-// until the log or a peer was asked again. It is safe for concurrent use.
+// Ready reports whether the version in force is confirmed as current by the log or
+// a peer, or neither responded for some seconds. After the process was frozen it
+// returns false until the version is confirmed again. It is safe for concurrent use.
 func (w *Watcher) Ready() bool {
 	age := w.opts.Clock().UnixNano() - w.lastTick.Load()
-	return w.ready.Load() && age <= int64(frozenAfter)
+	return w.ready.Load() && age <= int64(freezeThreshold)
 }
 
-// Notice takes a peer's version from its heartbeat. It never blocks and is
-// safe for concurrent use.
+// Notice queues the version that a peer announces in its heartbeat. It drops the
+// heartbeat if the queue is full. It never blocks and is safe for concurrent use.
 func (w *Watcher) Notice(from wire.NodeID, number uint64, digest []byte) {
 	select {
-	case w.inbox <- notice{from: from, number: number, digest: digest}:
+	case w.heartbeats <- heartbeat{from: from, number: number, digest: digest}:
 	default:
 	}
 }
 
-// ServeGet answers a peer. What it serves is bounded per second; over the
-// bound the answer says Busy. It is safe for concurrent use.
+// ServeGet answers a peer's request for records. The bytes served per second are
+// limited; above the limit, the response has only Busy set. It is safe for
+// concurrent use.
 func (w *Watcher) ServeGet(get wire.BundleGet) wire.BundleRecords {
 	v := w.view.Load()
 	reply := wire.BundleRecords{Number: v.Number, Digest: v.Digest[:], CaughtUp: v.CaughtUp, Through: v.Through}
@@ -138,14 +143,15 @@
 	for _, r := range records {
 		size += len(r)
 	}
-	if !w.serve.AllowN(w.opts.Clock(), size) {
+	if !w.serveLimiter.AllowN(w.opts.Clock(), size) {
 		return wire.BundleRecords{Busy: true}
 	}
 	reply.Records = records
 	return reply
 }
 
-// Run implements supervise.Service. After a panic it goes on with the chain as it is.
+// Run implements supervise.Service. It runs until ctx is done. If it is called again
+// after a panic, it continues with the existing chain.
 func (w *Watcher) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -162,33 +168,34 @@
 	wg.Go(func() { w.readLoop(ctx, from, jitter, reads) })
 	wg.Go(func() { w.fetchLoop(ctx, fetches, fetched) })
 	wg.Go(func() { w.appendLoop(ctx, appends) })
-	w.own(ctx, reads, fetched, outbox{fetches: fetches, appends: appends})
+	w.runCore(ctx, reads, fetched, actionQueues{fetches: fetches, appends: appends})
 	return nil
 }
 
-// outbox carries the core's actions to the loops that do them.
-type outbox struct {
+// actionQueues passes the core's actions to the loops that execute them.
+type actionQueues struct {
 	fetches chan<- fetchJob
 	appends chan<- []byte
 }
 
-// own feeds events to the core until ctx ends. Only this goroutine touches it.
-func (w *Watcher) own(ctx context.Context, reads <-chan readDone, fetched <-chan fetchDone, out outbox) {
-	ticker := time.NewTicker(tickEvery)
+// runCore passes events to the core until ctx is done. It is the only goroutine
+// that uses the core.
+func (w *Watcher) runCore(ctx context.Context, reads <-chan readDone, fetched <-chan fetchDone, out actionQueues) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	w.core.peers.busy = false
+	w.core.peers.callInFlight = false
 	for {
 		var act actions
 		select {
 		case <-ctx.Done():
 			return
 		case d := <-reads:
-			act = w.core.logRead(w.opts.Clock(), d.began, d.from, d.reply, d.err)
+			act = w.core.handleRead(w.opts.Clock(), d.began, d.from, d.reply, d.err)
 			d.next <- w.core.chain.Next()
 		case d := <-fetched:
-			act = w.core.fetched(w.opts.Clock(), d.began, d.job, d.reply, d.err)
-		case n := <-w.inbox:
-			if w.core.notice(w.opts.Clock(), n.from, n.number, n.digest) {
+			act = w.core.handleFetch(w.opts.Clock(), d.began, d.job, d.reply, d.err)
+		case n := <-w.heartbeats:
+			if w.core.handleHeartbeat(w.opts.Clock(), n.from, n.number, n.digest) {
 				w.reportConflict(n)
 			}
 			continue
@@ -201,22 +208,24 @@
 	}
 }
 
-// tick moves the core to now.
+// tick runs the core's periodic work and updates what Ready reads.
 //
-// What goes wrong in the other order: a tick that is shown before what it found makes
-// a thawed process look ready until its actions are done, a log line among them. One
-// would notice new work on an upstream that left during the freeze.
+// The readiness must be stored before the time of the tick. In the other order, a
+// process resumed after a freeze would seem ready until the core's actions,
+// including a log line, were executed, and could send requests to an upstream that
+// left during the freeze.
 func (w *Watcher) tick() actions {
 	now := w.opts.Clock()
 	act := w.core.tick(now)
-	w.ready.Store(w.core.readyNow())
+	w.ready.Store(w.core.isReady())
 	w.lastTick.Store(now.UnixNano())
 	return act
 }
 
-// send hands over the actions. A loop that is still busy has its one slot
-// taken only when the core asked twice, which it does not.
-func (o outbox) send(act actions) {
+// send passes the actions to the loops. The queues have room for one action each.
+// Sending a fetch cannot block, because the core has at most one call in flight. A
+// checkpoint is dropped if the one before it still waits in the queue.
+func (o actionQueues) send(act actions) {
 	if act.fetch != nil {
 		o.fetches <- *act.fetch
 	}
@@ -228,7 +237,8 @@
 	}
 }
 
-// publish swaps in the core's state and tells subscribers of a new version.
+// publish makes the core's state visible to other goroutines and calls the
+// subscribers if there is a new version.
 func (w *Watcher) publish() {
 	w.view.Store(w.core.chain.View())
 	v := w.core.chain.InForce()
@@ -240,5 +250,5 @@
 			f(v)
 		}
 	}
-	w.ready.Store(w.core.readyNow())
+	w.ready.Store(w.core.isReady())
 }
--- a/bundle/watch/watcher_test.go
+++ b/bundle/watch/watcher_test.go
@@ -23,11 +23,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bound is far above what any wait in these tests takes.
-const bound = 30 * time.Second
+// waitLimit is the timeout of the waits in these tests, far above their usual duration.
+const waitLimit = 30 * time.Second
 
-// fleet is a log and watchers that can ask each other.
-type fleet struct {
+// cluster is a log service and a set of watchers that can fetch from each other.
+type cluster struct {
 	t        *testing.T
 	ctx      context.Context
 	log      *logsvc.Log
@@ -38,13 +38,14 @@
 	watchers map[wire.NodeID]*Watcher
 }
 
-func newFleet(t *testing.T) *fleet {
+// newCluster starts a log service without watchers.
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	f := &fleet{t: t, ctx: ctx, log: logsvc.New(logsvc.Config{}), watchers: map[wire.NodeID]*Watcher{}}
+	f := &cluster{t: t, ctx: ctx, log: logsvc.New(logsvc.Config{}), watchers: map[wire.NodeID]*Watcher{}}
 	srv := httptest.NewServer(f.log.Handler())
 	f.url = srv.URL
-	f.hc = &http.Client{Transport: &http.Transport{}, Timeout: bound}
+	f.hc = &http.Client{Transport: &http.Transport{}, Timeout: waitLimit}
 	t.Cleanup(func() {
 		cancel()
 		f.log.Close()
@@ -55,14 +56,16 @@
 	return f
 }
 
-func (f *fleet) fetch(_ context.Context, from wire.NodeID, get wire.BundleGet) (wire.BundleRecords, error) {
+// fetch implements the watchers' Fetch by a direct call.
+func (f *cluster) fetch(_ context.Context, from wire.NodeID, get wire.BundleGet) (wire.BundleRecords, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watchers[from].ServeGet(get), nil
 }
 
-// start runs a watcher on the log at a URL and returns it with the numbers its subscriber hears.
-func (f *fleet) start(name, url string) (*Watcher, func() []uint64) {
+// start runs a watcher on the log at a URL. It returns the watcher and a function
+// that returns the version numbers passed to a subscriber so far.
+func (f *cluster) start(name, url string) (*Watcher, func() []uint64) {
 	f.t.Helper()
 	w := must(New(Options{
 		Log: infra.NewLog(url, f.hc), Trust: trusted, Fetch: f.fetch, Rand: rand.New(rand.NewPCG(1, 2)),
@@ -86,8 +89,8 @@
 	}
 }
 
-// heartbeats tells every watcher what the others have, as peers would.
-func (f *fleet) heartbeats() {
+// heartbeats announces every watcher's version in force to the others, as peers do.
+func (f *cluster) heartbeats() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, w := range f.watchers {
@@ -99,10 +102,10 @@
 	}
 }
 
-// until waits for a condition while heartbeats go on.
-func (f *fleet) until(what string, cond func() bool) {
+// until waits for a condition and sends heartbeats meanwhile.
+func (f *cluster) until(what string, cond func() bool) {
 	f.t.Helper()
-	deadline := time.After(bound)
+	deadline := time.After(waitLimit)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for !cond() {
@@ -110,24 +113,26 @@
 		case <-tick.C:
 			f.heartbeats()
 		case <-deadline:
-			f.t.Fatalf("not within %s: %s", bound, what)
+			f.t.Fatalf("not within %s: %s", waitLimit, what)
 		}
 	}
 }
 
+// inForce reports whether a watcher is ready with the given version in force.
 func inForce(w *Watcher, number uint64) bool {
 	v := w.Current()
 	return v != nil && v.Number == number && w.Ready()
 }
 
 func TestWatchersAgree(t *testing.T) {
-	f := newFleet(t)
-	records := chainOf(4)
+	f := newCluster(t)
+	records := recordChain(4)
 	f.log.Append(DefaultStream, records[0], []byte("rubbish"))
 	a, heard := f.start("a", f.url)
 	f.until("version 1 on a", func() bool { return inForce(a, 1) })
 
-	// b never reaches the log: its data centre is cut off from the platform.
+	// The log's address that b uses is unreachable, as for a daemon in a data centre
+	// that is cut off from the log.
 	dead := httptest.NewServer(http.NotFoundHandler())
 	dead.Close()
 	b, _ := f.start("b", dead.URL)
@@ -135,7 +140,7 @@
 	f.log.Append(DefaultStream, records[1], records[2])
 	f.until("version 3 on both", func() bool { return inForce(a, 3) && inForce(b, 3) })
 
-	// The log goes down, retention drops all, and a daemon starts without a base.
+	// The log is down, retention drops all records, and c starts without a base.
 	f.log.SetFaults(logsvc.Faults{Down: true}, 3)
 	f.log.Trim(DefaultStream, 0)
 	c, _ := f.start("c", f.url)
@@ -145,7 +150,7 @@
 
 	numbers := heard()
 	if !slices.IsSorted(numbers) || numbers[len(numbers)-1] != 4 {
-		t.Errorf("a's subscriber heard %v", numbers)
+		t.Errorf("the subscriber of a got versions %v", numbers)
 	}
 	if a.Current().Digest != c.Current().Digest {
 		t.Error("a and c disagree")
@@ -155,7 +160,7 @@
 func TestServeIsBounded(t *testing.T) {
 	now := start
 	w := must(New(Options{Log: infra.NewLog("http://127.0.0.1:1", nil), Trust: trusted, Rand: rand.New(rand.NewPCG(1, 2)), Clock: func() time.Time { return now }}))
-	for _, raw := range chainOf(1) {
+	for _, raw := range recordChain(1) {
 		if _, err := w.core.chain.Offer(raw); err != nil {
 			t.Fatal(err)
 		}
@@ -166,17 +171,16 @@
 		served += len(w.ServeGet(wire.BundleGet{}).Records)
 	}
 	if served == 0 || w.ServeGet(wire.BundleGet{After: 1}).Number != 1 {
-		t.Errorf("served %d records; an answer without records must not be refused", served)
+		t.Errorf("served %d records; a request that needs no records must not be refused", served)
 	}
 	now = now.Add(time.Second)
 	if w.ServeGet(wire.BundleGet{}).Busy {
-		t.Error("still busy a second later")
+		t.Error("still busy one second later")
 	}
 }
 
-// Symptom: a thawed daemon answers Ready before its first tick.
-// Sequence: the clock jumps while no tick ran.
-// Cause: Ready is read by other goroutines, which may run first after a thaw.
+// After a freeze, other goroutines may call Ready before the first tick runs. Ready
+// must then return false, because the last tick is too old.
 func TestReadyNeedsATick(t *testing.T) {
 	now := start
 	w := must(New(Options{Log: infra.NewLog("http://127.0.0.1:1", nil), Trust: trusted, Rand: rand.New(rand.NewPCG(1, 2)), Clock: func() time.Time { return now }}))
@@ -185,19 +189,19 @@
 	if !w.Ready() {
 		t.Error("not ready right after a tick")
 	}
-	if now = now.Add(frozenAfter + time.Millisecond); w.Ready() {
-		t.Error("ready although nothing ran for longer than a freeze")
+	if now = now.Add(freezeThreshold + time.Millisecond); w.Ready() {
+		t.Error("ready although the last tick is older than freezeThreshold")
 	}
 }
 
-// Symptom: a thawed daemon reserves on an upstream that left during the freeze.
-// Sequence: the process thaws and its first tick runs; a request is decided before the
-// watcher has logged the freeze and published what it found.
-// Cause: the tick was shown before the loss of readiness.
+// After a freeze, a request may be handled between the first tick and the call of
+// publish. Ready must return false there, or the request could be sent to an
+// upstream that left during the freeze. So the tick must store the lost readiness
+// before it stores its time.
 func TestFirstTickAfterAFreezeIsNotReady(t *testing.T) {
 	now := start
 	w := must(New(Options{Log: infra.NewLog("http://127.0.0.1:1", nil), Trust: trusted, Rand: rand.New(rand.NewPCG(1, 2)), Clock: func() time.Time { return now }}))
-	for _, raw := range chainOf(1) {
+	for _, raw := range recordChain(1) {
 		if _, err := w.core.chain.Offer(raw); err != nil {
 			t.Fatal(err)
 		}
@@ -208,9 +212,9 @@
 	if !w.Ready() {
 		t.Fatal("not ready at first")
 	}
-	now = now.Add(frozenAfter + time.Second)
+	now = now.Add(freezeThreshold + time.Second)
 	w.tick()
 	if w.Ready() {
-		t.Error("ready between the tick that found the freeze and what follows it")
+		t.Error("ready between the tick that detected the freeze and the call of publish")
 	}
 }
--- a/bundle/watch/withdraw_test.go
+++ b/bundle/watch/withdraw_test.go
@@ -8,90 +8,93 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// kim is a reviewer whose key was withdrawn.
+// kim is a reviewer whose key was withdrawn: trustWithKim are the trusted keys
+// before the withdrawal, trusted those after it.
 var (
-	kim      = testKey("kim", 3)
-	formerly = bundle.Trust{
+	kim          = testKey("kim", 3)
+	trustWithKim = bundle.Trust{
 		Authors:   trusted.Authors,
 		Reviewers: map[string]ed25519.PublicKey{"ben": ben.Public(), "kim": kim.Public()},
 	}
 )
 
-// firstByKim returns two snapshots; the first was reviewed by kim.
+// firstByKim returns the records of two versions; the first was reviewed by kim,
+// the second by ben.
 func firstByKim() [][]byte {
-	first := must(bundle.DecodeRecord(chainOf(1)[0]))
+	first := must(bundle.DecodeRecord(recordChain(1)[0]))
 	old := must(bundle.Review(must(bundle.NewDraft(first.Body, ana)), trusted.Authors, kim))
 	body := first.Body
 	body.Number, body.ParentNumber, body.ParentDigest = 2, 1, must(bundle.DecodeRecord(old)).Digest()
 	return [][]byte{old, must(bundle.Review(must(bundle.NewDraft(body, ana)), trusted.Authors, ben))}
 }
 
-// Symptom: after a signing key was withdrawn, a restarted daemon answers with its peer's version but stays unready.
-// Sequence: version 1 by the old key, a snapshot by the new one; one daemon restarts without the old key and asks
-// its peer; then, with a checkpoint on the log, one that has no peer.
-// Cause: the log's start was kept as the base although the log could not be judged from there.
+// Version 1 was signed with a key that was withdrawn later, version 2 with another
+// key. A daemon that restarts without the withdrawn key cannot evaluate the log from
+// its start, and must become ready through a peer's position or a checkpoint. If it
+// kept the start of the log as its base, it would ignore both and stay unready.
 func TestWithdrawnKey(t *testing.T) {
 	log := firstByKim()
-	peer := newRigWith(t, 2, formerly)
-	peer.read(0, log)
-	peer.want("peer", 2, true)
+	peer := newCoreHarnessWith(t, 2, trustWithKim)
+	peer.readLog(0, log)
+	peer.check("peer", 2, true)
 
-	r := newRig(t, 1)
-	r.read(0, log)
-	r.want("log alone", 0, false)
-	r.core.notice(r.now, peerB, 2, nil)
-	r.answer(r.pass(confirmEvery).fetch, r.now, peer.core)
-	r.read(0, log)
-	r.want("peer asked", 2, true)
+	r := newCoreHarness(t, 1)
+	r.readLog(0, log)
+	r.check("log alone", 0, false)
+	r.core.handleHeartbeat(r.now, peerB, 2, nil)
+	r.respond(r.advance(confirmInterval).fetch, r.now, peer.core)
+	r.readLog(0, log)
+	r.check("peer asked", 2, true)
 
 	data, ok := peer.core.chain.Checkpoint()
 	if !ok {
 		t.Fatal("no checkpoint")
 	}
-	alone := newRig(t, 3)
-	alone.read(0, append(log, data))
-	alone.want("checkpoint", 2, true)
+	alone := newCoreHarness(t, 3)
+	alone.readLog(0, append(log, data))
+	alone.check("checkpoint", 2, true)
 }
 
-// Symptom: all daemons restarted without the old key serve a version that was replaced long ago.
-// Sequence: version 2 was in force by the old key; two daemons start without it, with version 1 from the log, and ask each other.
-// Cause: a peer that cannot judge the log either knows nothing; only a base from behind the record does.
+// Version 2 was adopted under a key that was withdrawn later. Two daemons start
+// without that key, get version 1 from the log, and call each other. Neither must
+// become ready, because version 1 was replaced long ago: a peer that cannot evaluate
+// the log confirms nothing. They need a base after version 2.
 func TestWithdrawnKeyOfTheVersionInForce(t *testing.T) {
-	log := chainOf(1)
+	log := recordChain(1)
 	body := must(bundle.DecodeRecord(log[0])).Body
 	body.Number, body.ParentNumber, body.ParentDigest = 2, 1, must(bundle.DecodeRecord(log[0])).Digest()
 	log = append(log, must(bundle.Review(must(bundle.NewDraft(body, ana)), trusted.Authors, kim)))
-	r, peer := newRig(t, 1), newRig(t, 2)
-	r.read(0, log)
-	peer.read(0, log)
-	r.core.notice(r.now, peerB, 1, nil)
-	r.answer(r.pass(confirmEvery).fetch, r.now, peer.core)
-	r.want("a peer that does not know better", 1, false)
+	r, peer := newCoreHarness(t, 1), newCoreHarness(t, 2)
+	r.readLog(0, log)
+	peer.readLog(0, log)
+	r.core.handleHeartbeat(r.now, peerB, 1, nil)
+	r.respond(r.advance(confirmInterval).fetch, r.now, peer.core)
+	r.check("a peer that does not know better", 1, false)
 }
 
-// Symptom: daemons that start after a badly signed record stay unready for a whole checkpoint period.
-// Sequence: such a record is appended while daemons run; all are restarted some minutes later.
-// Cause: those who saw it come know that it is rubbish, and have to say so soon by a checkpoint from behind it.
+// A wrongly signed record is appended while daemons run. They skip it, but a daemon
+// that starts later cannot, and stays unready until there is a checkpoint after the
+// record. The running daemons must append one well before the checkpoint period ends.
 func TestMadeUpRecordIsPassedBySoon(t *testing.T) {
-	log := chainOf(1)
-	r := newRig(t, 1)
-	r.read(0, log)
-	r.want("before", 1, true)
-	if r.pass(30*time.Minute).checkpoint != nil {
+	log := recordChain(1)
+	r := newCoreHarness(t, 1)
+	r.readLog(0, log)
+	r.check("before", 1, true)
+	if r.advance(30*time.Minute).checkpoint != nil {
 		t.Error("a checkpoint without need")
 	}
 	body := must(bundle.DecodeRecord(log[0])).Body
 	body.Number, body.ParentNumber, body.ParentDigest = 2, 1, must(bundle.DecodeRecord(log[0])).Digest()
 	log = append(log, must(bundle.Review(must(bundle.NewDraft(body, ana)), trusted.Authors, kim)))
-	r.read(0, log)
-	r.want("live", 1, true)
-	data := r.pass(15*time.Minute + time.Second).checkpoint
+	r.readLog(0, log)
+	r.check("live", 1, true)
+	data := r.advance(15*time.Minute + time.Second).checkpoint
 	if data == nil {
 		t.Fatal("no checkpoint")
 	}
-	fresh := newRig(t, 2)
-	fresh.read(0, log)
-	fresh.want("before the checkpoint", 1, false)
-	fresh.read(0, append(log, data))
-	fresh.want("after it", 1, true)
+	fresh := newCoreHarness(t, 2)
+	fresh.readLog(0, log)
+	fresh.check("before the checkpoint", 1, false)
+	fresh.readLog(0, append(log, data))
+	fresh.check("after it", 1, true)
 }
