--- a/members/config.go
+++ b/members/config.go
@@ -1,7 +1,8 @@
-// Package members tells which daemons live. A Table takes heartbeats and the
-// time, and publishes immutable Views; it does no I/O and reads no clock, and
-// package peer drives it. docs/design/membership.md gives the reasons for the
-// figures below.
+// Package members implements failure detection and membership among the daemons.
+// A Table processes heartbeats and publishes immutable Views. It does no I/O and
+// reads no clock: package peer passes it the received heartbeats and the current
+// time. A daemon of another data centre is called remote.
+// docs/design/membership.md gives the reasons for the defaults below.
 package members
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// The defaults of Config.
+// Default values of the Config fields with the same names.
 const (
 	DefaultHeartbeat    = 250 * time.Millisecond
 	DefaultUnknownAfter = 10 * time.Second
@@ -23,55 +24,64 @@
 	DefaultKnownPerBeat = 32
 )
 
-// The silences that make a daemon Suspect and Dead by default, in heartbeats.
+// Defaults of SuspectAfter, DeadAfter and FarDeadAfter, in heartbeat intervals.
 const (
-	suspectBeats = 3
-	deadBeats    = 5
-	farDeadBeats = 10
+	suspectHeartbeats    = 3
+	deadHeartbeats       = 5
+	remoteDeadHeartbeats = 10
 )
 
-// Config holds this daemon's identity and the table's limits. A zero limit
-// takes its default.
+// Config holds this daemon's identity and the table's timeouts and limits. A
+// timeout or limit of zero is replaced by its default.
 type Config struct {
+	// Node is this daemon's instance name and incarnation.
 	Node       wire.NodeID
 	DataCentre string
-	// Address is the peer listener, host:port, that other daemons dial.
+	// Address is the host:port of this daemon's listener for other daemons.
 	Address string
 
-	// Heartbeat is the time between two heartbeats to each neighbour.
+	// Heartbeat is the interval between heartbeats to a neighbour.
 	Heartbeat time.Duration
-	// SuspectAfter and DeadAfter are the silences after which a daemon of the own
-	// data centre is Suspect and Dead.
+	// SuspectAfter and DeadAfter are the times without a new heartbeat after which
+	// a daemon of this data centre becomes Suspect and Dead.
 	SuspectAfter, DeadAfter time.Duration
-	// FarDeadAfter is DeadAfter for other data centres, whose daemons are mostly
-	// heard of by relays every RelayEvery heartbeats.
+	// FarDeadAfter replaces DeadAfter for daemons of other data centres. It is
+	// longer because most of their heartbeats arrive indirectly: daemons of this
+	// data centre relay the sequence numbers, once every RelayEvery heartbeats.
 	FarDeadAfter time.Duration
-	// UnknownAfter is how long a daemon must stay unknown to a table that runs
-	// without a freeze before readers may take it for dead. It covers the time in
-	// which a fresh daemon learns of all others.
+	// UnknownAfter is how long a daemon must stay Unknown, with this process not
+	// frozen meanwhile, before callers may treat it as dead. It covers the time
+	// that a newly started daemon needs to discover all others.
 	UnknownAfter time.Duration
-	// FrozenAfter is the time between two ticks from which on this process is
-	// taken to have been stopped.
+	// FrozenAfter is the gap between two ticks above which this process is
+	// considered to have been frozen (stopped or suspended).
 	FrozenAfter time.Duration
-	// RefreshAfter ends a freeze when too few peers answer, as when alone.
+	// RefreshAfter is the time after which a freeze ends even if too few peers
+	// have replied, for example because there are none.
 	RefreshAfter time.Duration
-	// ForgetAfter is how long a dead daemon is remembered and dialled.
+	// ForgetAfter is the time without a heartbeat after which a daemon is removed
+	// from the table; until then connection attempts to it go on.
 	ForgetAfter time.Duration
-	// LossMemory is how long a daemon that fell silent counts in View.Isolated.
+	// LossMemory is the time since its last heartbeat during which a silent daemon
+	// counts for View.Isolated.
 	LossMemory time.Duration
-	// Contacts is the number of daemons to heartbeat in each other data centre.
+	// Contacts is the number of daemons in each other data centre that this daemon
+	// exchanges heartbeats with, unless the data centre is small enough to connect
+	// to all of its daemons.
 	Contacts int
-	// RelayEvery is the number of heartbeats from one relay to the next.
+	// RelayEvery is the number of heartbeats per relay: every RelayEvery-th one to
+	// this data centre carries the sequence numbers of remote daemons.
 	RelayEvery int
-	// KnownPerBeat bounds the daemons described in one heartbeat.
+	// KnownPerBeat is the maximum number of daemon descriptions per heartbeat.
 	KnownPerBeat int
 }
 
+// withDefaults returns c with defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Heartbeat, DefaultHeartbeat)
-	setDefault(&c.SuspectAfter, suspectBeats*c.Heartbeat)
-	setDefault(&c.DeadAfter, deadBeats*c.Heartbeat)
-	setDefault(&c.FarDeadAfter, max(farDeadBeats*c.Heartbeat, 2*c.DeadAfter))
+	setDefault(&c.SuspectAfter, suspectHeartbeats*c.Heartbeat)
+	setDefault(&c.DeadAfter, deadHeartbeats*c.Heartbeat)
+	setDefault(&c.FarDeadAfter, max(remoteDeadHeartbeats*c.Heartbeat, 2*c.DeadAfter))
 	setDefault(&c.UnknownAfter, DefaultUnknownAfter)
 	setDefault(&c.FrozenAfter, DefaultFrozenAfter)
 	setDefault(&c.RefreshAfter, DefaultRefreshAfter)
--- a/members/freeze.go
+++ b/members/freeze.go
@@ -7,51 +7,54 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// checkFreeze notices that this process was stopped: by SIGSTOP, a suspended
-// virtual machine or starvation. Then nothing it believes is current: upstreams
-// may have left and peers died meanwhile. Silence during the stop was its own,
-// so every deadline starts again; heartbeats that wait in socket buffers may be
-// as old as the stop, so only an echo of a heartbeat sent since proves a peer.
-// Without this one would notice, after each pause of a host, live peers' work
-// cancelled, or new work on upstreams that had left long before.
-func (t *Table) checkFreeze(now time.Time) {
-	if clock.Elapsed(t.view.ticked, now) <= t.cfg.FrozenAfter {
+// detectFreeze marks the view as frozen if this process did not run for longer
+// than FrozenAfter, because of SIGSTOP, a suspended virtual machine or CPU
+// starvation. The view is then outdated: upstreams may have left and peers may
+// have died in the meantime. No heartbeat could be processed during the freeze,
+// so the timeout of every daemon that is not dead starts again. Heartbeats still
+// in the socket buffers may have been sent before or during the freeze, so only
+// an echo of a heartbeat sent after it proves that a peer is alive. Without this
+// check a paused host would cancel the work of live peers, or dispatch requests to
+// upstreams that left during the pause.
+func (t *Table) detectFreeze(now time.Time) {
+	if clock.Elapsed(t.view.lastTick, now) <= t.cfg.FrozenAfter {
 		return
 	}
 	v := *t.view
-	v.ticked, v.since, v.frozen = now, now, true
+	v.lastTick, v.validSince, v.frozen = now, now, true
 	t.view = &v
 	t.frozenAt = now
-	t.askFrom = t.seq + 1
-	clear(t.echoes)
+	t.minEchoSeq = t.seq + 1
+	clear(t.echoedBy)
 	for _, e := range t.entries {
 		if e.Liveness != Dead {
-			e.heard = now
+			e.lastProgress = now
 		}
 	}
-	t.event(Froze, t.cfg.Node)
+	t.addEvent(Froze, t.cfg.Node)
 }
 
-// hearEcho counts the peers that answered since the freeze and ends it at a
-// majority of the own data centre's other live daemons, or of all neighbours
-// where it has none.
-func (t *Table) hearEcho(now time.Time, hb wire.Heartbeat) {
-	if t.frozenAt.IsZero() || hb.Echo < t.askFrom {
+// handleEcho records a peer that echoed a heartbeat sent after the freeze. The
+// freeze ends once a majority of quorumPeers has done so.
+func (t *Table) handleEcho(now time.Time, hb wire.Heartbeat) {
+	if t.frozenAt.IsZero() || hb.Echo < t.minEchoSeq {
 		return
 	}
-	peers := t.refreshers()
+	peers := t.quorumPeers()
 	if _, ok := peers[hb.Node.Instance]; !ok {
 		return
 	}
-	t.echoes[hb.Node.Instance] = struct{}{}
-	if 2*len(t.echoes) > len(peers) {
-		t.thaw()
+	t.echoedBy[hb.Node.Instance] = struct{}{}
+	if 2*len(t.echoedBy) > len(peers) {
+		t.endFreeze()
 		t.publish(now)
 	}
 }
 
-// refreshers returns the peers whose echoes count.
-func (t *Table) refreshers() map[string]struct{} {
+// quorumPeers returns the instances whose echoes count towards the end of a
+// freeze: the neighbours of this data centre that are not dead or, if there are
+// none, all neighbours that are not dead.
+func (t *Table) quorumPeers() map[string]struct{} {
 	own, all := map[string]struct{}{}, map[string]struct{}{}
 	for _, m := range t.view.Neighbours() {
 		if m.Liveness == Dead {
@@ -68,7 +71,8 @@
 	return all
 }
 
-func (t *Table) thaw() {
+// endFreeze marks the table as no longer frozen; publish updates the view.
+func (t *Table) endFreeze() {
 	t.frozenAt = time.Time{}
-	t.event(Thawed, t.cfg.Node)
+	t.addEvent(Thawed, t.cfg.Node)
 }
--- a/members/gossip.go
+++ b/members/gossip.go
@@ -8,29 +8,30 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// Cursor says how much of the table a peer has been told. The zero Cursor is a
-// peer that was told nothing.
+// Cursor is the table version up to which a peer has been sent all changes. Zero
+// means that the peer has been sent nothing.
 type Cursor uint64
 
-// Round is one round of heartbeats, one to each neighbour.
+// Round holds the contents that the heartbeats of one round share. A round has
+// one heartbeat for each neighbour.
 type Round struct {
-	table *Table
-	hb    wire.Heartbeat
-	fresh wire.Freshness
+	table   *Table
+	hb      wire.Heartbeat
+	relayed wire.Freshness
 }
 
-// Beat starts the next round; call it every Heartbeat.
+// Beat starts the next periodic round. Call it once per Config.Heartbeat.
 func (t *Table) Beat(now time.Time) Round {
 	r := t.Greet()
 	t.rounds++
 	if t.rounds%uint64(t.cfg.RelayEvery) == 0 {
-		r.fresh = t.relay(now)
+		r.relayed = t.relayedProgress(now)
 	}
 	return r
 }
 
-// Greet starts a round for a single peer, out of turn: on a new connection, or
-// to answer an Ask.
+// Greet starts an extra round for a single peer, outside the period: on a new
+// connection, or to reply to a heartbeat that has Ask set.
 func (t *Table) Greet() Round {
 	t.seq++
 	return Round{table: t, hb: wire.Heartbeat{
@@ -43,38 +44,41 @@
 	}}
 }
 
-// To returns the round's heartbeat to one peer, with the daemons that the peer
-// has not been told of, and the cursor to pass in the next round. Use the new
-// cursor only if the heartbeat was sent.
-func (r Round) To(dataCentre string, told Cursor) (wire.Heartbeat, Cursor) {
+// To returns the heartbeat of this round for one peer of the given data centre.
+// It lists daemons that changed after cursor, the position returned for this
+// peer in an earlier round. The caller passes the returned cursor in the next
+// round, or the old one again if the heartbeat was not sent.
+func (r Round) To(dataCentre string, cursor Cursor) (wire.Heartbeat, Cursor) {
 	hb := r.hb
 	if dataCentre == r.table.cfg.DataCentre {
-		hb.Fresh = r.fresh
+		hb.Fresh = r.relayed
 	}
-	hb.Known, told = r.table.news(told)
-	return hb, told
+	hb.Known, cursor = r.table.updatesAfter(cursor)
+	return hb, cursor
 }
 
-// news returns live daemons that changed after told, oldest change first.
-func (t *Table) news(told Cursor) ([]wire.Known, Cursor) {
-	if uint64(told) >= t.version {
-		return nil, told
+// updatesAfter returns up to KnownPerBeat live daemons that changed after cursor,
+// in the order of their changes, and the cursor after the last of them.
+func (t *Table) updatesAfter(cursor Cursor) ([]wire.Known, Cursor) {
+	if uint64(cursor) >= t.version {
+		return nil, cursor
 	}
 	var changed []*entry
 	for _, e := range t.entries {
-		if e.version > uint64(told) && e.Liveness != Dead {
+		if e.changeVersion > uint64(cursor) && e.Liveness != Dead {
 			changed = append(changed, e)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.version, b.version) })
+	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.changeVersion, b.changeVersion) })
 	if len(changed) <= t.cfg.KnownPerBeat {
-		return known(changed), Cursor(t.version)
+		return toKnown(changed), Cursor(t.version)
 	}
 	changed = changed[:t.cfg.KnownPerBeat]
-	return known(changed), Cursor(changed[len(changed)-1].version)
+	return toKnown(changed), Cursor(changed[len(changed)-1].changeVersion)
 }
 
-func known(entries []*entry) []wire.Known {
+// toKnown converts table entries to the list sent in a heartbeat.
+func toKnown(entries []*entry) []wire.Known {
 	out := make([]wire.Known, len(entries))
 	for i, e := range entries {
 		out[i] = wire.Known{Node: e.Node, DataCentre: e.DataCentre, Address: e.Address}
@@ -82,43 +86,46 @@
 	return out
 }
 
-// relay lists the far daemons that this one hears itself and is to tell its own
-// data centre of: those it is the first contact of, and those that nobody else
-// relayed for two periods because their first contact cannot hear them.
-func (t *Table) relay(now time.Time) wire.Freshness {
+// relayedProgress returns the sequence numbers that this daemon relays to its own
+// data centre. They are those of remote daemons from which it received a heartbeat
+// directly within the last relay period and which have it as their first contact
+// (ranked first by rendezvous hashing). For a remote daemon that no other daemon
+// relayed for two periods, any daemon that receives its heartbeats takes over:
+// the first contact may have lost the connection.
+func (t *Table) relayedProgress(now time.Time) wire.Freshness {
 	period := time.Duration(t.cfg.RelayEvery) * t.cfg.Heartbeat
 	self := newMember(t.cfg.Node, t.cfg.DataCentre, t.cfg.Address)
 	own := t.view.LiveIn(t.cfg.DataCentre)
 	var f wire.Freshness
 	for _, e := range t.entries {
-		if e.DataCentre == t.cfg.DataCentre || now.Sub(e.direct) >= period {
+		if e.DataCentre == t.cfg.DataCentre || now.Sub(e.lastDirect) >= period {
 			continue
 		}
-		if among(e.hash, own, self, 1) || now.Sub(e.relayed) > 2*period {
+		if inTopN(e.hash, own, self, 1) || now.Sub(e.lastRelayed) > 2*period {
 			f = f.Append(e.Node.Short(), e.seq)
 		}
 	}
 	return f
 }
 
-// hearRelay takes the progress of far daemons from a peer of the own data
-// centre. The low 16 bits are compared as serial numbers: half their range is
-// over two hours of heartbeats. Two daemons with one ShortID would share a
-// place here, and the one not kept would seem dead in data centres where only
-// relays tell of it.
-func (t *Table) hearRelay(now time.Time, f wire.Freshness) {
+// handleRelay processes the sequence numbers of remote daemons that a peer of this
+// data centre relayed. Only the low 16 bits are sent; they are compared as serial
+// numbers, half the range of which is more than two hours of heartbeats. If two
+// daemons have the same ShortID, byShortID holds only one of them, and the other
+// appears dead in data centres that receive its progress by relay alone.
+func (t *Table) handleRelay(now time.Time, f wire.Freshness) {
 	for id, low := range f.All() {
-		e := t.short[id]
+		e := t.byShortID[id]
 		if e == nil || e.DataCentre == t.cfg.DataCentre {
 			continue
 		}
-		e.relayed = now
+		e.lastRelayed = now
 		if e.seq == 0 {
-			t.freshen(now, e, uint64(low))
+			t.recordProgress(now, e, uint64(low))
 			continue
 		}
 		if ahead := int16(low - uint16(e.seq)); ahead > 0 {
-			t.freshen(now, e, e.seq+uint64(ahead))
+			t.recordProgress(now, e, e.seq+uint64(ahead))
 		}
 	}
 }
--- a/members/rendezvous.go
+++ b/members/rendezvous.go
@@ -8,8 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight ranks a candidate for a key, both given by their hashes. The largest
-// weight wins, so that a candidate's death moves only its own keys.
+// weight returns the rendezvous-hashing weight of a candidate for a key, both given
+// by their hashes. A key belongs to the candidate with the highest weight, so
+// that the removal of a candidate moves only the keys that belonged to it.
 func weight(key, candidate uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], key)
@@ -17,21 +18,21 @@
 	return xxhash.Sum64(b[:])
 }
 
-// winner returns the candidate with the largest weight for key; ok is false when
-// there is none.
-func winner(key uint64, candidates []Member) (best Member, ok bool) {
-	var top uint64
+// highestWeight returns the candidate with the highest weight for key; ok is false
+// if there are no candidates.
+func highestWeight(key uint64, candidates []Member) (best Member, ok bool) {
+	var maxWeight uint64
 	for i := range candidates {
 		w := weight(key, candidates[i].hash)
-		if !ok || w > top {
-			best, top, ok = candidates[i], w, true
+		if !ok || w > maxWeight {
+			best, maxWeight, ok = candidates[i], w, true
 		}
 	}
 	return best, ok
 }
 
-// top returns the n candidates with the largest weights for key, largest first.
-func top(key uint64, candidates []Member, n int) []Member {
+// topN returns up to n candidates with the highest weights for key, highest first.
+func topN(key uint64, candidates []Member, n int) []Member {
 	type ranked struct {
 		weight uint64
 		index  int
@@ -48,12 +49,13 @@
 	return out
 }
 
-// among reports whether m is one of the n candidates with the largest weights.
-func among(key uint64, candidates []Member, m Member, n int) bool {
-	own := weight(key, m.hash)
+// inTopN reports whether fewer than n candidates have a higher weight for key
+// than m.
+func inTopN(key uint64, candidates []Member, m Member, n int) bool {
+	ownWeight := weight(key, m.hash)
 	above := 0
 	for i := range candidates {
-		if weight(key, candidates[i].hash) > own {
+		if weight(key, candidates[i].hash) > ownWeight {
 			above++
 		}
 	}
--- a/members/table.go
+++ b/members/table.go
@@ -10,18 +10,18 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// Event says what changed.
+// Event is the kind of a membership change.
 type Event uint8
 
-// The events.
+// The kinds of membership changes.
 const (
-	Joined     Event = iota + 1 // a daemon, or a new life of one, was heard of
-	Suspected                   // a live daemon fell silent
-	Died                        // a daemon was silent for too long
-	Recovered                   // a suspect or dead daemon was heard again
-	Froze                       // this process was stopped for longer than FrozenAfter
-	Thawed                      // the view is fresh again
-	Superseded                  // a later incarnation of this daemon's own instance lives
+	Joined     Event = iota + 1 // a daemon or a later incarnation of one was added
+	Suspected                   // no new heartbeat for SuspectAfter (longer for a remote daemon)
+	Died                        // no new heartbeat for DeadAfter, or FarDeadAfter for a remote daemon
+	Recovered                   // a suspect or dead daemon sent a new heartbeat
+	Froze                       // this process did not run for longer than FrozenAfter
+	Thawed                      // the freeze ended: peers replied, or RefreshAfter passed
+	Superseded                  // a later incarnation of this daemon's own instance exists
 )
 
 // String returns the event's name for logs.
@@ -29,107 +29,110 @@
 	return [...]string{"none", "joined", "suspected", "died", "recovered", "froze", "thawed", "superseded"}[e]
 }
 
-// Action is one change that Tick reports; Node is the daemon concerned.
+// Action is one membership change returned by Tick. Node is the daemon that
+// changed.
 type Action struct {
 	Event Event
 	Node  wire.NodeID
 }
 
-// entry is one other daemon's latest life.
+// entry is the state of another daemon, for its latest known incarnation.
 type entry struct {
 	Member
-	seq     uint64    // highest heard; 0 when only gossip told of the daemon
-	heard   time.Time // when seq last grew, or the deadline was reset
-	direct  time.Time // last heartbeat on an own connection
-	relayed time.Time // last relay by another daemon
-	version uint64    // table version at which peers have to be told
+	seq           uint64    // highest heartbeat number seen; 0 if only other daemons' lists named the daemon
+	lastProgress  time.Time // when seq last grew or the timeouts were restarted
+	lastDirect    time.Time // last heartbeat received from the daemon itself
+	lastRelayed   time.Time // last time another daemon relayed the sequence number
+	changeVersion uint64    // Table.version of the last change to send to peers
 }
 
-// Table keeps the liveness of all daemons. It is not safe for concurrent use.
+// Table holds the liveness of all known daemons. It is not safe for concurrent use.
 type Table struct {
-	cfg     Config
-	entries map[string]*entry
-	short   map[wire.ShortID]*entry
-	view    *View
-	events  []Action
+	cfg       Config
+	entries   map[string]*entry
+	byShortID map[wire.ShortID]*entry
+	view      *View
+	events    []Action
 
-	seq      uint64 // of this daemon's own heartbeats
-	rounds   uint64 // of heartbeats to all neighbours
-	version  uint64 // grows when peers must be told of a daemon
-	dirty    bool   // the roster must be built again
-	draining bool
-	deaths   uint64
+	seq               uint64 // number of this daemon's last heartbeat
+	rounds            uint64 // periodic rounds sent
+	version           uint64 // incremented on each change to send to peers
+	membershipChanged bool   // View.membership must be rebuilt
+	draining          bool
+	deaths            uint64 // see View.Deaths
 
-	frozenAt time.Time // zero unless frozen
-	askFrom  uint64    // first own Seq since the freeze
-	echoes   map[string]struct{}
+	frozenAt   time.Time           // start of the current freeze; zero if not frozen
+	minEchoSeq uint64              // number of the first own heartbeat after the freeze
+	echoedBy   map[string]struct{} // instances that echoed a heartbeat since the freeze
 }
 
-// NewTable returns a table that knows only this daemon.
+// NewTable returns a table that contains only this daemon.
 func NewTable(cfg Config, now time.Time) *Table {
 	t := &Table{
-		cfg:     cfg.withDefaults(),
-		entries: map[string]*entry{},
-		short:   map[wire.ShortID]*entry{},
-		echoes:  map[string]struct{}{},
+		cfg:       cfg.withDefaults(),
+		entries:   map[string]*entry{},
+		byShortID: map[wire.ShortID]*entry{},
+		echoedBy:  map[string]struct{}{},
 	}
-	t.view = &View{cfg: &t.cfg, ticked: now, since: now}
-	t.view.roster = t.buildRoster(0)
+	t.view = &View{cfg: &t.cfg, lastTick: now, validSince: now}
+	t.view.membership = t.buildMembership(0)
 	return t
 }
 
-// View returns the view of the last tick.
+// View returns the most recently published view.
 func (t *Table) View() *View { return t.view }
 
-// SetDraining tells the table whether this daemon drains.
+// SetDraining sets whether this daemon is draining.
 func (t *Table) SetDraining(draining bool) {
-	t.dirty = t.dirty || draining != t.draining
+	t.membershipChanged = t.membershipChanged || draining != t.draining
 	t.draining = draining
 }
 
-// Hear takes one heartbeat that arrived on an own connection.
+// Hear processes a heartbeat received directly from its sender.
 func (t *Table) Hear(now time.Time, hb wire.Heartbeat) {
-	t.checkFreeze(now)
-	if t.supersedes(hb.Node) {
+	t.detectFreeze(now)
+	if t.checkOwnInstance(hb.Node) {
 		return
 	}
-	e := t.learn(now, wire.Known{Node: hb.Node, DataCentre: hb.DataCentre, Address: hb.Address})
+	e := t.addOrGet(now, wire.Known{Node: hb.Node, DataCentre: hb.DataCentre, Address: hb.Address})
 	if e == nil {
 		return
 	}
-	if hb.Seq >= e.seq { // a relay may have been faster
-		t.freshen(now, e, hb.Seq)
-		e.direct = now
-		t.dirty = t.dirty || e.Draining != hb.Draining
+	if hb.Seq >= e.seq { // lower if a relayed number overtook the heartbeat
+		t.recordProgress(now, e, hb.Seq)
+		e.lastDirect = now
+		t.membershipChanged = t.membershipChanged || e.Draining != hb.Draining
 		e.Draining = hb.Draining
 	}
-	t.hearEcho(now, hb)
+	t.handleEcho(now, hb)
 	for _, k := range hb.Known {
-		t.learn(now, k)
+		t.addOrGet(now, k)
 	}
 	if hb.DataCentre == t.cfg.DataCentre {
-		t.hearRelay(now, hb.Fresh)
+		t.handleRelay(now, hb.Fresh)
 	}
 }
 
-// supersedes reports whether n is a life of this daemon's own instance, and
-// remembers a later one: two processes run under one name, and everybody else
-// takes this one for dead.
-func (t *Table) supersedes(n wire.NodeID) bool {
+// checkOwnInstance reports whether n belongs to this daemon's own instance. If n
+// is a later incarnation, it adds a Superseded event: two processes then run under
+// one instance name, and all other daemons consider this one dead.
+func (t *Table) checkOwnInstance(n wire.NodeID) bool {
 	if n.Instance != t.cfg.Node.Instance {
 		return false
 	}
 	if n.Incarnation > t.cfg.Node.Incarnation {
-		t.event(Superseded, n)
+		t.addEvent(Superseded, n)
 	}
 	return true
 }
 
-// learn returns the entry of a daemon, making one for a new daemon or a later
-// life; nil for this daemon and for a life that is over. Gossip about a dead
-// daemon does not revive it: only its own progress does.
-func (t *Table) learn(now time.Time, k wire.Known) *entry {
-	if k.Node.IsZero() || t.supersedes(k.Node) {
+// addOrGet returns the entry of a daemon and creates it for a new daemon or a later
+// incarnation. It returns nil for this daemon's own instance and for an earlier
+// incarnation. An existing entry is left unchanged, so that being listed by
+// another daemon does not make a dead daemon alive; only a higher sequence number
+// does.
+func (t *Table) addOrGet(now time.Time, k wire.Known) *entry {
+	if k.Node.IsZero() || t.checkOwnInstance(k.Node) {
 		return nil
 	}
 	e := t.entries[k.Node.Instance]
@@ -140,44 +143,46 @@
 		return e
 	}
 	if e != nil {
-		delete(t.short, e.Node.Short())
+		delete(t.byShortID, e.Node.Short())
 		t.deaths++
 	}
-	e = &entry{Member: newMember(k.Node, k.DataCentre, k.Address), heard: now}
+	e = &entry{Member: newMember(k.Node, k.DataCentre, k.Address), lastProgress: now}
 	t.entries[k.Node.Instance] = e
-	t.short[k.Node.Short()] = e
-	t.dirty = true
-	t.event(Joined, k.Node)
+	t.byShortID[k.Node.Short()] = e
+	t.membershipChanged = true
+	t.addEvent(Joined, k.Node)
 	return e
 }
 
-// freshen records that a daemon made progress up to seq.
-func (t *Table) freshen(now time.Time, e *entry, seq uint64) {
+// recordProgress sets a daemon's sequence number and marks the daemon alive. A
+// daemon that was dead or had sent no heartbeat before is listed to peers again.
+func (t *Table) recordProgress(now time.Time, e *entry, seq uint64) {
 	if seq == e.seq {
 		return
 	}
 	if e.seq == 0 || e.Liveness == Dead {
 		t.version++
-		e.version = t.version
+		e.changeVersion = t.version
 	}
 	e.seq = seq
-	e.heard = now
+	e.lastProgress = now
 	if e.Liveness != Alive {
 		e.Liveness = Alive
-		t.dirty = true
-		t.event(Recovered, e.Node)
+		t.membershipChanged = true
+		t.addEvent(Recovered, e.Node)
 	}
 }
 
-// Tick moves the table to now and returns what changed since the last tick.
-// Call it at least every half Heartbeat.
+// Tick updates the liveness of all daemons for the time now, publishes a new view
+// and returns the changes since the previous tick. Call it at least every half
+// Config.Heartbeat.
 func (t *Table) Tick(now time.Time) []Action {
-	t.checkFreeze(now)
+	t.detectFreeze(now)
 	if !t.frozenAt.IsZero() && clock.Elapsed(t.frozenAt, now) >= t.cfg.RefreshAfter {
-		t.thaw()
+		t.endFreeze()
 	}
 	for name, e := range t.entries {
-		t.expire(now, name, e)
+		t.updateLiveness(now, name, e)
 	}
 	t.publish(now)
 	events := t.events
@@ -185,79 +190,87 @@
 	return events
 }
 
-// expire moves one daemon to the state that its silence calls for.
-func (t *Table) expire(now time.Time, name string, e *entry) {
-	slack := time.Duration(0)
+// updateLiveness sets a daemon's state by the time since its last progress, or
+// removes the daemon after ForgetAfter. For a remote daemon all timeouts are
+// longer by the difference of FarDeadAfter and DeadAfter.
+func (t *Table) updateLiveness(now time.Time, name string, e *entry) {
+	extraTime := time.Duration(0)
 	if e.DataCentre != t.cfg.DataCentre {
-		slack = t.cfg.FarDeadAfter - t.cfg.DeadAfter
+		extraTime = t.cfg.FarDeadAfter - t.cfg.DeadAfter
 	}
-	switch silent := now.Sub(e.heard) - slack; {
+	switch silent := now.Sub(e.lastProgress) - extraTime; {
 	case silent >= t.cfg.ForgetAfter:
 		delete(t.entries, name)
-		delete(t.short, e.Node.Short())
-		t.dirty = true
+		delete(t.byShortID, e.Node.Short())
+		t.membershipChanged = true
 	case silent >= t.cfg.DeadAfter:
 		if e.Liveness != Dead {
 			t.deaths++
 		}
-		t.set(e, Dead, Died)
+		t.setLiveness(e, Dead, Died)
 	case silent >= t.cfg.SuspectAfter && e.Liveness == Alive:
-		t.set(e, Suspect, Suspected)
+		t.setLiveness(e, Suspect, Suspected)
 	}
 }
 
-func (t *Table) set(e *entry, l Liveness, ev Event) {
+// setLiveness sets a daemon's state and adds the event ev if the state changes.
+func (t *Table) setLiveness(e *entry, l Liveness, ev Event) {
 	if e.Liveness == l {
 		return
 	}
 	e.Liveness = l
-	t.dirty = true
-	t.event(ev, e.Node)
+	t.membershipChanged = true
+	t.addEvent(ev, e.Node)
 }
 
-func (t *Table) event(ev Event, n wire.NodeID) {
+func (t *Table) addEvent(ev Event, n wire.NodeID) {
 	t.events = append(t.events, Action{Event: ev, Node: n})
 }
 
-// publish swaps in a view of this moment.
+// publish replaces the view with a snapshot of the current state.
 func (t *Table) publish(now time.Time) {
 	v := *t.view
-	v.ticked = now
+	v.lastTick = now
 	v.frozen = !t.frozenAt.IsZero()
 	v.deaths = t.deaths
-	v.isolated = t.isolated(now)
-	if t.dirty {
-		v.roster = t.buildRoster(v.roster.generation + 1)
-		t.dirty = false
+	v.isolated = t.detectIsolation(now)
+	if t.membershipChanged {
+		v.membership = t.buildMembership(v.membership.generation + 1)
+		t.membershipChanged = false
 	}
 	t.view = &v
 }
 
-// isolated counts the daemons by their silence and not by their state, since far
-// ones are declared dead later: a cut of this daemon silences all at once.
-func (t *Table) isolated(now time.Time) bool {
-	speaking, silent := 0, 0
+// detectIsolation reports whether the daemons that recently fell silent, up to
+// LossMemory ago, outnumber those that recently made progress. If this daemon loses
+// its network, all others fall silent at once. The count uses the time since the last
+// progress, not Liveness, which changes later for remote daemons. With a single other
+// daemon the result is false, because its failure and that of the network look the
+// same.
+func (t *Table) detectIsolation(now time.Time) bool {
+	recent, silent := 0, 0
 	for _, e := range t.entries {
 		limit := t.cfg.SuspectAfter
 		if e.DataCentre != t.cfg.DataCentre {
 			limit = t.cfg.DeadAfter
 		}
-		switch quiet := now.Sub(e.heard); {
-		case quiet < limit:
-			speaking++
-		case quiet < t.cfg.LossMemory:
+		switch silence := now.Sub(e.lastProgress); {
+		case silence < limit:
+			recent++
+		case silence < t.cfg.LossMemory:
 			silent++
 		}
 	}
-	return speaking < silent && speaking+silent > 1
+	return recent < silent && recent+silent > 1
 }
 
-func (t *Table) buildRoster(generation uint64) *roster {
-	r := &roster{
-		generation: generation,
-		members:    make(map[string]Member, len(t.entries)),
-		byCentre:   map[string][]Member{},
-		stewards:   map[string][]Member{},
+// buildMembership returns the membership part of a view for the current entries.
+func (t *Table) buildMembership(generation uint64) *membership {
+	r := &membership{
+		generation:       generation,
+		members:          make(map[string]Member, len(t.entries)),
+		liveByCentre:     map[string][]Member{},
+		eligibleByCentre: map[string][]Member{},
 	}
 	self := newMember(t.cfg.Node, t.cfg.DataCentre, t.cfg.Address)
 	self.Draining = t.draining
@@ -270,10 +283,10 @@
 		}
 	}
 	slices.SortFunc(r.live, byInstance)
-	r.neighbours = neighbours(self, r, t.cfg.Contacts)
+	r.neighbours = selectNeighbours(self, r, t.cfg.Contacts)
 	for _, m := range r.live {
-		whole := m.DataCentre == t.cfg.DataCentre || len(r.byCentre[m.DataCentre]) <= smallCentre
-		if whole && m.Node != t.cfg.Node {
+		fullyLinked := m.DataCentre == t.cfg.DataCentre || len(r.liveByCentre[m.DataCentre]) <= maxFullyLinkedCentre
+		if fullyLinked && m.Node != t.cfg.Node {
 			r.near = append(r.near, m)
 		}
 	}
@@ -282,48 +295,53 @@
 
 func byInstance(a, b Member) int { return cmp.Compare(a.Node.Instance, b.Node.Instance) }
 
-func (r *roster) addLive(m Member) {
+// addLive adds a live daemon to the lists of live and of eligible daemons.
+func (r *membership) addLive(m Member) {
 	r.live = append(r.live, m)
-	r.byCentre[m.DataCentre] = append(r.byCentre[m.DataCentre], m)
+	r.liveByCentre[m.DataCentre] = append(r.liveByCentre[m.DataCentre], m)
 	if !m.Draining {
-		r.anywhere = append(r.anywhere, m)
-		r.stewards[m.DataCentre] = append(r.stewards[m.DataCentre], m)
+		r.eligible = append(r.eligible, m)
+		r.eligibleByCentre[m.DataCentre] = append(r.eligibleByCentre[m.DataCentre], m)
 	}
 }
 
-// smallCentre is the number of daemons up to which a data centre is linked to
-// as a whole: a firm's seven daemons in three data centres then all see each
-// other, and only large data centres are represented by contacts.
-const smallCentre = 3
+// maxFullyLinkedCentre is the largest number of daemons in a data centre for which
+// daemons of other data centres connect to all of them; for larger data centres
+// they connect to a few contacts. A deployment of seven daemons in three data
+// centres is thereby a full mesh.
+const maxFullyLinkedCentre = 3
 
-// reach returns how many of the candidates to link to.
-func reach(candidates []Member, contacts int) int {
-	if len(candidates) <= smallCentre {
+// linkCount returns the number of daemons to connect to in a data centre with the
+// given candidates.
+func linkCount(candidates []Member, contacts int) int {
+	if len(candidates) <= maxFullyLinkedCentre {
 		return len(candidates)
 	}
 	return contacts
 }
 
-// neighbours returns the daemons to connect to. A data centre without a live
-// daemon is represented by its dead ones: after a cut both sides take each
-// other for dead, and somebody has to dial again.
-func neighbours(self Member, r *roster, contacts int) []Member {
+// selectNeighbours returns the daemons to connect to: all of this data centre and,
+// for each other data centre, its contacts and the daemons that have this one as
+// a contact. For a data centre without live daemons the contacts are chosen among
+// the dead ones: after a network partition each side considers the other dead,
+// and connection attempts must go on so that they find each other again.
+func selectNeighbours(self Member, r *membership, contacts int) []Member {
 	byCentre := map[string][]Member{}
 	for _, m := range r.members {
 		byCentre[m.DataCentre] = append(byCentre[m.DataCentre], m)
 	}
 	out := slices.Clone(byCentre[self.DataCentre])
-	own := r.byCentre[self.DataCentre]
-	for centre, all := range byCentre {
+	own := r.liveByCentre[self.DataCentre]
+	for centre, candidates := range byCentre {
 		if centre == self.DataCentre {
 			continue
 		}
-		if live := r.byCentre[centre]; len(live) > 0 {
-			all = live
+		if live := r.liveByCentre[centre]; len(live) > 0 {
+			candidates = live
 		}
-		there, back := reach(all, contacts), reach(own, contacts)
-		for _, m := range all {
-			if among(self.hash, all, m, there) || among(m.hash, own, self, back) {
+		localLinks, remoteLinks := linkCount(candidates, contacts), linkCount(own, contacts)
+		for _, m := range candidates {
+			if inTopN(self.hash, candidates, m, localLinks) || inTopN(m.hash, own, self, remoteLinks) {
 				out = append(out, m)
 			}
 		}
--- a/members/table_test.go
+++ b/members/table_test.go
@@ -20,40 +20,44 @@
 	return Config{Node: node(name, 1), DataCentre: dataCentre, Address: name + ":1"}
 }
 
+// beat returns a heartbeat of the given incarnation with number seq.
 func beat(name, dataCentre string, inc, seq uint64) wire.Heartbeat {
 	return wire.Heartbeat{Node: node(name, inc), DataCentre: dataCentre, Address: name + ":1", Seq: seq}
 }
 
-// tickTo ticks every half heartbeat, as the runner does.
+// tickTo calls Tick every half heartbeat interval, as package peer does.
 func tickTo(tb *Table, from, to int) {
 	for ms := from; ms <= to; ms += 125 {
 		tb.Tick(at(ms))
 	}
 }
 
-// Symptom: work of a live daemon is swept, or that of a dead one never is.
-// Sequence: daemon b speaks, restarts, falls silent and speaks again; messages
-// of its earlier life and gossip about it arrive late.
-// Cause: liveness by name alone, or by anything but the daemon's own progress.
+// Symptom: a steward cancels the work of a live daemon, or never cancels that of a
+// dead one.
+// Sequence: daemon b sends heartbeats, restarts, falls silent and sends heartbeats
+// again; heartbeats of its earlier incarnation, and another daemon's list that
+// contains b, arrive late.
+// Cause: liveness depends on the instance name alone, or on something other than
+// the growth of the daemon's own sequence numbers.
 func TestLivenessFollowsIncarnationAndProgress(t *testing.T) {
-	gossip := beat("c", "x", 1, 1)
-	gossip.Known = []wire.Known{{Node: node("b", 2), DataCentre: "x"}}
+	listing := beat("c", "x", 1, 1)
+	listing.Known = []wire.Known{{Node: node("b", 2), DataCentre: "x"}}
 	steps := []struct {
 		name       string
 		ms         int
 		hear       []wire.Heartbeat
 		old, later Liveness // of b's incarnations 1 and 2
 	}{
-		{"never heard of", 0, nil, Unknown, Unknown},
-		{"first life speaks", 0, []wire.Heartbeat{beat("b", "x", 1, 9)}, Alive, Unknown},
-		{"repeated heartbeat is no progress", 750, []wire.Heartbeat{beat("b", "x", 1, 9)}, Suspect, Unknown},
-		{"second life speaks", 1000, []wire.Heartbeat{beat("b", "x", 2, 1)}, Dead, Alive},
-		{"first life's last words", 1250, []wire.Heartbeat{beat("b", "x", 1, 10)}, Dead, Alive},
+		{"unknown daemon", 0, nil, Unknown, Unknown},
+		{"heartbeat of the first incarnation", 0, []wire.Heartbeat{beat("b", "x", 1, 9)}, Alive, Unknown},
+		{"repeated heartbeat", 750, []wire.Heartbeat{beat("b", "x", 1, 9)}, Suspect, Unknown},
+		{"heartbeat of the second incarnation", 1000, []wire.Heartbeat{beat("b", "x", 2, 1)}, Dead, Alive},
+		{"late heartbeat of the first incarnation", 1250, []wire.Heartbeat{beat("b", "x", 1, 10)}, Dead, Alive},
 		{"three heartbeats missed", 1750, nil, Dead, Suspect},
-		{"the fourth", 2125, nil, Dead, Suspect},
-		{"the fifth", 2250, nil, Dead, Dead},
-		{"gossip about it", 2500, []wire.Heartbeat{gossip}, Dead, Dead},
-		{"it was only cut off", 2625, []wire.Heartbeat{beat("b", "x", 2, 2)}, Dead, Alive},
+		{"four heartbeats missed", 2125, nil, Dead, Suspect},
+		{"five heartbeats missed", 2250, nil, Dead, Dead},
+		{"listed by another daemon", 2500, []wire.Heartbeat{listing}, Dead, Dead},
+		{"next heartbeat of the second incarnation", 2625, []wire.Heartbeat{beat("b", "x", 2, 2)}, Dead, Alive},
 	}
 	tb := NewTable(config("a", "x"), start)
 	last := 0
@@ -70,20 +74,20 @@
 		}
 	}
 	if n := tb.View().Deaths(); n != 2 {
-		t.Errorf("%d deaths, want one by a later life and one by silence", n)
+		t.Errorf("%d deaths, want one by a later incarnation and one by silence", n)
 	}
 }
 
-// Symptom: one daemon without a network to its peers frees everybody's memory.
-// Sequence: a daemon hears four others, two of them far; then as many of them
-// fall silent as the case says.
-// Cause: silence of all taken for the death of all.
+// Symptom: a daemon that cannot reach its peers cancels the work of all of them.
+// Sequence: a daemon receives heartbeats from up to four others, two of them in
+// another data centre; then those listed in silent stop.
+// Cause: the silence of most daemons is treated as the death of each.
 func TestIsolationIsToldFromDeaths(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		others     []string
 		silent     string
-		then, last bool // when the first is dead, and after the memory of losses
+		then, last bool // Isolated after DeadAfter (1250 ms), and after LossMemory has passed
 	}{
 		{"one of four dies", []string{"bx", "cx", "dy", "ey"}, "bx", false, false},
 		{"all are silent", []string{"bx", "cx", "dy", "ey"}, "bx cx dy ey", true, false},
@@ -109,14 +113,15 @@
 	}
 }
 
-// Symptom: two processes under one name both believe to be the instance.
-// Sequence: the platform starts a new life while the old one is only frozen;
-// the old one thaws and hears of the new one, from itself or by gossip.
-// Cause: nothing tells the old life that it is over.
+// Symptom: two processes with the same instance name both continue to act for it.
+// Sequence: the platform starts a new incarnation while the old one is only frozen;
+// the old one resumes and learns of the new one, from its heartbeat or from another
+// daemon's list.
+// Cause: the old incarnation is not notified that it was replaced.
 func TestEarlierLifeHearsThatItIsOver(t *testing.T) {
-	byGossip := beat("b", "x", 1, 1)
-	byGossip.Known = []wire.Known{{Node: node("a", 2)}}
-	for name, hb := range map[string]wire.Heartbeat{"directly": beat("a", "x", 2, 1), "by gossip": byGossip} {
+	listing := beat("b", "x", 1, 1)
+	listing.Known = []wire.Known{{Node: node("a", 2)}}
+	for name, hb := range map[string]wire.Heartbeat{"directly": beat("a", "x", 2, 1), "by another daemon's list": listing} {
 		tb := NewTable(config("a", "x"), start)
 		tb.Hear(start, hb)
 		if got := tb.Tick(start); got[len(got)-1] != (Action{Superseded, node("a", 2)}) {
@@ -125,13 +130,14 @@
 	}
 }
 
-// Symptom: a thawed daemon dispatches on what it believed before the stop, or
-// buries its peers for its own silence.
-// Sequence: three peers speak; the process stops for 3 s; heartbeats sent
-// during the stop wait in its sockets; a caller asks before the ticker ran.
-// Cause: trusting the last view, or words that may be as old as the stop.
+// Symptom: after a freeze a daemon dispatches requests by an outdated view, or
+// declares its peers dead because it received nothing while it was frozen.
+// Sequence: three peers send heartbeats; the process is frozen for 3 s; heartbeats
+// sent meanwhile wait in its sockets; a caller reads the view before the next tick.
+// Cause: the process relies on the last view, or on heartbeats that may have been
+// sent before or during the freeze.
 func TestThawWaitsForWordsSentAfterIt(t *testing.T) {
-	thawed := func(t *testing.T) (*Table, Round) {
+	freezeAndTick := func(t *testing.T) (*Table, Round) {
 		tb := NewTable(config("a", "x"), start)
 		for _, n := range []string{"b", "c", "d"} {
 			tb.Hear(start, beat(n, "x", 1, 1))
@@ -140,31 +146,31 @@
 		tb.Beat(start)
 		now := at(3000)
 		if !tb.View().Frozen(now) {
-			t.Error("a caller before the ticker was let through")
+			t.Error("Frozen is false before the first tick after the freeze")
 		}
 		tb.Hear(now, beat("b", "x", 1, 9)) // waited in the socket
 		tb.Tick(now)
 		if !tb.View().Frozen(now) {
-			t.Error("buffered words ended the freeze")
+			t.Error("a buffered heartbeat ended the freeze")
 		}
 		for _, n := range []string{"b", "c", "d"} {
 			if got := tb.View().Liveness(node(n, 1)); got != Alive {
-				t.Errorf("%s is %v for our own silence", n, got)
+				t.Errorf("%s is %v after the freeze, want alive", n, got)
 			}
 		}
 		return tb, tb.Beat(now)
 	}
 	t.Run("a majority answers", func(t *testing.T) {
-		tb, round := thawed(t)
+		tb, round := freezeAndTick(t)
 		ask, _ := round.To("x", 0)
 		if !ask.Ask {
-			t.Fatal("the round asks for no echo")
+			t.Fatal("the heartbeat after the freeze does not ask for an echo")
 		}
 		for i, n := range []string{"b", "b", "c"} {
 			hb := beat(n, "x", 1, uint64(20+i))
 			hb.Echo = ask.Seq
 			if !tb.View().Frozen(at(3010)) {
-				t.Errorf("thawed by %d of 3 peers", i)
+				t.Errorf("the freeze ended before a majority replied, at heartbeat %d", i)
 			}
 			tb.Hear(at(3010), hb)
 		}
@@ -173,41 +179,41 @@
 		}
 	})
 	t.Run("old echoes do not count", func(t *testing.T) {
-		tb, round := thawed(t)
+		tb, round := freezeAndTick(t)
 		for _, n := range []string{"b", "c", "d"} {
 			hb := beat(n, "x", 1, 20)
 			hb.Echo = round.hb.Seq - 1
 			tb.Hear(at(3010), hb)
 		}
 		if !tb.View().Frozen(at(3010)) {
-			t.Error("thawed by answers to a heartbeat from before the stop")
+			t.Error("echoes of a heartbeat sent before the freeze ended it")
 		}
 	})
 	t.Run("nobody answers", func(t *testing.T) {
-		tb, _ := thawed(t)
+		tb, _ := freezeAndTick(t)
 		tickTo(tb, 3125, 3875)
 		if !tb.View().Frozen(at(3999)) {
-			t.Error("thawed before the refresh period")
+			t.Error("the freeze ended before RefreshAfter without any reply")
 		}
 		tb.Tick(at(4000))
 		if tb.View().Frozen(at(4000)) {
-			t.Error("frozen for good")
+			t.Error("still frozen after RefreshAfter")
 		}
 	})
 }
 
-// Symptom: a thawed steward acts at once on what it saw before the stop.
-// Sequence: a table runs, is stopped for 5 s, and is refreshed.
-// Cause: nothing tells readers that their own memory is as old as the stop.
+// Symptom: right after a freeze a steward acts on observations made before it.
+// Sequence: a table runs, is frozen for 5 s, and the freeze ends.
+// Cause: View.Since does not change, so that callers keep outdated observations.
 func TestSinceStartsAgainAfterAFreeze(t *testing.T) {
 	tb := NewTable(config("a", "x"), start)
 	tickTo(tb, 0, 9875)
 	if got := tb.View().Since(); !got.Equal(start) {
-		t.Errorf("since %v before the stop", got)
+		t.Errorf("since %v before the freeze", got)
 	}
 	tickTo(tb, 15000, 18000)
 	if got := tb.View().Since(); !got.Equal(at(15000)) || tb.View().Frozen(at(18000)) {
-		t.Errorf("since %v after the stop", got)
+		t.Errorf("since %v after the freeze", got)
 	}
 }
 
@@ -216,7 +222,7 @@
 		name     string
 		centre   string
 		draining []string
-		want     map[string]bool
+		want     map[string]bool // instances that are the steward of at least one of 200 upstreams
 	}{
 		{"live daemons of the data centre", "x", nil, map[string]bool{"a": true, "b": true, "c": true}},
 		{"not the draining one", "x", []string{"b"}, map[string]bool{"a": true, "c": true}},
@@ -250,7 +256,7 @@
 	}
 }
 
-// A death moves only the dead steward's upstreams.
+// The death of a daemon reassigns only the upstreams it was the steward of.
 func TestStewardDeathMovesOnlyItsUpstreams(t *testing.T) {
 	tb := NewTable(config("a", "x"), start)
 	for _, n := range []string{"b", "c", "d"} {
--- a/members/view.go
+++ b/members/view.go
@@ -9,15 +9,17 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// Liveness is what a table believes of one life of a daemon.
+// Liveness is the state of one incarnation of a daemon as seen by the failure
+// detector.
 type Liveness uint8
 
-// The states of liveness. Unknown is no verdict: the daemon may live.
+// The states of an incarnation. Unknown means that the table has no information
+// about it; it may be alive.
 const (
 	Unknown Liveness = iota
 	Alive
-	Suspect // silent for a while; still counted as live
-	Dead    // silent for too long, or superseded by a later incarnation
+	Suspect // no new heartbeat for a while; still counted as live
+	Dead    // no new heartbeat for too long, or replaced by a later incarnation
 )
 
 // String returns the state's name.
@@ -25,104 +27,110 @@
 	return [...]string{"unknown", "alive", "suspect", "dead"}[l]
 }
 
-// Member is one daemon as last heard of.
+// Member describes a daemon by the latest information received about it.
 type Member struct {
 	Node       wire.NodeID
 	DataCentre string
 	Address    string
 	Liveness   Liveness
-	// Draining daemons live but take no stewardship.
+	// Draining is set while the daemon shuts down. It is then alive but not chosen
+	// as a steward unless no other daemon is available.
 	Draining bool
 
-	hash uint64 // of the instance name, for rendezvous hashing
+	hash uint64 // hash of the instance name, for rendezvous hashing
 }
 
 func newMember(n wire.NodeID, dataCentre, address string) Member {
 	return Member{Node: n, DataCentre: dataCentre, Address: address, Liveness: Alive, hash: xxhash.Sum64String(n.Instance)}
 }
 
-// View is what a table believes at one tick. It is immutable and safe for
-// concurrent use. Slices it returns must not be changed.
+// View is a snapshot of a Table. It is immutable and safe for concurrent use. The
+// slices that its methods return must not be modified.
 type View struct {
-	cfg    *Config
-	roster *roster
-	ticked time.Time
-	// since is when the table started or last noticed a freeze.
-	since  time.Time
-	frozen bool
-	deaths uint64
-	// isolated says that most daemons fell silent lately.
+	cfg        *Config
+	membership *membership
+	lastTick   time.Time
+	// validSince is when the table was created or last detected a freeze.
+	validSince time.Time
+	frozen     bool
+	deaths     uint64
+	// isolated is set if most other daemons recently fell silent; see
+	// Table.detectIsolation.
 	isolated bool
 }
 
-// roster is the part of a view that changes only when a daemon does.
-type roster struct {
-	generation uint64
-	members    map[string]Member // by instance, without this daemon
-	live       []Member          // with this daemon
-	byCentre   map[string][]Member
-	stewards   map[string][]Member // live and not draining, by data centre
-	anywhere   []Member            // live and not draining
-	neighbours []Member
-	near       []Member
+// membership is the part of a view that is rebuilt only when a daemon is added,
+// removed or changes its state. "Live" means Alive or Suspect.
+type membership struct {
+	generation       uint64
+	members          map[string]Member   // by instance name, without this daemon
+	live             []Member            // including this daemon, sorted by instance name
+	liveByCentre     map[string][]Member // live daemons, by data centre
+	eligibleByCentre map[string][]Member // live and not draining daemons, by data centre
+	eligible         []Member            // live and not draining daemons of all data centres
+	neighbours       []Member
+	near             []Member
 }
 
-// Self returns this daemon.
+// Self returns this daemon's ID.
 func (v *View) Self() wire.NodeID { return v.cfg.Node }
 
 // DataCentre returns this daemon's data centre.
 func (v *View) DataCentre() string { return v.cfg.DataCentre }
 
-// Heartbeat returns the configured time between heartbeats.
+// Heartbeat returns the configured heartbeat interval.
 func (v *View) Heartbeat() time.Duration { return v.cfg.Heartbeat }
 
-// FarDeadAfter returns the configured silence after which a daemon of another
-// data centre is dead.
+// FarDeadAfter returns the configured time without a new heartbeat after which a
+// daemon of another data centre is Dead.
 func (v *View) FarDeadAfter() time.Duration { return v.cfg.FarDeadAfter }
 
-// Generation changes whenever Live, Neighbours or a steward may have changed.
-func (v *View) Generation() uint64 { return v.roster.generation }
+// Generation returns a number that changes whenever the results of Live,
+// Neighbours, Near or Steward may have changed.
+func (v *View) Generation() uint64 { return v.membership.generation }
 
-// Live returns the daemons that are Alive or Suspect, this one included, sorted
-// by instance.
-func (v *View) Live() []Member { return v.roster.live }
+// Live returns the daemons that are Alive or Suspect, including this one, sorted
+// by instance name.
+func (v *View) Live() []Member { return v.membership.live }
 
-// LiveIn returns the live daemons of one data centre.
-func (v *View) LiveIn(dataCentre string) []Member { return v.roster.byCentre[dataCentre] }
+// LiveIn returns the daemons of a data centre that are Alive or Suspect.
+func (v *View) LiveIn(dataCentre string) []Member { return v.membership.liveByCentre[dataCentre] }
 
-// Deaths counts the lives of daemons that the table saw end, by silence or by a
-// later incarnation.
+// Deaths returns how many times an incarnation was declared dead or replaced by a
+// later one.
 func (v *View) Deaths() uint64 { return v.deaths }
 
-// Isolated reports whether most of the other daemons fell silent lately. Then
-// this one is cut off rather than the others dead, and readers should wait with
-// what the death of many would call for. With one other daemon nobody can tell.
+// Isolated reports whether most of the other daemons recently fell silent. It is
+// then more likely that this daemon lost its network than that the others died,
+// and callers should delay actions that a daemon's death requires. With a single
+// other daemon it is false, because the two cases cannot be distinguished.
 func (v *View) Isolated() bool { return v.isolated }
 
-// Superseded reports whether a later incarnation of n's instance was heard of,
-// which proves that n is over, as silence does not.
+// Superseded reports whether a later incarnation of n's instance is known. This
+// proves that n has ended, which a lack of heartbeats does not.
 func (v *View) Superseded(n wire.NodeID) bool {
 	if n.Instance == v.cfg.Node.Instance {
 		return n.Incarnation < v.cfg.Node.Incarnation
 	}
-	m, ok := v.roster.members[n.Instance]
+	m, ok := v.membership.members[n.Instance]
 	return ok && n.Incarnation < m.Node.Incarnation
 }
 
-// Near returns the live daemons, without this one, of the own data centre and of
-// each data centre that is small enough to be linked to as a whole.
-func (v *View) Near() []Member { return v.roster.near }
+// Near returns the live daemons, except this one, of this data centre and of
+// each data centre with at most maxFullyLinkedCentre live daemons.
+func (v *View) Near() []Member { return v.membership.near }
 
-// Neighbours returns the daemons to keep a connection to: all of the own data
-// centre, also dead ones so that a healed link is noticed, and the contacts in
-// each other data centre.
-func (v *View) Neighbours() []Member { return v.roster.neighbours }
+// Neighbours returns the daemons to keep a connection to: all of this data centre,
+// including dead ones so that a repaired connection is noticed, and some of each
+// other data centre: its contacts and the daemons that have this one as a contact.
+func (v *View) Neighbours() []Member { return v.membership.neighbours }
 
-// Liveness returns the state of one life of a daemon.
+// Liveness returns the state of one incarnation of a daemon. An incarnation before
+// the latest known one is Dead; one after it is Unknown.
 func (v *View) Liveness(n wire.NodeID) Liveness {
 	known, state := v.cfg.Node, Alive
 	if n.Instance != known.Instance {
-		m, ok := v.roster.members[n.Instance]
+		m, ok := v.membership.members[n.Instance]
 		if !ok {
 			return Unknown
 		}
@@ -137,56 +145,59 @@
 	return state
 }
 
-// Member returns the daemon of an instance name, as last heard of.
+// Member returns the daemon with the given instance name, and false if that is this
+// daemon or an unknown one.
 func (v *View) Member(instance string) (Member, bool) {
-	m, ok := v.roster.members[instance]
+	m, ok := v.membership.members[instance]
 	return m, ok
 }
 
-// Steward returns the daemon that polls and sweeps an upstream: by rendezvous
-// hashing among the live daemons of the upstream's data centre that do not
-// drain, else among those of all data centres, else among all live ones.
+// Steward returns the daemon that is responsible for polling an upstream and for
+// releasing its orphaned memory. It is chosen by rendezvous hashing among the live,
+// not draining daemons of the upstream's data centre. If there are none, those of
+// all data centres are candidates, and if all drain, all live daemons.
 func (v *View) Steward(upstream, dataCentre string) wire.NodeID {
 	key := xxhash.Sum64String(upstream)
-	for _, candidates := range [][]Member{v.roster.stewards[dataCentre], v.roster.anywhere, v.roster.live} {
-		if m, ok := winner(key, candidates); ok {
+	for _, candidates := range [][]Member{v.membership.eligibleByCentre[dataCentre], v.membership.eligible, v.membership.live} {
+		if m, ok := highestWeight(key, candidates); ok {
 			return m.Node
 		}
 	}
 	return v.cfg.Node
 }
 
-// Mine reports whether this daemon is the Steward of an upstream. It is cheaper to
-// ask than Steward for the many upstreams of data centres that look after their own.
+// Mine reports whether this daemon is the Steward of an upstream. It is cheaper
+// than Steward for upstreams of other data centres, because it needs no hashing
+// where such a data centre has candidates of its own.
 func (v *View) Mine(upstream, dataCentre string) bool {
-	if dataCentre != v.cfg.DataCentre && len(v.roster.stewards[dataCentre]) > 0 {
+	if dataCentre != v.cfg.DataCentre && len(v.membership.eligibleByCentre[dataCentre]) > 0 {
 		return false
 	}
 	return v.Steward(upstream, dataCentre) == v.cfg.Node
 }
 
-// Homes returns up to n daemons for a key, by rendezvous hashing among the live
-// ones of all data centres that do not drain, else among all live ones. The
-// first is the one to go to; when it dies, the second takes its place.
+// Homes returns up to n daemons for a key, by rendezvous hashing among the live,
+// not draining daemons of all data centres or, if there are none, among all live
+// daemons. Callers use the first; when it dies, the second becomes the first.
 func (v *View) Homes(key string, n int) []Member {
-	candidates := v.roster.anywhere
+	candidates := v.membership.eligible
 	if len(candidates) == 0 {
-		candidates = v.roster.live
+		candidates = v.membership.live
 	}
-	return top(xxhash.Sum64String(key), candidates, n)
+	return topN(xxhash.Sum64String(key), candidates, n)
 }
 
-// Since returns when the table started or last noticed that this process had
-// been stopped. What was believed before proves nothing now.
-func (v *View) Since() time.Time { return v.since }
+// Since returns when the table was created or last detected a freeze of this
+// process. Observations made before that time are outdated.
+func (v *View) Since() time.Time { return v.validSince }
 
-// UnknownAfter returns the configured time before an unknown daemon may be
-// taken for dead.
+// UnknownAfter returns the configured time after which an Unknown daemon may be
+// treated as dead.
 func (v *View) UnknownAfter() time.Duration { return v.cfg.UnknownAfter }
 
-// Frozen reports whether this process was stopped and its view is not refreshed
-// yet. It compares now with the last tick, so that it holds for a caller that
-// runs before the ticker does.
+// Frozen reports whether this process was frozen and the view has not been
+// refreshed since. It also compares now with the time of the last tick, so that
+// a caller that runs before the first tick after a freeze gets true.
 func (v *View) Frozen(now time.Time) bool {
-	return v.frozen || clock.Elapsed(v.ticked, now) > v.cfg.FrozenAfter
+	return v.frozen || clock.Elapsed(v.lastTick, now) > v.cfg.FrozenAfter
 }
