--- a/steward/agenda.go
+++ b/steward/agenda.go
@@ -5,137 +5,144 @@
 	"time"
 )
 
-// intervals say how often each thing is asked of an upstream.
+// intervals holds the times between two polls of one upstream for its load, its
+// cache events and its held memory.
 type intervals struct {
 	load, events, held time.Duration
 }
 
-// visit says what to ask of one upstream now.
-type visit struct {
+// pollTask names an upstream to poll and what to request from it.
+type pollTask struct {
 	upstream           string
 	load, events, held bool
 }
 
-// turn is the plan of one upstream.
-type turn struct {
-	load, events, held time.Time
-	busy, engine       bool
-	failures           int
+// upstreamSchedule holds the times of the next polls of one upstream. inProgress is
+// set while a poll runs; failures counts the failed polls since the last success.
+type upstreamSchedule struct {
+	nextLoad, nextEvents, nextHeld time.Time
+	inProgress, isEngine           bool
+	failures                       int
 }
 
 const (
-	// maxBackoff bounds how much a failing upstream's intervals are stretched.
-	maxBackoff = 4
-	// fullRate is the number of upstreams up to which each is asked at the stated
-	// intervals; beyond it they grow with the number, so that polling costs the
-	// same few KB/s. At the design size a steward has 32.
-	fullRate = 4
-	// maxCrowd bounds that growth, for the daemon that is left alone with a data
-	// centre: a load every ten seconds is worth more than the bytes.
-	maxCrowd = 20
+	// maxFailureStretch limits the factor by which failed polls lengthen the
+	// intervals of an upstream.
+	maxFailureStretch = 4
+	// fullRateUpstreams is the number of upstreams up to which each is polled at the
+	// configured intervals. Above it the intervals grow in proportion to the number,
+	// so that polling takes the same few KB/s. At the design size a steward has 32.
+	fullRateUpstreams = 4
+	// maxShareStretch limits the growth for a daemon that has to poll a whole data
+	// centre alone: loads must be read at least about every ten seconds, even if
+	// polling then takes more bandwidth.
+	maxShareStretch = 20
 )
 
-// agenda plans the visits to the upstreams a daemon is steward of. It is not
-// safe for concurrent use.
-type agenda struct {
-	every intervals
-	rng   *rand.Rand
-	turns map[string]*turn
+// scheduler decides when to poll the upstreams that this daemon is steward of. It
+// is not safe for concurrent use.
+type scheduler struct {
+	intervals intervals
+	rng       *rand.Rand
+	upstreams map[string]*upstreamSchedule
 }
 
-func newAgenda(every intervals, rng *rand.Rand) *agenda {
-	return &agenda{every: every, rng: rng, turns: map[string]*turn{}}
+func newScheduler(pollIntervals intervals, rng *rand.Rand) *scheduler {
+	return &scheduler{intervals: pollIntervals, rng: rng, upstreams: map[string]*upstreamSchedule{}}
 }
 
-// assign sets the upstreams and whether each is an engine, and returns those
-// that are no longer this daemon's. A new one is listed at once: its last
-// steward may have died together with owners of its work.
-func (a *agenda) assign(now time.Time, mine map[string]bool) (dropped []string) {
-	for name := range a.turns {
-		if _, ok := mine[name]; !ok {
-			delete(a.turns, name)
+// assign sets the upstreams to poll and whether each is an engine. It returns the
+// names that were assigned before and no longer are. The held memory of a new
+// engine is listed at once, because its previous steward may have died together
+// with daemons that own work on the engine.
+func (s *scheduler) assign(now time.Time, isEngine map[string]bool) (dropped []string) {
+	for name := range s.upstreams {
+		if _, ok := isEngine[name]; !ok {
+			delete(s.upstreams, name)
 			dropped = append(dropped, name)
 		}
 	}
-	for name, engine := range mine {
-		if t := a.turns[name]; t != nil {
-			t.engine = engine
+	for name, engine := range isEngine {
+		if u := s.upstreams[name]; u != nil {
+			u.isEngine = engine
 			continue
 		}
-		a.turns[name] = &turn{engine: engine, held: now, load: now, events: a.after(now, a.every.events, 1)}
+		s.upstreams[name] = &upstreamSchedule{isEngine: engine, nextHeld: now, nextLoad: now, nextEvents: s.jitteredTime(now, s.intervals.events, 1)}
 	}
 	return dropped
 }
 
-// listAll makes every engine's held memory due, after a daemon died.
-func (a *agenda) listAll(now time.Time) {
-	for _, t := range a.turns {
-		t.held = now
+// listAllNow makes listings of held memory due for all engines.
+func (s *scheduler) listAllNow(now time.Time) {
+	for _, u := range s.upstreams {
+		u.nextHeld = now
 	}
 }
 
-// due returns at most limit visits that are due, and marks them as under way.
-func (a *agenda) due(now time.Time, limit int) []visit {
-	var out []visit
-	for name, t := range a.turns {
+// due returns up to limit polls that are due and marks their upstreams as in
+// progress until finish is called.
+func (s *scheduler) due(now time.Time, limit int) []pollTask {
+	var out []pollTask
+	for name, u := range s.upstreams {
 		if len(out) >= limit {
 			break
 		}
-		v := visit{
+		task := pollTask{
 			upstream: name,
-			load:     !now.Before(t.load),
-			events:   t.engine && !now.Before(t.events),
-			held:     t.engine && !now.Before(t.held),
+			load:     !now.Before(u.nextLoad),
+			events:   u.isEngine && !now.Before(u.nextEvents),
+			held:     u.isEngine && !now.Before(u.nextHeld),
 		}
-		if t.busy || !v.load && !v.events && !v.held {
+		if u.inProgress || !task.load && !task.events && !task.held {
 			continue
 		}
-		t.busy = true
-		t.plan(now, v, a)
-		out = append(out, v)
+		u.inProgress = true
+		u.reschedule(now, task, s)
+		out = append(out, task)
 	}
 	return out
 }
 
-// plan sets the next time of what a visit does.
-func (t *turn) plan(now time.Time, v visit, a *agenda) {
-	stretch := min(1+t.failures, maxBackoff) * a.crowd()
-	if v.load {
-		t.load = a.after(now, a.every.load, stretch)
+// reschedule sets the next times of everything that task requests.
+func (u *upstreamSchedule) reschedule(now time.Time, task pollTask, s *scheduler) {
+	stretch := min(1+u.failures, maxFailureStretch) * s.shareStretch()
+	if task.load {
+		u.nextLoad = s.jitteredTime(now, s.intervals.load, stretch)
 	}
-	if v.events {
-		t.events = a.after(now, a.every.events, stretch)
+	if task.events {
+		u.nextEvents = s.jitteredTime(now, s.intervals.events, stretch)
 	}
-	if v.held {
-		t.held = a.after(now, a.every.held, stretch)
+	if task.held {
+		u.nextHeld = s.jitteredTime(now, s.intervals.held, stretch)
 	}
 }
 
-// crowd returns how much the number of upstreams stretches the intervals.
-func (a *agenda) crowd() int {
-	return min(max(1, len(a.turns)/fullRate), maxCrowd)
+// shareStretch returns the factor by which the number of upstreams lengthens the
+// intervals.
+func (s *scheduler) shareStretch() int {
+	return min(max(1, len(s.upstreams)/fullRateUpstreams), maxShareStretch)
 }
 
-// done ends a visit; again is when to list the engine before its usual turn, zero
-// when nothing calls for that.
-func (a *agenda) done(upstream string, ok bool, again time.Time) {
-	t := a.turns[upstream]
-	if t == nil {
+// finish records the end of a poll and whether it succeeded. If nextListing is not
+// zero and before the scheduled listing of held memory, it replaces that time.
+func (s *scheduler) finish(upstream string, ok bool, nextListing time.Time) {
+	u := s.upstreams[upstream]
+	if u == nil {
 		return
 	}
-	t.busy = false
-	t.failures++
+	u.inProgress = false
+	u.failures++
 	if ok {
-		t.failures = 0
+		u.failures = 0
 	}
-	if !again.IsZero() && again.Before(t.held) {
-		t.held = again
+	if !nextListing.IsZero() && nextListing.Before(u.nextHeld) {
+		u.nextHeld = nextListing
 	}
 }
 
-// after returns now plus an interval, jittered by a tenth, so that the polls of
-// many stewards spread out.
-func (a *agenda) after(now time.Time, every time.Duration, stretch int) time.Time {
-	d := every * time.Duration(stretch)
-	return now.Add(d - d/10 + time.Duration(a.rng.Int64N(int64(d/5)+1)))
+// jitteredTime returns now plus interval times stretch, with a random deviation of
+// up to a tenth so that the polls of many stewards are spread over time.
+func (s *scheduler) jitteredTime(now time.Time, interval time.Duration, stretch int) time.Time {
+	d := interval * time.Duration(stretch)
+	return now.Add(d - d/10 + time.Duration(s.rng.Int64N(int64(d/5)+1)))
 }
--- a/steward/bench_test.go
+++ b/steward/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/corianderturn/corianderturn/members"
 )
 
-// BenchmarkShare is what each bundle change and each change of the members costs
-// one daemon of 370 over 12,000 upstreams.
+// BenchmarkShare measures what one of 370 daemons does after each change of the
+// bundle or of the membership: select its share of 12,000 upstreams.
 func BenchmarkShare(b *testing.B) {
 	now := time.Unix(1000, 0)
 	t := members.NewTable(members.Config{Node: wire.NodeID{Instance: "entry-000", Incarnation: 1}, DataCentre: "dc-0"}, now)
@@ -26,7 +26,7 @@
 	b.ReportAllocs()
 	mine := 0
 	for b.Loop() {
-		mine = len(share(t.View(), content))
+		mine = len(ownUpstreams(t.View(), content))
 	}
 	b.ReportMetric(float64(mine), "upstreams")
 }
--- a/steward/poll_test.go
+++ b/steward/poll_test.go
@@ -16,11 +16,11 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// Symptom: slot checks that reach one daemon are refused with no-upstream while
-// the ordering app answers everybody else.
-// Sequence: that daemon is the app's steward and polls its load; the app has no
-// such path, or answers each path with a page.
-// Cause: an answer that holds no load is taken for a failed upstream.
+// Symptom: one daemon rejects requests for a plain service with no-upstream, while
+// the service responds to all other daemons.
+// Sequence: that daemon is the steward of the service and polls its load. The
+// service has no such path, or responds to every path with an HTML page.
+// Cause: a response without a load is treated as a failure of the upstream.
 func TestServiceWithoutLoadStays(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
@@ -43,7 +43,7 @@
 			h.Update(func(b *board.Board) { b.SetVersion(time.Now(), v) })
 			hc := upstream.NewHTTPClient()
 			defer hc.CloseIdleConnections()
-			rd := &round{Runner: New(Options{Board: h, Engines: upstream.NewEngines(hc), Logger: &log.Logger{Handler: discard.New(), Level: log.FatalLevel}, Timeout: time.Minute})}
+			rd := &runState{Runner: New(Options{Board: h, Engines: upstream.NewEngines(hc), Logger: &log.Logger{Handler: discard.New(), Level: log.FatalLevel}, Timeout: time.Minute})}
 			for range 5 {
 				rd.pollLoad(context.Background(), "p1", address)
 			}
--- a/steward/runner.go
+++ b/steward/runner.go
@@ -18,7 +18,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// The defaults of Options.
+// Default values of the Options fields with the same names.
 const (
 	DefaultLoadInterval   = 500 * time.Millisecond
 	DefaultEventsInterval = time.Second
@@ -27,65 +27,76 @@
 	DefaultBoardRefresh   = 2 * time.Second
 	DefaultTimeout        = 400 * time.Millisecond
 	DefaultConcurrency    = 32
-	// tickInterval is how often the agenda is looked at.
+	// tickInterval is the time between two checks for polls that are due.
 	tickInterval = 25 * time.Millisecond
 )
 
-// Engines asks upstreams. upstream.Engines implements it.
+// Engines sends requests to upstreams. upstream.Engines implements it.
 type Engines interface {
+	// Load reads the load that an upstream reports.
 	Load(ctx context.Context, address string) (engineapi.Load, error)
+	// Events reads an engine's cache events from a sequence number on.
 	Events(ctx context.Context, address string, from uint64) (engineapi.EventsReply, error)
+	// Held lists the memory that an engine holds for requests.
 	Held(ctx context.Context, address string) (engineapi.HeldReply, error)
+	// Cancel cancels work on an engine and thereby releases its memory.
 	Cancel(ctx context.Context, address string, w engineapi.WorkID) (engineapi.CancelReply, error)
 }
 
-// Peers are the other daemons. peer.Service implements it.
+// Peers provides the membership view and sends messages to other daemons.
+// peer.Service implements it.
 type Peers interface {
 	View() *members.View
 	Send(to wire.NodeID, t wire.Type, msg any)
 }
 
-// Options configure a Runner. A zero limit takes its default; the rest is required.
+// Options configure a Runner. A limit or interval of zero is replaced by its default;
+// the other fields are required.
 type Options struct {
 	Engines Engines
 	Peers   Peers
-	Board   *board.Holder
-	// Current returns the bundle version in force, nil before the first.
+	// Board receives the polled loads, failures and cache events, and provides the
+	// rows to send to peers.
+	Board *board.Holder
+	// Current returns the current bundle version, or nil before the first one.
 	Current func() *bundle.Version
 	Logger  log.Interface
-	// Rand jitters the polls; the runner takes it over.
+	// Rand is the source of the jitter of polls. The caller must not use it anymore.
 	Rand  *rand.Rand
 	Sweep SweepConfig
 
 	// LoadInterval, EventsInterval and HeldInterval are the times between polls of
-	// one upstream, while this daemon has few. A listing of held memory is large, so that HeldInterval is
-	// long; a death or an orphan calls for one at once.
+	// one upstream. They are longer while this daemon polls many upstreams.
+	// HeldInterval is long because a listing of held memory is large; the death of a
+	// daemon or an orphan in the last listing leads to an earlier listing.
 	LoadInterval, EventsInterval, HeldInterval time.Duration
-	// BoardInterval is the time between two messages of changed rows to the peers
-	// near, BoardRefresh the time after which a row is told again.
+	// BoardInterval is the time between two messages with changed board rows to the
+	// peers of members.View.Near. BoardRefresh is the time after which an unchanged
+	// row is sent again.
 	BoardInterval, BoardRefresh time.Duration
-	// Timeout bounds one poll or cancel.
+	// Timeout is the time limit of one request to an upstream.
 	Timeout time.Duration
-	// Concurrency bounds the upstreams visited at once.
+	// Concurrency is the maximum number of upstreams polled at the same time.
 	Concurrency int
 }
 
-// Stats counts what a runner did since it was made.
+// Stats holds a runner's counters since its creation and its number of upstreams.
 type Stats struct {
-	// Sweeps counts listings of held memory that were judged.
+	// Sweeps counts listings of held memory that were checked for orphans.
 	Sweeps uint64
-	// Cancels counts cancels that an upstream acknowledged, CancelsFailed the others.
+	// Cancels counts the cancels that an upstream acknowledged, CancelsFailed all
+	// other cancels.
 	Cancels, CancelsFailed uint64
-	// PollsFailed counts visits in which a poll failed.
+	// PollsFailed counts polls of an upstream in which at least one request failed.
 	PollsFailed uint64
-	// RowsSent counts board rows, once for each receiver.
+	// RowsSent counts sent board rows, once for each receiver.
 	RowsSent uint64
-	// Upstreams is the number of upstreams this daemon is steward of now.
+	// Upstreams is the number of upstreams that this daemon is currently steward of.
 	Upstreams uint64
 }
 
-// Runner is the steward of this daemon's share of the upstreams. It implements
-// supervise.Service.
+// Runner performs the steward's tasks for the upstreams that this daemon is steward
+// of. It implements supervise.Service.
 type Runner struct {
 	opts  Options
 	stats struct {
@@ -93,7 +104,7 @@
 	}
 }
 
-// New returns a runner that has polled nothing.
+// New returns a runner that is not started.
 func New(o Options) *Runner {
 	setDefault(&o.LoadInterval, DefaultLoadInterval)
 	setDefault(&o.EventsInterval, DefaultEventsInterval)
@@ -108,7 +119,7 @@
 // Name implements supervise.Service.
 func (r *Runner) Name() string { return "steward" }
 
-// Stats returns the counters now.
+// Stats returns the current values of the counters.
 func (r *Runner) Stats() Stats {
 	s := &r.stats
 	return Stats{
@@ -117,22 +128,23 @@
 	}
 }
 
-// round is the state of one call of Run.
-type round struct {
+// runState holds the state of one call of Run.
+type runState struct {
 	*Runner
 	rows *rowFilter
 
-	mu     sync.Mutex // guards what the visits share
-	agenda *agenda
-	sweep  *Sweep
+	mu        sync.Mutex // protects scheduler and sweep, which concurrent polls use
+	scheduler *scheduler
+	sweep     *Sweep
 
-	// Owned by the loop.
+	// The fields below are used only by the loop in Run, except inFlight: the number
+	// of running polls, which the polls themselves decrement.
 	version    *bundle.Version
 	generation uint64
 	deaths     uint64
-	mine       []string
-	nextBoard  time.Time
-	busy       atomic.Int64
+	assigned   []string
+	nextRows   time.Time
+	inFlight   atomic.Int64
 }
 
 // Run implements supervise.Service.
@@ -140,8 +152,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	o := &r.opts
-	every := intervals{load: o.LoadInterval, events: o.EventsInterval, held: o.HeldInterval}
-	rd := &round{Runner: r, rows: newRowFilter(o.BoardRefresh), agenda: newAgenda(every, o.Rand), sweep: newSweep(o.Sweep)}
+	pollIntervals := intervals{load: o.LoadInterval, events: o.EventsInterval, held: o.HeldInterval}
+	rd := &runState{Runner: r, rows: newRowFilter(o.BoardRefresh), scheduler: newScheduler(pollIntervals, o.Rand), sweep: newSweep(o.Sweep)}
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
@@ -150,18 +162,18 @@
 	for {
 		rd.step(ctx, time.Now(), func(f func()) {
 			wg.Go(func() {
-				// A panic in a visit reaches the supervisor only when Run returns and
-				// waits. Without the cancel the loop would go on and take the upstream
-				// to be under a visit for good: one would notice that its load, and with
-				// it the board's row, is never told again.
-				whole := false
+				// A panic in a poll reaches the supervisor only once Run returns and
+				// waits for the goroutines. Without the cancel the loop would continue
+				// and consider the poll in progress forever: the upstream's load would
+				// never be read and its board row never sent again.
+				completed := false
 				defer func() {
-					if !whole {
+					if !completed {
 						cancel()
 					}
 				}()
 				f()
-				whole = true
+				completed = true
 			})
 		})
 		select {
@@ -172,83 +184,86 @@
 	}
 }
 
-// step starts the visits that are due and tells the peers when that is due.
-func (rd *round) step(ctx context.Context, now time.Time, start func(func())) {
+// step starts the polls that are due and sends board rows to peers when due. It
+// passes each poll to start, which runs it concurrently.
+func (rd *runState) step(ctx context.Context, now time.Time, start func(func())) {
 	v := rd.opts.Peers.View()
 	version := rd.opts.Current()
 	if version == nil {
 		return
 	}
-	rd.reassign(now, v, version)
+	rd.updateShare(now, v, version)
 	rd.mu.Lock()
 	if rd.deaths != v.Deaths() {
 		rd.deaths = v.Deaths()
-		rd.agenda.listAll(now) // a death may have orphaned work on any engine
+		rd.scheduler.listAllNow(now) // the dead daemon may have left orphaned work on any engine
 	}
-	visits := rd.agenda.due(now, rd.opts.Concurrency-int(rd.busy.Load()))
+	tasks := rd.scheduler.due(now, rd.opts.Concurrency-int(rd.inFlight.Load()))
 	rd.mu.Unlock()
-	for _, visit := range visits {
-		rd.busy.Add(1)
+	for _, task := range tasks {
+		rd.inFlight.Add(1)
 		start(func() {
-			defer rd.busy.Add(-1)
-			rd.visit(ctx, visit, version.Bundle.Upstreams[visit.upstream].Address)
+			defer rd.inFlight.Add(-1)
+			rd.poll(ctx, task, version.Bundle.Upstreams[task.upstream].Address)
 		})
 	}
-	if !now.Before(rd.nextBoard) {
-		rd.nextBoard = now.Add(rd.opts.BoardInterval * boardStretch(len(v.Near())))
-		rd.tell(now, v)
+	if !now.Before(rd.nextRows) {
+		rd.nextRows = now.Add(rd.opts.BoardInterval * rowIntervalStretch(len(v.Near())))
+		rd.sendRows(now, v)
 	}
 }
 
-// reassign works out this daemon's share again when the daemons or the bundle
-// changed. A new peer needs every row.
-func (rd *round) reassign(now time.Time, v *members.View, version *bundle.Version) {
-	if rd.version == version && rd.generation == v.Generation() && rd.mine != nil {
+// updateShare determines the upstreams that this daemon is steward of again if the
+// membership or the bundle changed. All board rows are then sent again, because a
+// new peer has none.
+func (rd *runState) updateShare(now time.Time, v *members.View, version *bundle.Version) {
+	if rd.version == version && rd.generation == v.Generation() && rd.assigned != nil {
 		return
 	}
 	rd.version, rd.generation = version, v.Generation()
-	mine := share(v, version.Bundle)
-	rd.mine = make([]string, 0, len(mine))
-	for name := range mine {
-		rd.mine = append(rd.mine, name)
+	isEngine := ownUpstreams(v, version.Bundle)
+	rd.assigned = make([]string, 0, len(isEngine))
+	for name := range isEngine {
+		rd.assigned = append(rd.assigned, name)
 	}
-	slices.Sort(rd.mine)
-	rd.stats.upstreams.Store(uint64(len(mine)))
+	slices.Sort(rd.assigned)
+	rd.stats.upstreams.Store(uint64(len(isEngine)))
 	rd.rows.reset()
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	for _, name := range rd.agenda.assign(now, mine) {
+	for _, name := range rd.scheduler.assign(now, isEngine) {
 		rd.sweep.Forget(name)
 	}
 }
 
-// share returns the upstreams this daemon is steward of, and whether each is an
-// engine and so holds memory for requests.
-func share(v *members.View, b *bundle.Bundle) map[string]bool {
-	mine := map[string]bool{}
+// ownUpstreams returns the names of the upstreams that this daemon is steward of.
+// The value is true for an engine, which holds memory for requests, and false for a
+// plain service.
+func ownUpstreams(v *members.View, b *bundle.Bundle) map[string]bool {
+	isEngine := map[string]bool{}
 	for name, u := range b.Upstreams {
 		if v.Mine(name, u.DataCentre) {
-			mine[name] = b.Pools[u.Pool].Role != bundle.RoleService
+			isEngine[name] = b.Pools[u.Pool].Role != bundle.RoleService
 		}
 	}
-	return mine
+	return isEngine
 }
 
-// fewReceivers is the number of receivers up to which rows are told at the stated
-// interval.
-const fewReceivers = 12
+// fullRateReceivers is the number of receivers up to which rows are sent at the
+// configured interval.
+const fullRateReceivers = 12
 
-// boardStretch returns how much more seldom rows are told to many receivers, so
-// that a board costs the same few KB/s.
-func boardStretch(receivers int) time.Duration {
-	return time.Duration(max(1, receivers/fewReceivers))
+// rowIntervalStretch returns the factor by which the number of receivers lengthens
+// the interval between messages of board rows, so that they take the same few KB/s.
+func rowIntervalStretch(receivers int) time.Duration {
+	return time.Duration(max(1, receivers/fullRateReceivers))
 }
 
-// tell sends the changed rows to the live peers of the data centre, and of small
-// ones nearby.
-func (rd *round) tell(now time.Time, v *members.View) {
+// sendRows sends the changed board rows to the live peers of this data centre and of
+// other data centres with few daemons, as listed by members.View.Near.
+func (rd *runState) sendRows(now time.Time, v *members.View) {
 	var rows []wire.BoardRow
-	rd.opts.Board.Update(func(b *board.Board) { rows = b.Rows(now, rd.mine) })
+	rd.opts.Board.Update(func(b *board.Board) { rows = b.Rows(now, rd.assigned) })
 	rows = rd.rows.changed(now, rows)
 	if len(rows) == 0 {
 		return
--- a/steward/runner_test.go
+++ b/steward/runner_test.go
@@ -25,21 +25,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEngines hold work by address and lose the first replies of cancels.
+// fakeEngines simulates engines that hold work, by address. The first cancels, as many
+// as failCancels says, fail without effect.
 type fakeEngines struct {
-	mu      sync.Mutex
-	held    map[string][]engineapi.Held
-	down    map[string]bool
-	lose    int // cancels that take effect at the second try only
-	cancels int
-	asked   map[string]int
-	seq     uint64
+	mu          sync.Mutex
+	held        map[string][]engineapi.Held
+	down        map[string]bool
+	failCancels int // number of cancels that still are to fail
+	cancels     int
+	requests    map[string]int
+	seq         uint64
 }
 
-func (f *fakeEngines) ask(what, address string) error {
+// record counts a request and fails if the engine is down.
+func (f *fakeEngines) record(kind, address string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked[what+" "+address]++
+	f.requests[kind+" "+address]++
 	f.seq++
 	if f.down[address] {
 		return errors.New("connection refused")
@@ -48,22 +50,22 @@
 }
 
 func (f *fakeEngines) Load(_ context.Context, address string) (engineapi.Load, error) {
-	err := f.ask("load", address)
-	return engineapi.Load{Incarnation: 1, Seq: f.now(), Slots: 20, Active: 7}, err
+	err := f.record("load", address)
+	return engineapi.Load{Incarnation: 1, Seq: f.lastSeq(), Slots: 20, Active: 7}, err
 }
 
-func (f *fakeEngines) now() uint64 {
+func (f *fakeEngines) lastSeq() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.seq
 }
 
 func (f *fakeEngines) Events(_ context.Context, address string, from uint64) (engineapi.EventsReply, error) {
-	return engineapi.EventsReply{Incarnation: 1, Next: from}, f.ask("events", address)
+	return engineapi.EventsReply{Incarnation: 1, Next: from}, f.record("events", address)
 }
 
 func (f *fakeEngines) Held(_ context.Context, address string) (engineapi.HeldReply, error) {
-	err := f.ask("held", address)
+	err := f.record("held", address)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return engineapi.HeldReply{Incarnation: 1, Held: slices.Clone(f.held[address])}, err
@@ -73,21 +75,24 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancels++
-	if f.lose > 0 {
-		f.lose--
+	if f.failCancels > 0 {
+		f.failCancels--
 		return engineapi.CancelReply{}, errors.New("lost")
 	}
 	f.held[address] = slices.DeleteFunc(f.held[address], func(h engineapi.Held) bool { return h.WorkID == w })
 	return engineapi.CancelReply{Found: true}, nil
 }
 
-func (f *fakeEngines) count(what string) int {
+// requestCount returns the number of requests for a kind and address, for example
+// "load e1:1".
+func (f *fakeEngines) requestCount(key string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked[what]
+	return f.requests[key]
 }
 
-// fakePeers is a data centre of two daemons, "me" and "other".
+// fakePeers implements Peers for a data centre of two daemons, "me" and "other". It
+// passes the board messages for "other" to sent.
 type fakePeers struct {
 	mu    sync.Mutex
 	table *members.Table
@@ -112,6 +117,7 @@
 	}
 }
 
+// testVersion returns a bundle with four engines and three plain services.
 func testVersion() *bundle.Version {
 	return &bundle.Version{Number: 3, Bundle: &bundle.Bundle{
 		Pools: map[string]bundle.Pool{"d": {Role: bundle.RoleDecode, Slots: 20}, "s": {Role: bundle.RoleService, Slots: 5}},
@@ -127,10 +133,11 @@
 	}}
 }
 
-// startRunner runs a runner for "me" with "other" Alive until the test ends.
+// startRunner starts a Runner for "me", with "other" alive, and stops it at the end of
+// the test.
 func startRunner(t *testing.T, f *fakeEngines, change func(*Options)) (*Runner, *fakePeers, *board.Holder) {
 	t.Helper()
-	f.asked = map[string]int{}
+	f.requests = map[string]int{}
 	version := testVersion()
 	h := board.NewHolder(board.New(board.Config{}))
 	h.Update(func(b *board.Board) { b.SetVersion(time.Now(), version) })
@@ -158,30 +165,29 @@
 	return r, p, h
 }
 
-// Symptom: engine memory stays held by an earlier life, or a plain service gets
-// engine calls.
-// Sequence: every engine holds work of this daemon's earlier life; replies of the
-// first cancels are lost; one engine is down.
-// Cause: a cancel tried once, one engine that blocks the others, or two stewards
-// and none.
+// Symptom: memory of a daemon's earlier incarnation is never released, or a plain
+// service receives requests meant for engines.
+// Sequence: every engine holds work of this daemon's earlier incarnation; the first
+// three cancels fail.
+// Cause: a cancel is not repeated, or an upstream has two stewards or none.
 func TestRunnerFreesWorkOfItsShareOnly(t *testing.T) {
-	f := &fakeEngines{held: map[string][]engineapi.Held{}, lose: 3, down: map[string]bool{}}
+	f := &fakeEngines{held: map[string][]engineapi.Held{}, failCancels: 3, down: map[string]bool{}}
 	v := testVersion()
 	names := map[string]string{}
 	for name, u := range v.Bundle.Upstreams {
 		names[name] = u.Address
-		f.held[u.Address] = []engineapi.Held{work("me", 1, engineapi.HeldDecode)}
+		f.held[u.Address] = []engineapi.Held{heldWork("me", 1, engineapi.HeldDecode)}
 	}
 	r, p, _ := startRunner(t, f, nil)
-	mine := share(p.View(), v.Bundle)
+	isEngine := ownUpstreams(p.View(), v.Bundle)
 	kinds := map[bool]bool{}
-	for _, engine := range mine {
+	for _, engine := range isEngine {
 		kinds[engine] = true
 	}
-	if len(kinds) < 2 || len(mine) == len(names) {
-		t.Fatalf("share %v proves nothing", mine)
+	if len(kinds) < 2 || len(isEngine) == len(names) {
+		t.Fatalf("share %v lacks engines or services, or contains all upstreams", isEngine)
 	}
-	for name, engine := range mine {
+	for name, engine := range isEngine {
 		if engine {
 			waittest.Until(t, name+" is swept", func() bool {
 				f.mu.Lock()
@@ -189,32 +195,32 @@
 				return len(f.held[names[name]]) == 0
 			})
 		}
-		waittest.Until(t, name+" is polled", func() bool { return f.count("load "+names[name]) > 3 })
+		waittest.Until(t, name+" is polled", func() bool { return f.requestCount("load "+names[name]) > 3 })
 	}
 	for name, address := range names {
-		engine, own := mine[name]
+		engine, own := isEngine[name]
 		for _, what := range []string{"load ", "held ", "events "} {
-			if asked := f.count(what + address); asked > 0 && (!own || what != "load " && !engine) {
-				t.Errorf("%s%s asked %d times", what, name, asked)
+			if asked := f.requestCount(what + address); asked > 0 && (!own || what != "load " && !engine) {
+				t.Errorf("%s%s requested %d times, want 0", what, name, asked)
 			}
 		}
 	}
-	if s := r.Stats(); s.Cancels == 0 || s.CancelsFailed != 3 || s.Sweeps == 0 || s.Upstreams != uint64(len(mine)) {
+	if s := r.Stats(); s.Cancels == 0 || s.CancelsFailed != 3 || s.Sweeps == 0 || s.Upstreams != uint64(len(isEngine)) {
 		t.Errorf("stats %+v", s)
 	}
 }
 
-// Symptom: a dead owner's memory stays held until the next usual listing.
+// Symptom: memory of a dead owner is held until the next periodic listing.
 // Sequence: engines hold work of a live peer and are listed; the peer restarts.
-// Cause: nothing but the usual interval calls for a listing.
+// Cause: listings take place only at the regular interval.
 func TestRunnerListsAtOnceAfterADeath(t *testing.T) {
 	f := &fakeEngines{held: map[string][]engineapi.Held{}, down: map[string]bool{}}
 	for _, u := range testVersion().Bundle.Upstreams {
-		f.held[u.Address] = []engineapi.Held{work("other", 1, engineapi.HeldDecode)}
+		f.held[u.Address] = []engineapi.Held{heldWork("other", 1, engineapi.HeldDecode)}
 	}
 	r, p, _ := startRunner(t, f, func(o *Options) { o.HeldInterval = time.Hour })
 	engines := 0
-	for _, engine := range share(p.View(), testVersion().Bundle) {
+	for _, engine := range ownUpstreams(p.View(), testVersion().Bundle) {
 		if engine {
 			engines++
 		}
@@ -226,15 +232,15 @@
 	waittest.Until(t, "all freed", func() bool { return r.Stats().Cancels == uint64(engines) })
 }
 
-// Symptom: routing goes on to a dead upstream, or peers never see the loads.
-// Sequence: all answer, then one stops answering.
-// Cause: polls that do not reach the board or the peers.
+// Symptom: requests are still routed to failed upstreams, or peers receive no loads.
+// Sequence: all upstreams respond, then none does.
+// Cause: the results of polls do not reach the board or the peers.
 func TestRunnerTellsBoardAndPeers(t *testing.T) {
 	f := &fakeEngines{held: map[string][]engineapi.Held{}, down: map[string]bool{}}
 	r, p, h := startRunner(t, f, nil)
-	mine := share(p.View(), testVersion().Bundle)
+	isEngine := ownUpstreams(p.View(), testVersion().Bundle)
 	seen := map[uint16]bool{}
-	for len(seen) < len(mine) {
+	for len(seen) < len(isEngine) {
 		for _, row := range (<-p.sent).Rows {
 			seen[row.Index] = true
 			if row.BundleNumber != 3 || row.Active != 7 {
@@ -249,7 +255,7 @@
 		f.down[u.Address] = true
 	}
 	f.mu.Unlock()
-	waittest.Until(t, "the board hears of the failures", func() bool { return replicas() < before })
+	waittest.Until(t, "the board excludes failed upstreams", func() bool { return replicas() < before })
 	if r.Stats().PollsFailed == 0 {
 		t.Error("failures are not counted")
 	}
@@ -285,70 +291,72 @@
 	}
 }
 
-// Symptom: control takes more than its bytes where a daemon has many upstreams.
-// Sequence: a daemon's share grows from 4 to 32 and then to a whole data centre.
-// Cause: every upstream polled at the interval that suits a few.
+// Symptom: control traffic exceeds its limit on a daemon with many upstreams.
+// Sequence: a daemon polls 4, 32 and 1500 upstreams, the last being a whole data
+// centre.
+// Cause: the polling interval does not depend on the number of upstreams.
 func TestAgendaSpreadsPollsOverManyUpstreams(t *testing.T) {
 	const seconds = 120
-	for n, most := range map[int]int{4: 4 * 2.3 * seconds, 32: 4 * 2.3 * seconds, 1500: 1500 * seconds / 8} {
-		a := newAgenda(intervals{load: 500 * time.Millisecond, events: time.Hour, held: time.Hour}, rand.New(rand.NewPCG(1, 1)))
-		mine := map[string]bool{}
+	for n, maxPolls := range map[int]int{4: 4 * 2.3 * seconds, 32: 4 * 2.3 * seconds, 1500: 1500 * seconds / 8} {
+		s := newScheduler(intervals{load: 500 * time.Millisecond, events: time.Hour, held: time.Hour}, rand.New(rand.NewPCG(1, 1)))
+		isEngine := map[string]bool{}
 		for i := range n {
-			mine[fmt.Sprint(i)] = false
+			isEngine[fmt.Sprint(i)] = false
 		}
-		a.assign(start, mine)
+		s.assign(start, isEngine)
 		polls := 0
 		for ms := 0; ms < 1000*seconds; ms += 100 {
-			for _, v := range a.due(at(ms), n) {
+			for _, task := range s.due(at(ms), n) {
 				polls++
-				a.done(v.upstream, true, time.Time{})
+				s.finish(task.upstream, true, time.Time{})
 			}
 		}
-		if polls > most+n || polls < most/2 {
-			t.Errorf("%d upstreams are polled %d times in %d s, want at most %d", n, polls, seconds, most)
+		if polls > maxPolls+n || polls < maxPolls/2 {
+			t.Errorf("%d upstreams are polled %d times in %d s, want at most %d and at least half of that", n, polls, seconds, maxPolls)
 		}
 	}
-	if few, many := boardStretch(6), boardStretch(45); few != 1 || many != 3 {
-		t.Errorf("rows are told at %d and %d intervals", few, many)
+	if few, many := rowIntervalStretch(6), rowIntervalStretch(45); few != 1 || many != 3 {
+		t.Errorf("rows are sent every %d and %d intervals, want 1 and 3", few, many)
 	}
 }
 
-// Symptom: engines that answer are polled late because one does not.
-// Sequence: one upstream fails over and over; orphans show on another.
-// Cause: no backoff, no bound, or a sweep that waits for the usual interval.
+// Symptom: engines that respond are polled late because one does not.
+// Sequence: an engine shows an orphan, and later its polls fail repeatedly.
+// Cause: no backoff, no limit on concurrent polls, or a listing for an orphan that
+// waits for the regular interval.
 func TestAgenda(t *testing.T) {
-	every := intervals{load: 500 * time.Millisecond, events: time.Second, held: 10 * time.Second}
-	a := newAgenda(every, rand.New(rand.NewPCG(1, 1)))
-	a.assign(start, map[string]bool{"e": true, "s": false})
-	if n := len(a.due(start, 1)); n != 1 {
-		t.Errorf("%d visits over the bound", n)
+	pollIntervals := intervals{load: 500 * time.Millisecond, events: time.Second, held: 10 * time.Second}
+	s := newScheduler(pollIntervals, rand.New(rand.NewPCG(1, 1)))
+	s.assign(start, map[string]bool{"e": true, "s": false})
+	if n := len(s.due(start, 1)); n != 1 {
+		t.Errorf("%d polls returned, want the limit of 1", n)
 	}
-	a.due(start, 9)
-	if got := a.due(at(60000), 9); len(got) != 0 {
-		t.Errorf("visited twice at once: %v", got)
+	s.due(start, 9)
+	if got := s.due(at(60000), 9); len(got) != 0 {
+		t.Errorf("polled again while a poll is in progress: %v", got)
 	}
-	a.done("e", true, at(200))
-	if got := a.due(at(199), 9); len(got) != 0 {
-		t.Errorf("before the grace: %v", got)
+	s.finish("e", true, at(200))
+	if got := s.due(at(199), 9); len(got) != 0 {
+		t.Errorf("polled before the grace period ended: %v", got)
 	}
-	if d := cmp.Diff([]visit{{upstream: "e", held: true}}, a.due(at(200), 9), cmp.AllowUnexported(visit{})); d != "" {
+	if d := cmp.Diff([]pollTask{{upstream: "e", held: true}}, s.due(at(200), 9), cmp.AllowUnexported(pollTask{})); d != "" {
 		t.Error(d)
 	}
-	a.done("e", true, time.Time{})
-	a.listAll(at(300))
-	if d := cmp.Diff([]visit{{upstream: "e", held: true}}, a.due(at(300), 9), cmp.AllowUnexported(visit{})); d != "" {
+	s.finish("e", true, time.Time{})
+	s.listAllNow(at(300))
+	if d := cmp.Diff([]pollTask{{upstream: "e", held: true}}, s.due(at(300), 9), cmp.AllowUnexported(pollTask{})); d != "" {
 		t.Error(d)
 	}
 	last := 0
 	for range 10 {
 		last += 60000
-		a.done("e", false, time.Time{})
-		a.due(at(last), 9)
+		s.finish("e", false, time.Time{})
+		s.due(at(last), 9)
 	}
-	if next := a.turns["e"].load; next.Before(at(last+1800)) || next.After(at(last+2200)) {
+	if next := s.upstreams["e"].nextLoad; next.Before(at(last+1800)) || next.After(at(last+2200)) {
 		t.Errorf("a failing upstream is next polled after %v", next.Sub(at(last)))
 	}
-	if got := a.assign(at(last), map[string]bool{"s": false}); !cmp.Equal(got, []string{"e"}) {
-		t.Errorf("dropped %v", got)
+	if got := s.assign(at(last), map[string]bool{"s": false}); !cmp.Equal(got, []string{"e"}) {
+		t.Errorf("no longer assigned: %v, want [e]", got)
 	}
 }
--- a/steward/sweep.go
+++ b/steward/sweep.go
@@ -1,6 +1,8 @@
-// Package steward does what one daemon does for all about an upstream: it polls
-// the upstream's load and cache events, tells its peers, and frees engine memory
-// whose owner is gone. Sweep and the agenda decide, Runner does the I/O.
+// Package steward implements the tasks that one daemon, the steward, performs for an
+// upstream on behalf of all daemons. It polls the upstream's load and cache events,
+// sends the loads to the other daemons, and cancels orphaned work on engines: work
+// that holds memory and whose owner, the daemon that started it, is dead. Sweep
+// decides what to cancel and scheduler when to poll; Runner performs the I/O.
 package steward
 
 import (
@@ -11,35 +13,40 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Reason says why held memory is cancelled.
+// Reason is the reason for which work that holds memory is cancelled.
 type Reason string
 
-// The reasons.
+// The reasons for a cancel.
 const (
-	// OwnerDead: the owner was silent for too long, or a later incarnation lives.
+	// OwnerDead: the owner sent no heartbeat for too long, or a later incarnation
+	// of it exists.
 	OwnerDead Reason = "owner-dead"
-	// OwnerUnknown: nobody has told of the owner for a long time.
+	// OwnerUnknown: the owner has been unknown for members.Config.UnknownAfter.
 	OwnerUnknown Reason = "owner-unknown"
-	// ExportStale: an export that no decode engine imported.
+	// ExportStale: no decode engine imported the export within ExportBound.
 	ExportStale Reason = "export-stale"
 )
 
-// The defaults of SweepConfig; docs/design/stewards.md gives the sums.
+// Default values of the SweepConfig fields with the same names.
+// docs/design/stewards.md shows how they were calculated.
 const (
 	DefaultGrace         = 400 * time.Millisecond
 	DefaultIsolatedGrace = 30 * time.Second
 	DefaultExportBound   = 5 * time.Second
 )
 
-// SweepConfig holds the limits of a Sweep. A zero limit takes its default.
+// SweepConfig holds the timeouts of a Sweep. A timeout of zero is replaced by its
+// default.
 type SweepConfig struct {
-	// Grace is the time from the first sight of a dead owner's work to its cancel.
+	// Grace is the time from the first listing that shows work of a dead owner to
+	// its cancel.
 	Grace time.Duration
-	// IsolatedGrace is Grace for a silent owner while most daemons are silent: the
-	// steward then may be the one that is cut off, and would cancel the work of
-	// every live daemon.
+	// IsolatedGrace replaces Grace for an owner that is silent while most daemons
+	// are. The steward itself may then have lost its network, and with the short
+	// Grace it would cancel the work of all live daemons.
 	IsolatedGrace time.Duration
-	// ExportBound is the age from which on an export counts as never imported.
+	// ExportBound is the age from which an export that is still held is cancelled,
+	// although its owner is alive.
 	ExportBound time.Duration
 }
 
@@ -51,102 +58,110 @@
 	Reason Reason
 }
 
-// orphan is work whose owner seemed gone at every listing since a time.
+// orphan is work that every listing since firstSeen showed as orphaned.
 type orphan struct {
-	since  time.Time
-	due    time.Time // when its grace ends
-	reason Reason
+	firstSeen time.Time
+	cancelAt  time.Time // end of the grace period
+	reason    Reason
 }
 
-// piece names held memory: one attempt may hold several kinds.
-type piece struct {
+// workKey identifies a piece of held memory. It includes the kind because one
+// attempt may hold memory of several kinds.
+type workKey struct {
 	work engineapi.WorkID
 	kind engineapi.HeldKind
 }
 
-// swept is what is remembered of one upstream.
-type swept struct {
+// upstreamOrphans holds the orphans in the last listing of one upstream, and the
+// upstream's incarnation at that time.
+type upstreamOrphans struct {
 	incarnation uint64
-	orphans     map[piece]orphan
+	orphans     map[workKey]orphan
 }
 
-// Sweep finds held memory to free. It trusts no single listing and no fresh
-// view: work is cancelled once its owner has seemed gone in every listing over a
-// grace, so that a late heartbeat or a steward that knows nobody harms no live
-// request. For an owner nobody told of, that grace is also the time for which a
-// fresh or thawed steward must have run. A Sweep is not safe for concurrent use.
+// Sweep finds orphaned work to cancel on engines. A single listing is not enough:
+// work is cancelled only if its owner was dead or unknown at every listing during a
+// grace period. A late heartbeat, or a newly started steward that has not discovered
+// the other daemons yet, therefore does not cancel a live request. The grace period
+// starts again after a start or freeze of the steward, so that for an unknown owner
+// the steward must have run for members.Config.UnknownAfter without a freeze. A stale
+// export is cancelled without a grace period. A Sweep is not safe for concurrent use.
 type Sweep struct {
 	cfg       SweepConfig
-	upstreams map[string]*swept
+	upstreams map[string]*upstreamOrphans
 }
 
-// newSweep returns a Sweep that has seen nothing.
+// newSweep returns a Sweep without orphans.
 func newSweep(cfg SweepConfig) *Sweep {
 	setDefault(&cfg.Grace, DefaultGrace)
 	setDefault(&cfg.IsolatedGrace, DefaultIsolatedGrace)
 	setDefault(&cfg.ExportBound, DefaultExportBound)
-	return &Sweep{cfg: cfg, upstreams: map[string]*swept{}}
+	return &Sweep{cfg: cfg, upstreams: map[string]*upstreamOrphans{}}
 }
 
-// Forget drops what is remembered of an upstream, when it has another steward.
+// Forget deletes the orphans of an upstream, for example when another daemon
+// becomes its steward. Their grace periods start again.
 func (s *Sweep) Forget(upstream string) { delete(s.upstreams, upstream) }
 
-// Next returns when to list an upstream again for the orphans that it showed:
-// when the first grace ends, and a Grace from now to see whether a cancel took
-// effect; ok is false when it showed none.
+// Next returns when to list an upstream again because of the orphans in its last
+// listing: at the end of the first grace period, but not before Grace from now, so
+// that a cancel already sent can take effect. ok is false if there are no orphans.
 func (s *Sweep) Next(now time.Time, upstream string) (at time.Time, ok bool) {
 	u := s.upstreams[upstream]
 	if u == nil {
 		return time.Time{}, false
 	}
 	for _, o := range u.orphans {
-		if !ok || o.due.Before(at) {
-			at, ok = o.due, true
+		if !ok || o.cancelAt.Before(at) {
+			at, ok = o.cancelAt, true
 		}
 	}
-	if again := now.Add(s.cfg.Grace); ok && at.Before(again) {
-		at = again
+	if earliest := now.Add(s.cfg.Grace); ok && at.Before(earliest) {
+		at = earliest
 	}
 	return at, ok
 }
 
-// Listed takes a listing of what an upstream holds and returns what to cancel
-// now. The same cancel is returned for each further listing that shows the work.
+// Listed processes a listing of the memory that an upstream holds and returns the
+// work to cancel now. It returns the same cancel again for each later listing that
+// still contains the work.
 func (s *Sweep) Listed(now time.Time, upstream string, r engineapi.HeldReply, v *members.View) []Cancel {
 	if v.Frozen(now) {
-		// What this process believed before it was stopped proves nothing.
+		// The view and the earlier listings are outdated after a freeze.
 		s.Forget(upstream)
 		return nil
 	}
-	before := s.upstreams[upstream]
-	after := &swept{incarnation: r.Incarnation, orphans: map[piece]orphan{}}
-	s.upstreams[upstream] = after
-	if before == nil || before.incarnation != r.Incarnation {
-		before = after // an engine's new life has none of the old work
+	previous := s.upstreams[upstream]
+	current := &upstreamOrphans{incarnation: r.Incarnation, orphans: map[workKey]orphan{}}
+	s.upstreams[upstream] = current
+	if previous == nil || previous.incarnation != r.Incarnation {
+		previous = current // a restarted engine holds none of its earlier work
 	}
 	var out []Cancel
 	for _, h := range r.Held {
-		reason, grace := s.judge(h, v)
+		reason, grace := s.classify(h, v)
 		if reason == "" {
 			continue
 		}
-		p := piece{h.WorkID, h.Kind}
-		o, seen := before.orphans[p]
-		if !seen || o.reason != reason || o.since.Before(v.Since()) {
-			o = orphan{since: now, reason: reason}
+		key := workKey{h.WorkID, h.Kind}
+		o, seen := previous.orphans[key]
+		if !seen || o.reason != reason || o.firstSeen.Before(v.Since()) {
+			o = orphan{firstSeen: now, reason: reason}
 		}
-		o.due = o.since.Add(grace)
-		after.orphans[p] = o
-		if !now.Before(o.due) {
+		o.cancelAt = o.firstSeen.Add(grace)
+		current.orphans[key] = o
+		if !now.Before(o.cancelAt) {
 			out = append(out, Cancel{Work: h.WorkID, Kind: h.Kind, Owner: h.Owner, Reason: reason})
 		}
 	}
 	return out
 }
 
-// judge returns why held memory seems to be nobody's, and for how long it must
-// seem so. Work of a live owner is that owner's: it repeats its own cancels.
-func (s *Sweep) judge(h engineapi.Held, v *members.View) (Reason, time.Duration) {
+// classify returns the reason for which held memory is orphaned, and the grace period
+// for that reason. The reason is empty if the memory is not orphaned. Work of a live
+// owner is left alone, except for a stale export: a live owner sends and repeats its
+// own cancels.
+func (s *Sweep) classify(h engineapi.Held, v *members.View) (Reason, time.Duration) {
 	owner := wire.NodeID{Instance: h.Owner.Instance, Incarnation: h.Owner.Incarnation}
 	switch v.Liveness(owner) {
 	case members.Dead:
--- a/steward/visit.go
+++ b/steward/visit.go
@@ -12,32 +12,33 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// visit asks one upstream what is due, sweep first: held memory of gone requests
-// is what an upstream runs out of.
-func (rd *round) visit(ctx context.Context, v visit, address string) {
+// poll sends the requests of task to its upstream. Held memory comes first, because
+// an engine that runs out of memory cannot accept requests.
+func (rd *runState) poll(ctx context.Context, task pollTask, address string) {
 	ok := true
-	if v.held {
-		ok = rd.list(ctx, v.upstream, address)
+	if task.held {
+		ok = rd.sweepUpstream(ctx, task.upstream, address)
 	}
-	if v.load {
-		ok = rd.pollLoad(ctx, v.upstream, address) && ok
+	if task.load {
+		ok = rd.pollLoad(ctx, task.upstream, address) && ok
 	}
-	if v.events {
-		ok = rd.pollEvents(ctx, v.upstream, address) && ok
+	if task.events {
+		ok = rd.pollEvents(ctx, task.upstream, address) && ok
 	}
 	if ctx.Err() == nil && !ok {
 		rd.stats.pollsFailed.Add(1)
 	}
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	again, _ := rd.sweep.Next(time.Now(), v.upstream)
-	rd.agenda.done(v.upstream, ok, again)
+	nextListing, _ := rd.sweep.Next(time.Now(), task.upstream)
+	rd.scheduler.finish(task.upstream, ok, nextListing)
 }
 
-// pollLoad reports whether the upstream answered. A failure is told to the
-// board, since a steward often is the first to notice.
-func (rd *round) pollLoad(ctx context.Context, upstream, address string) bool {
-	load, err := bounded(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.Load, error) {
+// pollLoad reads the load of an upstream, updates the board and reports whether the
+// load could be read. It reports a failed upstream to the board too, because the
+// steward is often the first to detect the failure.
+func (rd *runState) pollLoad(ctx context.Context, upstream, address string) bool {
+	load, err := withTimeout(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.Load, error) {
 		return rd.opts.Engines.Load(ctx, address)
 	})
 	if ctx.Err() != nil {
@@ -48,32 +49,34 @@
 		switch {
 		case err == nil:
 			b.Report(now, upstream, load, 0)
-		case !answered(err):
+		case !responded(err):
 			b.Failed(now, upstream)
 		}
 	})
 	if err != nil {
-		rd.opts.Logger.WithError(err).WithField("upstream", upstream).Debug("load not read")
+		rd.opts.Logger.WithError(err).WithField("upstream", upstream).Debug("could not read load")
 	}
 	return err == nil
 }
 
-// answered says that an upstream is well and does not report its load: it gave
-// an answer of its own at that path.
+// responded reports whether err means that the upstream works but does not report
+// its load: it sent a response with a status from 200 to 499.
 //
-// What goes wrong: a plain service that knows no /v1/load answers 404, or a page.
-// Taken for a failure that would eject it after three polls, for up to 30 s at a
-// time. One would notice no-upstream from its steward alone, while the service
-// answers everybody else.
-func answered(err error) bool {
+// A plain service without the path /v1/load responds with 404 or with an HTML page.
+// If that counted as a failure, three polls would eject the service on its steward,
+// for up to 30 s at a time: the steward would reject requests with no-upstream while
+// all other daemons still use the service.
+func responded(err error) bool {
 	var ce *upstream.CallError
 	return errors.As(err, &ce) && ce.Status >= http.StatusOK && ce.Status < http.StatusInternalServerError
 }
 
-func (rd *round) pollEvents(ctx context.Context, upstream, address string) bool {
+// pollEvents reads new cache events of an upstream, passes them to the board and
+// reports whether they could be read.
+func (rd *runState) pollEvents(ctx context.Context, upstream, address string) bool {
 	var from uint64
 	rd.opts.Board.Update(func(b *board.Board) { from = b.EventsFrom(upstream) })
-	events, err := bounded(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.EventsReply, error) {
+	events, err := withTimeout(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.EventsReply, error) {
 		return rd.opts.Engines.Events(ctx, address, from)
 	})
 	if err != nil {
@@ -83,10 +86,11 @@
 	return true
 }
 
-// list sweeps one engine. The view is read after the listing: work that began
-// before the listing belongs to an owner that the view can know.
-func (rd *round) list(ctx context.Context, upstream, address string) bool {
-	held, err := bounded(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.HeldReply, error) {
+// sweepUpstream lists the memory that an engine holds, cancels orphaned work and
+// reports whether all calls succeeded. It reads the membership view after the
+// listing: listed work started before, so the newer view can contain its owner.
+func (rd *runState) sweepUpstream(ctx context.Context, upstream, address string) bool {
+	held, err := withTimeout(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.HeldReply, error) {
 		return rd.opts.Engines.Held(ctx, address)
 	})
 	if err != nil {
@@ -104,10 +108,11 @@
 	return ok
 }
 
-// cancel sends one cancel. A lost reply needs nothing more: the next listing
-// shows whether the work is still there.
-func (rd *round) cancel(ctx context.Context, upstream, address string, c Cancel) bool {
-	_, err := bounded(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.CancelReply, error) {
+// cancel sends one cancel and reports whether the upstream acknowledged it. A failed
+// cancel is not repeated here, because the next listing shows whether the work is
+// still held.
+func (rd *runState) cancel(ctx context.Context, upstream, address string, c Cancel) bool {
+	_, err := withTimeout(ctx, rd.opts.Timeout, func(ctx context.Context) (engineapi.CancelReply, error) {
 		return rd.opts.Engines.Cancel(ctx, address, c.Work)
 	})
 	entry := rd.opts.Logger.WithField("upstream", upstream).WithField("request", c.Work.RequestID).
@@ -124,8 +129,8 @@
 	return true
 }
 
-// bounded runs one call to an upstream within the timeout.
-func bounded[T any](ctx context.Context, timeout time.Duration, call func(context.Context) (T, error)) (T, error) {
+// withTimeout runs a call to an upstream with a context that ends after timeout.
+func withTimeout[T any](ctx context.Context, timeout time.Duration, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return call(ctx)
