--- a/infra/client.go
+++ b/infra/client.go
@@ -11,67 +11,73 @@
 	"github.com/pkg/errors"
 )
 
-// MaxReply bounds a JSON answer, in bytes. A log read of 256 records of a full
-// bundle chunk stays below it; an endless answer must not fill the memory.
+// MaxReply is the maximum size of a JSON response, in bytes, so that an endless
+// response cannot exhaust the memory. The response to a read of 256 log records that
+// each hold a bundle chunk of the maximum size is smaller.
 const MaxReply = 64 << 20
 
-// maxErrorBody bounds how much of a refusal's body is kept for the error text, in bytes.
-const maxErrorBody = 512
+// maxErrorBodyBytes is the maximum length of the part of an error response's body that
+// is included in the error message.
+const maxErrorBodyBytes = 512
 
-// maxDrain bounds how much of an unread body is read so that the connection
-// can be used again, in bytes.
-const maxDrain = 64 << 10
+// maxDrainBytes is the maximum number of bytes of a response body that are read and
+// discarded so that the connection can be reused.
+const maxDrainBytes = 64 << 10
 
-// client is what the clients share: the base URL and the HTTP client.
+// client sends requests to one service. The exported clients are built on it.
 type client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 func newClient(baseURL string, hc *http.Client) client {
 	if hc == nil {
 		hc = http.DefaultClient
 	}
-	return client{base: strings.TrimRight(baseURL, "/"), http: hc}
+	return client{baseURL: strings.TrimRight(baseURL, "/"), httpClient: hc}
 }
 
-// answer is a status and a body of bounded size.
-type answer struct {
+// response is the HTTP status and body of a response. The body has at most MaxReply
+// bytes.
+type response struct {
 	status int
 	body   []byte
 }
 
-// do sends one call and reads its whole answer. Its error is a *Error.
-func (c client) do(ctx context.Context, op, method, path string, body any) (answer, error) {
-	req, err := c.request(ctx, method, path, body)
+// do sends a request and reads the whole response. An error is of type *Error.
+func (c client) do(ctx context.Context, op, method, path string, body any) (response, error) {
+	req, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
-		return answer{}, &Error{Op: op, Effect: EffectNone, cause: err}
+		return response{}, &Error{Op: op, Effect: EffectNone, cause: err}
 	}
-	// net/http sends a POST again by itself only when not a byte of it was
-	// written, so that one call is one append at most. No Idempotency-Key header
-	// may be set here: it would allow net/http more, and one would notice records
-	// that stand twice on the log though nobody repeated an append.
-	resp, err := c.http.Do(req)
+	// net/http retries a POST on its own only if no byte of it was written, so that
+	// a call appends at most once. The request must not have an Idempotency-Key
+	// header: net/http would then also retry after bytes were written, and records
+	// could be appended to the log twice although no caller repeated the append.
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return answer{}, &Error{Op: op, Effect: transportEffect(err), cause: err}
+		return response{}, &Error{Op: op, Effect: transportEffect(err), cause: err}
 	}
-	defer closeBody(resp.Body)
-	data, err := readBounded(resp.Body, MaxReply)
+	defer drainAndClose(resp.Body)
+	respBody, err := readLimited(resp.Body, MaxReply)
 	if err != nil {
-		return answer{}, &Error{Op: op, Effect: lostBodyEffect(resp.StatusCode), Status: resp.StatusCode, cause: err}
+		return response{}, &Error{Op: op, Effect: bodyErrorEffect(resp.StatusCode), Status: resp.StatusCode, cause: err}
 	}
-	return answer{status: resp.StatusCode, body: data}, nil
+	return response{status: resp.StatusCode, body: respBody}, nil
 }
 
-// lostBodyEffect classifies an answer whose status came but whose body did not.
-func lostBodyEffect(status int) Effect {
+// bodyErrorEffect returns the effect of a call whose response status was received but
+// whose body could not be read.
+func bodyErrorEffect(status int) Effect {
 	if status < http.StatusBadRequest {
 		return EffectUnknown
 	}
 	return statusEffect(status)
 }
 
-func (c client) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
+// newRequest returns a request with body encoded as JSON, or without a body if it is
+// nil.
+func (c client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
@@ -80,7 +86,7 @@
 		}
 		reader = bytes.NewReader(data)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "build request")
 	}
@@ -91,37 +97,38 @@
 	return req, nil
 }
 
-// refused turns an answer that is not a success into an error.
-func refused(op string, a answer) error {
-	text := a.body
-	if len(text) > maxErrorBody {
-		text = text[:maxErrorBody]
+// refusalError returns the error for a response whose status is not a success.
+func refusalError(op string, resp response) error {
+	text := resp.body
+	if len(text) > maxErrorBodyBytes {
+		text = text[:maxErrorBodyBytes]
 	}
-	return &Error{Op: op, Effect: statusEffect(a.status), Status: a.status, cause: errors.Errorf("refused: %q", text)}
+	return &Error{Op: op, Effect: statusEffect(resp.status), Status: resp.status, cause: errors.Errorf("refused: %q", text)}
 }
 
-// decode reads a success answer into out.
-func decode(op string, a answer, out any) error {
-	if err := json.Unmarshal(a.body, out); err != nil {
-		return &Error{Op: op, Effect: EffectUnknown, Status: a.status, cause: errors.Wrap(err, "decode answer")}
+// decodeResponse decodes the JSON body of a successful response into out.
+func decodeResponse(op string, resp response, out any) error {
+	if err := json.Unmarshal(resp.body, out); err != nil {
+		return &Error{Op: op, Effect: EffectUnknown, Status: resp.status, cause: errors.Wrap(err, "decode response")}
 	}
 	return nil
 }
 
-func readBounded(r io.Reader, limit int64) ([]byte, error) {
+// readLimited reads r to its end and fails if it has more than limit bytes.
+func readLimited(r io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	if int64(len(data)) > limit {
-		return nil, errors.Errorf("answer exceeds %d bytes", limit)
+		return nil, errors.Errorf("response exceeds %d bytes", limit)
 	}
 	return data, nil
 }
 
-// closeBody reads a little of what is left, so that the connection can be
-// used again, and closes the body.
-func closeBody(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, maxDrain)
+// drainAndClose discards up to maxDrainBytes of the unread body, so that the connection
+// can be reused, and closes the body.
+func drainAndClose(body io.ReadCloser) {
+	_, _ = io.CopyN(io.Discard, body, maxDrainBytes)
 	_ = body.Close()
 }
--- a/infra/errors.go
+++ b/infra/errors.go
@@ -9,19 +9,20 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTrimmed is returned by LogClient.Read when the wanted offset is older than the oldest
-// record that the log keeps; the reply's First and Next are set.
+// ErrTrimmed is returned by LogClient.Read if the requested offset is older than the
+// oldest record that the log keeps. The First and Next fields of the reply are set.
 var ErrTrimmed = errors.New("platform: the log no longer keeps this offset")
 
-// Effect says whether a failed call changed anything on the platform.
+// Effect is what is known about the effect of a failed call on the service.
 type Effect int
 
-// The effects. EffectUnknown is the zero value, so that an error nobody
-// classified is never taken for "nothing happened".
+// The values of Effect. EffectUnknown is the zero value, so that an Error without a
+// set Effect is not treated as a call without effect.
 const (
-	// EffectUnknown: the call may have taken effect; read to find out.
+	// EffectUnknown: the call may have taken effect. The caller has to read the
+	// service's state to find out.
 	EffectUnknown Effect = iota
-	// EffectNone: the call definitely did nothing; it may be made again.
+	// EffectNone: the call had no effect and can be repeated.
 	EffectNone
 )
 
@@ -33,13 +34,13 @@
 	return "effect unknown"
 }
 
-// Error is the error type of all clients, but for ErrTrimmed.
+// Error is the type of all errors of the clients except ErrTrimmed.
 type Error struct {
-	// Op names the call: "append", "read", "list", "weights".
+	// Op is the called operation: "append", "read", "list" or "weights".
 	Op string
-	// Effect says whether the call may have changed anything.
+	// Effect is whether the call may have taken effect.
 	Effect Effect
-	// Status is the HTTP status of the answer; 0 when there was none.
+	// Status is the HTTP status of the response, or 0 if there was none.
 	Status int
 
 	cause error
@@ -56,15 +57,15 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// NotApplied reports whether err says that the call definitely had no effect.
-// It is false for every error of another kind.
+// NotApplied reports whether err is an *Error of a call that had no effect. It is
+// false for all other errors and for nil.
 func NotApplied(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Effect == EffectNone
 }
 
-// transportEffect classifies an error that came instead of an answer. Only a
-// connection that was never made proves that no byte of the request left.
+// transportEffect returns the effect of a call that failed without a response. Only a
+// failure to connect proves that no byte of the request was sent.
 func transportEffect(err error) Effect {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return EffectNone
@@ -76,12 +77,12 @@
 	return EffectUnknown
 }
 
-// statusEffect classifies an answer that is not a success. The log's contract
-// is that a 4xx or a 503 answer is a refusal; any other 5xx may come from a
-// service that failed after the write.
+// statusEffect returns the effect of a call that received an error status. The log
+// service guarantees that a call with a 4xx or 503 response had no effect. A service
+// may send any other 5xx status after a write.
 func statusEffect(status int) Effect {
-	refused := status >= http.StatusBadRequest && status < http.StatusInternalServerError
-	if refused || status == http.StatusServiceUnavailable {
+	clientError := status >= http.StatusBadRequest && status < http.StatusInternalServerError
+	if clientError || status == http.StatusServiceUnavailable {
 		return EffectNone
 	}
 	return EffectUnknown
--- a/infra/infra_test.go
+++ b/infra/infra_test.go
@@ -19,9 +19,10 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// Symptom: a record stands twice on the log, or a definite refusal is treated as a mystery.
-// Sequence: an append is refused, cut off, answered with rubbish, or its reply is lost after it took effect.
-// Cause: the client has to tell "did nothing" from "may have", and must never send again by itself.
+// Symptom: a record is in the log twice, or a rejected append is treated as one that
+// may have taken effect.
+// Sequence: an append is rejected, or its response is lost, cut off or not valid JSON.
+// Cause: the client reports the wrong effect, or repeats the request on its own.
 func TestAppendEffect(t *testing.T) {
 	hijack := func(w http.ResponseWriter) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -72,7 +73,7 @@
 	ln.Close()
 	_, err = NewLog("http://"+addr, nil).Append(t.Context(), "s", []byte("x"))
 	if !NotApplied(err) {
-		t.Errorf("a refused connection did nothing, got %v", err)
+		t.Errorf("NotApplied is false after a refused connection: %v", err)
 	}
 }
 
@@ -94,7 +95,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if got := r.URL.String(); got != "/streams/a%2Fb/records?from=4&max=10&wait_ms=250" {
-					t.Errorf("asked %s", got)
+					t.Errorf("requested %s", got)
 				}
 				w.WriteHeader(tt.status)
 				json.NewEncoder(w).Encode(tt.reply)
--- a/infra/instances.go
+++ b/infra/instances.go
@@ -7,28 +7,28 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// InstancesClient reads the platform's list of live and leaving instances,
-// which lags: an entry is a hint, never a proof of life or death.
-type InstancesClient struct{ c client }
+// InstancesClient reads the platform's list of live and leaving instances. The list
+// is updated with a delay, so it never proves that an instance is alive or dead.
+type InstancesClient struct{ client client }
 
-// NewInstances returns a client of the list at baseURL; a nil client means
-// http.DefaultClient.
+// NewInstances returns a client for the instance list at baseURL. If hc is nil, it
+// uses http.DefaultClient.
 func NewInstances(baseURL string, hc *http.Client) *InstancesClient {
-	return &InstancesClient{c: newClient(baseURL, hc)}
+	return &InstancesClient{client: newClient(baseURL, hc)}
 }
 
-// List returns the list as the platform knows it.
+// List returns the platform's instance list.
 func (i *InstancesClient) List(ctx context.Context) ([]infraapi.Instance, error) {
 	const op = "list"
-	a, err := i.c.do(ctx, op, http.MethodGet, infraapi.PathInstances, nil)
+	resp, err := i.client.do(ctx, op, http.MethodGet, infraapi.PathInstances, nil)
 	if err != nil {
 		return nil, err
 	}
-	if a.status >= http.StatusMultipleChoices {
-		return nil, refused(op, a)
+	if resp.status >= http.StatusMultipleChoices {
+		return nil, refusalError(op, resp)
 	}
 	var reply infraapi.InstancesReply
-	if err := decode(op, a, &reply); err != nil {
+	if err := decodeResponse(op, resp, &reply); err != nil {
 		return nil, err
 	}
 	return reply.Instances, nil
--- a/infra/log.go
+++ b/infra/log.go
@@ -13,41 +13,42 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// Log is the append-only log. Implementations are safe for concurrent use.
+// Log is the platform's append-only log. Implementations must be safe for concurrent
+// use.
 type Log interface {
-	// Append adds records at consecutive offsets and returns the first. An error
-	// for which NotApplied is false leaves it open whether the records were added.
+	// Append adds records at consecutive offsets and returns the first offset. After
+	// an error for which NotApplied is false, the records may have been added.
 	Append(ctx context.Context, stream string, records ...[]byte) (offset uint64, err error)
-	// Read returns up to maxRecords records from an offset on. When there are none it waits
-	// for one, up to wait, and may then return no record. ErrTrimmed comes with
-	// the reply's First set.
+	// Read returns up to maxRecords records, starting at offset from. If there are
+	// none, it waits up to wait for a record and may then return an empty reply. If
+	// the error is ErrTrimmed, the reply's First and Next are set.
 	Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (infraapi.ReadReply, error)
 }
 
-// LogClient is the Log over HTTP.
-type LogClient struct{ c client }
+// LogClient implements Log over HTTP.
+type LogClient struct{ client client }
 
 var _ Log = (*LogClient)(nil)
 
-// NewLog returns a client of the log at baseURL. The HTTP client's timeout must
-// be longer than any wait given to Read; nil means http.DefaultClient.
+// NewLog returns a client for the log at baseURL. The timeout of hc must be longer
+// than any wait passed to Read. If hc is nil, it uses http.DefaultClient.
 func NewLog(baseURL string, hc *http.Client) *LogClient {
-	return &LogClient{c: newClient(baseURL, hc)}
+	return &LogClient{client: newClient(baseURL, hc)}
 }
 
 // Append implements Log.
 func (l *LogClient) Append(ctx context.Context, stream string, records ...[]byte) (uint64, error) {
 	const op = "append"
 	path := streamPath(infraapi.PathAppend, stream)
-	a, err := l.c.do(ctx, op, http.MethodPost, path, infraapi.AppendRequest{Records: records})
+	resp, err := l.client.do(ctx, op, http.MethodPost, path, infraapi.AppendRequest{Records: records})
 	if err != nil {
 		return 0, err
 	}
-	if a.status >= http.StatusMultipleChoices {
-		return 0, refused(op, a)
+	if resp.status >= http.StatusMultipleChoices {
+		return 0, refusalError(op, resp)
 	}
 	var reply infraapi.AppendReply
-	if err := decode(op, a, &reply); err != nil {
+	if err := decodeResponse(op, resp, &reply); err != nil {
 		return 0, err
 	}
 	return reply.Offset, nil
@@ -57,27 +58,27 @@
 func (l *LogClient) Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (infraapi.ReadReply, error) {
 	const op = "read"
 	var reply infraapi.ReadReply
-	a, err := l.c.do(ctx, op, http.MethodGet, readPath(stream, from, maxRecords, wait), nil)
+	resp, err := l.client.do(ctx, op, http.MethodGet, readPath(stream, from, maxRecords, wait), nil)
 	if err != nil {
 		return reply, err
 	}
-	trimmed := a.status == http.StatusGone
-	if a.status >= http.StatusMultipleChoices && !trimmed {
-		return reply, refused(op, a)
+	trimmed := resp.status == http.StatusGone
+	if resp.status >= http.StatusMultipleChoices && !trimmed {
+		return reply, refusalError(op, resp)
 	}
-	if err := decode(op, a, &reply); err != nil {
+	if err := decodeResponse(op, resp, &reply); err != nil {
 		return reply, err
 	}
 	if trimmed {
 		return reply, errors.WithStack(ErrTrimmed)
 	}
-	return reply, checkOrder(reply, from)
+	return reply, checkOffsets(reply, from)
 }
 
-// checkOrder refuses an answer whose records do not start at the wanted offset
-// or skip one. Every reader of the log decides by order; a gap that goes
-// unnoticed could make a later record win.
-func checkOrder(reply infraapi.ReadReply, from uint64) error {
+// checkOffsets returns an error if the records of a reply do not have consecutive
+// offsets that start at from. Readers of the log resolve conflicts between records by
+// their order; after an undetected gap a later record could win over a missing one.
+func checkOffsets(reply infraapi.ReadReply, from uint64) error {
 	for i, r := range reply.Records {
 		if want := from + uint64(i); r.Offset != want {
 			return &Error{Op: "read", cause: errors.Errorf("record at offset %d where %d was expected", r.Offset, want)}
@@ -86,6 +87,7 @@
 	return nil
 }
 
+// streamPath returns pattern with the escaped stream name in place of :stream.
 func streamPath(pattern, stream string) string {
 	return strings.Replace(pattern, ":stream", url.PathEscape(stream), 1)
 }
--- a/infra/weights.go
+++ b/infra/weights.go
@@ -9,27 +9,28 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// WeightsClient asks the weight store, which is rate-limited and may be slow.
-type WeightsClient struct{ c client }
+// WeightsClient sends requests to the weight store, which limits the request rate and
+// may be slow.
+type WeightsClient struct{ client client }
 
-// NewWeights returns a client of the store at baseURL; a nil client means
+// NewWeights returns a client for the weight store at baseURL. If hc is nil, it uses
 // http.DefaultClient.
 func NewWeights(baseURL string, hc *http.Client) *WeightsClient {
-	return &WeightsClient{c: newClient(baseURL, hc)}
+	return &WeightsClient{client: newClient(baseURL, hc)}
 }
 
-// Exists reports whether the store holds a model's version. It fetches no weights.
+// Exists reports whether the store has a version of a model. It downloads no weights.
 func (w *WeightsClient) Exists(ctx context.Context, model, version string) (bool, error) {
 	const op = "weights"
-	a, err := w.c.do(ctx, op, http.MethodHead, weightsPath(model, version), nil)
+	resp, err := w.client.do(ctx, op, http.MethodHead, weightsPath(model, version), nil)
 	if err != nil {
 		return false, err
 	}
-	if a.status == http.StatusNotFound {
+	if resp.status == http.StatusNotFound {
 		return false, nil
 	}
-	if a.status >= http.StatusMultipleChoices {
-		return false, refused(op, a)
+	if resp.status >= http.StatusMultipleChoices {
+		return false, refusalError(op, resp)
 	}
 	return true, nil
 }
