--- a/infra/infraapi/infraapi.go
+++ b/infra/infraapi/infraapi.go
@@ -1,21 +1,22 @@
-// Package infraapi holds the messages of the platform's published HTTP and
-// JSON interfaces: the append-only log, the instance list and the weight store.
+// Package infraapi defines the paths and JSON messages of the platform's HTTP APIs:
+// the append-only log, the instance list and the weight store.
 package infraapi
 
-// The paths of the interfaces.
+// The paths of the APIs.
 const (
 	PathAppend    = "/streams/:stream/records" // POST AppendRequest -> AppendReply
-	PathRead      = "/streams/:stream/records" // GET ?from=&max=&wait_ms= -> ReadReply; 410 with ReadReply when from < First
+	PathRead      = "/streams/:stream/records" // GET ?from=&max=&wait_ms= -> ReadReply; status 410 with ReadReply if from < First
 	PathInstances = "/instances"               // GET -> InstancesReply
-	PathWeights   = "/weights/:model/:version" // GET -> bytes, rate-limited; HEAD -> 200 when held, 404 when not
+	PathWeights   = "/weights/:model/:version" // GET -> bytes, rate-limited; HEAD -> 200 if the store has the version, else 404
 )
 
-// AppendRequest adds records to a stream, all at consecutive offsets or none.
+// AppendRequest appends records to a stream: either all, at consecutive offsets, or
+// none.
 type AppendRequest struct {
-	Records [][]byte `json:"records"` // base64 in JSON
+	Records [][]byte `json:"records"` // base64-encoded in JSON
 }
 
-// AppendReply gives the offset of the first record added.
+// AppendReply contains the offset of the first appended record.
 type AppendReply struct {
 	Offset uint64 `json:"offset"`
 }
@@ -24,37 +25,39 @@
 type Record struct {
 	Offset uint64 `json:"offset"`
 	Data   []byte `json:"data"`
-	// TimeMS is when the log took the record, in milliseconds since the epoch.
+	// TimeMS is when the log accepted the record, in milliseconds since the Unix
+	// epoch.
 	TimeMS int64 `json:"time_ms"`
 }
 
-// ReadReply holds records from an offset on. First is the oldest offset still
-// kept and Next the offset the next append will get.
+// ReadReply holds the records from the requested offset on. First is the offset of the
+// oldest record that the log still keeps, and Next that of the next appended record.
 type ReadReply struct {
 	Records []Record `json:"records"`
 	First   uint64   `json:"first"`
 	Next    uint64   `json:"next"`
 }
 
-// InstanceKind says what runs on an instance.
+// InstanceKind is the kind of process that runs on an instance.
 type InstanceKind string
 
-// The kinds of instance: one that runs a daemon, and an engine or plain service.
+// The kinds of instances: KindEntry runs a daemon, KindUpstream an engine or a plain
+// service.
 const (
 	KindEntry    InstanceKind = "entry"
 	KindUpstream InstanceKind = "upstream"
 )
 
-// InstanceState says whether the platform is about to take an instance away.
+// InstanceState is whether the platform is about to remove an instance.
 type InstanceState string
 
-// The states of an instance.
+// The states of an instance. A leaving instance is about to be removed.
 const (
 	StateLive    InstanceState = "live"
 	StateLeaving InstanceState = "leaving"
 )
 
-// Instance is one entry of the platform's list, which lags.
+// Instance is one entry of the platform's instance list, which is updated with a delay.
 type Instance struct {
 	Name       string        `json:"name"`
 	Kind       InstanceKind  `json:"kind"`
@@ -63,7 +66,7 @@
 	State      InstanceState `json:"state"`
 }
 
-// InstancesReply is the list as the platform knows it.
+// InstancesReply contains the platform's instance list.
 type InstancesReply struct {
 	Instances []Instance `json:"instances"`
 }
