--- a/internal/wire/board.go
+++ b/internal/wire/board.go
@@ -7,25 +7,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Board tells peers the load of the upstreams the sender is steward of. On the
-// wire it is a msgpack array of alternating bundle numbers and packed rows.
+// Board reports the load of the upstreams that the sender is the steward of, that is,
+// whose load it polls on behalf of all daemons. On the wire it is a msgpack array that
+// alternates between a bundle number and the packed rows of that bundle.
 type Board struct {
 	Rows []BoardRow
 }
 
-// BoardRow is the load of one upstream. Index is the upstream's position in
-// the sorted list of upstream names of bundle BundleNumber; a receiver with
-// another number drops the row. The comments give what packing keeps of a field.
+// BoardRow is the load of one upstream. Index is the upstream's position in the
+// sorted list of upstream names of configuration bundle BundleNumber; a receiver that
+// runs another bundle drops the row.
 type BoardRow struct {
-	BundleNumber uint64 // once for each run of rows
+	BundleNumber uint64 // encoded once for consecutive rows of the same bundle
 	Index        uint16 // at most MaxBoardIndex
-	Active       uint8
-	Queued       uint8
-	StepMS       uint8
-	LinkBusyMS   uint16 // rounded up to linkUnit, at most 255 units
+	Active       uint8  // requests in progress
+	Queued       uint8  // requests in its queue
+	StepMS       uint8  // duration of an engine step, in milliseconds
+	LinkBusyMS   uint16 // time for which the link is booked ahead; packed in units of linkBusyUnitMS
 	QueuedKTok   uint8  // queued prompt tokens, in units of 256
-	AgeMS        uint16 // rounded up to ageUnit, at most 255 units
-	Leaving      bool   // top bit of the packed index
+	AgeMS        uint16 // age of the measurement; packed in units of ageUnitMS
+	Leaving      bool   // the upstream is leaving; top bit of the packed index
 }
 
 const (
@@ -34,19 +35,24 @@
 	// MaxBoardIndex is the largest upstream index that a row can carry.
 	MaxBoardIndex = 1<<15 - 1
 
+	// leavingBit is the bit of the packed index that holds BoardRow.Leaving.
 	leavingBit = 1 << 15
-	linkUnit   = 16 // milliseconds; a link booked 4.08 s ahead is as bad as one booked longer
-	ageUnit    = 16 // milliseconds; rows older than 4.08 s are useless alike
+	// linkBusyUnitMS and ageUnitMS are the units of the packed LinkBusyMS and AgeMS, in
+	// milliseconds. One byte holds up to 255 units, which is 4.08 s. Larger values need
+	// not be distinguished: a link booked further ahead is no worse a choice, and older
+	// rows are equally useless.
+	linkBusyUnitMS = 16
+	ageUnitMS      = 16
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
 func (b *Board) EncodeMsgpack(enc *msgpack.Encoder) error {
-	if err := enc.EncodeArrayLen(2 * countRuns(b.Rows)); err != nil {
+	if err := enc.EncodeArrayLen(2 * countBundleRuns(b.Rows)); err != nil {
 		return err
 	}
 	var buf []byte
 	for rest := b.Rows; len(rest) > 0; {
-		n := runLen(rest)
+		n := bundleRunLen(rest)
 		if err := enc.EncodeUint(rest[0].BundleNumber); err != nil {
 			return err
 		}
@@ -72,18 +78,19 @@
 		return err
 	}
 	if n%2 != 0 {
-		return errors.Errorf("board has %d parts", n)
+		return errors.Errorf("board array has odd length %d", n)
 	}
 	b.Rows = b.Rows[:0]
 	for range n / 2 {
-		if err := b.decodeRun(dec); err != nil {
+		if err := b.decodeBundleRun(dec); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b *Board) decodeRun(dec *msgpack.Decoder) error {
+// decodeBundleRun decodes one bundle number and its rows, and appends them to b.Rows.
+func (b *Board) decodeBundleRun(dec *msgpack.Decoder) error {
 	number, err := dec.DecodeUint64()
 	if err != nil {
 		return err
@@ -93,24 +100,26 @@
 		return err
 	}
 	if len(packed)%RowBytes != 0 {
-		return errors.Errorf("board rows take %d bytes", len(packed))
+		return errors.Errorf("packed board rows take %d bytes, not a multiple of the row size", len(packed))
 	}
 	for ; len(packed) > 0; packed = packed[RowBytes:] {
-		b.Rows = append(b.Rows, row(number, packed))
+		b.Rows = append(b.Rows, unpackRow(number, packed))
 	}
 	return nil
 }
 
-func countRuns(rows []BoardRow) int {
+// countBundleRuns returns the number of runs of consecutive rows of the same bundle.
+func countBundleRuns(rows []BoardRow) int {
 	n := 0
 	for ; len(rows) > 0; n++ {
-		rows = rows[runLen(rows):]
+		rows = rows[bundleRunLen(rows):]
 	}
 	return n
 }
 
-// runLen returns how many rows from the first on are of the same bundle.
-func runLen(rows []BoardRow) int {
+// bundleRunLen returns the length of the first run: rows with the bundle number of
+// rows[0]. rows must not be empty.
+func bundleRunLen(rows []BoardRow) int {
 	n := 1
 	for n < len(rows) && rows[n].BundleNumber == rows[0].BundleNumber {
 		n++
@@ -118,9 +127,10 @@
 	return n
 }
 
+// appendRow appends the packed form of r, of RowBytes bytes, to dst.
 func appendRow(dst []byte, r *BoardRow) ([]byte, error) {
 	if r.Index > MaxBoardIndex {
-		return dst, errors.Errorf("upstream index %d is over %d", r.Index, MaxBoardIndex)
+		return dst, errors.Errorf("upstream index %d exceeds the limit %d", r.Index, MaxBoardIndex)
 	}
 	index := r.Index
 	if r.Leaving {
@@ -128,10 +138,11 @@
 	}
 	dst = binary.BigEndian.AppendUint16(dst, index)
 	return append(dst, r.Active, r.Queued, r.StepMS,
-		units(r.LinkBusyMS, linkUnit), r.QueuedKTok, units(r.AgeMS, ageUnit)), nil
+		toUnits(r.LinkBusyMS, linkBusyUnitMS), r.QueuedKTok, toUnits(r.AgeMS, ageUnitMS)), nil
 }
 
-func row(number uint64, p []byte) BoardRow {
+// unpackRow decodes the packed row at the start of p.
+func unpackRow(number uint64, p []byte) BoardRow {
 	index := binary.BigEndian.Uint16(p)
 	return BoardRow{
 		BundleNumber: number,
@@ -140,14 +151,15 @@
 		Active:       p[2],
 		Queued:       p[3],
 		StepMS:       p[4],
-		LinkBusyMS:   uint16(p[5]) * linkUnit,
+		LinkBusyMS:   uint16(p[5]) * linkBusyUnitMS,
 		QueuedKTok:   p[6],
-		AgeMS:        uint16(p[7]) * ageUnit,
+		AgeMS:        uint16(p[7]) * ageUnitMS,
 	}
 }
 
-// units returns v in units, rounded up and saturated, so that a receiver never
-// believes a load younger or a link freer than it is.
-func units(v, unit uint16) uint8 {
+// toUnits converts v to units, rounded up and limited to 255. Rounding up ensures
+// that a receiver does not take a measurement for younger, or a link for less busy,
+// than it is.
+func toUnits(v, unit uint16) uint8 {
 	return uint8(min((int(v)+int(unit)-1)/int(unit), 255))
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -14,24 +14,26 @@
 	"github.com/corianderturn/corianderturn/internal/safepack"
 )
 
-// The faults of a frame that end the connection. Use errors.Is.
+// The reasons of a Fault, to be matched with errors.Is. A fault in a frame ends the
+// connection.
 var (
-	// ErrTooLarge says a frame is over the bound; its body was not read.
+	// ErrTooLarge means that a frame exceeds the size limit. Its body was not read.
 	ErrTooLarge = errors.New("frame is too large")
-	// ErrGarbled says bytes are not the msgpack that they should be.
+	// ErrGarbled means that the bytes are not a valid msgpack encoding of the expected
+	// type.
 	ErrGarbled = errors.New("frame is garbled")
-	// ErrVersion says an envelope is of a version that this build does not speak.
+	// ErrVersion means that the envelope has a protocol version other than Version.
 	ErrVersion = errors.New("protocol version is unknown")
 )
 
-// headerBytes is the size of the length before each envelope.
-const headerBytes = 4
+// lengthBytes is the size of the length prefix of a frame.
+const lengthBytes = 4
 
-// readBuffer is large enough for a burst of heartbeats in one read.
-const readBuffer = 4 << 10
+// readBufferBytes is large enough to read a burst of heartbeats at once.
+const readBufferBytes = 4 << 10
 
-// Fault is a frame or message that could not be taken; Reason is one of the
-// package's errors.
+// Fault is the error for an invalid frame or message. Reason is ErrTooLarge,
+// ErrGarbled or ErrVersion.
 type Fault struct {
 	Reason error
 	Detail string
@@ -40,46 +42,46 @@
 // Error implements error.
 func (f *Fault) Error() string { return f.Reason.Error() + ": " + f.Detail }
 
-// Unwrap returns the reason.
+// Unwrap returns Reason.
 func (f *Fault) Unwrap() error { return f.Reason }
 
 // Frame is an encoded frame in a pooled buffer.
 type Frame struct{ buf bytes.Buffer }
 
-var frames = sync.Pool{New: func() any { return new(Frame) }}
+var framePool = sync.Pool{New: func() any { return new(Frame) }}
 
-// maxPooled is the largest buffer that goes back to the pool, so that one large
-// message does not pin its memory for good.
-const maxPooled = 64 << 10
+// maxPooledBytes is the capacity above which a buffer is not kept for reuse, so that
+// one large message does not hold its memory indefinitely.
+const maxPooledBytes = 64 << 10
 
-// Bytes returns the frame with its length; valid until Release.
+// Bytes returns the frame including its length prefix. It is valid until Release.
 func (f *Frame) Bytes() []byte { return f.buf.Bytes() }
 
-// Release gives the buffer back. The frame must not be used afterwards.
+// Release returns the buffer to the pool. The frame must not be used afterwards.
 func (f *Frame) Release() {
-	if f.buf.Cap() <= maxPooled {
-		frames.Put(f)
+	if f.buf.Cap() <= maxPooledBytes {
+		framePool.Put(f)
 	}
 }
 
-// Encode returns the frame of one message, of at most limit bytes without the
-// length. The caller releases it.
+// Encode encodes a message and its envelope as a frame. The envelope is limited to
+// limit bytes. The caller must call Release on the frame.
 func Encode(e Envelope, msg any, limit int) (*Frame, error) {
-	body := frames.Get().(*Frame)
+	body := framePool.Get().(*Frame)
 	defer body.Release()
 	body.buf.Reset()
 	if err := encodeTo(&body.buf, msg); err != nil {
 		return nil, errors.Wrapf(err, "encode message type %d", e.Type)
 	}
 	e.Version, e.Body = Version, body.buf.Bytes()
-	f := frames.Get().(*Frame)
+	f := framePool.Get().(*Frame)
 	f.buf.Reset()
-	f.buf.Write(make([]byte, headerBytes))
+	f.buf.Write(make([]byte, lengthBytes))
 	if err := encodeTo(&f.buf, &e); err != nil {
 		f.Release()
 		return nil, errors.Wrap(err, "encode envelope")
 	}
-	n := f.buf.Len() - headerBytes
+	n := f.buf.Len() - lengthBytes
 	if n > limit {
 		f.Release()
 		return nil, &Fault{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", n, limit)}
@@ -88,6 +90,7 @@
 	return f, nil
 }
 
+// encodeTo writes v as msgpack, with the smallest encoding of each integer.
 func encodeTo(w io.Writer, v any) error {
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
@@ -96,7 +99,7 @@
 	return enc.Encode(v)
 }
 
-// Decode reads the message of an envelope's body.
+// Decode decodes the body of an envelope into msg. Errors are of type *Fault.
 func Decode(body []byte, msg any) error {
 	if err := safepack.Unmarshal(body, msg); err != nil {
 		return &Fault{Reason: ErrGarbled, Detail: err.Error()}
@@ -106,30 +109,30 @@
 
 // Reader reads frames from one connection. It is not safe for concurrent use.
 type Reader struct {
-	r   *bufio.Reader
-	max int
-	buf []byte
-	env Envelope
+	r     *bufio.Reader
+	limit int
+	buf   []byte
+	env   Envelope
 }
 
-// NewReader returns a reader of frames of at most limit bytes.
+// NewReader returns a reader of frames whose envelopes have at most limit bytes.
 func NewReader(r io.Reader, limit int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, readBuffer), max: limit}
+	return &Reader{r: bufio.NewReaderSize(r, readBufferBytes), limit: limit}
 }
 
-// Read returns the next envelope and the bytes it took. The envelope and its
-// body are valid until the next Read. Any error ends the connection: a *Fault
-// for what the peer sent, another error for the connection itself.
+// Read returns the next envelope and the size of its frame in bytes. The envelope and
+// its body are valid until the next Read. The connection cannot be used after an error,
+// which is a *Fault for an invalid frame and another error for a failed connection.
 func (r *Reader) Read() (*Envelope, int, error) {
-	var head [headerBytes]byte
-	if _, err := io.ReadFull(r.r, head[:]); err != nil {
+	var length [lengthBytes]byte
+	if _, err := io.ReadFull(r.r, length[:]); err != nil {
 		return nil, 0, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
-	if uint64(size) > uint64(r.max) {
-		return nil, 0, &Fault{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", size, r.max)}
+	size := binary.BigEndian.Uint32(length[:])
+	if uint64(size) > uint64(r.limit) {
+		return nil, 0, &Fault{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", size, r.limit)}
 	}
-	if err := r.fill(int(size)); err != nil {
+	if err := r.readBody(int(size)); err != nil {
 		return nil, 0, err
 	}
 	r.env = Envelope{Body: r.env.Body[:0]}
@@ -137,31 +140,32 @@
 		return nil, 0, &Fault{Reason: ErrGarbled, Detail: err.Error()}
 	}
 	if r.env.Version != Version {
-		return nil, 0, &Fault{Reason: ErrVersion, Detail: fmt.Sprintf("got %d, speak %d", r.env.Version, Version)}
+		return nil, 0, &Fault{Reason: ErrVersion, Detail: fmt.Sprintf("got version %d, want %d", r.env.Version, Version)}
 	}
-	return &r.env, headerBytes + int(size), nil
+	return &r.env, lengthBytes + int(size), nil
 }
 
-// fill reads size bytes into the buffer. A large frame's buffer grows only as
-// its bytes arrive, so that a peer cannot claim memory by a length alone.
-func (r *Reader) fill(size int) error {
-	if cap(r.buf) > maxPooled && size <= maxPooled {
+// readBody reads size bytes into the buffer. The buffer grows by at most
+// maxPooledBytes ahead of the bytes that arrive, so that a peer cannot make the reader
+// allocate memory by sending a large length alone.
+func (r *Reader) readBody(size int) error {
+	if cap(r.buf) > maxPooledBytes && size <= maxPooledBytes {
 		r.buf, r.env.Body = nil, nil
 	}
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
-		have := len(r.buf)
-		step := min(size-have, maxPooled)
+		filled := len(r.buf)
+		step := min(size-filled, maxPooledBytes)
 		r.buf = append(r.buf, make([]byte, step)...)
-		if _, err := io.ReadFull(r.r, r.buf[have:]); err != nil {
-			return unexpected(err)
+		if _, err := io.ReadFull(r.r, r.buf[filled:]); err != nil {
+			return truncatedErr(err)
 		}
 	}
 	return nil
 }
 
-// unexpected turns an end within a frame into io.ErrUnexpectedEOF.
-func unexpected(err error) error {
+// truncatedErr converts io.EOF, here in the middle of a frame, to io.ErrUnexpectedEOF.
+func truncatedErr(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -11,7 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func frame(t testing.TB, e Envelope, msg any) []byte {
+// encodeFrame returns the bytes of an encoded frame.
+func encodeFrame(t testing.TB, e Envelope, msg any) []byte {
 	t.Helper()
 	f, err := Encode(e, msg, MaxFrame)
 	if err != nil {
@@ -25,8 +26,8 @@
 		BundleNumber: 3, BundleDigest: []byte{1}, Leaving: []string{"u"}, Fresh: Freshness(nil).Append(9, 1<<16+2),
 		Known: []Known{{Node: NodeID{"i-2", 1}, DataCentre: "b", Address: "x"}}}
 	var in bytes.Buffer
-	in.Write(frame(t, Envelope{Type: TypeHeartbeat, ID: 5, Reply: true}, &want))
-	in.Write(frame(t, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 2, Same: true}))
+	in.Write(encodeFrame(t, Envelope{Type: TypeHeartbeat, ID: 5, Reply: true}, &want))
+	in.Write(encodeFrame(t, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 2, Same: true}))
 	r := NewReader(&in, MaxFrame)
 	for _, w := range []Heartbeat{want, {Seq: 2, Same: true}} {
 		env, _, err := r.Read()
@@ -42,30 +43,30 @@
 		}
 	}
 	if _, _, err := r.Read(); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("read at the end: got %v, want io.EOF", err)
 	}
 }
 
-// Symptom: a daemon takes a frame for what it is not, or spends memory on it.
-// Sequence: a peer of another release, or a broken one, sends the bytes below.
-// Cause: lengths, versions or values taken on trust.
+// Guards against lengths, versions or values of a frame that are used without
+// validation. A faulty peer or one of another release sends the bytes below, which must
+// be neither misinterpreted nor cause large allocations.
 func TestReaderRefusesBadFrames(t *testing.T) {
-	good := frame(t, Envelope{Type: TypeHello}, &Hello{})
-	head := func(n uint32, b ...byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), b...) }
-	old, _ := msgpack.Marshal(&Envelope{Version: Version + 1})
+	good := encodeFrame(t, Envelope{Type: TypeHello}, &Hello{})
+	withLength := func(n uint32, b ...byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), b...) }
+	otherVersion, _ := msgpack.Marshal(&Envelope{Version: Version + 1})
 	for name, c := range map[string]struct {
 		in   []byte
 		want error
 	}{
-		"over the bound":   {head(101), ErrTooLarge},
-		"largest length":   {head(1<<32 - 1), ErrTooLarge},
-		"garbled":          {head(3, 0xc1, 0xc1, 0xc1), ErrGarbled},
-		"empty":            {head(0), ErrGarbled},
-		"trailing bytes":   {append(head(uint32(len(good)-3), good[4:]...), 0xc0), ErrGarbled},
-		"other version":    {head(uint32(len(old)), old...), ErrVersion},
+		"over the bound":   {withLength(101), ErrTooLarge},
+		"largest length":   {withLength(1<<32 - 1), ErrTooLarge},
+		"garbled":          {withLength(3, 0xc1, 0xc1, 0xc1), ErrGarbled},
+		"empty":            {withLength(0), ErrGarbled},
+		"trailing bytes":   {append(withLength(uint32(len(good)-3), good[4:]...), 0xc0), ErrGarbled},
+		"other version":    {withLength(uint32(len(otherVersion)), otherVersion...), ErrVersion},
 		"cut in the body":  {good[:len(good)-1], io.ErrUnexpectedEOF},
 		"cut in the head":  {good[:2], io.ErrUnexpectedEOF},
-		"huge inner array": {head(7, 0x81, 0xa1, 'b', 0xc6, 0x7f, 0xff, 0xff), ErrGarbled},
+		"huge inner array": {withLength(7, 0x81, 0xa1, 'b', 0xc6, 0x7f, 0xff, 0xff), ErrGarbled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, _, err := NewReader(bytes.NewReader(c.in), 100).Read(); !errors.Is(err, c.want) {
@@ -77,7 +78,7 @@
 
 func TestEncodeBoundsTheFrame(t *testing.T) {
 	if _, err := Encode(Envelope{Type: TypeForward}, &Forward{Body: make([]byte, 100)}, 100); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrTooLarge", err)
 	}
 }
 
@@ -90,7 +91,7 @@
 	want := Board{Rows: []BoardRow{in.Rows[0], in.Rows[1], in.Rows[2]}}
 	want.Rows[0].LinkBusyMS, want.Rows[0].AgeMS = 48, 16
 	want.Rows[1].LinkBusyMS, want.Rows[1].AgeMS = 4080, 4080
-	env, _, err := NewReader(bytes.NewReader(frame(t, Envelope{Type: TypeBoard}, &in)), MaxFrame).Read()
+	env, _, err := NewReader(bytes.NewReader(encodeFrame(t, Envelope{Type: TypeBoard}, &in)), MaxFrame).Read()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,14 +103,14 @@
 		t.Error(d)
 	}
 	if _, err := Encode(Envelope{}, &Board{Rows: []BoardRow{{Index: MaxBoardIndex + 1}}}, MaxFrame); err == nil {
-		t.Error("an index that would read as leaving was packed")
+		t.Error("an index that overlaps the leaving bit was packed")
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(frame(f, Envelope{Type: TypeHello, ID: 1}, &Hello{Node: NodeID{"i", 1}}))
-	f.Add(frame(f, Envelope{Type: TypeBoard}, &Board{Rows: []BoardRow{{Index: 3}, {BundleNumber: 2}}}))
-	f.Add(frame(f, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 9, Fresh: Freshness{1, 2, 3, 4, 5, 6}}))
+	f.Add(encodeFrame(f, Envelope{Type: TypeHello, ID: 1}, &Hello{Node: NodeID{"i", 1}}))
+	f.Add(encodeFrame(f, Envelope{Type: TypeBoard}, &Board{Rows: []BoardRow{{Index: 3}, {BundleNumber: 2}}}))
+	f.Add(encodeFrame(f, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 9, Fresh: Freshness{1, 2, 3, 4, 5, 6}}))
 	f.Add([]byte{0, 0, 0, 1, 0xc1})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in), 1<<16)
@@ -130,8 +131,9 @@
 	})
 }
 
-// arrayRow is the row as a msgpack array, to weigh against packing.
-type arrayRow struct {
+// unpackedRow is a BoardRow as a msgpack array, to compare its size and speed with
+// those of the packed form.
+type unpackedRow struct {
 	_msgpack                     struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Index                        uint16
 	Active, Queued, StepMS, KTok uint8
@@ -139,6 +141,7 @@
 	Leaving                      bool
 }
 
+// benchRows returns a board of n rows with typical values.
 func benchRows(n int) *Board {
 	b := &Board{Rows: make([]BoardRow, n)}
 	for i := range b.Rows {
@@ -148,7 +151,9 @@
 	return b
 }
 
-func benchRound(b *testing.B, msg, into any, rows int) {
+// benchRoundTrip measures encoding msg and decoding it into reply. It reports the size
+// of the frame, and for a board that of a row.
+func benchRoundTrip(b *testing.B, msg, reply any, rows int) {
 	b.ReportAllocs()
 	var size int
 	src := bytes.NewReader(nil)
@@ -164,7 +169,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := Decode(env.Body, into); err != nil {
+		if err := Decode(env.Body, reply); err != nil {
 			b.Fatal(err)
 		}
 		f.Release()
@@ -178,15 +183,15 @@
 func BenchmarkRoundTrip(b *testing.B) {
 	full := &Heartbeat{Node: NodeID{"entry-0123456789", 1_790_000_000_000}, DataCentre: "dc-3", Address: "10.12.34.56:7400",
 		Seq: 300_000, BundleNumber: 41_000, BundleDigest: make([]byte, 32)}
-	b.Run("heartbeat-full", func(b *testing.B) { benchRound(b, full, &Heartbeat{}, 0) })
-	b.Run("heartbeat-short", func(b *testing.B) { benchRound(b, &Heartbeat{Seq: 300_000, Same: true}, &Heartbeat{}, 0) })
+	b.Run("heartbeat-full", func(b *testing.B) { benchRoundTrip(b, full, &Heartbeat{}, 0) })
+	b.Run("heartbeat-short", func(b *testing.B) { benchRoundTrip(b, &Heartbeat{Seq: 300_000, Same: true}, &Heartbeat{}, 0) })
 	for name, n := range map[string]int{"32": 32, "1500": 1500} {
 		board := benchRows(n)
-		b.Run("board-packed-"+name, func(b *testing.B) { benchRound(b, board, &Board{}, n) })
-		arrays := make([]arrayRow, n)
+		b.Run("board-packed-"+name, func(b *testing.B) { benchRoundTrip(b, board, &Board{}, n) })
+		arrays := make([]unpackedRow, n)
 		for i, r := range board.Rows {
-			arrays[i] = arrayRow{Index: r.Index, Active: r.Active, Queued: r.Queued, StepMS: r.StepMS, KTok: r.QueuedKTok, LinkBusyMS: r.LinkBusyMS, AgeMS: r.AgeMS}
+			arrays[i] = unpackedRow{Index: r.Index, Active: r.Active, Queued: r.Queued, StepMS: r.StepMS, KTok: r.QueuedKTok, LinkBusyMS: r.LinkBusyMS, AgeMS: r.AgeMS}
 		}
-		b.Run("board-arrays-"+name, func(b *testing.B) { benchRound(b, arrays, &[]arrayRow{}, n) })
+		b.Run("board-arrays-"+name, func(b *testing.B) { benchRoundTrip(b, arrays, &[]unpackedRow{}, n) })
 	}
 }
--- a/internal/wire/fresh.go
+++ b/internal/wire/fresh.go
@@ -7,18 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Freshness is a packed list of how far some daemons' heartbeats have come:
-// for each a ShortID and the low 16 bits of the sequence number.
+// Freshness is a packed list of the latest heartbeat sequence numbers of other daemons.
+// An entry is a ShortID and the low 16 bits of the sequence number.
 type Freshness []byte
 
 // FreshBytes is the size of one entry of Freshness.
 const FreshBytes = 6
 
-// ShortID is a 32-bit hash of a NodeID, for relays. Two of 370 daemons share
-// one with a probability of about 1.6e-5; package members says what follows.
+// ShortID is a 32-bit hash of a NodeID, used in Freshness. Among 370 daemons, the
+// probability that any two have the same ShortID is about 1.6e-5. In that case one of
+// the two appears dead in data centres where its heartbeats arrive only as relayed
+// entries; see package members.
 type ShortID uint32
 
-// Short returns the hash of n.
+// Short returns the ShortID of n.
 func (n NodeID) Short() ShortID {
 	var buf [64]byte
 	b := append(buf[:0], n.Instance...)
@@ -26,13 +28,13 @@
 	return ShortID(xxhash.Sum64(b))
 }
 
-// Append adds one daemon's progress to f.
+// Append adds an entry for one daemon to f.
 func (f Freshness) Append(id ShortID, seq uint64) Freshness {
 	f = binary.BigEndian.AppendUint32(f, uint32(id))
 	return binary.BigEndian.AppendUint16(f, uint16(seq))
 }
 
-// All yields the entries; a truncated last one is left out.
+// All returns an iterator over the entries. A truncated last entry is skipped.
 func (f Freshness) All() iter.Seq2[ShortID, uint16] {
 	return func(yield func(ShortID, uint16) bool) {
 		for ; len(f) >= FreshBytes; f = f[FreshBytes:] {
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -1,65 +1,68 @@
-// Package wire holds the framing and the messages that daemons exchange over
-// TCP. A frame is a 4-byte big-endian length, then a msgpack Envelope. A frame
-// over the limit, a garbled one or one of an unknown version ends the
-// connection; an unknown message type is answered with an error and the
-// connection goes on, so that daemons of two releases can run side by side.
+// Package wire defines the framing and the messages that daemons exchange over TCP.
+// A frame is a 4-byte big-endian length followed by a msgpack Envelope. A frame that
+// exceeds the size limit, is malformed or has another protocol version ends the
+// connection. An unknown message type is answered with an error and the connection
+// stays open, so that daemons of two releases can run side by side.
 package wire
 
 // Version is the protocol version of this build.
 const Version = 1
 
-// MaxFrame is the default bound of a frame, in bytes.
+// MaxFrame is the default limit of an envelope, in bytes.
 const MaxFrame = 4 << 20
 
-// Type says which message an envelope holds.
+// Type identifies the message in an envelope.
 type Type uint8
 
-// The message types.
+// The message types. "A -> B" is a call with message A and reply B.
 const (
-	TypeHello     Type = 1 // Hello, first frame in each direction
+	TypeHello     Type = 1 // Hello, the first frame in each direction
 	TypeHeartbeat Type = 2 // Heartbeat, one-way
 	TypeBoard     Type = 3 // Board, one-way
 	TypeBundleGet Type = 4 // BundleGet -> BundleRecords
 	TypeForward   Type = 5 // Forward -> ForwardReply
 	TypeClaim     Type = 6 // ClaimGet -> ClaimState
-	TypeError     Type = 7 // reply when a call failed
+	TypeError     Type = 7 // Failure, the reply to a call that failed
 
 	TypeClaimAppend Type = 8 // ClaimAppend -> ClaimAppended
-	TypeCancelCall  Type = 9 // CancelCall, with the ID of the call; no reply
+	TypeCancelCall  Type = 9 // CancelCall, with the ID of the call to cancel; no reply
 
-	TypeFeedRead Type = 10 // relay's calls and their replies, on connections of their own
+	// The calls of package relay, on separate connections.
+	TypeFeedRead Type = 10
 	TypeReaders  Type = 11
 	TypePermit   Type = 12
 	TypeLoan     Type = 13
 )
 
-// Envelope carries one message. ID is 0 for one-way messages; a reply repeats
-// the ID of its call with Reply set.
+// Envelope carries one message. ID identifies a call and is 0 for one-way messages. A
+// reply has the ID of its call and Reply set.
 type Envelope struct {
 	Version uint8  `msgpack:"v"`
 	Type    Type   `msgpack:"t"`
 	ID      uint64 `msgpack:"i,omitempty"`
 	Reply   bool   `msgpack:"r,omitempty"`
-	Body    []byte `msgpack:"b"` // msgpack of the message
+	Body    []byte `msgpack:"b"` // the msgpack encoding of the message
 }
 
-// NodeID names one life of one daemon.
+// NodeID identifies one incarnation of a daemon: an instance name and a number that
+// increases with each restart of the process.
 type NodeID struct {
 	Instance    string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"c"`
 }
 
-// Hello opens a connection.
+// Hello is the handshake message that identifies each side of a connection.
 type Hello struct {
 	Node       NodeID `msgpack:"n"`
 	DataCentre string `msgpack:"d"`
-	Address    string `msgpack:"a"` // the peer listener, host:port
+	Address    string `msgpack:"a"` // address of the sender's listener for peers, host:port
 }
 
-// IsZero reports whether n names no daemon.
+// IsZero reports whether n is the zero NodeID, which identifies no daemon.
 func (n NodeID) IsZero() bool { return n == NodeID{} }
 
-// Heartbeat tells peers that a daemon lives and what it knows.
+// Heartbeat shows a peer that the sender is alive. It also carries the sender's state
+// and its gossip about other daemons and upstreams.
 type Heartbeat struct {
 	Node         NodeID `msgpack:"n,omitempty"`
 	DataCentre   string `msgpack:"d,omitempty"`
@@ -67,115 +70,126 @@
 	Seq          uint64 `msgpack:"s"`
 	BundleNumber uint64 `msgpack:"bn,omitempty"`
 	BundleDigest []byte `msgpack:"bd,omitempty"`
-	// Same says that the identity, the bundle, Draining and Leaving are left out
-	// and are as in the sender's last full heartbeat on this connection. Package
-	// peer fills them in before anybody else sees the heartbeat.
+	// Same marks a short heartbeat: BundleNumber, BundleDigest, Draining and Leaving are
+	// left out because they are unchanged since the sender's last full heartbeat on this
+	// connection. Node, DataCentre and Address are left out too, as the Hello contains
+	// them. Package peer fills in all of these before it passes the heartbeat on.
 	Same bool `msgpack:"=,omitempty"`
-	// Ask wants an Echo of Seq, in a full heartbeat and at once.
+	// Ask requests an immediate full heartbeat whose Echo is this Seq. A daemon sets it
+	// after its process was paused, to find out which peers are alive now.
 	Ask bool `msgpack:"q,omitempty"`
-	// Echo is the Seq of the receiver's heartbeat that asked; 0 when none did.
+	// Echo is the Seq of the receiver's heartbeat that this one answers; 0 if none
+	// asked.
 	Echo uint64 `msgpack:"e,omitempty"`
-	// Fresh relays the freshness of daemons in other data centres.
+	// Fresh relays the heartbeat sequence numbers of daemons in other data centres.
 	Fresh Freshness `msgpack:"f,omitempty"`
-	// Draining says the daemon takes no new requests.
+	// Draining is set when the sender takes no new requests.
 	Draining bool `msgpack:"dr,omitempty"`
-	// Leaving names upstreams that this daemon heard are leaving, from any source.
+	// Leaving lists the upstreams of which the sender has learned, from any source, that
+	// they are leaving.
 	Leaving []string `msgpack:"l,omitempty"`
-	// Known lists other daemons, so that a fresh one finds everybody from one peer.
+	// Known lists other daemons, so that a new daemon discovers all of them from one
+	// peer.
 	Known []Known `msgpack:"k,omitempty"`
 }
 
-// Known is a daemon that the sender has heard from lately.
+// Known is a daemon that the sender does not consider dead.
 type Known struct {
 	Node       NodeID `msgpack:"n"`
 	DataCentre string `msgpack:"d"`
 	Address    string `msgpack:"a"`
 }
 
-// BundleGet asks a peer for the records after a version.
+// BundleGet requests the configuration bundle records after version After.
 type BundleGet struct {
 	After uint64 `msgpack:"a"`
 }
 
-// BundleRecords holds signed bundle records in chain order.
+// BundleRecords is the reply to BundleGet. Records holds signed bundle records in chain
+// order.
 type BundleRecords struct {
 	Records [][]byte `msgpack:"r"`
-	// Number and Digest name the sender's version in force. When CaughtUp is set,
-	// it was in force after all records of the bundle stream below offset Through.
+	// Number and Digest identify the version in force at the sender. When CaughtUp is
+	// set, that version was in force once all records of the bundle stream below offset
+	// Through were applied.
 	Number   uint64 `msgpack:"n"`
 	Digest   []byte `msgpack:"d"`
 	CaughtUp bool   `msgpack:"u,omitempty"`
 	Through  uint64 `msgpack:"t,omitempty"`
-	// Busy says that the sender served too much lately and sent nothing.
+	// Busy is set when the sender has reached its rate limit and sends no records.
 	Busy bool `msgpack:"b,omitempty"`
 }
 
-// Forward asks a peer to run a request whose key only that peer may run.
+// Forward asks a peer to execute a client request whose idempotency key only that peer
+// may execute.
 type Forward struct {
 	RequestID string              `msgpack:"i"`
 	Team      string              `msgpack:"t"`
 	Method    string              `msgpack:"m"`
 	Path      string              `msgpack:"p"`
-	Header    map[string][]string `msgpack:"h"` // as http.Header; cookies cannot be joined
+	Header    map[string][]string `msgpack:"h"` // as in http.Header, with separate values because Cookie headers cannot be joined
 	Body      []byte              `msgpack:"b"`
-	TimeoutMS int64               `msgpack:"o"`
+	TimeoutMS int64               `msgpack:"o"` // time left until the request's deadline
 }
 
-// ForwardReply is the peer's answer.
+// ForwardReply is the HTTP response to a forwarded request.
 type ForwardReply struct {
 	Status int                 `msgpack:"s"`
 	Header map[string][]string `msgpack:"h"`
 	Body   []byte              `msgpack:"b"`
 }
 
-// ClaimGet asks the home of a key's shard for the claim's state.
+// ClaimGet requests the state of an idempotency key from a home of the key's shard, a
+// daemon that reads the stream of claims of that shard.
 type ClaimGet struct {
 	Stream string `msgpack:"s"`
 	Key    []byte `msgpack:"k"`
-	// Through is the offset that the home must have read before it answers.
+	// Through is the offset up to which the home must have read the stream before it
+	// answers.
 	Through uint64 `msgpack:"t"`
 }
 
-// ClaimState is what the home knows of a key.
+// ClaimState is the reply to ClaimGet: the state of the key according to the records
+// that the home has read.
 type ClaimState struct {
 	Found   bool   `msgpack:"f"`
 	Holder  NodeID `msgpack:"h"`
 	Offset  uint64 `msgpack:"o"`
 	Through uint64 `msgpack:"t"` // the home has read every record below this offset
-	// Seq is the holder's own number of its claim.
+	// Seq is the number that the holder gave to its claim.
 	Seq uint64 `msgpack:"q"`
-	// Body is the digest of the request that the holder claimed the key for.
+	// Body is the digest of the request for which the holder claimed the key.
 	Body []byte `msgpack:"b"`
 	// Sure is false when records that the home could not read may name an
 	// earlier holder.
 	Sure bool `msgpack:"u"`
-	// Status is the holder's progress, as package claims numbers it.
+	// Status is the progress of the holder, a value of claims.Status.
 	Status uint8 `msgpack:"p"`
-	// Released is the offset of the record that gave the key up, if any.
+	// Released is the offset of the record that released the key, if any.
 	Released uint64 `msgpack:"r"`
-	// AgeMS is how long ago, by the log's time, the holder claimed the key.
+	// AgeMS is the age of the claim in milliseconds, by the timestamps of the log.
 	AgeMS int64 `msgpack:"a"`
-	// Answer is the kept answer, encoded by package claims; nil when none is kept.
+	// Answer is the stored answer to the request, encoded by package claims, or nil.
 	Answer []byte `msgpack:"w"`
 }
 
-// ClaimAppend asks the home of a shard to append a record of claims together
-// with those of other daemons.
+// ClaimAppend asks a home of a shard to append a record of claims to the stream, in a
+// batch with those of other daemons.
 type ClaimAppend struct {
 	Stream string `msgpack:"s"`
 	Record []byte `msgpack:"r"`
 }
 
-// ClaimAppended tells where the record stands.
+// ClaimAppended is the reply to ClaimAppend, with the offset of the record.
 type ClaimAppended struct {
 	Offset uint64 `msgpack:"o"`
 }
 
-// CancelCall tells a peer that nobody waits any more for the reply to the call
-// whose ID the envelope carries.
+// CancelCall cancels the call whose ID is in the envelope, because its caller no longer
+// waits for the reply.
 type CancelCall struct{}
 
-// Failure is the body of TypeError.
+// Failure is the message of TypeError. Package peer defines the values of Kind.
 type Failure struct {
 	Kind   string `msgpack:"k"`
 	Detail string `msgpack:"d"`
