--- a/frontend/auth.go
+++ b/frontend/auth.go
@@ -15,39 +15,41 @@
 	"github.com/corianderturn/corianderturn/teams"
 )
 
-// teamIndex holds the index of the teams of one bundle. The first request that sees a new
-// bundle builds it.
-type teamIndex struct {
-	current atomic.Pointer[teamsOf]
-	mu      sync.Mutex // held while an index is built
+// teamIndexCache caches the team index of the latest bundle. The first request after a
+// change of the bundle builds the new index.
+type teamIndexCache struct {
+	current atomic.Pointer[bundleIndex]
+	mu      sync.Mutex // serializes the building of an index
 }
 
-type teamsOf struct {
+// bundleIndex is a bundle with the index that was built from it.
+type bundleIndex struct {
 	bundle *bundle.Bundle
 	index  *teams.Index
 }
 
-// of returns the index of a bundle. Where two of its teams have a key in common it finds no
-// team at all.
-func (t *teamIndex) of(b *bundle.Bundle, logger log.Interface) *teams.Index {
-	if known := t.current.Load(); known != nil && known.bundle == b {
-		return known.index
+// indexFor returns the index of b's teams. If two teams have a key in common, the index is
+// empty: the keys of all teams are rejected.
+func (t *teamIndexCache) indexFor(b *bundle.Bundle, logger log.Interface) *teams.Index {
+	if cached := t.current.Load(); cached != nil && cached.bundle == b {
+		return cached.index
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known := t.current.Load(); known != nil && known.bundle == b {
-		return known.index
+	if cached := t.current.Load(); cached != nil && cached.bundle == b {
+		return cached.index
 	}
-	index, err := teams.NewIndex(keysOf(b))
+	index, err := teams.NewIndex(keyDigestsByTeam(b))
 	if err != nil {
-		logger.WithError(err).Error("no key is known: the bundle contradicts itself")
+		logger.WithError(err).Error("all team keys rejected: two teams of the bundle have a key in common")
 		index = &teams.Index{}
 	}
-	t.current.Store(&teamsOf{bundle: b, index: index})
+	t.current.Store(&bundleIndex{bundle: b, index: index})
 	return index
 }
 
-func keysOf(b *bundle.Bundle) map[string][]teams.Digest {
+// keyDigestsByTeam decodes the key digests of each team of b and skips malformed ones.
+func keyDigestsByTeam(b *bundle.Bundle) map[string][]teams.Digest {
 	out := make(map[string][]teams.Digest, len(b.Teams))
 	for name, team := range b.Teams {
 		for _, text := range team.KeyDigests {
@@ -60,27 +62,28 @@
 	return out
 }
 
-// authenticate returns the team whose key the request carries.
+// authenticate returns the team that owns the key in the request's headers.
 func (s *Server) authenticate(b *bundle.Bundle, r *http.Request) (string, *errkind.Error) {
-	return s.teams.of(b, s.opts.Logger).Find(r.Header)
+	return s.teams.indexFor(b, s.opts.Logger).Find(r.Header)
 }
 
-// idSource makes request ids that no other daemon and no other life of this
-// one makes.
-type idSource struct {
+// requestIDGenerator generates request ids of the form INSTANCE-INCARNATION-COUNTER. They
+// are unique across daemons and across restarts of one daemon.
+type requestIDGenerator struct {
 	prefix  string
 	counter *atomic.Uint64
 }
 
-const idBase = 36
+// requestIDRadix is the base in which ids hold the incarnation and the counter.
+const requestIDRadix = 36
 
-func newIDSource(self wire.NodeID) idSource {
-	return idSource{
-		prefix:  self.Instance + "-" + strconv.FormatUint(self.Incarnation, idBase) + "-",
+func newRequestIDGenerator(self wire.NodeID) requestIDGenerator {
+	return requestIDGenerator{
+		prefix:  self.Instance + "-" + strconv.FormatUint(self.Incarnation, requestIDRadix) + "-",
 		counter: new(atomic.Uint64),
 	}
 }
 
-func (i idSource) next() string {
-	return i.prefix + strconv.FormatUint(i.counter.Add(1), idBase)
+func (i requestIDGenerator) next() string {
+	return i.prefix + strconv.FormatUint(i.counter.Add(1), requestIDRadix)
 }
--- a/frontend/completion.go
+++ b/frontend/completion.go
@@ -15,16 +15,16 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Bounds of max_tokens.
+// The default and the upper limit of max_tokens, in output tokens.
 const (
 	defaultMaxTokens = 512
-	largestMaxTokens = 1 << 17
+	maxTokensLimit   = 1 << 17
 )
 
-// completionBody is the body of both kinds of completion. Unknown members are
-// refused, and so are those that ask for an answer of another shape than the
-// engines give; sampling members are accepted and left to the engines' own
-// defaults.
+// completionBody is the JSON body of text and chat completions. Unknown members
+// are rejected, and so are values that request a response that the engines
+// cannot produce, such as n above 1. Sampling parameters are accepted but not
+// forwarded: the engines use their own defaults.
 type completionBody struct {
 	Model               string         `json:"model"`
 	Adapter             string         `json:"adapter"`
@@ -44,69 +44,78 @@
 	User             string   `json:"user"`
 }
 
+// streamOptions is the member stream_options of a completion request.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
+// chatMessage is one message of a chat, in requests and in responses.
 type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
+// chatRoles are the accepted roles of chat messages.
 var chatRoles = []string{"system", "developer", "user", "assistant"}
 
-func completeText(x *exchange) *errkind.Error { return x.complete(textShape) }
-func completeChat(x *exchange) *errkind.Error { return x.complete(chatShape) }
+// completeText and completeChat are the handlers of the two completion routes.
+func completeText(x *exchange) *errkind.Error { return x.complete(textFormat) }
+func completeChat(x *exchange) *errkind.Error { return x.complete(chatFormat) }
 
-func (x *exchange) complete(sh shape) *errkind.Error {
-	body, err := x.jsonBody()
+// complete parses a completion request, then runs it or forwards it to the
+// daemon that owns its token.
+func (x *exchange) complete(format completionFormat) *errkind.Error {
+	body, err := x.readJSONBody()
 	if err != nil {
 		return err
 	}
 	var in completionBody
-	if err := decode(body, &in); err != nil {
+	if err := decodeJSON(body, &in); err != nil {
 		return err
 	}
-	c, err := x.completion(&in, sh)
+	c, err := x.parseCompletion(&in, format)
 	if err != nil {
 		return err
 	}
-	if owner, ok := x.elsewhere(c.NonIdempotent, c.Key); ok {
+	if owner, ok := x.remoteOwner(c.NonIdempotent, c.Key); ok {
 		return x.forward(owner, c.Deadline, body)
 	}
-	x.deliver(c, sh, in.StreamOptions != nil && in.StreamOptions.IncludeUsage)
+	x.runCompletion(c, format, in.StreamOptions != nil && in.StreamOptions.IncludeUsage)
 	return nil
 }
 
-// deliver runs the completion into a sink and makes sure that it ends.
-func (x *exchange) deliver(c request.Completion, sh shape, includeUsage bool) {
-	reply := newReply(c, sh)
+// runCompletion runs the completion with a sink for the response. If the runner
+// returns without an outcome, the request fails with errNoOutcome.
+func (x *exchange) runCompletion(c request.Completion, format completionFormat, includeUsage bool) {
+	response := newCompletionResponse(c, format)
 	if !c.Stream {
-		sink := &wholeSink{x: x, reply: reply}
+		sink := &bufferedSink{x: x, response: response}
 		x.s.opts.Runner.Complete(x.r.Context(), c, sink)
-		sink.Fail(errNotEnded)
+		sink.Fail(errNoOutcome)
 		return
 	}
-	x.stream = newStreamSink(x, reply, includeUsage)
+	x.stream = newStreamSink(x, response, includeUsage)
 	x.s.opts.Runner.Complete(x.r.Context(), c, x.stream)
-	x.stream.Fail(errNotEnded)
+	x.stream.Fail(errNoOutcome)
 }
 
-// errNotEnded ends a request that its runner left open. A caller would
-// otherwise take the end of the connection for the end of the answer.
-var errNotEnded = errkind.New(errkind.Internal, "the request ended without an answer")
+// errNoOutcome fails a request whose runner returned without calling Finish or
+// Fail. Without an error, the caller would take the end of the connection for
+// the end of a complete answer.
+var errNoOutcome = errkind.New(errkind.Internal, "the request ended without an answer")
 
-// completion types the body against the bundle in force.
-func (x *exchange) completion(in *completionBody, sh shape) (request.Completion, *errkind.Error) {
+// parseCompletion validates the body against the bundle in force and converts it
+// to a request.Completion.
+func (x *exchange) parseCompletion(in *completionBody, format completionFormat) (request.Completion, *errkind.Error) {
 	c := request.Completion{
 		ID: x.id, Team: x.team, Model: in.Model, Adapter: in.Adapter,
 		Stream: in.Stream, Accepted: x.accepted,
 	}
 	var err *errkind.Error
-	if c.Prompt, err = promptOf(in, sh); err != nil {
+	if c.Prompt, err = buildPrompt(in, format); err != nil {
 		return c, err
 	}
-	if c.MaxTokens, err = maxTokensOf(in); err != nil {
+	if c.MaxTokens, err = parseMaxTokens(in); err != nil {
 		return c, err
 	}
 	if in.N != nil && *in.N != 1 {
@@ -119,14 +128,15 @@
 	if class == "" {
 		class = bundle.Draft
 	}
-	t, err := x.terms(defaults{class: class})
+	opts, err := x.parseOptions(optionDefaults{class: class})
 	if err != nil {
 		return c, err
 	}
-	c.Class, c.Deadline, c.NonIdempotent, c.Key = t.class, t.deadline, t.nonIdempotent, t.key
+	c.Class, c.Deadline, c.NonIdempotent, c.Key = opts.class, opts.deadline, opts.nonIdempotent, opts.key
 	return c, nil
 }
 
+// checkModel checks that the bundle has the requested model and adapter.
 func (x *exchange) checkModel(in *completionBody) *errkind.Error {
 	if in.Model == "" {
 		return errkind.New(errkind.BadRequest, "model: missing")
@@ -142,26 +152,28 @@
 	return nil
 }
 
-func maxTokensOf(in *completionBody) (int, *errkind.Error) {
-	given := in.MaxTokens
-	if given == nil {
-		given = in.MaxCompletionTokens
+// parseMaxTokens returns the requested limit of output tokens. max_tokens takes
+// precedence over max_completion_tokens.
+func parseMaxTokens(in *completionBody) (int, *errkind.Error) {
+	requested := in.MaxTokens
+	if requested == nil {
+		requested = in.MaxCompletionTokens
 	}
-	if given == nil {
+	if requested == nil {
 		return defaultMaxTokens, nil
 	}
-	if *given < 1 || *given > largestMaxTokens {
-		return 0, errkind.New(errkind.BadRequest, "max_tokens: from 1 to "+strconv.Itoa(largestMaxTokens))
+	if *requested < 1 || *requested > maxTokensLimit {
+		return 0, errkind.New(errkind.BadRequest, "max_tokens: from 1 to "+strconv.Itoa(maxTokensLimit))
 	}
-	return *given, nil
+	return *requested, nil
 }
 
-// promptOf returns the prompt of a text completion, or the messages of a chat
-// joined into one: each as "role: content" and a newline, and "assistant:" at
-// the end. The same history gives the same start, so that engines find it in
-// their prefix caches.
-func promptOf(in *completionBody, sh shape) (string, *errkind.Error) {
-	if !sh.chat {
+// buildPrompt returns the prompt of a text completion. For a chat it joins the
+// messages into one prompt: each as "role: content" and a newline, with
+// "assistant:" at the end. Chats with the same history thus have the same prompt
+// prefix, which engines find in their prefix caches.
+func buildPrompt(in *completionBody, format completionFormat) (string, *errkind.Error) {
+	if !format.chat {
 		if in.Prompt == nil || *in.Prompt == "" || in.Messages != nil {
 			return "", errkind.New(errkind.BadRequest, "prompt: a text that is not empty, and no messages")
 		}
@@ -184,10 +196,11 @@
 	return b.String(), nil
 }
 
-// jsonBody reads a body that has to be JSON in UTF-8.
-func (x *exchange) jsonBody() ([]byte, *errkind.Error) {
-	kind, _, err := mime.ParseMediaType(x.r.Header.Get("Content-Type"))
-	if err != nil || kind != typeJSON {
+// readJSONBody reads the body. It requires the content type application/json and
+// valid UTF-8.
+func (x *exchange) readJSONBody() ([]byte, *errkind.Error) {
+	mediaType, _, err := mime.ParseMediaType(x.r.Header.Get("Content-Type"))
+	if err != nil || mediaType != typeJSON {
 		return nil, errkind.New(errkind.UnsupportedMediaType, "send Content-Type: application/json")
 	}
 	body, readErr := x.readBody()
@@ -195,19 +208,20 @@
 		return nil, readErr
 	}
 	if !utf8.Valid(body) {
-		// The decoder would replace what it cannot read, and the prompt would be
-		// another than the caller's.
+		// encoding/json replaces invalid UTF-8 with U+FFFD, which would change the
+		// caller's prompt.
 		return nil, errkind.New(errkind.BadRequest, "the body is not UTF-8")
 	}
 	return body, nil
 }
 
-// decode decodes exactly one JSON value and refuses unknown members.
-func decode(body []byte, v any) *errkind.Error {
+// decodeJSON decodes a body of exactly one JSON value into v and rejects unknown
+// members.
+func decodeJSON(body []byte, v any) *errkind.Error {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return errkind.New(errkind.BadRequest, "the body is not the JSON that this path takes: "+jsonFault(err))
+		return errkind.New(errkind.BadRequest, "the body is not the JSON that this path takes: "+describeJSONError(err))
 	}
 	if _, err := dec.Token(); err != io.EOF {
 		return errkind.New(errkind.BadRequest, "the body goes on after its JSON value")
--- a/frontend/exchange.go
+++ b/frontend/exchange.go
@@ -17,7 +17,7 @@
 	"github.com/corianderturn/corianderturn/internal/httpsem"
 )
 
-// exchange is one request and its answer. One goroutine owns it.
+// exchange is one HTTP request and its response. It is used by one goroutine only.
 type exchange struct {
 	s  *Server
 	w  http.ResponseWriter
@@ -25,78 +25,85 @@
 	r  *http.Request
 	ps httprouter.Params
 
-	id       string
-	accepted time.Time
-	bundle   *bundle.Bundle
-	team     string
-	class    bundle.Class
-	target   string
-	trace    string
-	// forwarded says that a peer sent the request; it is not sent on again.
+	id          string
+	accepted    time.Time
+	bundle      *bundle.Bundle
+	team        string
+	class       bundle.Class
+	target      string
+	traceparent string
+	// forwarded says that a peer forwarded the request to this daemon. Such a
+	// request is not forwarded again.
 	forwarded bool
-	// unread says that part of the body may be on its way still.
-	unread bool
-	// stream is set once an event stream has begun.
+	// bodyUnread says that the request's body has not been read to its end.
+	bodyUnread bool
+	// stream is the sink of a streamed completion; nil before it runs and for all
+	// other requests.
 	stream *streamSink
-	// answered says that the answer's status has been written, and err how the
-	// request ended.
-	answered bool
-	status   int
-	err      *errkind.Error
+	// responded says that the response's headers have been written, with status.
+	responded bool
+	status    int
+	// err is the error that the request ended with; nil if it succeeded.
+	err *errkind.Error
 }
 
-// handler does the work of one route and returns the error to answer with, or
-// nil once it has answered.
+// handler serves one route. It returns nil after it has written the response, or
+// the error that the caller is to receive.
 type handler func(x *exchange) *errkind.Error
 
-// handle wraps a handler with what each request needs: an id, admission,
-// authentication, one answer in every case, and a log line.
+// handle wraps a handler with the steps that all requests share: a request id,
+// the limit of requests in flight, authentication, an error response if the
+// handler fails or panics, and the log line.
 func (s *Server) handle(h handler) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		x := s.begin(w, r, ps)
-		defer x.end()
+		x := s.newExchange(w, r, ps)
+		defer x.recordOutcome()
 		if recovered := panics.Try(func() { x.run(h) }); recovered != nil {
 			x.fail(errkind.Wrap(recovered.AsError(), errkind.Internal, "the request met a fault of this instance"))
 		}
 	}
 }
 
-// refuse answers requests that match no route.
-func (s *Server) refuse(kind errkind.Kind, detail string) http.HandlerFunc {
+// rejectWith returns a handler that answers every request with an error of the
+// given kind.
+func (s *Server) rejectWith(kind errkind.Kind, detail string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		x := s.begin(w, r, nil)
-		defer x.end()
+		x := s.newExchange(w, r, nil)
+		defer x.recordOutcome()
 		x.fail(errkind.New(kind, detail))
 	}
 }
 
-func (s *Server) begin(w http.ResponseWriter, r *http.Request, ps httprouter.Params) *exchange {
+// newExchange starts an exchange. A forwarded request keeps the id and the team
+// that the forwarding daemon gave it.
+func (s *Server) newExchange(w http.ResponseWriter, r *http.Request, ps httprouter.Params) *exchange {
 	x := &exchange{
 		s: s, w: w, rc: http.NewResponseController(w), r: r, ps: ps,
-		accepted: now(),
-		trace:    traceParent(r.Header),
-		unread:   r.ContentLength != 0,
+		accepted:    now(),
+		traceparent: traceparent(r.Header),
+		bodyUnread:  r.ContentLength != 0,
 	}
-	if f, ok := forwardOf(r.Context()); ok {
+	if f, ok := forwardFromContext(r.Context()); ok {
 		x.id, x.team, x.forwarded = f.RequestID, f.Team, true
 	} else {
 		x.id = s.ids.next()
 	}
 	w.Header().Set(headerRequestID, x.id)
 	if s.draining.Load() {
-		w.Header().Set("Connection", "close") // the caller opens its next one elsewhere
+		w.Header().Set("Connection", "close") // the caller's next connection goes to another instance
 	}
 	return x
 }
 
+// run calls h unless too many requests are in flight or the caller is rejected.
 func (x *exchange) run(h handler) {
-	if n := x.s.active.Add(1); n > int64(x.s.opts.Limits.MaxInFlight) {
-		x.s.active.Add(-1)
+	if n := x.s.inFlight.Add(1); n > int64(x.s.opts.Limits.MaxInFlight) {
+		x.s.inFlight.Add(-1)
 		x.fail(errkind.New(errkind.Overloaded, "this instance has all the requests in flight that it may have"))
 		return
 	}
-	defer x.s.active.Add(-1)
-	err := x.admit()
+	defer x.s.inFlight.Add(-1)
+	err := x.identifyCaller()
 	if err == nil {
 		err = h(x)
 	}
@@ -105,8 +112,9 @@
 	}
 }
 
-// admit finds the bundle in force and the caller's team.
-func (x *exchange) admit() *errkind.Error {
+// identifyCaller sets the bundle in force and the caller's team. A forwarded
+// request is not authenticated again, but its team must be in the bundle.
+func (x *exchange) identifyCaller() *errkind.Error {
 	x.bundle = x.s.opts.Bundle()
 	if x.bundle == nil {
 		return errkind.New(errkind.NotReady, "no bundle is in force yet")
@@ -122,14 +130,16 @@
 	return nil
 }
 
-// readBody reads the body within the bounds of size and time.
+// readBody reads the request's body, limited by callers.max_body_bytes and
+// callers.body_timeout.
 func (x *exchange) readBody() ([]byte, *errkind.Error) {
 	limit := x.s.opts.Callers.MaxBodyBytes
 	if x.r.ContentLength > limit {
 		return nil, errkind.New(errkind.BodyTooLarge, "the body exceeds callers.max_body_bytes")
 	}
 	if x.r.ContentLength != 0 {
-		// A body that trickles in for ever would hold a request slot for ever.
+		// Without a deadline, a caller that never completes its body would occupy
+		// one of the limits.max_in_flight places indefinitely.
 		_ = x.rc.SetReadDeadline(now().Add(x.s.opts.Callers.BodyTimeout))
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
@@ -139,10 +149,11 @@
 	if x.r.ContentLength != 0 {
 		_ = x.rc.SetReadDeadline(time.Time{})
 	}
-	x.unread = false
+	x.bodyUnread = false
 	return body, nil
 }
 
+// bodyError maps an error of reading the body to an error for the caller.
 func bodyError(err error) *errkind.Error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -155,53 +166,58 @@
 	}
 }
 
-// writeSoon bounds the next writes, so that a caller that stops reading cannot
-// hold its request, and with it decode slots, for ever.
-func (x *exchange) writeSoon() {
+// extendWriteDeadline sets the deadline of the following writes to
+// callers.write_timeout from now. A caller that stops reading would otherwise
+// occupy its request and the engine's decode slot indefinitely.
+func (x *exchange) extendWriteDeadline() {
 	_ = x.rc.SetWriteDeadline(now().Add(x.s.opts.Callers.WriteTimeout))
 }
 
-// fail ends the request with an error, in the form that the answer has taken
-// so far. Nothing happens when the request has ended already.
+// fail ends the request with an error, through the sink if the completion is
+// streamed, else as a problem document. It does nothing if the request has ended
+// already.
 func (x *exchange) fail(err *errkind.Error) {
 	if x.stream != nil {
 		x.stream.Fail(err)
 		return
 	}
-	if x.answered {
+	if x.responded {
 		return
 	}
-	x.err = x.replayError(x.cutError(err))
+	x.err = x.keyedRunError(x.drainError(err))
 	x.writeProblem(x.err)
 }
 
-// cutError tells a caller that the drain's limit cut from one that left.
-func (x *exchange) cutError(err *errkind.Error) *errkind.Error {
-	if err.Kind != errkind.ClientGone || !errors.Is(context.Cause(x.r.Context()), errDrainLimit) {
+// drainError replaces client-gone by draining if the request's context was
+// cancelled at the drain timeout and not by the caller's disconnection.
+func (x *exchange) drainError(err *errkind.Error) *errkind.Error {
+	if err.Kind != errkind.ClientGone || !errors.Is(context.Cause(x.r.Context()), errDrainTimeout) {
 		return err
 	}
 	run := errkind.Answer(err).Run
 	return errkind.Wrap(err, errkind.Draining, "the instance had to stop before the answer was whole").WithRun(run)
 }
 
-// replayError says "unknown" of a keyed request that this instance refused for
-// a reason of its own, before anybody looked for its key.
+// keyedRunError changes the run state of err from not-run to unknown if the
+// request has an idempotency key and an unsafe method, and was rejected with a 5xx
+// status before its key was looked up.
 //
-// What goes wrong: a key lets the balancer send a POST again when an instance
-// dies under it. The first copy may have run; "not run" would be true of this
-// copy and false of the request. One would notice a caller that sends its order
-// once more under a new key. Errors that state a run come from behind the gate.
-func (x *exchange) replayError(err *errkind.Error) *errkind.Error {
+// The load balancer may resend a POST with a key after an instance has failed.
+// The first copy may have run even though this one did not. A caller that is
+// told "not-run" could send its order again under a new key, and the order would
+// run twice. Errors with their own run state are kept: the key was looked up
+// before they arose.
+func (x *exchange) keyedRunError(err *errkind.Error) *errkind.Error {
 	row := errkind.Answer(err)
-	keyed := !httpsem.Safe(x.r.Method) && x.r.Header.Get(headerKey) != ""
+	keyed := !httpsem.Safe(x.r.Method) && x.r.Header.Get(headerIdempotencyKey) != ""
 	if !keyed || err.Run != "" || row.Run != errkind.NotRun || row.Status < http.StatusInternalServerError {
 		return err
 	}
 	return err.WithRun(errkind.Unknown)
 }
 
-// end logs and counts the request.
-func (x *exchange) end() {
+// recordOutcome logs the request and counts its outcome in the metrics.
+func (x *exchange) recordOutcome() {
 	if x.s.opts.Outcomes != nil {
 		x.s.opts.Outcomes.RequestDone(x.class, x.err)
 	}
@@ -215,8 +231,8 @@
 		"took_ms":   now().Sub(x.accepted).Milliseconds(),
 		"forwarded": x.forwarded,
 	}
-	if x.trace != "" {
-		fields["traceparent"] = x.trace
+	if x.traceparent != "" {
+		fields["traceparent"] = x.traceparent
 	}
 	if x.err != nil {
 		fields["kind"] = string(x.err.Kind)
--- a/frontend/fake_test.go
+++ b/frontend/fake_test.go
@@ -29,11 +29,12 @@
 
 const (
 	testKey = "sesame-open"
-	// patience bounds waits for what has to happen; it is not a target.
-	patience = 20 * time.Second
+	// testTimeout is the longest wait for an expected event. Tests that pass do not
+	// reach it.
+	testTimeout = 20 * time.Second
 )
 
-// fakeRunner answers as its functions say and keeps what it was given.
+// fakeRunner is a Runner that calls its functions and records the requests.
 type fakeRunner struct {
 	complete func(ctx context.Context, c request.Completion, sink request.Sink)
 	call     func(ctx context.Context, c request.Call) (request.CallAnswer, *errkind.Error)
@@ -57,13 +58,15 @@
 	return f.call(ctx, c)
 }
 
-func (f *fakeRunner) ran() int {
+// requestCount returns the number of requests that reached the runner.
+func (f *fakeRunner) requestCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.completions) + len(f.calls)
 }
 
-func sayHello(_ context.Context, _ request.Completion, sink request.Sink) {
+// completeHello streams three tokens that need escaping in JSON or HTML.
+func completeHello(_ context.Context, _ request.Completion, sink request.Sink) {
 	for i, text := range []string{"Hel", "\"lo\"\n", "<é>"} {
 		if sink.Token(i, text) != nil {
 			return
@@ -72,7 +75,8 @@
 	sink.Finish("stop", request.Usage{PromptTokens: 4, CompletionTokens: 3, CachedTokens: 2})
 }
 
-func echo(_ context.Context, c request.Call) (request.CallAnswer, *errkind.Error) {
+// echoCall returns the body of the call, its path in X-Path, and a hop-by-hop header.
+func echoCall(_ context.Context, c request.Call) (request.CallAnswer, *errkind.Error) {
 	return request.CallAnswer{Status: 201, Header: http.Header{"X-Path": {c.Path}, "Connection": {"x-hop"}, "X-Hop": {"1"}}, Body: c.Body}, nil
 }
 
@@ -86,28 +90,30 @@
 	}
 }
 
-type rig struct {
+// testServer is a running Server with a fake runner, a client and the captured log.
+type testServer struct {
 	*Server
-	runner *fakeRunner
-	url    string
-	client *http.Client
-	logs   *lockedBuffer
-	end    func()
-	ended  chan struct{}
+	runner  *fakeRunner
+	url     string
+	client  *http.Client
+	logs    *syncBuffer
+	stop    func()
+	stopped chan struct{}
 }
 
-type lockedBuffer struct {
+// syncBuffer is a buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.Write(p)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
@@ -125,10 +131,10 @@
 	}
 }
 
-// newRig runs a server until the test ends.
-func newRig(t *testing.T, change func(*Options)) *rig {
+// newTestServer starts a server that runs until the test ends.
+func newTestServer(t *testing.T, change func(*Options)) *testServer {
 	t.Helper()
-	g := &rig{runner: &fakeRunner{complete: sayHello, call: echo}, logs: &lockedBuffer{}, ended: make(chan struct{})}
+	g := &testServer{runner: &fakeRunner{complete: completeHello, call: echoCall}, logs: &syncBuffer{}, stopped: make(chan struct{})}
 	logger, err := telemetry.NewLogger(g.logs, "debug", telemetry.FormatText)
 	if err != nil {
 		t.Fatal(err)
@@ -145,41 +151,42 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		defer close(g.ended)
+		defer close(g.stopped)
 		if err := g.Run(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
 	g.url = "http://" + g.Addr().String()
-	g.client = &http.Client{Timeout: patience, Transport: &http.Transport{}}
-	g.end = func() {
+	g.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
+	g.stop = func() {
 		cancel()
-		<-g.ended
+		<-g.stopped
 		g.client.CloseIdleConnections()
 	}
-	t.Cleanup(g.end)
+	t.Cleanup(g.stop)
 	g.waitServing(t)
 	return g
 }
 
-// waitServing returns once Run has taken the listener over.
-func (g *rig) waitServing(t *testing.T) {
+// waitServing waits until Run has created the HTTP server.
+func (g *testServer) waitServing(t *testing.T) {
 	t.Helper()
 	for serving := false; !serving; {
 		g.mu.Lock()
 		serving = g.server != nil
 		g.mu.Unlock()
 		select {
-		case <-g.ended:
-			t.Fatal("the server ended")
+		case <-g.stopped:
+			t.Fatal("Run returned before it served")
 		default:
 			runtime.Gosched()
 		}
 	}
 }
 
-// ask sends a request with the team's key; headers come as "Name: value".
-func (g *rig) ask(t *testing.T, method, path, body string, headers ...string) *http.Response {
+// send sends a request with the team's key. headers have the form "Name: value"; an
+// empty value removes the header.
+func (g *testServer) send(t *testing.T, method, path, body string, headers ...string) *http.Response {
 	t.Helper()
 	res, err := g.client.Do(newRequest(t, method, g.url+path, strings.NewReader(body), headers...))
 	if err != nil {
@@ -208,7 +215,7 @@
 	return r
 }
 
-func text(t *testing.T, res *http.Response) string {
+func readBody(t *testing.T, res *http.Response) string {
 	t.Helper()
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -217,6 +224,7 @@
 	return string(b)
 }
 
+// problemOf decodes a problem document.
 func problemOf(t *testing.T, body string) Problem {
 	t.Helper()
 	var p Problem
--- a/frontend/forward.go
+++ b/frontend/forward.go
@@ -12,20 +12,23 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// maxForwardReply bounds the body of a forwarded answer, so that it fits a frame.
+// maxForwardReply is the largest body of a forwarded response, in bytes. The
+// 64 KiB below the frame limit are for the status and the headers.
 const maxForwardReply = wire.MaxFrame - 64<<10
 
-type forwardKey struct{}
+// forwardContextKey is the context key of the *wire.Forward of a forwarded request.
+type forwardContextKey struct{}
 
-// forwardOf returns the forward that a request's context belongs to.
-func forwardOf(ctx context.Context) (*wire.Forward, bool) {
-	f, ok := ctx.Value(forwardKey{}).(*wire.Forward)
+// forwardFromContext returns the message with which a peer forwarded the request.
+func forwardFromContext(ctx context.Context) (*wire.Forward, bool) {
+	f, ok := ctx.Value(forwardContextKey{}).(*wire.Forward)
 	return f, ok
 }
 
-// elsewhere returns the daemon that alone may run the request, when that is
-// not this one: the one that a bound token names.
-func (x *exchange) elsewhere(nonIdempotent bool, key string) (wire.NodeID, bool) {
+// remoteOwner returns the daemon named in the bound token, if the token is the
+// key of a non-idempotent request and names another daemon. Only the named
+// daemon may run the request.
+func (x *exchange) remoteOwner(nonIdempotent bool, key string) (wire.NodeID, bool) {
 	if !nonIdempotent || key == "" || x.s.opts.TokenOwner == nil {
 		return wire.NodeID{}, false
 	}
@@ -33,30 +36,31 @@
 	return owner, ok && owner != x.s.opts.Self
 }
 
-// forward sends the request to its owner and passes the answer on.
+// forward sends the request to the daemon that owns its token and relays the
+// response to the caller.
 func (x *exchange) forward(to wire.NodeID, deadline time.Time, body []byte) *errkind.Error {
 	if x.forwarded || x.s.opts.Forward == nil {
 		return errkind.New(errkind.ClaimUnavailable, "the token belongs to another instance")
 	}
-	left := deadline.Sub(now())
-	if left < time.Millisecond {
+	remaining := deadline.Sub(now())
+	if remaining < time.Millisecond {
 		return errkind.New(errkind.DeadlineExceeded, "the deadline passed").WithRun(errkind.Unknown)
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), left)
+	ctx, cancel := context.WithTimeout(x.r.Context(), remaining)
 	defer cancel()
 	reply, err := x.s.opts.Forward(ctx, to, wire.Forward{
 		RequestID: x.id,
 		Team:      x.team,
 		Method:    x.r.Method,
 		Path:      x.r.URL.RequestURI(),
-		Header:    endToEnd(x.r.Header, "Authorization", "Content-Length", headerRequestID),
+		Header:    endToEndHeaders(x.r.Header, "Authorization", "Content-Length", headerRequestID),
 		Body:      body,
-		TimeoutMS: left.Milliseconds(),
+		TimeoutMS: remaining.Milliseconds(),
 	})
 	if err != nil {
 		return err
 	}
-	if !finalStatus(reply.Status) {
+	if !isFinalStatus(reply.Status) {
 		return errkind.New(errkind.Internal, "the other instance gave no answer")
 	}
 	maps.Copy(x.w.Header(), reply.Header)
@@ -64,29 +68,32 @@
 	return nil
 }
 
-// ServeForward runs a request that a peer forwarded because only this daemon
-// may run it. The peer has authenticated the team. The request is not
-// forwarded again, and a streamed answer is returned whole. It works while the
-// daemon drains, since no other daemon can serve such a request.
+// ServeForward runs a request that a peer forwarded because this daemon owns its
+// bound token. The peer has authenticated the team. The request is not forwarded
+// again, and the events of a streamed response are returned in one body.
+// ServeForward also works while the daemon drains, since no other daemon may run
+// the request.
 func (s *Server) ServeForward(ctx context.Context, f wire.Forward) wire.ForwardReply {
-	ctx, cancel := context.WithCancelCause(context.WithValue(ctx, forwardKey{}, &f))
+	ctx, cancel := context.WithCancelCause(context.WithValue(ctx, forwardContextKey{}, &f))
 	defer cancel(nil)
-	defer context.AfterFunc(s.base, func() { cancel(context.Cause(s.base)) })()
+	defer context.AfterFunc(s.baseCtx, func() { cancel(context.Cause(s.baseCtx)) })()
 	w := &replyWriter{header: http.Header{}}
 	r, err := forwardedRequest(ctx, &f)
 	if err != nil {
-		x := s.begin(w, (&http.Request{Method: f.Method, Header: http.Header{}}).WithContext(ctx), nil)
-		defer x.end()
+		x := s.newExchange(w, (&http.Request{Method: f.Method, Header: http.Header{}}).WithContext(ctx), nil)
+		defer x.recordOutcome()
 		x.fail(errkind.Wrap(err, errkind.BadRequest, "the forwarded request is malformed"))
 		return w.reply()
 	}
 	s.mux.ServeHTTP(w, r)
 	if w.overflow {
-		return s.tooLarge(&f)
+		return s.replyTooLarge(&f)
 	}
 	return w.reply()
 }
 
+// forwardedRequest rebuilds the HTTP request from the peer's message. The
+// remaining time replaces the caller's deadline header.
 func forwardedRequest(ctx context.Context, f *wire.Forward) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, f.Method, f.Path, bytes.NewReader(f.Body))
 	if err != nil {
@@ -103,15 +110,17 @@
 	return r, nil
 }
 
-// tooLarge replaces an answer that does not fit a frame; the request has run.
-func (s *Server) tooLarge(f *wire.Forward) wire.ForwardReply {
+// replyTooLarge returns the error response for a request that has run but whose
+// response does not fit a frame.
+func (s *Server) replyTooLarge(f *wire.Forward) wire.ForwardReply {
 	w := &replyWriter{header: http.Header{}}
 	x := &exchange{s: s, w: w, rc: http.NewResponseController(w), r: &http.Request{}, id: f.RequestID}
 	x.writeProblem(errkind.New(errkind.StreamBroken, "the answer is too large to come from another instance").WithRun(errkind.Ran))
 	return w.reply()
 }
 
-// replyWriter collects a forwarded answer.
+// replyWriter is a http.ResponseWriter that buffers the response to a forwarded
+// request. overflow is set once the body exceeds maxForwardReply.
 type replyWriter struct {
 	header   http.Header
 	status   int
@@ -139,9 +148,11 @@
 	return w.body.Write(p)
 }
 
-// Flush implements http.Flusher; the answer goes out whole.
+// Flush implements http.Flusher. It does nothing: the response is sent in one
+// message.
 func (w *replyWriter) Flush() {}
 
+// reply returns the buffered response without its hop-by-hop headers.
 func (w *replyWriter) reply() wire.ForwardReply {
-	return wire.ForwardReply{Status: w.status, Header: endToEnd(w.header, "Content-Length"), Body: w.body.Bytes()}
+	return wire.ForwardReply{Status: w.status, Header: endToEndHeaders(w.header, "Content-Length"), Body: w.body.Bytes()}
 }
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -1,11 +1,13 @@
-// Package frontend serves the callers' HTTP interface: OpenAI-shaped
-// completions, plain services behind one prefix, bound tokens, and the probes
-// of the platform.
+// Package frontend serves the callers' HTTP interface: completions in the format
+// of the OpenAI API, plain HTTP services under /services/, the issue of bound
+// tokens (idempotency keys that only the daemon named in them may run), and the
+// platform's health and readiness probes.
 //
-// The frontend checks and types a request and hands it to package request,
-// which alone decides how it ends. It answers each request once: with the whole
-// answer, or with a problem document (RFC 9457) that names the error kind, the
-// run state and the time to come back.
+// The frontend validates a request, converts it to a type of package request and
+// passes it to a Runner, which decides its outcome. Models, services, teams and
+// classes are those of the bundle in force, the current signed configuration. Each
+// request gets one response: the result, or a problem document (RFC 9457) with the
+// error kind, the run state (whether the request ran) and the retry delay.
 package frontend
 
 import (
@@ -26,44 +28,45 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// Runner runs accepted requests. request.Runner implements it.
+// Runner runs validated requests. request.Runner implements it.
 type Runner interface {
-	// Complete returns after it has called Finish or Fail of sink.
+	// Complete runs a completion. It calls Finish or Fail of sink before it returns.
 	Complete(ctx context.Context, c request.Completion, sink request.Sink)
-	// Call returns the service's one answer or an error.
+	// Call runs a call of a plain service and returns its response or an error.
 	Call(ctx context.Context, c request.Call) (request.CallAnswer, *errkind.Error)
 }
 
-// Outcomes counts how requests end. telemetry.Instruments implements it.
+// Outcomes counts the outcomes of requests. telemetry.Instruments implements it.
 type Outcomes interface {
-	// RequestDone notes a request's one outcome; err is nil for a whole answer,
-	// and class is empty when the request was refused before it was classified.
+	// RequestDone counts one finished request. err is nil if the response was
+	// complete; class is empty if the request was rejected before its class was
+	// determined.
 	RequestDone(class bundle.Class, err *errkind.Error)
 }
 
-// Options wire a Server. Self, Callers, Limits, Runner, Bundle and Logger are
-// required. Hooks are called from many goroutines at once.
+// Options configure a Server. Self, Callers, Limits, Runner, Bundle and Logger are
+// required. The functions must be safe for concurrent use.
 type Options struct {
-	// Self is this life of this daemon; request ids begin with it.
+	// Self identifies this daemon and its incarnation; request ids begin with it.
 	Self    wire.NodeID
 	Callers settings.Callers
 	Limits  settings.Limits
 	Drain   settings.Drain
 	Runner  Runner
-	// Bundle returns the content of the version in force, or nil before the first.
+	// Bundle returns the bundle in force, or nil before the first one is loaded.
 	Bundle func() *bundle.Bundle
-	// Ready says whether the daemon can serve, and why not. Without it the daemon
-	// is ready once it has a bundle.
+	// Ready reports whether the daemon can serve requests, and the reason if it
+	// cannot. If Ready is nil, the daemon is ready once it has a bundle.
 	Ready func() (bool, string)
-	// MintToken returns a new bound token for a team.
+	// MintToken issues a bound token for a team. If nil, the daemon issues none.
 	MintToken func(team string) (string, *errkind.Error)
-	// TokenOwner returns the daemon that a bound token names; ok is false for
-	// every other key.
+	// TokenOwner returns the daemon named in a bound token; ok is false for keys
+	// that are not bound tokens.
 	TokenOwner func(key string) (owner wire.NodeID, ok bool)
-	// Forward sends a request to the daemon that its token names. When the answer
-	// may have been lost on the way, its error says that the run is unknown.
+	// Forward sends a request to the daemon named in its token. If the request may
+	// have run although no response arrived, the error's run state is unknown.
 	Forward func(ctx context.Context, to wire.NodeID, f wire.Forward) (wire.ForwardReply, *errkind.Error)
-	// Metrics is the /metrics page.
+	// Metrics serves /metrics. If nil, the path does not exist.
 	Metrics  http.Handler
 	Outcomes Outcomes
 	Logger   log.Interface
@@ -81,17 +84,18 @@
 	return nil
 }
 
-// Server is the callers' listener. It implements supervise.Service.
+// Server is the HTTP server for callers. It implements supervise.Service.
 type Server struct {
-	opts   Options
-	mux    *httprouter.Router
-	ids    idSource
-	teams  teamIndex
-	active atomic.Int64
+	opts     Options
+	mux      *httprouter.Router
+	ids      requestIDGenerator
+	teams    teamIndexCache
+	inFlight atomic.Int64
 
-	// base is the parent of every request's context; cut ends it with a cause.
-	base context.Context
-	cut  context.CancelCauseFunc
+	// baseCtx is the parent of all requests' contexts. cancelBase cancels it with
+	// a cause.
+	baseCtx    context.Context
+	cancelBase context.CancelCauseFunc
 
 	draining atomic.Bool
 
@@ -100,13 +104,13 @@
 	server *http.Server
 }
 
-// New checks the options and returns a server that does not listen yet.
+// New validates the options and returns a server that is not yet listening.
 func New(opts Options) (*Server, error) {
 	if err := opts.validate(); err != nil {
 		return nil, err
 	}
-	s := &Server{opts: opts, ids: newIDSource(opts.Self)}
-	s.base, s.cut = context.WithCancelCause(context.Background())
+	s := &Server{opts: opts, ids: newRequestIDGenerator(opts.Self)}
+	s.baseCtx, s.cancelBase = context.WithCancelCause(context.Background())
 	s.mux = s.routes()
 	return s, nil
 }
@@ -114,9 +118,11 @@
 // Name implements supervise.Service.
 func (s *Server) Name() string { return "frontend" }
 
-// InFlight returns the number of requests that are accepted and not yet answered.
-func (s *Server) InFlight() int { return int(s.active.Load()) }
+// InFlight returns the number of requests that have been accepted and whose
+// responses are not complete.
+func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
+// serviceMethods are the HTTP methods that callers may use on services.
 var serviceMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
@@ -127,8 +133,8 @@
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
 	r.HandleOPTIONS = false
-	r.NotFound = s.refuse(errkind.NotFound, "there is nothing at this path")
-	r.MethodNotAllowed = s.refuse(errkind.MethodNotAllowed, "the path takes other methods")
+	r.NotFound = s.rejectWith(errkind.NotFound, "there is nothing at this path")
+	r.MethodNotAllowed = s.rejectWith(errkind.MethodNotAllowed, "the path takes other methods")
 	r.POST(pathCompletions, s.handle(completeText))
 	r.POST(pathChat, s.handle(completeChat))
 	for _, m := range serviceMethods {
@@ -144,11 +150,11 @@
 	return r
 }
 
-// The paths of the completions.
+// The paths of the completion routes.
 const (
 	pathCompletions = "/v1/completions"
 	pathChat        = "/v1/chat/completions"
 )
 
-// now is the only clock of the package.
+// now is the package's only source of the current time.
 func now() time.Time { return time.Now() }
--- a/frontend/header.go
+++ b/frontend/header.go
@@ -11,68 +11,73 @@
 	"github.com/corianderturn/corianderturn/internal/httpsem"
 )
 
-// The headers of the interface.
+// Names of the request headers that the frontend reads.
 const (
-	headerRequestID     = "X-Request-Id"
-	headerKey           = "Idempotency-Key"
-	headerNonIdempotent = "X-Non-Idempotent"
-	headerClass         = "X-Class"
-	headerDeadline      = "X-Deadline-Ms"
-	headerTrace         = "Traceparent"
+	headerRequestID      = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNonIdempotent  = "X-Non-Idempotent"
+	headerClass          = "X-Class"
+	headerDeadline       = "X-Deadline-Ms"
+	headerTraceparent    = "Traceparent"
 )
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
 
-// terms are what a caller asks for besides the work itself.
-type terms struct {
+// requestOptions are the values that a caller sets by request headers.
+type requestOptions struct {
 	class         bundle.Class
 	deadline      time.Time
 	nonIdempotent bool
-	// repeatable says that the caller itself marked the request as idempotent.
-	repeatable bool
-	key        string
+	// declaredIdempotent says that the caller sent X-Non-Idempotent: false. The
+	// request may then be sent again, even if it is a POST.
+	declaredIdempotent bool
+	key                string
 }
 
-// defaults hold where the caller's headers are silent.
-type defaults struct {
+// optionDefaults are the values that apply where the caller sent no header.
+type optionDefaults struct {
 	class bundle.Class
-	// timeout is the deadline when the class has none; 0 is the longest allowed.
+	// timeout applies if the class has no deadline; 0 means the maximum,
+	// callers.max_deadline.
 	timeout time.Duration
-	// marked says that the bundle marks the request as non-idempotent, whatever
-	// the caller says.
-	marked bool
-	// keyMarks says that a key alone marks the request.
-	keyMarks bool
+	// nonIdempotent says that the bundle declares the request non-idempotent. The
+	// caller's header cannot override it.
+	nonIdempotent bool
+	// keyImpliesNonIdempotent makes a request with an idempotency key
+	// non-idempotent if the caller sent no X-Non-Idempotent.
+	keyImpliesNonIdempotent bool
 }
 
-// terms reads the caller's headers over the defaults.
-func (x *exchange) terms(d defaults) (terms, *errkind.Error) {
-	t := terms{}
+// parseOptions reads the options from the request's headers and applies the
+// defaults.
+func (x *exchange) parseOptions(d optionDefaults) (requestOptions, *errkind.Error) {
+	opts := requestOptions{}
 	var err *errkind.Error
-	if t.class, err = classOf(x.r.Header, d.class); err != nil {
-		return t, err
+	if opts.class, err = parseClass(x.r.Header, d.class); err != nil {
+		return opts, err
 	}
-	x.class = t.class
-	if t.deadline, err = x.deadline(t.class, d.timeout); err != nil {
-		return t, err
+	x.class = opts.class
+	if opts.deadline, err = x.parseDeadline(opts.class, d.timeout); err != nil {
+		return opts, err
 	}
-	if t.key, err = keyOf(x.r.Header); err != nil {
-		return t, err
+	if opts.key, err = parseIdempotencyKey(x.r.Header); err != nil {
+		return opts, err
 	}
-	if t.nonIdempotent, err = markOf(x.r.Header, d.keyMarks && t.key != ""); err != nil {
-		return t, err
+	if opts.nonIdempotent, err = parseNonIdempotent(x.r.Header, d.keyImpliesNonIdempotent && opts.key != ""); err != nil {
+		return opts, err
 	}
-	t.repeatable = x.r.Header.Get(headerNonIdempotent) == markFalse
-	t.nonIdempotent = t.nonIdempotent || d.marked
-	if t.nonIdempotent && t.key == "" {
-		return t, errkind.New(errkind.KeyRequired, "send an Idempotency-Key with a non-idempotent request")
+	opts.declaredIdempotent = x.r.Header.Get(headerNonIdempotent) == nonIdempotentFalse
+	opts.nonIdempotent = opts.nonIdempotent || d.nonIdempotent
+	if opts.nonIdempotent && opts.key == "" {
+		return opts, errkind.New(errkind.KeyRequired, "send an Idempotency-Key with a non-idempotent request")
 	}
-	return t, nil
+	return opts, nil
 }
 
-func classOf(h http.Header, fallback bundle.Class) (bundle.Class, *errkind.Error) {
-	value, err := single(h, headerClass)
+// parseClass returns the class of X-Class, or fallback without the header.
+func parseClass(h http.Header, fallback bundle.Class) (bundle.Class, *errkind.Error) {
+	value, err := singleValue(h, headerClass)
 	if err != nil {
 		return "", err
 	}
@@ -86,19 +91,20 @@
 	}
 }
 
-// deadline returns the end of the whole answer: the caller's, else the class's,
-// else fallback, else the longest allowed.
-func (x *exchange) deadline(class bundle.Class, fallback time.Duration) (time.Time, *errkind.Error) {
-	longest := x.s.opts.Callers.MaxDeadline
-	value, err := single(x.r.Header, headerDeadline)
+// parseDeadline returns the time by which the response must be complete. It is
+// taken from X-Deadline-Ms, else from the class, else from fallback, else from
+// callers.max_deadline, which is also the upper limit.
+func (x *exchange) parseDeadline(class bundle.Class, fallback time.Duration) (time.Time, *errkind.Error) {
+	maxDeadline := x.s.opts.Callers.MaxDeadline
+	value, err := singleValue(x.r.Header, headerDeadline)
 	if err != nil {
 		return time.Time{}, err
 	}
 	if value != "" {
 		ms, parseErr := strconv.ParseUint(value, 10, 63)
-		if parseErr != nil || ms == 0 || ms > uint64(longest.Milliseconds()) {
+		if parseErr != nil || ms == 0 || ms > uint64(maxDeadline.Milliseconds()) {
 			return time.Time{}, errkind.New(errkind.BadDeadline,
-				"X-Deadline-Ms is a whole number from 1 to "+strconv.FormatInt(longest.Milliseconds(), 10))
+				"X-Deadline-Ms is a whole number from 1 to "+strconv.FormatInt(maxDeadline.Milliseconds(), 10))
 		}
 		return x.accepted.Add(time.Duration(ms) * time.Millisecond), nil
 	}
@@ -106,37 +112,41 @@
 	if d <= 0 {
 		d = fallback
 	}
-	if d <= 0 || d > longest {
-		d = longest
+	if d <= 0 || d > maxDeadline {
+		d = maxDeadline
 	}
 	return x.accepted.Add(d), nil
 }
 
-// The values of X-Non-Idempotent.
+// The accepted values of X-Non-Idempotent.
 const (
-	markTrue  = "true"
-	markFalse = "false"
+	nonIdempotentTrue  = "true"
+	nonIdempotentFalse = "false"
 )
 
-func markOf(h http.Header, fallback bool) (bool, *errkind.Error) {
-	value, err := single(h, headerNonIdempotent)
+// parseNonIdempotent returns the value of X-Non-Idempotent, or fallback without
+// the header.
+func parseNonIdempotent(h http.Header, fallback bool) (bool, *errkind.Error) {
+	value, err := singleValue(h, headerNonIdempotent)
 	if err != nil {
 		return false, err
 	}
 	switch value {
 	case "":
 		return fallback, nil
-	case markTrue:
+	case nonIdempotentTrue:
 		return true, nil
-	case markFalse:
+	case nonIdempotentFalse:
 		return false, nil
 	default:
 		return false, errkind.New(errkind.BadRequest, "X-Non-Idempotent is true or false")
 	}
 }
 
-func keyOf(h http.Header) (string, *errkind.Error) {
-	key, err := single(h, headerKey)
+// parseIdempotencyKey returns the idempotency key, or "" without the header. Keys
+// consist of visible ASCII characters.
+func parseIdempotencyKey(h http.Header) (string, *errkind.Error) {
+	key, err := singleValue(h, headerIdempotencyKey)
 	if err != nil {
 		return "", err
 	}
@@ -151,9 +161,9 @@
 	return key, nil
 }
 
-// single returns the value of a header that may be sent once. Two values would
-// be read differently by the hops on the way.
-func single(h http.Header, name string) (string, *errkind.Error) {
+// singleValue returns the value of a header, or "" without it. A header that is
+// sent twice is rejected, since proxies differ in which of the values they use.
+func singleValue(h http.Header, name string) (string, *errkind.Error) {
 	values := h.Values(name)
 	switch len(values) {
 	case 0:
@@ -165,26 +175,28 @@
 	}
 }
 
-var traceFormat = regexp.MustCompile(`^[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}$`)
+// traceparentPattern is the format of the traceparent header in W3C Trace Context.
+var traceparentPattern = regexp.MustCompile(`^[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}$`)
 
-// traceParent returns a well-formed traceparent, or "": a malformed one is
-// dropped, as the W3C's recommendation says.
-func traceParent(h http.Header) string {
-	if v := h.Get(headerTrace); traceFormat.MatchString(v) {
+// traceparent returns the traceparent header, or "" if it is missing or malformed.
+// W3C Trace Context requires that a malformed one is ignored.
+func traceparent(h http.Header) string {
+	if v := h.Get(headerTraceparent); traceparentPattern.MatchString(v) {
 		return v
 	}
 	return ""
 }
 
-// ownHeaders are meant for this daemon; the caller's key above all must not
-// reach a service.
-var ownHeaders = []string{
+// daemonHeaders are request headers that are not passed on to services. Authorization
+// holds the caller's API key, which services must not see.
+var daemonHeaders = []string{
 	"Authorization", "Content-Length", "Expect",
-	headerClass, headerDeadline, headerNonIdempotent, headerRequestID, headerTrace,
+	headerClass, headerDeadline, headerNonIdempotent, headerRequestID, headerTraceparent,
 }
 
-// endToEnd returns the headers without those of the connection and without drop.
-func endToEnd(h http.Header, drop ...string) http.Header {
+// endToEndHeaders returns a copy of h without hop-by-hop headers and without those
+// named in drop.
+func endToEndHeaders(h http.Header, drop ...string) http.Header {
 	out := h.Clone()
 	httpsem.RemoveHopByHop(out)
 	for _, name := range drop {
--- a/frontend/input_test.go
+++ b/frontend/input_test.go
@@ -16,10 +16,9 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Symptom: a caller waits, or gets a wrong or bare answer, for a bad request.
-// Sequence: the request below arrives; each is to be refused at once, as a
-// problem document with the right kind, and must not reach the runner.
-// Cause: a check is missing, or comes after the work.
+// Guards against missing checks and checks that come too late. Each invalid request
+// below must be rejected with a problem document of the expected kind, and must not
+// reach the runner.
 func TestBadInputIsRefused(t *testing.T) {
 	const good = `{"model":"m","prompt":"p"}`
 	cases := []struct {
@@ -73,12 +72,12 @@
 		{"encoded slash", "POST", "/services/shop/x%2F..%2Forders", "", nil, errkind.BadRequest},
 		{"no minter", "POST", "/v1/idempotency-tokens", "", nil, errkind.ClaimUnavailable},
 	}
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	ids := map[string]bool{}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			res := g.ask(t, c.method, c.path, c.body, c.headers...)
-			p := problemOf(t, text(t, res))
+			res := g.send(t, c.method, c.path, c.body, c.headers...)
+			p := problemOf(t, readBody(t, res))
 			row, _ := errkind.Lookup(c.want)
 			want := Problem{
 				Type: "urn:corianderturn:error:" + string(c.want), Title: row.Title, Status: row.Status, Kind: c.want, Run: errkind.NotRun,
@@ -99,20 +98,18 @@
 			ids[p.RequestID] = true
 		})
 	}
-	if g.runner.ran() != 0 {
-		t.Errorf("%d reached the runner", g.runner.ran())
+	if g.runner.requestCount() != 0 {
+		t.Errorf("%d invalid requests reached the runner", g.runner.requestCount())
 	}
-	g.end()
+	g.stop()
 	if logs := g.logs.String(); strings.Contains(logs, "sesame") || strings.Contains(logs, "ppppp") {
-		t.Errorf("a key or a body is in the logs: %s", logs)
+		t.Errorf("the log contains an API key or a body: %s", logs)
 	}
 }
 
-// Symptom: a caller that sends for ever holds a request slot, or waits for its
-// refusal until it stops sending.
-// Sequence: the body trickles in without an end, too long, too slow, or behind
-// a wrong key.
-// Cause: no bound on size or time, or a server that reads the body first.
+// Guards against request bodies that never end. A body that is too long or too slow
+// must not occupy its request indefinitely, and a request without a valid key must be
+// rejected before its body is read.
 func TestEndlessBodies(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -127,8 +124,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t, func(o *Options) {
-				o.Callers.BodyTimeout = patience
+			g := newTestServer(t, func(o *Options) {
+				o.Callers.BodyTimeout = testTimeout
 				if c.name == "too slow" {
 					o.Callers.BodyTimeout = 50 * time.Millisecond
 				}
@@ -141,7 +138,7 @@
 				t.Fatal(err)
 			}
 			defer res.Body.Close()
-			if p := problemOf(t, text(t, res)); p.Kind != c.want {
+			if p := problemOf(t, readBody(t, res)); p.Kind != c.want {
 				t.Errorf("got %s: %s", p.Kind, p.Detail)
 			}
 		})
@@ -149,12 +146,12 @@
 }
 
 func TestTermsReachTheRunner(t *testing.T) {
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	const trace = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	g.ask(t, "POST", "/v1/chat/completions", `{"model":"m","adapter":"a","max_tokens":9,"temperature":0.5,"messages":[{"role":"system","content":"s"},{"role":"user","content":"u"}]}`,
+	g.send(t, "POST", "/v1/chat/completions", `{"model":"m","adapter":"a","max_tokens":9,"temperature":0.5,"messages":[{"role":"system","content":"s"},{"role":"user","content":"u"}]}`,
 		"X-Class: urgent", "X-Deadline-Ms: 250", "X-Non-Idempotent: true", "Idempotency-Key: k1", "X-Request-Id: forged", "traceparent: "+trace)
-	g.ask(t, "POST", "/v1/completions", `{"model":"m","prompt":"p"}`)
-	g.ask(t, "DELETE", "/services/shop/orders/é%20x/?q=1%2F2", "", "Idempotency-Key: k2", "traceparent: "+trace, "Connection: x-hop", "X-Hop: 1", "X-Kept: 2")
+	g.send(t, "POST", "/v1/completions", `{"model":"m","prompt":"p"}`)
+	g.send(t, "DELETE", "/services/shop/orders/é%20x/?q=1%2F2", "", "Idempotency-Key: k2", "traceparent: "+trace, "Connection: x-hop", "X-Hop: 1", "X-Kept: 2")
 	a, b, c := g.runner.completions[0], g.runner.completions[1], g.runner.calls[0]
 	wantA := request.Completion{ID: a.ID, Team: "red", Class: bundle.Urgent, Model: "m", Adapter: "a", Prompt: "system: s\nuser: u\nassistant:",
 		MaxTokens: 9, Accepted: a.Accepted, Deadline: a.Accepted.Add(250e6), NonIdempotent: true, Key: "k1"}
@@ -168,17 +165,17 @@
 	if d := cmp.Diff(wantC, c); d != "" {
 		t.Error(d)
 	}
-	g.end()
+	g.stop()
 	if !strings.Contains(g.logs.String(), "traceparent="+trace) {
 		t.Error("the traceparent is not in the logs")
 	}
 }
 
-// Symptom: a call with a key runs twice.
-// Sequence: its first dispatch fails in the middle; it is sent to a second replica.
-// Cause: nobody marked it, and its key is taken for decoration.
+// Guards against a call with an idempotency key that runs twice. Its first dispatch
+// fails midway and it is sent to a second replica, because the key did not make the
+// call non-idempotent.
 func TestWhatMarksACall(t *testing.T) {
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	for i, c := range []struct {
 		method, path string
 		headers      []string
@@ -193,85 +190,83 @@
 		{"POST", "/orders", []string{"Idempotency-Key: k", "X-Non-Idempotent: false"}, true},
 		{"GET", "/x", []string{"Idempotency-Key: k", "X-Non-Idempotent: true"}, true},
 	} {
-		g.ask(t, c.method, "/services/shop"+c.path, "", c.headers...)
+		g.send(t, c.method, "/services/shop"+c.path, "", c.headers...)
 		if got := g.runner.calls[i].NonIdempotent; got != c.want {
 			t.Errorf("%s %s %v: %v", c.method, c.path, c.headers, got)
 		}
 	}
 }
 
-// Symptom: an instance holds more requests than its memory allows.
-// Sequence: the bound is reached and one more request arrives.
-// Cause: no bound, or a bound that makes the caller wait.
+// Guards against more requests in flight than the instance has memory for. A request
+// above limits.max_in_flight must be rejected at once instead of waiting.
 func TestInFlightBound(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
-	g := newRig(t, func(o *Options) { o.Limits.MaxInFlight = 1 })
+	g := newTestServer(t, func(o *Options) { o.Limits.MaxInFlight = 1 })
 	g.runner.call = func(ctx context.Context, c request.Call) (request.CallAnswer, *errkind.Error) {
 		close(started)
 		<-release
-		return echo(ctx, c)
+		return echoCall(ctx, c)
 	}
 	first := make(chan int)
-	go func() { first <- g.ask(t, "GET", "/services/shop/x", "").StatusCode }()
+	go func() { first <- g.send(t, "GET", "/services/shop/x", "").StatusCode }()
 	<-started
-	if p := problemOf(t, text(t, g.ask(t, "GET", "/v1/models", ""))); p.Kind != errkind.Overloaded || p.Run != errkind.NotRun {
+	if p := problemOf(t, readBody(t, g.send(t, "GET", "/v1/models", ""))); p.Kind != errkind.Overloaded || p.Run != errkind.NotRun {
 		t.Errorf("got %+v", p)
 	}
 	if g.InFlight() != 1 {
-		t.Errorf("%d in flight", g.InFlight())
+		t.Errorf("%d requests in flight, want 1", g.InFlight())
 	}
 	close(release)
 	if got := <-first; got != 201 {
-		t.Errorf("the first got %d", got)
+		t.Errorf("the first request got status %d", got)
 	}
-	if got := g.ask(t, "GET", "/v1/models", "").StatusCode; got != 200 {
-		t.Errorf("after it %d", got)
+	if got := g.send(t, "GET", "/v1/models", "").StatusCode; got != 200 {
+		t.Errorf("the request after it got status %d", got)
 	}
 }
 
 func TestNotReadyWithoutBundle(t *testing.T) {
 	var b *bundle.Bundle
-	word := ""
-	g := newRig(t, func(o *Options) {
+	notReadyReason := ""
+	g := newTestServer(t, func(o *Options) {
 		o.Bundle = func() *bundle.Bundle { return b }
-		o.Ready = func() (bool, string) { return word == "", word }
+		o.Ready = func() (bool, string) { return notReadyReason == "", notReadyReason }
 	})
-	probe := func(want int, reason string) {
+	probe := func(want int, notReadyReason string) {
 		t.Helper()
-		res := g.ask(t, "GET", "/readyz", "")
-		if got := strings.TrimSpace(text(t, res)); res.StatusCode != want || got != reason {
+		res := g.send(t, "GET", "/readyz", "")
+		if got := strings.TrimSpace(readBody(t, res)); res.StatusCode != want || got != notReadyReason {
 			t.Errorf("readyz: %d %s", res.StatusCode, got)
 		}
 	}
 	probe(503, "no bundle is in force yet")
-	if p := problemOf(t, text(t, g.ask(t, "GET", "/v1/models", ""))); p.Kind != errkind.NotReady {
+	if p := problemOf(t, readBody(t, g.send(t, "GET", "/v1/models", ""))); p.Kind != errkind.NotReady {
 		t.Errorf("got %s", p.Kind)
 	}
 	b = testBundle()
-	word = "the bundle is behind"
-	probe(503, word)
-	word = ""
+	notReadyReason = "the bundle is behind"
+	probe(503, notReadyReason)
+	notReadyReason = ""
 	probe(200, "ready")
-	if got := text(t, g.ask(t, "GET", "/v1/models", "")); got != `{"object":"list","data":[{"id":"m","object":"model","created":0,"owned_by":"corianderturn","adapters":["a"]}]}`+"\n" {
+	if got := readBody(t, g.send(t, "GET", "/v1/models", "")); got != `{"object":"list","data":[{"id":"m","object":"model","created":0,"owned_by":"corianderturn","adapters":["a"]}]}`+"\n" {
 		t.Error(got)
 	}
-	if got := g.ask(t, "GET", "/healthz", "").StatusCode; got != 200 {
+	if got := g.send(t, "GET", "/healthz", "").StatusCode; got != 200 {
 		t.Errorf("healthz: %d", got)
 	}
 }
 
-// A team's key counts from the bundle that brings it, and no longer than the
-// bundle that drops it.
+// A team's key is valid exactly while the bundle in force contains its digest.
 func TestKeysFollowTheBundle(t *testing.T) {
 	b := testBundle()
-	g := newRig(t, func(o *Options) { o.Bundle = func() *bundle.Bundle { return b } })
+	g := newTestServer(t, func(o *Options) { o.Bundle = func() *bundle.Bundle { return b } })
 	for i, want := range []int{200, 401, 200} {
 		next := testBundle()
 		if i == 1 {
 			next.Teams["red"] = bundle.Team{KeyDigests: []string{"no hex", "ab"}}
 		}
 		b = next
-		if got := g.ask(t, "GET", "/v1/models", "").StatusCode; got != want {
+		if got := g.send(t, "GET", "/v1/models", "").StatusCode; got != want {
 			t.Errorf("bundle %s: %d, want %d", strconv.Itoa(i), got, want)
 		}
 	}
--- a/frontend/listener.go
+++ b/frontend/listener.go
@@ -18,22 +18,24 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Bounds of a Listener's connections until Limit states others.
+// Limits of a Listener's connections.
 const (
-	listenerHeaderTime = 3 * time.Second
-	listenerIdleTime   = 15 * time.Second
-	// callerProbe is the time without a byte after which a caller's connection is
-	// probed: one that vanished without a word holds an engine's slot until then.
-	callerProbe  = time.Second
-	callerProbes = 3
+	listenerHeaderTimeout = 3 * time.Second
+	listenerIdleTimeout   = 15 * time.Second
+	// keepAliveInterval is the idle time before the first TCP keep-alive probe and
+	// the time between probes. A connection is closed after keepAliveCount
+	// unanswered probes. Until then, the request of a caller that vanished without
+	// closing its connection occupies an engine's slot.
+	keepAliveInterval = time.Second
+	keepAliveCount    = 3
 )
 
-// Listener serves a handler at one address and drains without cutting a request.
-// It implements supervise.Service.
+// Listener serves an HTTP handler at one address. Drain lets requests in flight
+// finish. It implements supervise.Service.
 type Listener struct {
 	name     string
 	address  string
-	conns    int
+	maxConns int
 	handler  http.Handler
 	logger   log.Interface
 	draining atomic.Bool
@@ -44,26 +46,27 @@
 	server *http.Server
 }
 
-// NewListener returns a listener that does not listen yet; conns bounds its open
-// connections.
-func NewListener(name, address string, conns int, h http.Handler, logger log.Interface) *Listener {
-	return &Listener{name: name, address: address, conns: conns, handler: h, logger: logger}
+// NewListener returns a Listener that is not yet listening. maxConns is the maximum
+// number of open connections.
+func NewListener(name, address string, maxConns int, h http.Handler, logger log.Interface) *Listener {
+	return &Listener{name: name, address: address, maxConns: maxConns, handler: h, logger: logger}
 }
 
 // Name implements supervise.Service.
 func (l *Listener) Name() string { return l.name }
 
-// Draining says whether Drain was called.
+// Draining reports whether Drain has been called.
 func (l *Listener) Draining() bool { return l.draining.Load() }
 
-// Addr returns the address that Listen bound, or nil before.
+// Addr returns the address that Listen bound, or nil before Listen.
 func (l *Listener) Addr() net.Addr {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// Listen binds the address, so that one in use fails the daemon at its start.
+// Listen binds the address. It is separate from Run so that the daemon fails at its
+// start if the address is in use.
 func (l *Listener) Listen() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +77,7 @@
 	if l.addr != nil {
 		address = l.addr.String() // a restart keeps the port
 	}
-	cfg := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: callerProbe, Interval: callerProbe, Count: callerProbes}}
+	cfg := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount}}
 	ln, err := cfg.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return errors.Wrapf(err, "listen for %s", l.name)
@@ -83,7 +86,8 @@
 	return nil
 }
 
-// Run serves until ctx ends. After Drain it only waits for that.
+// Run serves until ctx ends. After Drain has been called, it serves nothing more
+// and waits for ctx.
 func (l *Listener) Run(ctx context.Context) error {
 	if l.draining.Load() {
 		<-ctx.Done()
@@ -96,10 +100,10 @@
 	done := make(chan error, 1)
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { done <- server.Serve(netutil.LimitListener(ln, l.conns)) })
+	wg.Go(func() { done <- server.Serve(netutil.LimitListener(ln, l.maxConns)) })
 	select {
 	case <-ctx.Done():
-		_ = server.Close() // the daemon ends; Drain came before
+		_ = server.Close() // Drain has been called before, so no request is lost
 		return nil
 	case err := <-done:
 		if l.draining.Load() {
@@ -111,6 +115,8 @@
 	}
 }
 
+// start creates the server and takes the bound listener out of l. A restarted Run
+// binds a new one.
 func (l *Listener) start() (*http.Server, net.Listener) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,18 +124,18 @@
 	l.ln = nil
 	l.server = &http.Server{
 		Handler:           l.handler,
-		ReadHeaderTimeout: listenerHeaderTime,
-		IdleTimeout:       listenerIdleTime,
+		ReadHeaderTimeout: listenerHeaderTimeout,
+		IdleTimeout:       listenerIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          stdlog.New(io.Discard, "", 0), // it would repeat what callers send
+		ErrorLog:          stdlog.New(io.Discard, "", 0), // the server's messages may contain data sent by callers
 	}
 	return l.server, ln
 }
 
-// Drain goes on for the time in which the balancer notices, then closes the
-// listener and waits for the requests in flight, until ctx ends. The handler has
-// to ask callers to close their connections as soon as Draining is true, so that
-// few are idle when the listener closes.
+// Drain keeps serving for the duration notice, in which load balancers detect that
+// the instance is not ready. It then closes the listener and waits for the
+// requests in flight until ctx ends. The handler must send Connection: close while
+// Draining is true, so that few connections are idle when the listener closes.
 func (l *Listener) Drain(ctx context.Context, notice time.Duration) error {
 	l.draining.Store(true)
 	clock.Sleep(ctx, notice)
--- a/frontend/problem.go
+++ b/frontend/problem.go
@@ -10,32 +10,36 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Problem is the body of every answer that is not a result, as RFC 9457 has it.
+// Problem is the body of all error responses, a problem document of RFC 9457.
 type Problem struct {
-	// Type is a URN that ends in the kind.
+	// Type is the URN urn:corianderturn:error:KIND.
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Kind is from the closed list of package errkind.
+	// Kind is one of the kinds of package errkind.
 	Kind errkind.Kind `json:"kind"`
-	// Run says whether the request ran upstream.
+	// Run says whether the request ran on an upstream.
 	Run errkind.Run `json:"run"`
-	// Retryable says whether the same request can succeed later, and
-	// RetryAfterMS when to come back; 0 means unknown.
+	// Retryable says whether the same request can succeed later. RetryAfterMS is
+	// the delay before a retry in milliseconds; 0 means that none is known.
 	Retryable    bool   `json:"retryable"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	RequestID    string `json:"request_id"`
 }
 
+// problemURN is the prefix of Problem.Type; the kind follows.
 const problemURN = "urn:corianderturn:error:"
 
+// Content types of responses.
 const (
 	typeProblem = "application/problem+json"
 	typeJSON    = "application/json"
 	typeEvents  = "text/event-stream"
 )
 
+// newProblem returns the problem document of an error. A kind outside the list of
+// package errkind is reported as internal.
 func newProblem(id string, err *errkind.Error) Problem {
 	kind := err.Kind
 	if _, ok := errkind.Lookup(kind); !ok {
@@ -55,38 +59,40 @@
 	}
 }
 
-// writeProblem answers with a problem document.
+// writeProblem writes err as an error response.
 func (x *exchange) writeProblem(err *errkind.Error) {
 	p := newProblem(x.id, err)
 	h := x.w.Header()
 	h.Set("Content-Type", typeProblem)
 	h.Set("Cache-Control", "no-store")
 	if after := errkind.Answer(err).RetryAfter; after > 0 {
-		h.Set("Retry-After", strconv.FormatInt(wholeSeconds(after), 10))
+		h.Set("Retry-After", strconv.FormatInt(ceilSeconds(after), 10))
 	}
 	if p.Status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", "Bearer")
 	}
-	if x.unread {
-		// Without this net/http would first read the rest of the body, and a caller
-		// that sends slowly would wait for its refusal.
+	if x.bodyUnread {
+		// Otherwise net/http would read the rest of the body before it sends the
+		// response, which delays the response to a caller that sends slowly.
 		h.Set("Connection", "close")
 	}
 	x.writeJSON(p.Status, p)
 }
 
-// wholeSeconds rounds up: coming back early would only be refused again.
-func wholeSeconds(d time.Duration) int64 {
+// ceilSeconds rounds d up to whole seconds, since an early retry would be rejected
+// again.
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
 
-// writeJSON answers with a document; the content type may be set before.
+// writeJSON writes v as the response. The content type is application/json unless
+// one is set already.
 func (x *exchange) writeJSON(status int, v any) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
 	enc.SetEscapeHTML(false)
 	if err := enc.Encode(v); err != nil {
-		status = http.StatusInternalServerError // documents are plain structs; this cannot happen
+		status = http.StatusInternalServerError // unreachable: v is always a plain struct
 	}
 	if x.w.Header().Get("Content-Type") == "" {
 		x.w.Header().Set("Content-Type", typeJSON)
@@ -94,21 +100,22 @@
 	x.write(status, buf.Bytes())
 }
 
-// write sends the whole answer. A failed write means that the caller is gone;
-// there is nobody left to tell.
+// write sends the status and the body. It ignores write errors, since they mean
+// that the caller's connection is closed.
 func (x *exchange) write(status int, body []byte) {
-	x.answered, x.status = true, status
-	x.writeSoon()
-	if x.r.Method != http.MethodHead && bodyAllowed(status) {
+	x.responded, x.status = true, status
+	x.extendWriteDeadline()
+	if x.r.Method != http.MethodHead && statusAllowsBody(status) {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	x.w.WriteHeader(status)
-	if x.r.Method != http.MethodHead && bodyAllowed(status) {
+	if x.r.Method != http.MethodHead && statusAllowsBody(status) {
 		_, _ = x.w.Write(body)
 	}
 	_ = x.rc.Flush()
 }
 
-func bodyAllowed(status int) bool {
+// statusAllowsBody reports whether a response with this status has a body.
+func statusAllowsBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
--- a/frontend/replay_test.go
+++ b/frontend/replay_test.go
@@ -9,11 +9,10 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Symptom: a caller is told "not run" of an order that was placed.
-// Sequence: a daemon places the order and dies before it answers; the balancer
-// sends the same POST with the same key to a second one, which refuses it before
-// it asks the gate.
-// Cause: what holds of this attempt is said of the request.
+// Guards against the run state "not-run" for a request that has run. A daemon runs a
+// POST and fails before it responds. The load balancer resends the POST with the same
+// idempotency key to a second daemon, which rejects it before the key is looked up.
+// The second daemon must report "unknown": it cannot tell whether the first copy ran.
 func TestRefusedBeforeTheGate(t *testing.T) {
 	const key = "Idempotency-Key: k"
 	var b *bundle.Bundle
@@ -34,10 +33,10 @@
 		"own-mistake/twice": {nil, "POST", []string{key, "X-Deadline-Ms: 0"}, errkind.BadDeadline, errkind.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, c.change)
-			g.active.Add(1) // another request in flight
-			p := problemOf(t, text(t, g.ask(t, c.method, "/services/shop/orders", "", c.headers...)))
-			if d := cmp.Diff([]any{c.kind, c.run, 0}, []any{p.Kind, p.Run, g.runner.ran()}); d != "" {
+			g := newTestServer(t, c.change)
+			g.inFlight.Add(1) // another request in flight
+			p := problemOf(t, readBody(t, g.send(t, c.method, "/services/shop/orders", "", c.headers...)))
+			if d := cmp.Diff([]any{c.kind, c.run, 0}, []any{p.Kind, p.Run, g.runner.requestCount()}); d != "" {
 				t.Error(d)
 			}
 		})
--- a/frontend/reply.go
+++ b/frontend/reply.go
@@ -10,22 +10,25 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// shape tells the two kinds of completion apart.
-type shape struct {
+// completionFormat holds the differences between the responses of text and chat
+// completions.
+type completionFormat struct {
 	chat bool
-	// object names the whole answer and chunkObject a part of a stream.
+	// object is the member "object" of a whole response, chunkObject that of one
+	// chunk of a stream.
 	object, chunkObject string
-	// prefix begins the answer's id.
+	// prefix is the prefix of the response's id.
 	prefix string
 }
 
 var (
-	textShape = shape{object: "text_completion", chunkObject: "text_completion", prefix: "cmpl-"}
-	chatShape = shape{chat: true, object: "chat.completion", chunkObject: "chat.completion.chunk", prefix: "chatcmpl-"}
+	textFormat = completionFormat{object: "text_completion", chunkObject: "text_completion", prefix: "cmpl-"}
+	chatFormat = completionFormat{chat: true, object: "chat.completion", chunkObject: "chat.completion.chunk", prefix: "chatcmpl-"}
 )
 
-// reply is an answer, or one chunk of a stream, in OpenAI's form.
-type reply struct {
+// completionResponse is a whole response, or one chunk of a stream, in the format of
+// the OpenAI API.
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"` // seconds since the epoch
@@ -33,9 +36,11 @@
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
 
-	shape shape
+	format completionFormat
 }
 
+// choice is the generated output. Text is used by text completions, Message by whole
+// chat responses and Delta by chunks of chats.
 type choice struct {
 	Index        int          `json:"index"`
 	Text         *string      `json:"text,omitempty"`
@@ -44,11 +49,13 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
+// chatDelta is the part of a chat message that one chunk adds.
 type chatDelta struct {
 	Role    string  `json:"role,omitempty"`
 	Content *string `json:"content,omitempty"`
 }
 
+// usage holds the token counts of a completion.
 type usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -56,18 +63,21 @@
 	Details          promptDetails `json:"prompt_tokens_details"`
 }
 
+// promptDetails says how many prompt tokens came from the engine's prefix cache.
 type promptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-func newReply(c request.Completion, sh shape) reply {
-	return reply{
-		ID: sh.prefix + c.ID, Object: sh.object, Created: c.Accepted.Unix(),
-		Model: c.Model, Choices: make([]choice, 1), shape: sh,
+// newCompletionResponse returns a response with its metadata and one empty choice.
+func newCompletionResponse(c request.Completion, format completionFormat) completionResponse {
+	return completionResponse{
+		ID: format.prefix + c.ID, Object: format.object, Created: c.Accepted.Unix(),
+		Model: c.Model, Choices: make([]choice, 1), format: format,
 	}
 }
 
-func usageOf(u request.Usage) *usage {
+// newUsage converts the token counts of the engine to the format of the response.
+func newUsage(u request.Usage) *usage {
 	return &usage{
 		PromptTokens:     u.PromptTokens,
 		CompletionTokens: u.CompletionTokens,
@@ -76,9 +86,9 @@
 	}
 }
 
-// jsonFault describes a decoding error by place and type, without the
-// caller's content.
-func jsonFault(err error) string {
+// describeJSONError describes a decoding error by its position or type. The text
+// contains no values of the caller's body.
+func describeJSONError(err error) string {
 	var syntax *json.SyntaxError
 	var typ *json.UnmarshalTypeError
 	switch {
--- a/frontend/server.go
+++ b/frontend/server.go
@@ -16,24 +16,27 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// cutGrace is how long requests have to write their last answer after the
-// drain's limit has cut them.
-const cutGrace = 2 * time.Second
+// cancelGrace is the time in which requests that were cancelled at the drain
+// timeout, or when Run ends, can write their error responses.
+const cancelGrace = 2 * time.Second
 
-// maxHeaderBytes bounds the headers of one request.
+// maxHeaderBytes is the maximum size of the headers of one request.
 const maxHeaderBytes = 64 << 10
 
-// errDrainLimit is the cause of a request context that the drain's limit ended.
-var errDrainLimit = errors.New("the drain's limit has passed")
+// errDrainTimeout is the cancellation cause of the requests' contexts when the drain
+// timeout passes or Run ends.
+var errDrainTimeout = errors.New("the drain timeout has passed")
 
-// boundListener is the listener between Listen and Run, and its address.
+// boundListener holds the listener between Listen and Run. addr stays set
+// afterwards, so that a restarted Run binds the same port.
 type boundListener struct {
 	ln   net.Listener
 	addr net.Addr
 }
 
-// Listen binds the address of the settings, so that an address in use fails
-// the daemon at its start. The router calls it before Run; Run calls it else.
+// Listen binds the address callers.listen. The router calls it before Run, so that
+// the daemon fails at its start if the address is in use. Run calls it if the
+// router has not.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,17 +55,18 @@
 	return nil
 }
 
-// Addr returns the address that Listen bound, or nil before.
+// Addr returns the address that Listen bound, or nil before Listen.
 func (s *Server) Addr() net.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bound.addr
 }
 
-// Run serves until ctx ends. After Drain it only waits for that.
+// Run serves until ctx ends. After Drain has been called, it serves nothing more
+// and waits for ctx.
 func (s *Server) Run(ctx context.Context) error {
 	if s.draining.Load() {
-		s.unbind()
+		s.closeUnserved()
 		<-ctx.Done()
 		return nil
 	}
@@ -92,7 +96,7 @@
 	return errors.Wrap(err, "frontend: serve")
 }
 
-// start takes over the bound listener.
+// start creates the HTTP server and takes the bound listener out of s.
 func (s *Server) start(cfg *tls.Config) (net.Listener, *http.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,15 +108,15 @@
 		ReadHeaderTimeout: s.opts.Callers.HeaderTimeout,
 		IdleTimeout:       s.opts.Callers.IdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		BaseContext:       func(net.Listener) context.Context { return s.base },
-		ErrorLog:          stdlog.New(io.Discard, "", 0), // it would repeat what callers send
+		BaseContext:       func(net.Listener) context.Context { return s.baseCtx },
+		ErrorLog:          stdlog.New(io.Discard, "", 0), // the server's messages may contain data sent by callers
 	}
 	return ln, s.server
 }
 
-// unbind closes a listener that nobody serves. Callers that connect to one
-// would wait in the kernel's queue until their own timeouts.
-func (s *Server) unbind() {
+// closeUnserved closes a listener that is bound but not served. Connections to it
+// would stay in the kernel's accept queue until the callers' own timeouts.
+func (s *Server) closeUnserved() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.bound.ln != nil {
@@ -121,6 +125,7 @@
 	}
 }
 
+// serve serves with TLS if the server has a TLS configuration.
 func serve(server *http.Server, ln net.Listener) error {
 	if server.TLSConfig != nil {
 		return server.ServeTLS(ln, "", "")
@@ -128,11 +133,11 @@
 	return server.Serve(ln)
 }
 
-// Drain ends the service without cutting a request: the daemon reports not
-// ready, goes on serving for the delay of the settings so that the balancer
-// notices, closes the listener, and waits for the requests in flight. What
-// remains at the timeout is cancelled and answered with an error; Drain then
-// returns the reason. The router calls it once, before it ends Run.
+// Drain shuts the server down gracefully. The daemon reports not ready and keeps
+// serving for drain.delay, in which load balancers detect that. Drain then closes
+// the listener and waits up to drain.timeout for the requests in flight. Requests
+// that remain are cancelled and get an error response, and Drain returns
+// errDrainTimeout. The router calls it once, before it ends Run.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	clock.Sleep(ctx, s.opts.Drain.Delay)
@@ -140,7 +145,7 @@
 	server := s.server
 	s.mu.Unlock()
 	if server == nil {
-		s.unbind()
+		s.closeUnserved()
 		return nil
 	}
 	limit, cancel := context.WithTimeout(ctx, s.opts.Drain.Timeout)
@@ -149,13 +154,14 @@
 		return nil
 	}
 	s.stop(server)
-	return errDrainLimit
+	return errDrainTimeout
 }
 
-// stop cuts what is in flight and lets it write its last answer.
+// stop cancels the requests in flight, waits up to cancelGrace for their error
+// responses, and closes the connections that remain.
 func (s *Server) stop(server *http.Server) {
-	s.cut(errDrainLimit)
-	grace, cancel := context.WithTimeout(context.Background(), cutGrace)
+	s.cancelBase(errDrainTimeout)
+	grace, cancel := context.WithTimeout(context.Background(), cancelGrace)
 	defer cancel()
 	if server.Shutdown(grace) != nil {
 		_ = server.Close()
--- a/frontend/server_test.go
+++ b/frontend/server_test.go
@@ -20,8 +20,9 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// holdStream makes the runner send one token and wait for release.
-func holdStream(g *rig) (started chan struct{}, release chan struct{}) {
+// holdStream makes the runner send one token and then wait until release is closed or
+// the request is cancelled.
+func holdStream(g *testServer) (started chan struct{}, release chan struct{}) {
 	started, release = make(chan struct{}), make(chan struct{})
 	g.runner.complete = func(ctx context.Context, _ request.Completion, s request.Sink) {
 		_ = s.Token(0, "t")
@@ -36,14 +37,14 @@
 	return started, release
 }
 
-// Symptom: drafts are lost when an instance is replaced.
-// Sequence: a stream is running; the daemon is told to stop.
-// Cause: the listener or the connection closes before the answer is whole, or
-// the balancer goes on sending because the instance seems ready.
+// Guards against responses that are cut off when an instance is replaced. A stream is
+// in flight when the daemon starts to drain. The stream must complete, new connections
+// must be refused, and the instance must report not ready, so that the load balancer
+// stops sending to it.
 func TestDrainFinishesRequests(t *testing.T) {
-	g := newRig(t, func(o *Options) { o.Drain.Timeout = patience })
+	g := newTestServer(t, func(o *Options) { o.Drain.Timeout = testTimeout })
 	started, release := holdStream(g)
-	res := g.ask(t, "POST", "/v1/completions", askStream)
+	res := g.send(t, "POST", "/v1/completions", streamRequest)
 	<-started
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(context.Background()) }()
@@ -57,55 +58,55 @@
 		t.Errorf("ready: %v, %s", ok, reason)
 	}
 	close(release)
-	if body := text(t, res); !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		t.Errorf("cut off: %s", body)
+	if body := readBody(t, res); !strings.HasSuffix(body, "data: [DONE]\n\n") {
+		t.Errorf("the stream is incomplete: %s", body)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-// During the delay the balancer may not have noticed yet, so requests are
-// served, and connections are given back.
+// During drain.delay load balancers may still send requests. They are served, but
+// their connections are closed and the readiness probe fails.
 func TestDrainDelayServes(t *testing.T) {
-	g := newRig(t, func(o *Options) { o.Drain.Delay = patience })
+	g := newTestServer(t, func(o *Options) { o.Drain.Delay = testTimeout })
 	ctx, cancel := context.WithCancel(context.Background())
 	drained := make(chan error, 1)
 	go func() { drained <- g.Drain(ctx) }()
 	for ready := true; ready; {
 		ready, _ = g.Ready()
 	}
-	res := g.ask(t, "GET", "/v1/models", "")
+	res := g.send(t, "GET", "/v1/models", "")
 	if res.StatusCode != 200 || !res.Close {
 		t.Errorf("status %d, close %v", res.StatusCode, res.Close)
 	}
-	if probe := g.ask(t, "GET", "/readyz", ""); probe.StatusCode != 503 {
+	if probe := g.send(t, "GET", "/readyz", ""); probe.StatusCode != 503 {
 		t.Errorf("readyz %d", probe.StatusCode)
 	}
 	cancel()
 	<-drained
 }
 
-// Symptom: a caller takes a cut stream for a whole answer, or hangs.
-// Sequence: the drain's limit passes while a stream runs.
-// Cause: the process exits without ending the stream.
+// Guards against a stream that ends without an error event, which a caller could take
+// for a complete response, and against callers that hang. The drain timeout passes
+// while a stream is in flight.
 func TestDrainLimitAnswersHonestly(t *testing.T) {
-	g := newRig(t, func(o *Options) { o.Drain.Timeout = time.Millisecond })
+	g := newTestServer(t, func(o *Options) { o.Drain.Timeout = time.Millisecond })
 	started, _ := holdStream(g)
-	res := g.ask(t, "POST", "/v1/completions", askStream)
+	res := g.send(t, "POST", "/v1/completions", streamRequest)
 	<-started
 	if err := g.Drain(context.Background()); err == nil {
-		t.Error("the drain said that all had finished")
+		t.Error("Drain returned no error although a request was in flight")
 	}
-	_, problem, _ := strings.Cut(text(t, res), "event: error\ndata: ")
+	_, problem, _ := strings.Cut(readBody(t, res), "event: error\ndata: ")
 	if p := problemOf(t, problem); p.Kind != errkind.Draining || p.Run != errkind.Ran {
 		t.Errorf("got %+v", p)
 	}
 }
 
-// Symptom: callers connect and hang until their own timeouts.
-// Sequence: the daemon binds its listener, and is told to stop before it serves.
-// Cause: a bound listener is left open with nobody to accept.
+// Guards against callers that connect and wait until their own timeouts. The daemon
+// binds its listener and drains before it serves; a listener that stays open accepts
+// no connections.
 func TestDrainBeforeRun(t *testing.T) {
 	opts := testOptions(&fakeRunner{}, log.Log)
 	opts.Drain.Delay = 0
@@ -126,21 +127,21 @@
 	}
 	if conn, err := net.Dial("tcp", s.Addr().String()); err == nil {
 		conn.Close()
-		t.Error("the listener is open")
+		t.Error("the listener is still open")
 	}
 }
 
-// Symptom: connections pile up until none is left for callers.
-// Sequence: a caller connects and sends its headers byte by byte, or not at all.
-// Cause: no bound on the time of the headers.
+// Guards against exhaustion of the connection limit by callers that never complete
+// their request headers. Such a connection must be closed after
+// callers.header_timeout.
 func TestSlowHeaders(t *testing.T) {
-	g := newRig(t, func(o *Options) { o.Callers.HeaderTimeout = 50 * time.Millisecond })
+	g := newTestServer(t, func(o *Options) { o.Callers.HeaderTimeout = 50 * time.Millisecond })
 	conn, err := net.Dial("tcp", g.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +163,7 @@
 		{"client without certificate", cert, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t, func(o *Options) {
+			g := newTestServer(t, func(o *Options) {
 				o.Callers.TLS = settings.ServerTLS{CertFile: cert, KeyFile: key, ClientCAFile: c.clientCA}
 			})
 			_, client, err := settings.PeerTLS{CertFile: cert, KeyFile: key, CAFile: cert}.Configs()
@@ -189,19 +190,19 @@
 	}
 }
 
-// The token's owner runs the request, whichever daemon the balancer picked;
-// the caller sees one id and the owner's answer.
+// A request with a bound token runs on the daemon named in the token, whichever daemon
+// received it. The caller gets that daemon's response with the receiver's request id.
 func TestForwardToTheTokensOwner(t *testing.T) {
 	two := wire.NodeID{Instance: "two", Incarnation: 5}
 	owner := func(key string) (wire.NodeID, bool) { return two, strings.HasPrefix(key, "two.") }
-	second := newRig(t, func(o *Options) { o.Self, o.TokenOwner = two, owner })
+	second := newTestServer(t, func(o *Options) { o.Self, o.TokenOwner = two, owner })
 	second.runner.call = func(ctx context.Context, c request.Call) (request.CallAnswer, *errkind.Error) {
-		a, err := echo(ctx, c)
-		a.Header["Set-Cookie"] = c.Header["X-Want"] // joined into one line, cookies are no cookies any more
+		a, err := echoCall(ctx, c)
+		a.Header["Set-Cookie"] = c.Header["X-Want"] // must stay two header lines: cookies cannot be joined by commas
 		return a, err
 	}
 	var sent []wire.Forward
-	first := newRig(t, func(o *Options) {
+	first := newTestServer(t, func(o *Options) {
 		o.TokenOwner = owner
 		o.Forward = func(ctx context.Context, to wire.NodeID, f wire.Forward) (wire.ForwardReply, *errkind.Error) {
 			if f.Body == nil || to != two {
@@ -212,19 +213,19 @@
 		}
 	})
 	marked := []string{"X-Non-Idempotent: true", "Idempotency-Key: two.1", "X-Class: urgent", "X-Want: a=1; Expires=Wed, 09 Jun 2027 10:18:14 GMT", "X-Want: b=2"}
-	res := first.ask(t, "POST", "/services/shop/buy?n=1", "jar", marked...)
-	if body := text(t, res); res.StatusCode != 201 || body != "jar" || res.Header.Get("X-Path") != "/buy?n=1" || res.Header.Get("X-Hop") != "" {
+	res := first.send(t, "POST", "/services/shop/buy?n=1", "jar", marked...)
+	if body := readBody(t, res); res.StatusCode != 201 || body != "jar" || res.Header.Get("X-Path") != "/buy?n=1" || res.Header.Get("X-Hop") != "" {
 		t.Errorf("%d %q %v", res.StatusCode, body, res.Header)
 	}
 	if got := len(res.Cookies()); got != 2 {
 		t.Errorf("%d cookies in %q", got, res.Header.Values("Set-Cookie"))
 	}
-	stream := first.ask(t, "POST", "/v1/completions", askStream, marked...)
-	if body := text(t, stream); !strings.HasSuffix(body, "data: [DONE]\n\n") || stream.Header.Get("Content-Type") != "text/event-stream" {
+	stream := first.send(t, "POST", "/v1/completions", streamRequest, marked...)
+	if body := readBody(t, stream); !strings.HasSuffix(body, "data: [DONE]\n\n") || stream.Header.Get("Content-Type") != "text/event-stream" {
 		t.Errorf("stream: %s", body)
 	}
-	if first.runner.ran() != 0 || second.runner.ran() != 2 {
-		t.Fatalf("ran %d and %d", first.runner.ran(), second.runner.ran())
+	if first.runner.requestCount() != 0 || second.runner.requestCount() != 2 {
+		t.Fatalf("ran %d and %d", first.runner.requestCount(), second.runner.requestCount())
 	}
 	got := second.runner.calls[0]
 	if got.ID != res.Header.Get("X-Request-Id") || !strings.HasPrefix(got.ID, "one-") || got.Team != "red" || got.Class != "urgent" || got.Key != "two.1" || !got.NonIdempotent {
@@ -232,22 +233,20 @@
 	}
 	for _, f := range sent {
 		if len(f.Header["Authorization"]) > 0 || strings.Contains(first.logs.String(), testKey) {
-			t.Error("the caller's key went on")
+			t.Error("the caller's API key was forwarded or logged")
 		}
 	}
-	first.ask(t, "GET", "/services/shop/x", "", "Idempotency-Key: two.2")
-	if first.runner.ran() != 1 {
+	first.send(t, "GET", "/services/shop/x", "", "Idempotency-Key: two.2")
+	if first.runner.requestCount() != 1 {
 		t.Error("an idempotent request was forwarded")
 	}
 }
 
-// Symptom: two daemons send a request to and fro, or a forwarded request runs
-// in a daemon that does not own its token.
-// Sequence: a forwarded request arrives whose token, team or path is not as
-// the sender believed.
-// Cause: the receiver trusts more than the team's authentication.
+// Guards against forwarding loops and against forwarded requests that run on a daemon
+// that does not own their token. The receiver may rely on the sender for the
+// authentication of the team only; it must check token, team, path and method itself.
 func TestBadForwards(t *testing.T) {
-	g := newRig(t, func(o *Options) {
+	g := newTestServer(t, func(o *Options) {
 		o.TokenOwner = func(string) (wire.NodeID, bool) { return wire.NodeID{Instance: "three"}, true }
 		o.Forward = func(context.Context, wire.NodeID, wire.Forward) (wire.ForwardReply, *errkind.Error) {
 			t.Error("forwarded again")
@@ -262,7 +261,7 @@
 		want   errkind.Kind
 		run    errkind.Run
 	}{
-		{"another's token", func(*wire.Forward) {}, errkind.ClaimUnavailable, errkind.Unknown}, // its owner may have run it
+		{"another's token", func(*wire.Forward) {}, errkind.ClaimUnavailable, errkind.Unknown}, // the token's owner may have run the request
 		{"unknown team", func(f *wire.Forward) { f.Team = "blue" }, errkind.UnknownTeam, errkind.NotRun},
 		{"unknown path", func(f *wire.Forward) { f.Path = "/v9" }, errkind.NotFound, errkind.NotRun},
 		{"no path", func(f *wire.Forward) { f.Path = "\x00" }, errkind.BadRequest, errkind.NotRun},
@@ -278,8 +277,8 @@
 			}
 		})
 	}
-	if g.runner.ran() != 0 {
-		t.Error("it ran")
+	if g.runner.requestCount() != 0 {
+		t.Error("a bad forward reached the runner")
 	}
 	g.opts.TokenOwner = nil
 	g.runner.call = func(context.Context, request.Call) (request.CallAnswer, *errkind.Error) {
@@ -291,10 +290,10 @@
 }
 
 func TestMintToken(t *testing.T) {
-	g := newRig(t, func(o *Options) {
+	g := newTestServer(t, func(o *Options) {
 		o.MintToken = func(team string) (string, *errkind.Error) { return team + "-token", nil }
 	})
-	if res := g.ask(t, "POST", "/v1/idempotency-tokens", ""); res.StatusCode != 201 || text(t, res) != `{"token":"red-token"}`+"\n" {
+	if res := g.send(t, "POST", "/v1/idempotency-tokens", ""); res.StatusCode != 201 || readBody(t, res) != `{"token":"red-token"}`+"\n" {
 		t.Error(res.StatusCode)
 	}
 }
--- a/frontend/service.go
+++ b/frontend/service.go
@@ -11,6 +11,7 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
+// callService is the handler of /services/:name/*path.
 func callService(x *exchange) *errkind.Error {
 	name := x.ps.ByName("name")
 	service, ok := x.bundle.Services[name]
@@ -18,29 +19,30 @@
 		return errkind.New(errkind.UnknownModel, "the service is not in the bundle in force")
 	}
 	x.target = name
-	c, err := x.call(name, service)
+	c, err := x.parseCall(name, service)
 	if err != nil {
 		return err
 	}
 	if c.Body, err = x.readBody(); err != nil {
 		return err
 	}
-	if owner, ok := x.elsewhere(c.NonIdempotent, c.Key); ok {
+	if owner, ok := x.remoteOwner(c.NonIdempotent, c.Key); ok {
 		return x.forward(owner, c.Deadline, c.Body)
 	}
 	answer, err := x.s.opts.Runner.Call(x.r.Context(), c)
 	if err != nil {
 		return err
 	}
-	return x.answerCall(answer)
+	return x.writeCallAnswer(answer)
 }
 
-// call types the request, all but its body.
-func (x *exchange) call(name string, service bundle.Service) (request.Call, *errkind.Error) {
+// parseCall validates the request and converts it, without its body, to a
+// request.Call.
+func (x *exchange) parseCall(name string, service bundle.Service) (request.Call, *errkind.Error) {
 	c := request.Call{
 		ID: x.id, Team: x.team, Service: name, Method: x.r.Method, Accepted: x.accepted,
 	}
-	path, err := plainPath(x.r.URL, x.ps.ByName("path"))
+	path, err := checkPath(x.r.URL, x.ps.ByName("path"))
 	if err != nil {
 		return c, err
 	}
@@ -49,29 +51,30 @@
 	if class == "" {
 		class = bundle.Urgent
 	}
-	t, err := x.terms(defaults{
-		class:    class,
-		timeout:  service.Timeout(),
-		marked:   isMarked(service, c.Method, path),
-		keyMarks: !httpsem.Safe(c.Method),
+	opts, err := x.parseOptions(optionDefaults{
+		class:                   class,
+		timeout:                 service.Timeout(),
+		nonIdempotent:           markedNonIdempotent(service, c.Method, path),
+		keyImpliesNonIdempotent: !httpsem.Safe(c.Method),
 	})
 	if err != nil {
 		return c, err
 	}
-	c.Class, c.Deadline, c.NonIdempotent, c.Key = t.class, t.deadline, t.nonIdempotent, t.key
-	c.SendOnce = !httpsem.Idempotent(c.Method) && !t.repeatable
-	c.Header = endToEnd(x.r.Header, ownHeaders...)
+	c.Class, c.Deadline, c.NonIdempotent, c.Key = opts.class, opts.deadline, opts.nonIdempotent, opts.key
+	c.SendOnce = !httpsem.Idempotent(c.Method) && !opts.declaredIdempotent
+	c.Header = endToEndHeaders(x.r.Header, daemonHeaders...)
 	c.Header.Set(headerRequestID, x.id)
-	if x.trace != "" {
-		c.Header.Set(headerTrace, x.trace)
+	if x.traceparent != "" {
+		c.Header.Set(headerTraceparent, x.traceparent)
 	}
 	return c, nil
 }
 
-// plainPath refuses paths that a service might read as another one. The marks
-// of the bundle are compared with the path: "/a/../orders" or "//orders" would
-// reach orders without its mark, and run twice.
-func plainPath(u *url.URL, path string) (string, *errkind.Error) {
+// checkPath rejects paths that a service might normalize to another path. The
+// prefixes of non-idempotent paths in the bundle are compared with the path as it
+// was sent. A service may treat "/a/../orders" or "//orders" as "/orders"; such a
+// request would not match the prefix and could run twice.
+func checkPath(u *url.URL, path string) (string, *errkind.Error) {
 	encoded := strings.ToLower(u.EscapedPath())
 	if strings.Contains(encoded, "%2f") || strings.Contains(encoded, "%5c") || strings.ContainsAny(path, "\\\x00") {
 		return "", errkind.New(errkind.BadRequest, "the path holds an encoded slash or a backslash")
@@ -85,10 +88,10 @@
 	return path, nil
 }
 
-// isMarked says whether the bundle marks the call as non-idempotent. Letter
-// case is ignored, since some services ignore it: a mark too many costs a
-// claim, a mark too few a double run.
-func isMarked(service bundle.Service, method, path string) bool {
+// markedNonIdempotent reports whether the bundle declares the call non-idempotent.
+// The comparison ignores case, since some services do. A false match only costs
+// the claim of an idempotency key; a missed match may run a request twice.
+func markedNonIdempotent(service bundle.Service, method, path string) bool {
 	if httpsem.Safe(method) {
 		return false
 	}
@@ -101,20 +104,22 @@
 	return false
 }
 
-// finalStatus says whether status can end an answer: 1xx announces another, and
-// beyond 5xx there is none. net/http panics on some of the rest.
-func finalStatus(status int) bool {
+// isFinalStatus reports whether status is a valid status of a final response, 200 to
+// 599. A 1xx response is followed by another one, and net/http panics on some
+// other values.
+func isFinalStatus(status int) bool {
 	const last = 599
 	return status >= http.StatusOK && status <= last
 }
 
-// answerCall passes a service's answer on.
-func (x *exchange) answerCall(a request.CallAnswer) *errkind.Error {
-	if !finalStatus(a.Status) {
+// writeCallAnswer writes the response of a service to the caller, without hop-by-hop
+// headers.
+func (x *exchange) writeCallAnswer(a request.CallAnswer) *errkind.Error {
+	if !isFinalStatus(a.Status) {
 		return errkind.New(errkind.UpstreamFailed, "the service answered with a status that is none").WithRun(errkind.Ran)
 	}
 	h := x.w.Header()
-	for name, values := range endToEnd(a.Header, headerRequestID, "Content-Length") {
+	for name, values := range endToEndHeaders(a.Header, headerRequestID, "Content-Length") {
 		h[name] = values
 	}
 	if x.r.Method == http.MethodHead && a.Header.Get("Content-Length") != "" {
--- a/frontend/sink.go
+++ b/frontend/sink.go
@@ -12,84 +12,85 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// errOrder refuses a token that is not the next one. An answer with a token
-// lost or doubled would look whole to its caller.
-var errOrder = errors.New("frontend: a token out of order")
-
-// errEnded refuses a token after the end.
-var errEnded = errors.New("frontend: a token after the end")
-
-// wholeSink collects an answer that is sent at once.
-type wholeSink struct {
-	x     *exchange
-	reply reply
-	text  strings.Builder
-	next  int
-	ended bool
+// errTokenOrder rejects a token that does not have the next index. The caller could
+// not detect that a token was lost or duplicated.
+var errTokenOrder = errors.New("frontend: token out of order")
+
+// errTokenAfterEnd rejects a token after Finish or Fail.
+var errTokenAfterEnd = errors.New("frontend: token after the end of the response")
+
+// bufferedSink collects the tokens of a completion and sends them in one response.
+type bufferedSink struct {
+	x         *exchange
+	response  completionResponse
+	text      strings.Builder
+	nextIndex int
+	done      bool
 }
 
 // Token implements request.Sink.
-func (s *wholeSink) Token(index int, text string) error {
-	if s.ended {
-		return errEnded
+func (s *bufferedSink) Token(index int, text string) error {
+	if s.done {
+		return errTokenAfterEnd
 	}
-	if index != s.next {
-		return errOrder
+	if index != s.nextIndex {
+		return errTokenOrder
 	}
-	s.next++
+	s.nextIndex++
 	s.text.WriteString(text)
 	return s.x.r.Context().Err()
 }
 
 // Finish implements request.Sink.
-func (s *wholeSink) Finish(reason string, u request.Usage) {
-	if s.ended {
+func (s *bufferedSink) Finish(reason string, u request.Usage) {
+	if s.done {
 		return
 	}
-	s.ended = true
+	s.done = true
 	text := s.text.String()
-	ch := &s.reply.Choices[0]
+	ch := &s.response.Choices[0]
 	ch.FinishReason = &reason
-	if s.reply.shape.chat {
+	if s.response.format.chat {
 		ch.Message = &chatMessage{Role: "assistant", Content: text}
 	} else {
 		ch.Text = &text
 	}
-	s.reply.Usage = usageOf(u)
-	s.x.writeJSON(http.StatusOK, s.reply)
+	s.response.Usage = newUsage(u)
+	s.x.writeJSON(http.StatusOK, s.response)
 }
 
 // Fail implements request.Sink.
-func (s *wholeSink) Fail(err *errkind.Error) {
-	if s.ended {
+func (s *bufferedSink) Fail(err *errkind.Error) {
+	if s.done {
 		return
 	}
-	s.ended = true
+	s.done = true
 	s.x.fail(err)
 }
 
-// streamSink sends an answer as server-sent events, one a token. The end of a
-// whole answer is the event [DONE]; a broken one ends in an event of type
-// error that holds the problem document. Until the first token the status is
-// still open, so an early failure is an ordinary problem answer.
+// streamSink sends a completion as server-sent events, one for each token. A complete
+// response ends with the event [DONE], an incomplete one with an event of type error
+// that holds the problem document. No status is sent before the first token, so an
+// earlier failure gets an ordinary error response.
 //
-// Buffer, encoder and chunk are reused: a token costs no allocation.
+// The buffer, the encoder and the chunk are reused, so that sending a token allocates
+// nothing.
 type streamSink struct {
-	x     *exchange
-	buf   bytes.Buffer
-	enc   *json.Encoder
-	chunk reply
-	text  string // the current token, which chunk points to
-	usage bool
-	next  int
-	begun bool
-	ended bool
+	x            *exchange
+	buf          bytes.Buffer
+	enc          *json.Encoder
+	chunk        completionResponse
+	text         string // the current token; chunk holds a pointer to it
+	includeUsage bool
+	nextIndex    int
+	started      bool
+	done         bool
 }
 
-func newStreamSink(x *exchange, r reply, includeUsage bool) *streamSink {
-	s := &streamSink{x: x, chunk: r, usage: includeUsage}
-	s.chunk.Object = r.shape.chunkObject
-	if r.shape.chat {
+func newStreamSink(x *exchange, r completionResponse, includeUsage bool) *streamSink {
+	s := &streamSink{x: x, chunk: r, includeUsage: includeUsage}
+	s.chunk.Object = r.format.chunkObject
+	if r.format.chat {
 		s.chunk.Choices[0].Delta = &chatDelta{Role: "assistant", Content: &s.text}
 	} else {
 		s.chunk.Choices[0].Text = &s.text
@@ -101,32 +102,32 @@
 
 // Token implements request.Sink.
 func (s *streamSink) Token(index int, text string) error {
-	if s.ended {
-		return errEnded
+	if s.done {
+		return errTokenAfterEnd
 	}
-	if index != s.next {
-		return errOrder
+	if index != s.nextIndex {
+		return errTokenOrder
 	}
-	s.next++
-	s.begin()
+	s.nextIndex++
+	s.writeHeaders()
 	s.text = text
 	s.buf.Reset()
-	if err := s.appendData(&s.chunk); err != nil {
+	if err := s.appendEvent(&s.chunk); err != nil {
 		return err
 	}
 	if d := s.chunk.Choices[0].Delta; d != nil {
-		d.Role = "" // named once, in the first chunk
+		d.Role = "" // only the first chunk has the role
 	}
 	return s.send()
 }
 
 // Finish implements request.Sink.
 func (s *streamSink) Finish(reason string, u request.Usage) {
-	if s.ended {
+	if s.done {
 		return
 	}
-	s.ended = true
-	s.begin()
+	s.done = true
+	s.writeHeaders()
 	s.buf.Reset()
 	ch := &s.chunk.Choices[0]
 	ch.FinishReason = &reason
@@ -134,13 +135,13 @@
 	if ch.Delta != nil {
 		ch.Delta.Content = nil
 	}
-	err := s.appendData(&s.chunk)
-	if err == nil && s.usage {
-		s.chunk.Choices, s.chunk.Usage = []choice{}, usageOf(u)
-		err = s.appendData(&s.chunk)
+	err := s.appendEvent(&s.chunk)
+	if err == nil && s.includeUsage {
+		s.chunk.Choices, s.chunk.Usage = []choice{}, newUsage(u)
+		err = s.appendEvent(&s.chunk)
 	}
 	if err != nil {
-		return // without [DONE] the caller sees a broken answer
+		return // the missing [DONE] marks the response as incomplete
 	}
 	s.buf.WriteString("data: [DONE]\n\n")
 	_ = s.send()
@@ -148,49 +149,50 @@
 
 // Fail implements request.Sink.
 func (s *streamSink) Fail(err *errkind.Error) {
-	if s.ended {
+	if s.done {
 		return
 	}
-	s.ended = true
-	err = s.x.cutError(err)
+	s.done = true
+	err = s.x.drainError(err)
 	s.x.err = err
-	if !s.begun {
+	if !s.started {
 		s.x.writeProblem(err)
 		return
 	}
 	s.buf.Reset()
 	s.buf.WriteString("event: error\n")
-	if s.appendData(newProblem(s.x.id, err)) == nil {
+	if s.appendEvent(newProblem(s.x.id, err)) == nil {
 		_ = s.send()
 	}
 }
 
-// begin sends the headers of the stream, once.
-func (s *streamSink) begin() {
-	if s.begun {
+// writeHeaders sends the status and the headers of the stream before the first event.
+func (s *streamSink) writeHeaders() {
+	if s.started {
 		return
 	}
-	s.begun = true
-	s.x.answered, s.x.status = true, http.StatusOK
+	s.started = true
+	s.x.responded, s.x.status = true, http.StatusOK
 	h := s.x.w.Header()
 	h.Set("Content-Type", typeEvents)
 	h.Set("Cache-Control", "no-store")
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// appendData appends one event's data. The encoder ends it with the first of
-// the two newlines.
-func (s *streamSink) appendData(v any) error {
+// appendEvent appends an event with v as its data. An event ends with two newlines;
+// the encoder writes the first one.
+func (s *streamSink) appendEvent(v any) error {
 	s.buf.WriteString("data: ")
 	if err := s.enc.Encode(v); err != nil {
-		return errors.Wrap(err, "frontend: encode an event")
+		return errors.Wrap(err, "frontend: encode event")
 	}
 	s.buf.WriteByte('\n')
 	return nil
 }
 
+// send writes the buffered events to the connection.
 func (s *streamSink) send() error {
-	s.x.writeSoon()
+	s.x.extendWriteDeadline()
 	if _, err := s.x.w.Write(s.buf.Bytes()); err != nil {
 		return errors.WithStack(err)
 	}
--- a/frontend/status.go
+++ b/frontend/status.go
@@ -11,12 +11,13 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// healthz answers while the process can answer at all.
+// healthz is the liveness probe. It always succeeds.
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-// readyz tells the balancer whether to send requests here.
+// readyz is the readiness probe of load balancers. Its status is 503 if the daemon is
+// not ready.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	ready, reason := s.Ready()
 	if !ready {
@@ -25,7 +26,7 @@
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-// Ready says whether the daemon takes requests, and in a word why not.
+// Ready reports whether the daemon accepts requests, and the reason if it does not.
 func (s *Server) Ready() (bool, string) {
 	if s.draining.Load() {
 		return false, "draining"
@@ -41,12 +42,13 @@
 	return true, "ready"
 }
 
-// tokenReply is the answer of POST /v1/idempotency-tokens.
-type tokenReply struct {
-	// Token is to be sent as the Idempotency-Key of one request.
+// tokenResponse is the response to POST /v1/idempotency-tokens.
+type tokenResponse struct {
+	// Token is a bound token. The caller sends it as the Idempotency-Key of one request.
 	Token string `json:"token"`
 }
 
+// mintToken is the handler of POST /v1/idempotency-tokens.
 func mintToken(x *exchange) *errkind.Error {
 	x.target = "idempotency-tokens"
 	if x.s.opts.MintToken == nil {
@@ -60,16 +62,17 @@
 		return err
 	}
 	x.w.Header().Set("Cache-Control", "no-store")
-	x.writeJSON(http.StatusCreated, tokenReply{Token: token})
+	x.writeJSON(http.StatusCreated, tokenResponse{Token: token})
 	return nil
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
 }
 
+// modelItem is one model of the list.
 type modelItem struct {
 	ID       string   `json:"id"`
 	Object   string   `json:"object"`
@@ -78,6 +81,7 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
+// listModels is the handler of GET /v1/models.
 func listModels(x *exchange) *errkind.Error {
 	x.target = "models"
 	list := modelList{Object: "list", Data: []modelItem{}}
--- a/frontend/stream_test.go
+++ b/frontend/stream_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	askWhole  = `{"model":"m","prompt":"p"}`
-	askStream = `{"model":"m","prompt":"p","stream":true,"stream_options":{"include_usage":true}}`
-	askChat   = `{"model":"m","messages":[{"role":"user","content":"u"}]}`
+	textRequest   = `{"model":"m","prompt":"p"}`
+	streamRequest = `{"model":"m","prompt":"p","stream":true,"stream_options":{"include_usage":true}}`
+	chatRequest   = `{"model":"m","messages":[{"role":"user","content":"u"}]}`
 )
 
-// plain replaces what differs from run to run.
-func plain(res *http.Response, body string, created time.Time) string {
+// normalizeBody replaces the request id and the creation time by fixed texts.
+func normalizeBody(res *http.Response, body string, created time.Time) string {
 	body = strings.ReplaceAll(body, res.Header.Get("X-Request-Id"), "ID")
 	for _, at := range []time.Time{created, created.Add(time.Second)} {
 		body = strings.ReplaceAll(body, `"created":`+strconv.FormatInt(at.Unix(), 10), `"created":T`)
@@ -39,39 +39,39 @@
 	const chunk = `{"id":"chatcmpl-ID","object":"chat.completion.chunk","created":T,"model":"m","choices":[{"index":0,"delta":{`
 	const usage = `"usage":{"prompt_tokens":4,"completion_tokens":3,"total_tokens":7,"prompt_tokens_details":{"cached_tokens":2}}}`
 	cases := []struct{ name, path, body, want string }{
-		{"text", "/v1/completions", askWhole, head + `"text":"Hel\"lo\"\n<é>","finish_reason":"stop"}],` + usage + "\n"},
-		{"chat", "/v1/chat/completions", askChat,
+		{"text", "/v1/completions", textRequest, head + `"text":"Hel\"lo\"\n<é>","finish_reason":"stop"}],` + usage + "\n"},
+		{"chat", "/v1/chat/completions", chatRequest,
 			`{"id":"chatcmpl-ID","object":"chat.completion","created":T,"model":"m","choices":[{"index":0,"message":{"role":"assistant","content":"Hel\"lo\"\n<é>"},"finish_reason":"stop"}],` + usage + "\n"},
-		{"text stream", "/v1/completions", askStream, strings.Join([]string{
+		{"text stream", "/v1/completions", streamRequest, strings.Join([]string{
 			"data: " + head + `"text":"Hel","finish_reason":null}]}`,
 			"data: " + head + `"text":"\"lo\"\n","finish_reason":null}]}`,
 			"data: " + head + `"text":"<é>","finish_reason":null}]}`,
 			"data: " + head + `"text":"","finish_reason":"stop"}]}`,
 			`data: {"id":"cmpl-ID","object":"text_completion","created":T,"model":"m","choices":[],` + usage,
 			"data: [DONE]", ""}, "\n\n")},
-		{"chat stream", "/v1/chat/completions", strings.Replace(askChat, "{", `{"stream":true,`, 1), strings.Join([]string{
+		{"chat stream", "/v1/chat/completions", strings.Replace(chatRequest, "{", `{"stream":true,`, 1), strings.Join([]string{
 			"data: " + chunk + `"role":"assistant","content":"Hel"},"finish_reason":null}]}`,
 			"data: " + chunk + `"content":"\"lo\"\n"},"finish_reason":null}]}`,
 			"data: " + chunk + `"content":"<é>"},"finish_reason":null}]}`,
 			"data: " + chunk + `},"finish_reason":"stop"}]}`,
 			"data: [DONE]", ""}, "\n\n")},
 	}
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			at := time.Now()
-			res := g.ask(t, "POST", c.path, c.body)
-			if d := cmp.Diff(c.want, plain(res, text(t, res), at)); d != "" || res.StatusCode != 200 {
+			res := g.send(t, "POST", c.path, c.body)
+			if d := cmp.Diff(c.want, normalizeBody(res, readBody(t, res), at)); d != "" || res.StatusCode != 200 {
 				t.Error(res.StatusCode, d)
 			}
 		})
 	}
 }
 
-// Symptom: a caller files a cut-off draft as a finished one, or gets nothing.
-// Sequence: the request fails, or its runner misbehaves, before or after the
-// first token.
-// Cause: the end of the connection is taken for the end of the answer.
+// Guards against incomplete responses that look complete, and against requests without
+// a response. The request fails, or the runner violates its contract, before or after
+// the first token. Without an error event, a caller would take the end of the
+// connection for the end of the response.
 func TestBrokenAnswers(t *testing.T) {
 	broken := errkind.New(errkind.StreamBroken, "the engine died")
 	late := errkind.New(errkind.Overloaded, "full").WithRetryAfter(1200 * time.Millisecond)
@@ -104,23 +104,23 @@
 		}), 1, errkind.StreamBroken, "1"},
 		{"unknown kind", tokens(0, func(s request.Sink) { s.Fail(errkind.New("made-up", "x")) }), 0, errkind.Internal, "1"},
 	}
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g.runner.complete = c.run
-			whole := g.ask(t, "POST", "/v1/completions", askWhole)
-			if p := problemOf(t, text(t, whole)); p.Kind != c.kind || whole.StatusCode != p.Status || whole.Header.Get("Retry-After") != c.after {
+			whole := g.send(t, "POST", "/v1/completions", textRequest)
+			if p := problemOf(t, readBody(t, whole)); p.Kind != c.kind || whole.StatusCode != p.Status || whole.Header.Get("Retry-After") != c.after {
 				t.Errorf("whole: %d %+v", whole.StatusCode, p)
 			}
-			res := g.ask(t, "POST", "/v1/completions", askStream)
-			body := text(t, res)
+			res := g.send(t, "POST", "/v1/completions", streamRequest)
+			body := readBody(t, res)
 			if strings.Contains(body, "[DONE]") || strings.Count(body, `"text":"t"`) != c.events {
 				t.Errorf("stream: %s", body)
 			}
 			if c.events > 0 {
 				_, body, _ = strings.Cut(body, "event: error\ndata: ")
 			} else if res.Header.Get("Content-Type") != "application/problem+json" {
-				t.Error("an early failure is not a problem answer")
+				t.Error("a failure before the first token is not a problem document")
 			}
 			if p := problemOf(t, body); p.Kind != c.kind || p.RequestID != res.Header.Get("X-Request-Id") {
 				t.Errorf("stream: %+v", p)
@@ -129,12 +129,11 @@
 	}
 }
 
-// Symptom: decode slots stay taken by callers that are gone.
-// Sequence: a caller closes its connection in the middle of a stream.
-// Cause: the request's context outlives the connection.
+// Guards against decode slots that stay occupied after the caller has closed its
+// connection in the middle of a stream: the request's context must be cancelled.
 func TestCallerGone(t *testing.T) {
 	gone := make(chan error, 1)
-	g := newRig(t, nil)
+	g := newTestServer(t, nil)
 	g.runner.complete = func(ctx context.Context, _ request.Completion, s request.Sink) {
 		_ = s.Token(0, "t")
 		<-ctx.Done()
@@ -142,7 +141,7 @@
 		gone <- ctx.Err()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	res, err := g.client.Do(newRequest(t, "POST", g.url+"/v1/completions", strings.NewReader(askStream)).WithContext(ctx))
+	res, err := g.client.Do(newRequest(t, "POST", g.url+"/v1/completions", strings.NewReader(streamRequest)).WithContext(ctx))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,17 +150,16 @@
 	}
 	cancel()
 	res.Body.Close()
-	waittest.Receive(t, "the runner is told", gone)
+	waittest.Receive(t, "the cancellation of the request", gone)
 }
 
-// Symptom: an instance's requests all hang on callers that do not read.
-// Sequence: a caller asks for a long stream and stops reading; the socket's
-// buffers fill up and a write blocks.
-// Cause: no bound on the time of a write.
+// Guards against requests that are blocked by callers that do not read. A caller
+// requests a long stream and stops reading; the socket's buffers fill up and a write
+// blocks until callers.write_timeout.
 func TestCallerStopsReading(t *testing.T) {
 	failed := make(chan error, 1)
-	g := newRig(t, func(o *Options) { o.Callers.WriteTimeout = 50 * time.Millisecond })
-	g.client.Timeout = 0 // a caller that gives up would end the write too
+	g := newTestServer(t, func(o *Options) { o.Callers.WriteTimeout = 50 * time.Millisecond })
+	g.client.Timeout = 0 // the client's own timeout would also end the write
 	g.runner.complete = func(ctx context.Context, _ request.Completion, s request.Sink) {
 		long := strings.Repeat("t", 1<<16)
 		for i := 0; ctx.Err() == nil; i++ {
@@ -171,15 +169,15 @@
 			}
 		}
 	}
-	res := g.ask(t, "POST", "/v1/completions", askStream)
-	waittest.Receive(t, "the write ends", failed)
+	res := g.send(t, "POST", "/v1/completions", streamRequest)
+	waittest.Receive(t, "the timeout of the write", failed)
 	_, err := io.Copy(io.Discard, res.Body)
 	if err == nil {
 		t.Error("the stream ended cleanly")
 	}
 }
 
-// discardWriter is a response that goes nowhere.
+// discardWriter is an http.ResponseWriter that discards the body.
 type discardWriter struct{ h http.Header }
 
 func (w discardWriter) Header() http.Header         { return w.h }
@@ -189,7 +187,8 @@
 
 func (w discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
-func newBenchSink(tb testing.TB) *streamSink {
+// newTestSink returns a streamSink that writes to a discardWriter.
+func newTestSink(tb testing.TB) *streamSink {
 	logger, err := telemetry.NewLogger(io.Discard, "error", telemetry.FormatText)
 	if err != nil {
 		tb.Fatal(err)
@@ -198,15 +197,15 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	x := s.begin(discardWriter{http.Header{}}, httptest.NewRequest("POST", "/v1/completions", nil), nil)
-	return newStreamSink(x, newReply(request.Completion{ID: x.id, Model: "m", Accepted: x.accepted}, chatShape), false)
+	x := s.newExchange(discardWriter{http.Header{}}, httptest.NewRequest("POST", "/v1/completions", nil), nil)
+	return newStreamSink(x, newCompletionResponse(request.Completion{ID: x.id, Model: "m", Accepted: x.accepted}, chatFormat), false)
 }
 
-// The rate of tokens at the design size leaves no room for garbage on each. The
-// least of many runs counts, because the standard encoder's pool drops buffers
-// at random under the race detector.
+// Sending a token must not allocate: at the designed token rate, garbage collection
+// would cost too much. The test takes the minimum of 100 runs, because the pool of
+// encoding/json drops buffers at random under the race detector.
 func TestTokensDoNotAllocate(t *testing.T) {
-	s := newBenchSink(t)
+	s := newTestSink(t)
 	i, least := 0, 1e9
 	for range 100 {
 		least = min(least, testing.AllocsPerRun(1, func() {
@@ -217,12 +216,12 @@
 		}))
 	}
 	if least > 0 {
-		t.Errorf("%.0f allocations a token", least)
+		t.Errorf("%.0f allocations per token, want 0", least)
 	}
 }
 
 func BenchmarkStreamToken(b *testing.B) {
-	s := newBenchSink(b)
+	s := newTestSink(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if err := s.Token(i, " token"); err != nil {
