--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,7 +1,8 @@
-// Package admin serves the administration interface: what a daemon has in
-// force, in flight and in view, and the order to drain. Its messages are in
-// package adminapi. Every request needs the bearer token. What steers the
-// system goes through signed bundles; nothing here changes routing.
+// Package admin serves the administration interface of a daemon. Operators read
+// its bundle version, its requests in flight, and the upstreams and daemons in its
+// view, and can start its drain. The messages are defined in package adminapi.
+// Every request needs the bearer token. The interface cannot change the routing,
+// which is configured by signed bundles only.
 package admin
 
 import (
@@ -28,50 +29,55 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// Source tells what the daemon knows. Its methods are called from many
-// goroutines at once and do not block.
+// Source provides the daemon's state to the interface. Its methods must be safe for
+// concurrent use and must not block.
 type Source interface {
 	BundleStatus() adminapi.BundleStatus
 	Requests() adminapi.Requests
 	Upstreams() adminapi.Upstreams
 	Members() adminapi.Members
-	// StartDrain begins to drain and returns at once; a second call changes nothing.
+	// StartDrain starts the drain and returns without waiting for its end. Further
+	// calls have no effect.
 	StartDrain() adminapi.Draining
 }
 
-// Bounds of the listener. Operators' tools are few and their requests small.
+// Limits of the token file, in bytes, and of the HTTP server. The limits of the
+// server are low, since the interface has few clients and small requests.
 const (
 	minTokenBytes  = 16
 	maxTokenBytes  = 4 << 10
 	maxHeaderBytes = 16 << 10
 	ioTimeout      = 10 * time.Second
-	stopGrace      = 2 * time.Second
+	shutdownGrace  = 2 * time.Second
 )
 
-const bearer = "bearer "
+// bearerPrefix precedes the token in the Authorization header.
+const bearerPrefix = "bearer "
 
-// Options wire a Server; all are required.
+// Options configure a Server. All fields are required.
 type Options struct {
-	// Admin has been validated: without TLS it listens on a loopback address.
+	// Admin must pass settings.Admin.Check, which requires a loopback address unless
+	// TLS is configured.
 	Admin  settings.Admin
 	Source Source
 	Logger log.Interface
 }
 
-// Server is the administration listener. It implements supervise.Service.
+// Server is the HTTP server of the administration interface. It implements
+// supervise.Service.
 type Server struct {
-	opts   Options
-	digest [sha256.Size]byte // of the token, so that comparing leaks no length
-	tls    *tls.Config
-	mux    *httprouter.Router
+	opts        Options
+	tokenDigest [sha256.Size]byte // compared instead of the token, so that timing does not reveal its length
+	tls         *tls.Config
+	mux         *httprouter.Router
 
 	mu   sync.Mutex // guards the fields below
 	ln   net.Listener
 	addr net.Addr
 }
 
-// New reads the token and the certificates. The caller leaves the server out
-// when the settings name no address.
+// New reads the token and the certificates. It fails if the settings have no listen
+// address; a daemon without one must not create a Server.
 func New(opts Options) (*Server, error) {
 	if opts.Source == nil || opts.Logger == nil {
 		return nil, errors.New("admin: Source and Logger are required")
@@ -83,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{opts: opts, digest: sha256.Sum256([]byte(token))}
+	s := &Server{opts: opts, tokenDigest: sha256.Sum256([]byte(token))}
 	if s.tls, err = opts.Admin.TLS.Config(); err != nil {
 		return nil, errors.Wrap(err, "admin")
 	}
@@ -91,20 +97,20 @@
 	return s, nil
 }
 
-// readToken reads the token's file; no error repeats its content.
+// readToken reads the token from a file. Its errors do not contain the file's content.
 func readToken(file string) (string, error) {
 	f, err := os.Open(file)
 	if err != nil {
-		return "", errors.Wrap(err, "admin: open the token")
+		return "", errors.Wrap(err, "admin: open token file")
 	}
 	defer f.Close()
 	raw, err := io.ReadAll(io.LimitReader(f, maxTokenBytes+1))
 	if err != nil {
-		return "", errors.Wrap(err, "admin: read the token")
+		return "", errors.Wrap(err, "admin: read token file")
 	}
 	token := strings.TrimSpace(string(raw))
 	if len(token) < minTokenBytes || len(raw) > maxTokenBytes {
-		return "", errors.Errorf("admin: the token in %s has to have %d to %d bytes", file, minTokenBytes, maxTokenBytes)
+		return "", errors.Errorf("admin: the token in %s must have %d to %d bytes", file, minTokenBytes, maxTokenBytes)
 	}
 	return token, nil
 }
@@ -114,56 +120,60 @@
 
 func (s *Server) routes() *httprouter.Router {
 	r := httprouter.New()
-	r.NotFound = s.guard(func(w http.ResponseWriter) { reply(w, http.StatusNotFound, adminapi.Error{Error: "no such path"}) })
-	r.MethodNotAllowed = s.guard(func(w http.ResponseWriter) {
-		reply(w, http.StatusMethodNotAllowed, adminapi.Error{Error: "the path takes another method"})
+	r.NotFound = s.requireToken(func(w http.ResponseWriter) { writeJSON(w, http.StatusNotFound, adminapi.Error{Error: "no such path"}) })
+	r.MethodNotAllowed = s.requireToken(func(w http.ResponseWriter) {
+		writeJSON(w, http.StatusMethodNotAllowed, adminapi.Error{Error: "the path takes another method"})
 	})
 	src := s.opts.Source
 	get := func(path string, read func() any) {
-		r.Handler(http.MethodGet, path, s.guard(func(w http.ResponseWriter) { reply(w, http.StatusOK, read()) }))
+		r.Handler(http.MethodGet, path, s.requireToken(func(w http.ResponseWriter) { writeJSON(w, http.StatusOK, read()) }))
 	}
 	get(adminapi.PathBundle, func() any { return src.BundleStatus() })
 	get(adminapi.PathRequests, func() any { return src.Requests() })
 	get(adminapi.PathUpstreams, func() any { return src.Upstreams() })
 	get(adminapi.PathMembers, func() any { return src.Members() })
-	r.Handler(http.MethodPost, adminapi.PathDrain, s.guard(func(w http.ResponseWriter) {
-		s.opts.Logger.Info("drain ordered")
-		reply(w, http.StatusAccepted, src.StartDrain())
+	r.Handler(http.MethodPost, adminapi.PathDrain, s.requireToken(func(w http.ResponseWriter) {
+		s.opts.Logger.Info("drain requested")
+		writeJSON(w, http.StatusAccepted, src.StartDrain())
 	}))
 	return r
 }
 
-// guard lets only requests with the token through.
-func (s *Server) guard(h func(http.ResponseWriter)) http.Handler {
+// requireToken wraps h so that requests without the token get status 401.
+func (s *Server) requireToken(h func(http.ResponseWriter)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.authorized(r) {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			reply(w, http.StatusUnauthorized, adminapi.Error{Error: "send Authorization: Bearer and the administration token"})
+			writeJSON(w, http.StatusUnauthorized, adminapi.Error{Error: "send Authorization: Bearer and the administration token"})
 			return
 		}
 		h(w)
 	})
 }
 
+// authorized reports whether the request has exactly one Authorization header with the
+// token. The comparison takes constant time.
 func (s *Server) authorized(r *http.Request) bool {
 	values := r.Header.Values("Authorization")
-	if len(values) != 1 || len(values[0]) < len(bearer) || !strings.EqualFold(values[0][:len(bearer)], bearer) {
+	if len(values) != 1 || len(values[0]) < len(bearerPrefix) || !strings.EqualFold(values[0][:len(bearerPrefix)], bearerPrefix) {
 		return false
 	}
-	digest := sha256.Sum256([]byte(values[0][len(bearer):]))
-	return subtle.ConstantTimeCompare(digest[:], s.digest[:]) == 1
+	digest := sha256.Sum256([]byte(values[0][len(bearerPrefix):]))
+	return subtle.ConstantTimeCompare(digest[:], s.tokenDigest[:]) == 1
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+// writeJSON writes v as the response.
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
-	w.Header().Set("Connection", "close") // bodies are never read
+	w.Header().Set("Connection", "close") // request bodies are not read, so the connection cannot be reused
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a failure means that the caller is gone
+	_ = json.NewEncoder(w).Encode(v) // an error means that the connection is closed
 }
 
-// Listen binds the address of the settings, so that an address in use fails
-// the daemon at its start. The router calls it before Run; Run calls it else.
+// Listen binds the address admin.listen. The router calls it before Run, so that the
+// daemon fails at its start if the address is in use. Run calls it if the router has
+// not.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,15 +192,15 @@
 	return nil
 }
 
-// Addr returns the address that Listen bound, or nil before.
+// Addr returns the address that Listen bound, or nil before Listen.
 func (s *Server) Addr() net.Addr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Run serves until ctx ends. It goes on while the daemon drains, so that
-// operators can watch.
+// Run serves until ctx ends. It keeps serving while the daemon drains, so that
+// operators can observe the drain.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.Listen(); err != nil {
 		return err
@@ -213,7 +223,7 @@
 		return errors.Wrap(err, "admin: serve")
 	case <-ctx.Done():
 	}
-	grace, cancel := context.WithTimeout(context.Background(), stopGrace)
+	grace, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
 	if server.Shutdown(grace) != nil {
 		_ = server.Close()
@@ -221,6 +231,7 @@
 	return nil
 }
 
+// serve serves with TLS if the server has a TLS configuration.
 func serve(server *http.Server, ln net.Listener) error {
 	if server.TLSConfig != nil {
 		return server.ServeTLS(ln, "", "")
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -24,7 +24,8 @@
 
 const testToken = "sesame-open-sesame"
 
-type fakeSource struct{ drains atomic.Int64 }
+// fakeSource is a Source with fixed answers that counts the calls of StartDrain.
+type fakeSource struct{ drainCalls atomic.Int64 }
 
 func (*fakeSource) BundleStatus() adminapi.BundleStatus { return adminapi.BundleStatus{Number: 7} }
 func (*fakeSource) Requests() adminapi.Requests         { return adminapi.Requests{Omitted: 3} }
@@ -32,10 +33,11 @@
 func (*fakeSource) Members() adminapi.Members           { return adminapi.Members{Instance: "one"} }
 
 func (f *fakeSource) StartDrain() adminapi.Draining {
-	f.drains.Add(1)
+	f.drainCalls.Add(1)
 	return adminapi.Draining{Instance: "one", InFlight: 2}
 }
 
+// tokenFile writes a token file and returns its path.
 func tokenFile(t *testing.T, content string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "token")
@@ -119,15 +121,14 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if src.drains.Load() != 1 || strings.Contains(logs.String(), "sesame") {
-		t.Errorf("%d drains, logs %s", src.drains.Load(), logs.String())
+	if src.drainCalls.Load() != 1 || strings.Contains(logs.String(), "sesame") {
+		t.Errorf("%d drains, want 1 and no token in the log: %s", src.drainCalls.Load(), logs.String())
 	}
 }
 
-// Symptom: anybody on the network can drain a daemon.
-// Sequence: an embedder builds the server without the settings' validation, or
-// the token's file is empty.
-// Cause: the server trusts what it is given.
+// Guards against an administration interface that is open to the network. A program
+// may create the server without validating the settings, or the token file may be
+// empty. New must reject such options itself, and its errors must not contain the token.
 func TestUnsafeSettingsAreRefused(t *testing.T) {
 	logger, err := telemetry.NewLogger(&bytes.Buffer{}, "info", telemetry.FormatText)
 	if err != nil {
