--- a/admin/adminapi/members.go
+++ b/admin/adminapi/members.go
@@ -1,19 +1,19 @@
 package adminapi
 
-// More paths of the interface.
+// Paths of the daemon list and of the drain, with method and response.
 const (
 	PathMembers = "/v1/members" // GET -> Members
 	PathDrain   = "/v1/drain"   // POST -> Draining, status 202
 )
 
-// Members lists the daemons in a daemon's view, by name.
+// Members lists the daemons in a daemon's view, ordered by name.
 type Members struct {
 	Instance   string   `json:"instance"`
 	DataCentre string   `json:"data_centre"`
 	Members    []Member `json:"members"`
 }
 
-// Member is one life of one daemon.
+// Member is one incarnation (process lifetime) of a daemon.
 type Member struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
@@ -24,8 +24,8 @@
 	Draining bool   `json:"draining"`
 }
 
-// Draining confirms that a daemon has begun to drain; it ends by itself once
-// its requests are answered.
+// Draining is the response to a drain request. The daemon has started to drain and
+// exits once its requests in flight have finished.
 type Draining struct {
 	Instance string `json:"instance"`
 	InFlight int    `json:"in_flight"`
