--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -1,6 +1,6 @@
-// Package errkind holds the closed list of error kinds and the one table that
-// maps a kind to the answer a caller gets: HTTP status, run state, whether a
-// retry can help, and when to come back.
+// Package errkind defines the closed list of error kinds and the table that maps each
+// kind to the caller's response: the HTTP status, the run state, whether a retry can
+// succeed, and the retry delay.
 package errkind
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names one reason for which a request is not answered with a result.
-// The list is closed: a Kind that is not a key of the table is a bug.
+// Kind is a reason why a request has no result. The list is closed: using a Kind that
+// has no row in the table is a bug.
 type Kind string
 
-// The closed list of kinds.
+// All error kinds.
 const (
 	BadRequest           Kind = "bad-request"
 	BodyTooLarge         Kind = "body-too-large"
@@ -49,39 +49,40 @@
 	Internal             Kind = "internal"
 )
 
-// Run says whether the request ran upstream.
+// Run is a run state: whether the request ran on an upstream.
 type Run string
 
-// The run states. NotRun is a promise: no upstream acted on the request.
+// The run states. NotRun guarantees that no upstream executed the request, so a retry
+// cannot run it twice.
 const (
 	NotRun  Run = "not-run"
 	Unknown Run = "unknown"
 	Ran     Run = "ran"
 )
 
-// Row is the answer for one Kind.
+// Row is the table entry of one Kind.
 type Row struct {
 	// Status is the HTTP status code.
 	Status int
-	// Run is the state reported when the request itself does not state one.
+	// Run is the run state that is reported unless Error.Run is set.
 	Run Run
 	// Retryable says whether the same request can succeed later.
 	Retryable bool
-	// RetryAfter is the default time to come back; zero means none is sent.
+	// RetryAfter is the default retry delay; with zero, none is sent.
 	RetryAfter time.Duration
-	// Title is the one-line summary for people.
+	// Title is a one-line summary for humans.
 	Title string
 }
 
-// Error is the only error type that reaches a caller.
+// Error is the only error type that is sent to callers.
 type Error struct {
-	// Kind is the reason, from the closed list.
+	// Kind is one of the kinds of this package.
 	Kind Kind
-	// Detail is a sentence for people; it never holds a secret.
+	// Detail is a sentence for humans. It must not contain secrets.
 	Detail string
-	// Run overrides the table's run state when set.
+	// Run overrides the run state of the table if it is set.
 	Run Run
-	// RetryAfter overrides the table's time to come back when positive.
+	// RetryAfter overrides the retry delay of the table if it is positive.
 	RetryAfter time.Duration
 
 	cause error
@@ -92,7 +93,8 @@
 	return &Error{Kind: kind, Detail: detail}
 }
 
-// Wrap returns an Error of the given kind that keeps cause for logs.
+// Wrap returns an Error of the given kind. The cause appears in Error() and Unwrap()
+// but is not sent to callers.
 func Wrap(cause error, kind Kind, detail string) *Error {
 	return &Error{Kind: kind, Detail: detail, cause: cause}
 }
@@ -104,7 +106,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy of e with the time to come back set.
+// WithRetryAfter returns a copy of e with the retry delay set.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -126,7 +128,8 @@
 // Unwrap returns the cause, if any.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns err as an *Error; any other error becomes Internal.
+// From returns the *Error in err's chain. An error without one is wrapped as
+// Internal; nil stays nil.
 func From(err error) *Error {
 	if err == nil {
 		return nil
--- a/errkind/errkind_test.go
+++ b/errkind/errkind_test.go
@@ -15,9 +15,9 @@
 	"github.com/pkg/errors"
 )
 
-// constants returns the value of every constant of type Kind, by name, as the
-// package's source has them.
-func constants(t *testing.T) map[string]Kind {
+// declaredKinds parses the package's source and returns the value of each constant of
+// type Kind by its name.
+func declaredKinds(t *testing.T) map[string]Kind {
 	t.Helper()
 	out := map[string]Kind{}
 	notTest := func(f fs.FileInfo) bool { return !strings.HasSuffix(f.Name(), "_test.go") }
@@ -48,15 +48,15 @@
 	return out
 }
 
-// Symptom: a caller gets "internal failure" for what is well understood.
-// Sequence: somebody adds a kind and returns it; the answer is looked up.
-// Cause: the kind has no row, and callers have no page that tells of it.
+// Guards against a kind that is declared but missing in the table or in
+// docs/ERRORS.md. Without a row, callers would get "internal failure" instead of the
+// actual reason.
 func TestEveryKindHasARowAndIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/ERRORS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := constants(t)
+	found := declaredKinds(t)
 	if len(found) == 0 || len(found) != len(Kinds()) {
 		t.Errorf("%d constants, %d rows", len(found), len(Kinds()))
 	}
@@ -70,7 +70,7 @@
 			t.Errorf("%s: %+v", name, row)
 		}
 		if row.RetryAfter > 0 && !row.Retryable {
-			t.Errorf("%s is not retryable but tells when to retry", name)
+			t.Errorf("%s is not retryable but has a retry delay", name)
 		}
 		if !strings.Contains(string(page), "| `"+string(k)+"` | "+strconv.Itoa(row.Status)+" |") {
 			t.Errorf("%s is not in docs/ERRORS.md", name)
@@ -108,6 +108,6 @@
 		t.Errorf("got %v", got)
 	}
 	if From(nil) != nil {
-		t.Error("an error out of nothing")
+		t.Error("From(nil) is not nil")
 	}
 }
