--- a/upstream/delivery.go
+++ b/upstream/delivery.go
@@ -10,23 +10,23 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Delivery says how far one call to an upstream got. The zero value is the
-// cautious one: the call may have been delivered.
+// Delivery says whether a call to an upstream was delivered. The zero value is
+// Maybe, so that a Delivery that was never set makes no promise.
 type Delivery uint8
 
-// The deliveries.
+// The values of Delivery.
 const (
-	// Maybe means the upstream may have acted on the call.
+	// Maybe means that the upstream may have executed the call.
 	Maybe Delivery = iota
-	// NotSent means no byte of the call left this process.
+	// NotSent means that no byte of the call left this process.
 	NotSent
-	// Refused means the upstream answered that it did nothing for the call.
+	// Refused means that the upstream responded that it did not execute the call.
 	Refused
-	// Done means the upstream acted and answered.
+	// Done means that the upstream executed the call and responded.
 	Done
 )
 
-// String returns the word used in logs.
+// String returns the name that is used in logs.
 func (d Delivery) String() string {
 	switch d {
 	case NotSent:
@@ -44,20 +44,20 @@
 type CallError struct {
 	// Delivery is never Done.
 	Delivery Delivery
-	// Status is the HTTP status, 0 when no answer came.
+	// Status is the HTTP status, or 0 if there was no response.
 	Status int
 	// Refusal is set when Delivery is Refused.
 	Refusal *engineapi.Refusal
 
-	// Answer is the upstream's own failure, whole, for callers who get it as it came;
-	// nil where there is none.
+	// Answer is the upstream's complete error response, to be passed on to the caller
+	// unchanged; nil if there is none.
 	Answer *ServiceAnswer
 
 	cause error
 }
 
-// NewCallError returns an error for clients of other interfaces than this
-// package's.
+// NewCallError returns a CallError. It is for packages that have clients of their
+// own for other interfaces.
 func NewCallError(d Delivery, status int, cause error) *CallError {
 	return &CallError{Delivery: d, Status: status, cause: cause}
 }
@@ -90,13 +90,13 @@
 	return Maybe
 }
 
-// Reached says whether a failed call had an answer of the upstream's host: it refused or
-// reset the connection, so that the way there works.
+// Reached reports whether a call failed because the upstream's host refused or reset the
+// connection. The host is then up and the network path to it works.
 func Reached(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// RefusalOf returns the refusal that err carries, or nil.
+// RefusalOf returns the refusal in err's *CallError, or nil.
 func RefusalOf(err error) *engineapi.Refusal {
 	var ce *CallError
 	if errors.As(err, &ce) {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// AnswerOf returns the upstream's own failure that err carries, or nil.
+// AnswerOf returns the upstream's error response in err's *CallError, or nil.
 func AnswerOf(err error) *ServiceAnswer {
 	var ce *CallError
 	if errors.As(err, &ce) {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// definitive says whether status may carry a Refusal.
-func definitive(status int) bool {
+// isRefusalStatus reports whether a response with this status may have a Refusal as its body.
+func isRefusalStatus(status int) bool {
 	return status == http.StatusConflict ||
 		status == http.StatusTooManyRequests ||
 		status == http.StatusServiceUnavailable
--- a/upstream/delivery_test.go
+++ b/upstream/delivery_test.go
@@ -21,21 +21,24 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// client returns an HTTP client whose connections are closed at the end of the test.
 func client(t testing.TB) *http.Client {
 	hc := upstream.NewHTTPClient()
 	t.Cleanup(hc.CloseIdleConnections)
 	return hc
 }
 
+// serve starts a server for h and returns its address.
 func serve(t testing.TB, h http.HandlerFunc) (addr string) {
 	s := httptest.NewServer(h)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// deadOnReuse answers the first request of each connection and, on the next,
-// reads it and closes: a service that runs the call and then dies.
-func deadOnReuse(t testing.TB, requests *atomic.Int32) (addr string) {
+// serveCrashOnReuse starts a server that responds to the first request on each connection. It
+// reads the second request and closes the connection without a response, like a service
+// that runs a call and then crashes. It counts the requests.
+func serveCrashOnReuse(t testing.TB, requests *atomic.Int32) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,12 +70,10 @@
 	return l.Addr().String()
 }
 
-// Symptom: one order confirmation sends two riders.
-// Sequence: a call with an idempotency key goes out on a kept connection; the
-// service runs it and dies before it answers; net/http takes the key as leave
-// to send the call again by itself, on a new connection.
-// Cause: http.Request counts as replayable with that header and no body, or
-// with a body it can rewind.
+// Guards against a call that a service executes twice. A call is sent on a keep-alive
+// connection; the service executes it and crashes before it responds. If the call has an
+// idempotency key and no body or one that can be rewound, net/http treats it as replayable
+// and sends it again by itself on a new connection.
 func TestServicesNeverReplay(t *testing.T) {
 	for name, c := range map[string]upstream.ServiceCall{
 		"key, no body":   {Method: "POST", Header: http.Header{"Idempotency-Key": {"k"}}},
@@ -82,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			addr := deadOnReuse(t, &requests)
+			addr := serveCrashOnReuse(t, &requests)
 			s := upstream.NewServices(client(t), upstream.NoNotices{})
 			c.Path = "/orders"
 			if _, err := s.Call(context.Background(), addr, c); err != nil {
@@ -96,15 +97,15 @@
 	}
 }
 
-// Symptom: an engine runs a prefill twice and one result is never cancelled.
-// Sequence and cause: as above, for the engines' calls.
+// Guards against an engine that runs a call twice, because net/http sent it again, so that
+// the memory of one of the runs is never freed. Compare TestServicesNeverReplay.
 func TestEnginesNeverReplay(t *testing.T) {
 	var requests atomic.Int32
-	addr := deadOnReuse(t, &requests)
+	addr := serveCrashOnReuse(t, &requests)
 	e := upstream.NewEngines(client(t))
 	for range 2 {
 		_, err := e.Reserve(context.Background(), addr, engineapi.ReserveRequest{})
-		if upstream.DeliveryOf(err) != upstream.Maybe { // the first answer has no body
+		if upstream.DeliveryOf(err) != upstream.Maybe { // the first call fails too: its response has no body
 			t.Errorf("got %v, want maybe", err)
 		}
 	}
@@ -113,10 +114,9 @@
 	}
 }
 
-// Symptom: a caller is told "not run" of a request that ran, or "unknown" of
-// one that never left.
-// Sequence: the call fails at each point of its way.
-// Cause: the client's error alone does not say how far the bytes got.
+// Guards against a caller that is told that its request did not run although it did, or
+// that this is unknown although the request was never sent. Calls fail at each stage; the
+// error of the HTTP client alone does not tell whether any byte was sent.
 func TestDelivery(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -127,7 +127,7 @@
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for name, tc := range map[string]struct {
-		h    http.HandlerFunc // nil: nobody listens
+		h    http.HandlerFunc // nil if no server listens
 		ctx  context.Context
 		want upstream.Delivery
 	}{
@@ -143,7 +143,7 @@
 		"garbled answer":     {h: answer(200, `{"load":`), want: upstream.Maybe},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr := nobody(t)
+			addr := unusedAddr(t)
 			var calls atomic.Int32
 			if tc.h != nil {
 				addr = serve(t, func(w http.ResponseWriter, r *http.Request) { calls.Add(1); tc.h(w, r) })
@@ -159,10 +159,9 @@
 	}
 }
 
-// Symptom: "not sent" for a call whose bytes were on their way.
-// Sequence: the peer accepts and never reads; the caller gives up while a large
-// body is being written.
-// Cause: no answer and no complete write, yet part of the request is out.
+// Guards against the Delivery NotSent for a call that was partly sent. The server accepts
+// the connection and reads only one byte, and the call is cancelled while its large body is
+// being written: there is neither a response nor a complete request.
 func TestDeliveryHalfWritten(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -174,7 +173,7 @@
 	go func() {
 		c, err := l.Accept()
 		if err == nil {
-			_, _ = c.Read(make([]byte, 1)) // the first byte is out
+			_, _ = c.Read(make([]byte, 1)) // now at least one byte was sent
 			cancel()
 		}
 		accepted <- c
@@ -189,8 +188,8 @@
 	}
 }
 
-// nobody returns an address on which nothing listens.
-func nobody(t testing.TB) string {
+// unusedAddr returns an address on which no server listens.
+func unusedAddr(t testing.TB) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -199,10 +198,9 @@
 	return l.Addr().String()
 }
 
-// Symptom: a caller gets a truncated answer, or another caller's, as its own.
-// Sequence: the service dies while it writes an answer without a length, or
-// answers twice on one kept connection.
-// Cause: HTTP alone shows neither.
+// Guards against a caller that gets a truncated response or that of another caller. The
+// service crashes while it writes a response without a length, or sends two responses to
+// one request on a keep-alive connection. net/http reports an error for neither.
 func TestServicesAnswer(t *testing.T) {
 	raw := func(head string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -267,12 +265,11 @@
 	}
 }
 
-// Symptom: a request stays unanswered past its deadline.
-// Sequence: the engine accepts and freezes; the deadline passes.
-// Cause: a call without a bound.
+// Guards against a call that continues after its deadline. The engine accepts the request
+// and then hangs.
 func TestCallEndsWithContext(t *testing.T) {
 	addr := serve(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then does the server notice that the caller left
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a closed connection only after the body was read
 		<-r.Context().Done()
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
--- a/upstream/engines.go
+++ b/upstream/engines.go
@@ -1,7 +1,7 @@
-// Package upstream holds the clients of engines and of plain services. Every
-// failure says whether the call may have been delivered (Delivery), which is
-// what the callers' promises rest on. The clients keep no state but their
-// connections and are safe for concurrent use.
+// Package upstream has the HTTP clients for model engines and for plain services.
+// Every error states whether the call may have been delivered (Delivery), because that
+// decides whether the call can safely be sent again and what the caller is told. The
+// clients keep no state except their connections and are safe for concurrent use.
 package upstream
 
 import (
@@ -18,106 +18,114 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// maxReply bounds the body of an engine's unary answer, in bytes. The longest
-// is HeldReply.
-const maxReply = 4 << 20
+// maxReplyBytes is the largest body that is read of an engine's unary response, in bytes.
+// The longest response is HeldReply.
+const maxReplyBytes = 4 << 20
 
 const contentJSON = "application/json"
 
-// Engines calls engines at the addresses given, host:port.
+// Engines is a client of the model engines. The methods' argument addr is the host:port
+// of an engine.
 type Engines struct{ hc *http.Client }
 
-// NewEngines returns a client; hc should come from NewHTTPClient, and with any
-// other client every failure after the dial counts as Maybe.
+// NewEngines returns a client that sends its requests with hc, which should come from
+// NewHTTPClient or NewHTTPClientWith. Only the connections of these count what is
+// written on them; with any other client, every failure after the dial gives Maybe.
 func NewEngines(hc *http.Client) *Engines { return &Engines{hc: hc} }
 
-// Reserve asks a decode engine for a slot.
+// Reserve reserves a slot on a decode engine.
 func (e *Engines) Reserve(ctx context.Context, addr string, r engineapi.ReserveRequest) (engineapi.ReserveReply, error) {
 	return post[engineapi.ReserveReply](ctx, e.hc, addr, engineapi.PathReserve, r)
 }
 
-// Prefill computes the KV cache of a prompt and returns when it can be exported.
+// Prefill has an engine compute the KV cache of a prompt. It returns when the cache is
+// ready for export.
 func (e *Engines) Prefill(ctx context.Context, addr string, r engineapi.PrefillRequest) (engineapi.PrefillReply, error) {
 	return post[engineapi.PrefillReply](ctx, e.hc, addr, engineapi.PathPrefill, r)
 }
 
-// Cancel frees what the engine holds for the work; no error means acknowledged.
+// Cancel cancels the work on an engine and frees its memory. A nil error means that the
+// engine acknowledged the cancel.
 func (e *Engines) Cancel(ctx context.Context, addr string, w engineapi.WorkID) (engineapi.CancelReply, error) {
 	return post[engineapi.CancelReply](ctx, e.hc, addr, engineapi.PathCancel, engineapi.CancelRequest{WorkID: w})
 }
 
-// Release frees what the engine holds for the attempt, which it knows by the work.
+// Release frees the memory that the engine holds for an attempt. It is the same as Cancel;
+// the handle and reservation in r are not needed, because the engine finds them by WorkID.
 func (e *Engines) Release(ctx context.Context, addr string, r engineapi.CancelRequest) error {
 	_, err := e.Cancel(ctx, addr, r.WorkID)
 	return err
 }
 
-// Unpause lets paused work generate again; no error means acknowledged.
+// Unpause continues the generation of paused work. A nil error means that the engine
+// acknowledged it.
 func (e *Engines) Unpause(ctx context.Context, addr string, r engineapi.CancelRequest) error {
 	_, err := e.Resume(ctx, addr, r.WorkID)
 	return err
 }
 
-// Pause stops generation of the work; its memory is kept.
+// Pause suspends the generation of the work. The engine keeps the work's memory.
 func (e *Engines) Pause(ctx context.Context, addr string, w engineapi.WorkID) (engineapi.CancelReply, error) {
 	return post[engineapi.CancelReply](ctx, e.hc, addr, engineapi.PathPause, engineapi.CancelRequest{WorkID: w})
 }
 
-// Resume lets paused work generate again.
+// Resume continues the generation of paused work.
 func (e *Engines) Resume(ctx context.Context, addr string, w engineapi.WorkID) (engineapi.CancelReply, error) {
 	return post[engineapi.CancelReply](ctx, e.hc, addr, engineapi.PathResume, engineapi.CancelRequest{WorkID: w})
 }
 
-// Held lists the memory an engine holds.
+// Held returns a list of the memory that an engine holds for requests.
 func (e *Engines) Held(ctx context.Context, addr string) (engineapi.HeldReply, error) {
 	return get[engineapi.HeldReply](ctx, e.hc, addr, engineapi.PathHeld, nil)
 }
 
-// Load returns an engine's lagged view of its load.
+// Load returns an engine's report of its load, which lags behind the real load.
 func (e *Engines) Load(ctx context.Context, addr string) (engineapi.Load, error) {
 	return get[engineapi.Load](ctx, e.hc, addr, engineapi.PathLoad, nil)
 }
 
-// Events returns cache events from sequence number from on.
+// Events returns the cache events whose sequence numbers are at least from.
 func (e *Engines) Events(ctx context.Context, addr string, from uint64) (engineapi.EventsReply, error) {
 	q := url.Values{"from": {strconv.FormatUint(from, 10)}}
 	return get[engineapi.EventsReply](ctx, e.hc, addr, engineapi.PathEvents, q)
 }
 
-// Order sends an order. An engine that refuses an old fence answers with
-// Accepted false or with a refusal.
+// Order sends an order to an engine. An engine that rejects the order because of an
+// outdated fencing token responds with Accepted set to false or with a refusal.
 func (e *Engines) Order(ctx context.Context, addr string, o engineapi.Order) (engineapi.OrderReply, error) {
 	return post[engineapi.OrderReply](ctx, e.hc, addr, engineapi.PathOrders, o)
 }
 
-// State returns what an engine serves now.
+// State returns the role, models and adapters that an engine serves now.
 func (e *Engines) State(ctx context.Context, addr string) (engineapi.State, error) {
 	return get[engineapi.State](ctx, e.hc, addr, engineapi.PathState, nil)
 }
 
-// Decode starts generation and returns its stream. Close the stream.
+// Decode starts the generation and returns its stream, which the caller must close.
 func (e *Engines) Decode(ctx context.Context, addr string, r engineapi.DecodeRequest) (ChunkStream, error) {
-	req, err := postRequest(ctx, addr, engineapi.PathDecode, r)
+	req, err := newPostRequest(ctx, addr, engineapi.PathDecode, r)
 	if err != nil {
 		return nil, err
 	}
 	return openStream(e.hc, req)
 }
 
-// Stream attaches again to a running attempt's stream, from a token index on.
+// Stream attaches again to the stream of a running attempt, starting at the token with
+// index from. The caller must close the returned stream.
 func (e *Engines) Stream(ctx context.Context, addr string, w engineapi.WorkID, from int) (ChunkStream, error) {
 	q := url.Values{
 		"request": {w.RequestID},
 		"attempt": {strconv.Itoa(w.Attempt)},
 		"from":    {strconv.Itoa(from)},
 	}
-	req, err := getRequest(ctx, addr, engineapi.PathStream, q)
+	req, err := newGetRequest(ctx, addr, engineapi.PathStream, q)
 	if err != nil {
 		return nil, err
 	}
 	return openStream(e.hc, req)
 }
 
+// openStream sends req and returns the stream in its response.
 func openStream(hc *http.Client, req *http.Request) (ChunkStream, error) {
 	resp, err := roundTrip(hc, req)
 	if err != nil {
@@ -131,7 +139,7 @@
 }
 
 func post[T any](ctx context.Context, hc *http.Client, addr, path string, msg any) (T, error) {
-	req, err := postRequest(ctx, addr, path, msg)
+	req, err := newPostRequest(ctx, addr, path, msg)
 	if err != nil {
 		var zero T
 		return zero, err
@@ -140,7 +148,7 @@
 }
 
 func get[T any](ctx context.Context, hc *http.Client, addr, path string, q url.Values) (T, error) {
-	req, err := getRequest(ctx, addr, path, q)
+	req, err := newGetRequest(ctx, addr, path, q)
 	if err != nil {
 		var zero T
 		return zero, err
@@ -148,7 +156,7 @@
 	return unary[T](hc, req)
 }
 
-func postRequest(ctx context.Context, addr, path string, msg any) (*http.Request, error) {
+func newPostRequest(ctx context.Context, addr, path string, msg any) (*http.Request, error) {
 	body, err := json.Marshal(msg)
 	if err != nil {
 		return nil, &CallError{Delivery: NotSent, cause: errors.Wrap(err, "encode")}
@@ -157,12 +165,12 @@
 	if err != nil {
 		return nil, &CallError{Delivery: NotSent, cause: errors.WithStack(err)}
 	}
-	once(req, bytes.NewReader(body), int64(len(body)))
+	disableReplay(req, bytes.NewReader(body), int64(len(body)))
 	req.Header.Set("Content-Type", contentJSON)
 	return req, nil
 }
 
-func getRequest(ctx context.Context, addr, path string, q url.Values) (*http.Request, error) {
+func newGetRequest(ctx context.Context, addr, path string, q url.Values) (*http.Request, error) {
 	u := url.URL{Scheme: "http", Host: addr, Path: path, RawQuery: q.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), http.NoBody)
 	if err != nil {
@@ -171,28 +179,32 @@
 	return req, nil
 }
 
-// RoundTrip sends req, whose body should come from SetBody, and types its failure.
-// It is for clients of other interfaces than this package's; hc must come from
-// this package for a failure to count as NotSent.
+// RoundTrip sends req, whose body should be set with SetBody. A failure is returned as a
+// *CallError with its Delivery. RoundTrip is for packages that have clients of their own
+// for other interfaces. The Delivery can only be NotSent if hc comes from this package.
 func RoundTrip(hc *http.Client, req *http.Request) (*http.Response, error) { return roundTrip(hc, req) }
 
-// SetBody sets a body that net/http sends once at most, also when it is empty.
-func SetBody(req *http.Request, body []byte) { once(req, bytes.NewReader(body), int64(len(body))) }
+// SetBody sets the body of req and keeps net/http from sending the request a second time,
+// also if the body is empty.
+func SetBody(req *http.Request, body []byte) {
+	disableReplay(req, bytes.NewReader(body), int64(len(body)))
+}
 
-// roundTrip sends req and types its failure.
+// roundTrip sends req and returns a failure as a *CallError with its Delivery.
 func roundTrip(hc *http.Client, req *http.Request) (*http.Response, error) {
-	var s sent
-	resp, err := hc.Do(req.WithContext(s.trace(req.Context())))
+	var conns connTracker
+	resp, err := hc.Do(req.WithContext(conns.withTrace(req.Context())))
 	if err == nil {
 		return resp, nil
 	}
 	d := Maybe
-	if s.nothing() {
+	if conns.nothingWritten() {
 		d = NotSent
 	}
 	return nil, &CallError{Delivery: d, cause: err}
 }
 
+// unary sends req and decodes the JSON body of the response.
 func unary[T any](hc *http.Client, req *http.Request) (T, error) {
 	var out T
 	resp, err := roundTrip(hc, req)
@@ -203,23 +215,23 @@
 	if resp.StatusCode != http.StatusOK {
 		return out, statusError(resp)
 	}
-	body, err := readBounded(resp.Body, maxReply)
+	body, err := readBounded(resp.Body, maxReplyBytes)
 	if err == nil {
 		err = json.Unmarshal(body, &out)
 	}
 	if err != nil {
-		return out, &CallError{Delivery: Maybe, Status: resp.StatusCode, cause: errors.Wrap(err, "read answer")}
+		return out, &CallError{Delivery: Maybe, Status: resp.StatusCode, cause: errors.Wrap(err, "read response")}
 	}
 	return out, nil
 }
 
-// statusError types an answer other than 200. Only a status of the refusals
-// with a readable refusal in it counts as refused: a 503 written by something
-// in between proves nothing about the engine.
+// statusError converts a response with a status other than 200 to an error. The error has
+// the Delivery Refused only if the status is one of a refusal and the body is a valid
+// Refusal, because a proxy may also respond with 503 after it forwarded the call.
 func statusError(resp *http.Response) error {
 	ce := &CallError{Delivery: Maybe, Status: resp.StatusCode, cause: errors.New(resp.Status)}
-	body, err := readBounded(resp.Body, maxReply)
-	if err != nil || !definitive(resp.StatusCode) {
+	body, err := readBounded(resp.Body, maxReplyBytes)
+	if err != nil || !isRefusalStatus(resp.StatusCode) {
 		return ce
 	}
 	var r engineapi.Refusal
@@ -230,13 +242,14 @@
 	return ce
 }
 
+// readBounded reads all of r and fails if it is longer than limit, in bytes.
 func readBounded(r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, errors.Errorf("answer exceeds %d bytes", limit)
+		return nil, errors.Errorf("response exceeds %d bytes", limit)
 	}
 	return body, nil
 }
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Notice is what one answer of an upstream says of its rate limit.
+// Notice is what one response of an upstream states about the upstream's rate limit.
 type Notice struct {
-	// Upstream is its name.
+	// Upstream is the upstream's name.
 	Upstream string
-	// Sent is when the request was sent, and Came when its answer began to arrive. The upstream
-	// wrote the answer at some moment between them.
+	// Sent is when the request was sent, and Came when its response began to arrive. The
+	// upstream wrote the response between these two times.
 	Sent, Came time.Time
-	// Named says that the answer names a limit: Limit requests a second, from all daemons.
+	// Named reports whether the response states a limit. Limit is that limit, in requests per
+	// second from all daemons together.
 	Named bool
 	Limit float64
-	// Unreadable is a limit that is named in a way that cannot be read, quoted; empty where
-	// there is none.
+	// Unreadable is the quoted value of a limit that cannot be parsed; empty if there is none.
 	Unreadable string
-	// Ran says that the upstream worked on the request, so that a limit that is not named is
-	// not in force. Refusals may come from something in front of it.
+	// Ran reports whether the upstream itself ran the request. Only then does a response
+	// without a limit mean that the upstream has none: a refusal may come from a proxy.
 	Ran bool
 }
 
-// NoticeOf returns what the values of an answer's limit header say, of which there is none or
-// one; of several the lowest holds.
-func NoticeOf(name string, sent, came time.Time, values []string, ran bool) Notice {
-	n := Notice{Upstream: name, Sent: sent, Came: came, Ran: ran}
+// NoticeOf returns the Notice of a response. values are the values of its rate limit header.
+// There should be at most one; if there are several, the lowest applies.
+func NoticeOf(name string, sent, received time.Time, values []string, ran bool) Notice {
+	n := Notice{Upstream: name, Sent: sent, Came: received, Ran: ran}
 	for _, text := range values {
 		limit, ok := parseLimit(text)
 		switch {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// parseLimit reads a limit in requests a second.
+// parseLimit parses a limit in requests per second.
 func parseLimit(text string) (limit float64, ok bool) {
 	limit, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(limit) || math.IsInf(limit, 0) || limit < 0 {
@@ -50,13 +50,14 @@
 	return limit, true
 }
 
-// Notices hears what answers say of rate limits. Implementations are safe for concurrent use
-// and do not block.
+// Notices is notified of the rate limits that responses state. Implementations must be safe
+// for concurrent use and must not block.
 type Notices interface {
+	// Noticed is called once for each response, whether or not it states a limit.
 	Noticed(n Notice)
 }
 
-// NoNotices drops them.
+// NoNotices is a Notices that ignores all notices.
 type NoNotices struct{}
 
 // Noticed implements Notices.
--- a/upstream/services.go
+++ b/upstream/services.go
@@ -15,68 +15,70 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// HeaderRequestID carries the request's id to plain services. A service may
-// repeat it in its answer, which is then checked.
+// HeaderRequestID is the header with the request's id in calls to plain services. A
+// service may send it back; a response with another id is rejected.
 const HeaderRequestID = "X-Request-Id"
 
-// HeaderLoad is the answer header in which a plain service may report its load;
-// loadFormat is its content. It is not passed on to callers.
+// HeaderLoad is the response header in which a plain service may report its load, in
+// loadFormat. It is not passed on to callers.
 const (
 	HeaderLoad = "X-Load"
 	loadFormat = "active=%d slots=%d leaving=%t incarnation=%d seq=%d"
 )
 
-// HeaderLimit is the answer header in which a plain service may name its rate limit: the
-// requests a second, a decimal number, that the replica takes from all daemons. It holds until
-// an answer names another one, or none.
+// HeaderLimit is the response header in which a plain service may state the rate limit of the
+// replica: a decimal number of requests per second from all daemons together. The limit
+// applies until a response states another one or has no such header.
 const HeaderLimit = "X-Rate-Limit"
 
-// DefaultMaxAnswer is the default bound of a plain service's answer, in bytes.
+// DefaultMaxAnswer is the largest body of a plain service's response, in bytes.
 const DefaultMaxAnswer = 8 << 20
 
 // ServiceCall is one HTTP call to a plain service.
 type ServiceCall struct {
 	RequestID string
 	Method    string
-	// Path is the path with the raw query; it starts with a slash.
+	// Path is the path with the raw query. It starts with a slash.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Upstream is the name of the replica that is meant, and Deadline when nobody waits
-	// any more, for transports that carry them.
+	// Upstream is the name of the replica that the call is for. Deadline is when the caller
+	// stops waiting for the response. Some clients send both in the request's header.
 	Upstream string
 	Deadline time.Time
-	// Once forbids net/http to send the call again by itself, also for a safe method.
+	// Once keeps net/http from sending the call a second time by itself, even if the method
+	// is safe.
 	Once bool
 }
 
-// ServiceAnswer is a whole answer, of any status.
+// ServiceAnswer is a complete response, with any status.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Load is what HeaderLoad told; nil when it was absent.
+	// Load is the load that the response reports; nil if it reports none.
 	Load *engineapi.Load
 }
 
-// Services calls plain services.
+// Services is a client of plain services, which are those without model engines.
 type Services struct {
-	hc        *http.Client
-	maxAnswer int64
-	notices   Notices
+	hc             *http.Client
+	maxAnswerBytes int64
+	notices        Notices
 }
 
-// NewServices returns a client; hc should come from NewHTTPClient. Answers are
-// bounded by DefaultMaxAnswer. Notices hears what answers say of limits.
+// NewServices returns a client that sends its requests with hc, which should come from
+// NewHTTPClient or NewHTTPClientWith. The rate limits that responses state are reported
+// to notices.
 func NewServices(hc *http.Client, notices Notices) *Services {
-	return &Services{hc: hc, maxAnswer: DefaultMaxAnswer, notices: notices}
+	return &Services{hc: hc, maxAnswerBytes: DefaultMaxAnswer, notices: notices}
 }
 
-// Call sends c once to addr, host:port, and returns the whole answer. An answer
-// that may be cut short, is too long or names another request is an error
-// with Delivery Maybe.
+// Call sends c once to the replica at addr, which is host:port, and returns the complete
+// response. A response that may be truncated, exceeds DefaultMaxAnswer or has the id of
+// another request gives an error with Delivery Maybe.
 func (s *Services) Call(ctx context.Context, addr string, c ServiceCall) (*ServiceAnswer, error) {
-	req, err := serviceRequest(ctx, addr, c)
+	req, err := newServiceRequest(ctx, addr, c)
 	if err != nil {
 		return nil, err
 	}
@@ -86,12 +88,12 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	came := time.Now()
-	body, err := readBounded(resp.Body, s.maxAnswer)
+	received := time.Now()
+	body, err := readBounded(resp.Body, s.maxAnswerBytes)
 	if err == nil {
-		err = checkAnswer(resp, c)
+		err = checkResponse(resp, c)
 	}
-	s.notices.Noticed(NoticeOf(c.Upstream, sent, came, resp.Header.Values(HeaderLimit), err == nil && resp.StatusCode/100 == 2))
+	s.notices.Noticed(NoticeOf(c.Upstream, sent, received, resp.Header.Values(HeaderLimit), err == nil && resp.StatusCode/100 == 2))
 	if err != nil {
 		return nil, &CallError{Delivery: Maybe, Status: resp.StatusCode, cause: err}
 	}
@@ -105,20 +107,19 @@
 	return &ServiceAnswer{Status: resp.StatusCode, Header: h, Body: body, Load: parseLoadHeader(resp.Header)}, nil
 }
 
-// serviceRefusal returns the refusal that a 503 carries, or nil when the answer
-// is the service's own. Only a body that has both the reason and the leaving
-// member of engineapi.Refusal counts: a 503 of the service's own making may
-// come after half the work.
+// serviceRefusal returns the refusal in the body of a 503 response, or nil if there is none.
+// The body must have both the members "reason" and "leaving" of engineapi.Refusal. Any other
+// 503 may come from the service after it has done part of the work.
 func serviceRefusal(status int, body []byte) *engineapi.Refusal {
 	if status != http.StatusServiceUnavailable {
 		return nil
 	}
-	var shape struct {
+	var members struct {
 		Reason  string `json:"reason"`
 		Leaving *bool  `json:"leaving"`
 	}
 	var r engineapi.Refusal
-	if json.Unmarshal(body, &shape) != nil || shape.Reason == "" || shape.Leaving == nil {
+	if json.Unmarshal(body, &members) != nil || members.Reason == "" || members.Leaving == nil {
 		return nil
 	}
 	if json.Unmarshal(body, &r) != nil {
@@ -127,6 +128,7 @@
 	return &r
 }
 
+// parseLoadHeader parses HeaderLoad; it returns nil if the header is missing or malformed.
 func parseLoadHeader(h http.Header) *engineapi.Load {
 	var l engineapi.Load
 	_, err := fmt.Sscanf(h.Get(HeaderLoad), loadFormat, &l.Active, &l.Slots, &l.Leaving, &l.Incarnation, &l.Seq)
@@ -136,7 +138,8 @@
 	return &l
 }
 
-func serviceRequest(ctx context.Context, addr string, c ServiceCall) (*http.Request, error) {
+// newServiceRequest builds the HTTP request of c.
+func newServiceRequest(ctx context.Context, addr string, c ServiceCall) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+addr+c.Path, http.NoBody)
 	if err != nil {
 		return nil, &CallError{Delivery: NotSent, cause: errors.WithStack(err)}
@@ -146,38 +149,39 @@
 	}
 	httpsem.RemoveHopByHop(req.Header)
 	req.Header.Set(HeaderRequestID, c.RequestID)
-	if len(c.Body) > 0 || c.Once || (!httpsem.Safe(c.Method) && namesKey(req.Header)) {
-		once(req, bytes.NewReader(c.Body), int64(len(c.Body)))
+	if len(c.Body) > 0 || c.Once || (!httpsem.Safe(c.Method) && hasIdempotencyKey(req.Header)) {
+		disableReplay(req, bytes.NewReader(c.Body), int64(len(c.Body)))
 	}
 	return req, nil
 }
 
-// namesKey says whether h holds a header by which net/http takes a request for
-// replayable whatever its method.
-func namesKey(h http.Header) bool {
+// hasIdempotencyKey reports whether h has an idempotency key. net/http then treats the request as
+// replayable whatever its method is.
+func hasIdempotencyKey(h http.Header) bool {
 	return len(h.Values("Idempotency-Key")) > 0 || len(h.Values("X-Idempotency-Key")) > 0
 }
 
-// checkAnswer refuses an answer that is not certain to be whole and its own.
+// checkResponse returns an error for a response that may be truncated or may belong to
+// another request.
 //
-// An answer without a length ends with its connection, so a service that dies
-// while it writes looks like one that finished. And a service that answers
-// twice on a kept connection makes the second answer look like that of the
-// next request. The first shows as a missing length, the second as another
-// request's id.
-func checkAnswer(resp *http.Response, c ServiceCall) error {
+// A response without a length or chunks ends when its connection is closed, so it
+// looks complete even if the service crashed while writing it. A service that sends
+// two responses to one request on a keep-alive connection makes the second one look
+// like the response to the next request; it has the id of the earlier request.
+func checkResponse(resp *http.Response, c ServiceCall) error {
 	if id := resp.Header.Get(HeaderRequestID); id != "" && id != c.RequestID {
-		return errors.Errorf("answer belongs to request %q", id)
+		return errors.Errorf("response belongs to request %q", id)
 	}
 	if !hasBody(resp, c.Method) || resp.ContentLength >= 0 {
 		return nil
 	}
 	if !slices.Contains(resp.TransferEncoding, "chunked") {
-		return errors.New("answer has neither a length nor chunks")
+		return errors.New("response has neither a length nor chunks")
 	}
 	return nil
 }
 
+// hasBody reports whether a response with this status to this method can have a body.
 func hasBody(resp *http.Response, method string) bool {
 	return method != http.MethodHead &&
 		resp.StatusCode != http.StatusNoContent &&
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -11,46 +11,46 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// MaxLine is the longest line of a decode stream, in bytes.
+// MaxLine is the maximum length of a line of a decode stream, in bytes.
 const MaxLine = 16 << 10
 
-// ErrLineTooLong is returned for a line over MaxLine.
+// ErrLineTooLong is returned for a line that is longer than MaxLine.
 var ErrLineTooLong = errors.New("stream line too long")
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxLine) }}
+var bufferPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxLine) }}
 
-// ChunkStream is a decode stream that is being read. It is not safe for concurrent
-// use, except that cancelling the call's context ends a blocked Next.
+// ChunkStream reads the stream of generated tokens from a decode call. It is not safe for
+// concurrent use, except that cancelling the context of the call makes a blocked Next
+// return.
 type ChunkStream interface {
-	// Next reads the next chunk into c. No error says whether the answer is whole;
-	// only the chunks do.
+	// Next reads the next chunk into c. Its error does not say whether the answer is
+	// complete; it is complete only if a chunk with Done set was read.
 	Next(c *engineapi.Chunk) error
-	// Head is the beginning of the engine's own answer, or nil where chunks say it all.
+	// Head returns the status and header of the engine's response if they are to be passed
+	// on to the caller, otherwise nil.
 	Head() *engineapi.Head
-	// Close ends the stream, which must not be used afterwards.
+	// Close closes the stream, which must not be used afterwards.
 	Close() error
 }
 
-// Stream reads one decode stream. It is not safe for concurrent use, except
-// that cancelling the call's context ends a blocked Next.
+// Stream reads a decode stream of one JSON object per line. It implements ChunkStream.
 type Stream struct {
 	body io.ReadCloser
 	buf  *bufio.Reader
-	// requestID is the id of the last chunk; chunks of one stream share it, so
-	// the string is made once.
+	// requestID is the request id of the last chunk. All chunks of a stream have the
+	// same id, so the string is allocated only once.
 	requestID string
 }
 
 func newStream(body io.ReadCloser) *Stream {
-	buf := readers.Get().(*bufio.Reader)
+	buf := bufferPool.Get().(*bufio.Reader)
 	buf.Reset(body)
 	return &Stream{body: body, buf: buf}
 }
 
-// Next reads the next chunk into c. It returns io.EOF at the end of the
-// connection, io.ErrUnexpectedEOF when that cuts a line, and any other error
-// for a garbled line or a failed read. No error says whether the answer is
-// whole; only the chunks do.
+// Next implements ChunkStream. It returns io.EOF at the end of the response's body,
+// io.ErrUnexpectedEOF if the body ends inside a line, and another error for a malformed
+// line or a failed read.
 func (s *Stream) Next(c *engineapi.Chunk) error {
 	line, err := s.buf.ReadSlice('\n')
 	switch {
@@ -65,20 +65,21 @@
 	}
 }
 
-// Head implements ChunkStream: the chunks say it all.
+// Head implements ChunkStream. It returns nil, because nothing of the engine's header is
+// passed on to the caller.
 func (s *Stream) Head() *engineapi.Head { return nil }
 
-// Close ends the stream. The Stream must not be used afterwards.
+// Close implements ChunkStream. It returns the buffer to the pool.
 func (s *Stream) Close() error {
 	err := s.body.Close()
 	s.buf.Reset(nil)
-	readers.Put(s.buf)
+	bufferPool.Put(s.buf)
 	s.buf = nil
 	return err
 }
 
-// parse fills c from one line. It exists beside encoding/json because that takes
-// 8 allocations a token (measured); this allocates the token's text alone.
+// parse decodes one line into c. encoding/json is not used because it makes 8 allocations
+// per token; this makes one, for the token's text.
 func (s *Stream) parse(line []byte, c *engineapi.Chunk) error {
 	*c = engineapi.Chunk{}
 	l := jlexer.Lexer{Data: line}
@@ -86,7 +87,7 @@
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
 		l.WantColon()
-		s.field(&l, key, c)
+		s.decodeField(&l, key, c)
 		l.WantComma()
 	}
 	l.Delim('}')
@@ -94,7 +95,8 @@
 	return errors.WithStack(l.Error())
 }
 
-func (s *Stream) field(l *jlexer.Lexer, key string, c *engineapi.Chunk) {
+// decodeField decodes the value of one member of a chunk.
+func (s *Stream) decodeField(l *jlexer.Lexer, key string, c *engineapi.Chunk) {
 	switch key {
 	case "request_id":
 		c.RequestID = s.internID(l.UnsafeString())
@@ -121,6 +123,8 @@
 	}
 }
 
+// internID returns a copy of id, which refers to the read buffer. It allocates only if the id
+// differs from that of the previous chunk.
 func (s *Stream) internID(id string) string {
 	if id != s.requestID {
 		s.requestID = string(append([]byte(nil), id...))
@@ -138,14 +142,15 @@
 	for !l.IsDelim('}') {
 		key := l.UnsafeFieldName(false)
 		l.WantColon()
-		loadField(l, key, load)
+		decodeLoadField(l, key, load)
 		l.WantComma()
 	}
 	l.Delim('}')
 	return load
 }
 
-func loadField(l *jlexer.Lexer, key string, load *engineapi.Load) {
+// decodeLoadField decodes the value of one member of a load.
+func decodeLoadField(l *jlexer.Lexer, key string, load *engineapi.Load) {
 	switch key {
 	case "incarnation":
 		load.Incarnation = l.Uint64()
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -14,21 +14,23 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-func reader(s string) *Stream { return newStream(io.NopCloser(strings.NewReader(s))) }
+// newTestStream returns a Stream that reads s.
+func newTestStream(s string) *Stream { return newStream(io.NopCloser(strings.NewReader(s))) }
 
-// TestParseMatchesJSON checks the stream's own parser against encoding/json.
+// TestParseMatchesJSON checks that the parser of Stream decodes a chunk in the same way as
+// encoding/json does.
 func TestParseMatchesJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := rapid.Make[engineapi.Chunk]().Draw(t, "chunk")
 		line, err := json.Marshal(want)
-		if err != nil { // NaN and infinite times between tokens have no JSON
+		if err != nil { // a NaN or infinite StepMS cannot be encoded as JSON
 			return
 		}
 		want = engineapi.Chunk{}
 		if err := json.Unmarshal(line, &want); err != nil {
 			t.Fatal(err)
 		}
-		s := reader(string(line) + "\n")
+		s := newTestStream(string(line) + "\n")
 		defer s.Close()
 		var got engineapi.Chunk
 		if err := s.Next(&got); err != nil {
@@ -43,10 +45,9 @@
 	})
 }
 
-// Symptom: a cut or garbled stream passes for a whole one, or an endless line
-// fills the memory.
-// Sequence: the connection ends inside a line; a line is not JSON; no line end comes.
-// Cause: line framing without a bound or an end check.
+// Guards against a truncated or malformed stream that is taken for a complete one, and
+// against a line without an end that fills the memory. The connection ends inside a line, a
+// line is not a valid chunk, or a line exceeds MaxLine.
 func TestStreamDamaged(t *testing.T) {
 	for name, tc := range map[string]struct {
 		in   string
@@ -56,26 +57,27 @@
 		"cut line":     {`{"request_id":"r"`, io.ErrUnexpectedEOF},
 		"endless line": {strings.Repeat("x", MaxLine+1), ErrLineTooLong},
 	} {
-		s := reader(tc.in)
+		s := newTestStream(tc.in)
 		if err := s.Next(new(engineapi.Chunk)); !errors.Is(err, tc.want) {
 			t.Errorf("%s: got %v, want %v", name, err, tc.want)
 		}
 		s.Close()
 	}
 	for _, in := range []string{"null\n", "[]\n", `{"index":"x"}` + "\n", `{"index":1}x` + "\n", "{\x00}\n", "\n", `{"load":7}` + "\n"} {
-		s := reader(in)
+		s := newTestStream(in)
 		if err := s.Next(new(engineapi.Chunk)); err == nil {
-			t.Errorf("%q was taken", in)
+			t.Errorf("%q was accepted", in)
 		}
 		s.Close()
 	}
 }
 
+// line is a chunk of a typical size, as an engine sends it.
 const line = `{"request_id":"01ARZ3NDEKTSV4RRFFQ69G5FAV","attempt":1,"index":17,"text":" 0a1b2c"}` + "\n"
 
-// TestStreamAllocs holds a token to the one allocation of its text.
+// TestStreamAllocs checks that reading a token makes one allocation, for its text.
 func TestStreamAllocs(t *testing.T) {
-	s := reader(strings.Repeat(line, 300))
+	s := newTestStream(strings.Repeat(line, 300))
 	defer s.Close()
 	var c engineapi.Chunk
 	got := testing.AllocsPerRun(200, func() {
@@ -84,7 +86,7 @@
 		}
 	})
 	if got > 1 {
-		t.Errorf("%v allocations a token, want 1", got)
+		t.Errorf("%v allocations per token, want 1", got)
 	}
 }
 
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -14,52 +14,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of the transport. A decode engine holds about twenty requests, so 256 connections leave room for cancels beside streams.
+// Limits of the transport. A decode engine runs about 20 requests at a time, so 256
+// connections per host leave enough for cancels while all streams are open.
 const (
-	dialTimeout      = 500 * time.Millisecond
-	keepAlive        = 15 * time.Second
-	keepAliveProbes  = 3
-	idleTimeout      = 90 * time.Second
-	maxConnsPerHost  = 256
-	maxIdlePerHost   = 32
-	maxIdleConns     = 8192
-	maxHeaderBytes   = 64 << 10
-	writeBufferBytes = 16 << 10
+	dialTimeout         = 500 * time.Millisecond
+	keepAlive           = 15 * time.Second
+	keepAliveProbes     = 3
+	idleTimeout         = 90 * time.Second
+	maxConnsPerHost     = 256
+	maxIdleConnsPerHost = 32
+	maxIdleConns        = 8192
+	maxHeaderBytes      = 64 << 10
+	writeBufferBytes    = 16 << 10
 )
 
-// NewHTTPClient returns the client that Engines and Services need: HTTP/1.1
-// keep-alive connections that count what is written on them, a bounded number
-// of connections for each upstream, no redirects, no proxy, no compression.
+// NewHTTPClient returns an HTTP client for Engines and Services. It uses HTTP/1.1 with
+// keep-alive, limits the number of connections to each upstream, and counts the writes on
+// each connection. It follows no redirects and uses neither a proxy nor compression.
 func NewHTTPClient() *http.Client {
-	return NewHTTPClientWith(Transport{Dial: dialTimeout, KeepAlive: keepAlive, Probes: keepAliveProbes, Idle: idleTimeout, PerHost: maxConnsPerHost, IdlePerHost: maxIdlePerHost})
+	return NewHTTPClientWith(Transport{Dial: dialTimeout, KeepAlive: keepAlive, Probes: keepAliveProbes, Idle: idleTimeout, PerHost: maxConnsPerHost, IdlePerHost: maxIdleConnsPerHost})
 }
 
-// Transport holds what differs between the networks of upstreams.
+// Transport has the settings of an HTTP client that depend on the network between the
+// daemon and its upstreams.
 type Transport struct {
-	// Dial bounds a new connection, and Idle how long an unused one is kept.
+	// Dial is the timeout for opening a connection. Idle is how long an unused connection is
+	// kept open.
 	Dial, Idle time.Duration
-	// KeepAlive is the time without a byte after which a connection is probed, and
-	// the time between probes.
+	// KeepAlive is the time without traffic after which a TCP keep-alive probe is sent, and
+	// the time between two probes.
 	KeepAlive time.Duration
-	// Probes is how many probes may stay unanswered.
+	// Probes is the number of unacknowledged probes after which a connection is closed.
 	Probes int
-	// Unacked is how long sent bytes may stay unacknowledged before the connection is
-	// given up; 0 leaves it to the system. A connection that goes silent for good is
-	// noticed by nothing else while bytes are on their way.
+	// Unacked is how long sent data may stay unacknowledged before the connection is closed
+	// (TCP_USER_TIMEOUT); 0 means the system's default. Keep-alive probes do not detect a
+	// dead connection while sent data is unacknowledged.
 	Unacked time.Duration
-	// PerHost and IdlePerHost bound the connections to one address.
+	// PerHost is the maximum number of connections to one address, and IdlePerHost that of
+	// unused connections that are kept open.
 	PerHost, IdlePerHost int
 }
 
+// dialer returns a dialer that sets the TCP options of each connection.
 func (c Transport) dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: c.Dial, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: c.KeepAlive, Interval: c.KeepAlive, Count: c.Probes}}
 	if c.Unacked > 0 {
-		d.Control = func(_, _ string, raw syscall.RawConn) error { return setUnacked(raw, c.Unacked) }
+		d.Control = func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.Unacked) }
 	}
 	return d
 }
 
-func setUnacked(raw syscall.RawConn, d time.Duration) error {
+// setUserTimeout sets the TCP_USER_TIMEOUT of a socket to d.
+func setUserTimeout(raw syscall.RawConn, d time.Duration) error {
 	var err error
 	if e := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
@@ -69,7 +75,7 @@
 	return err
 }
 
-// NewHTTPClientWith returns the client of NewHTTPClient for another network.
+// NewHTTPClientWith returns a client like that of NewHTTPClient, with the settings cfg.
 func NewHTTPClientWith(cfg Transport) *http.Client {
 	d := cfg.dialer()
 	protocols := new(http.Protocols)
@@ -94,12 +100,12 @@
 	return &http.Client{Transport: t, CheckRedirect: noRedirect}
 }
 
-// noRedirect hands a redirect back as the answer. Following one would dispatch
-// the request a second time, to an address that no bundle names.
+// noRedirect makes the client return a redirect as the response. Following it would send
+// the request a second time, to an address that is not in the configuration.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// countingConn counts the calls to Write before each one starts, so that a
-// count that has not moved proves that nothing was written.
+// countingConn counts the calls of Write. Each is counted before it starts, so an
+// unchanged count proves that nothing was written.
 type countingConn struct {
 	net.Conn
 	writes atomic.Int64
@@ -111,66 +117,68 @@
 	return c.Conn.Write(p)
 }
 
-// sent watches the connections that one request was given. net/http gives a
-// request a second connection when nothing was written on the first.
-type sent struct {
-	mu    sync.Mutex
-	conns []*countingConn
-	base  []int64
-	blind bool // a connection of another transport: assume it was written on
+// connTracker records the connections on which net/http sent one request, to find out whether any
+// byte of the request was written. There can be several: net/http uses a new connection
+// if it could not write anything on the first.
+type connTracker struct {
+	mu            sync.Mutex
+	conns         []*countingConn
+	initialWrites []int64 // for each of conns, its number of writes when the request got it
+	uncounted     bool    // a connection of another transport was used, on which writes are not counted
 }
 
-// trace returns ctx with the hook that records connections.
-func (s *sent) trace(ctx context.Context) context.Context {
+// withTrace returns a context with a hook that records the connections.
+func (s *connTracker) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
 }
 
-func (s *sent) gotConn(info httptrace.GotConnInfo) {
+// gotConn is called by net/http for each connection that it uses for the request.
+func (s *connTracker) gotConn(info httptrace.GotConnInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c, ok := info.Conn.(*countingConn)
 	if !ok {
-		s.blind = true
+		s.uncounted = true
 		return
 	}
 	s.conns = append(s.conns, c)
-	s.base = append(s.base, c.writes.Load())
+	s.initialWrites = append(s.initialWrites, c.writes.Load())
 }
 
-// nothing says whether it is certain that no byte of the request left this
-// process. Call it after the round trip failed: by then net/http has closed
-// the connection and its writer has ended, so the count cannot move any more.
-func (s *sent) nothing() bool {
+// nothingWritten reports whether it is certain that no byte of the request left this process. It
+// must be called only after the round trip failed: by then net/http has closed the
+// connection and stopped writing on it, so the count cannot change any more.
+func (s *connTracker) nothingWritten() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.blind {
+	if s.uncounted {
 		return false
 	}
 	for i, c := range s.conns {
-		if c.writes.Load() != s.base[i] {
+		if c.writes.Load() != s.initialWrites[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// onceBody is a request body that net/http cannot rewind.
+// noReplayBody is a request body that net/http cannot rewind.
 //
-// net/http sends a request again by itself when a kept connection turns out
-// dead and the request is "replayable": GET and the like, and also any request
-// with an Idempotency-Key or X-Idempotency-Key header whose body is absent or
-// can be rewound through GetBody. The upstream may have run the first copy, so
-// a service would see the call twice and nobody here would know. A body that
-// is not nil, not http.NoBody and has no GetBody switches that off; this holds
-// for an empty body too, which is why the type exists.
-type onceBody struct{ io.Reader }
+// If a keep-alive connection turns out to be closed, net/http sends a request again by
+// itself if it is "replayable". Requests with a safe method such as GET are replayable,
+// and so are requests with an Idempotency-Key or X-Idempotency-Key header whose body is
+// absent or can be rewound with GetBody. The upstream may already have run the first copy,
+// and this process would not notice that the request was sent twice. net/http does not
+// replay a request whose body is neither nil nor http.NoBody and that has no GetBody. A
+// noReplayBody meets this even if it is empty.
+type noReplayBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (noReplayBody) Close() error { return nil }
 
-// once makes req impossible to replay.
-func once(req *http.Request, body io.Reader, length int64) {
-	req.Body = onceBody{body}
+// disableReplay sets the body of req so that net/http cannot replay the request.
+func disableReplay(req *http.Request, body io.Reader, length int64) {
+	req.Body = noReplayBody{body}
 	req.ContentLength = length
 	req.GetBody = nil
 }
