--- a/upstream/engineapi/engineapi.go
+++ b/upstream/engineapi/engineapi.go
@@ -1,7 +1,7 @@
-// Package engineapi holds the messages of the engines' published HTTP and JSON
-// interface. All durations are in milliseconds and all sizes in bytes. Every
-// call that makes an engine hold memory names its owner, so that the memory
-// can be freed when the owner is gone.
+// Package engineapi defines the messages of the engines' HTTP and JSON interface. Durations
+// are in milliseconds and sizes in bytes unless a field says otherwise. Every call that
+// makes an engine hold memory states the owner of the memory, so that it can be freed if the
+// owner fails.
 package engineapi
 
 import (
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// The paths of the interface.
+// The paths of the calls, with their messages and, for some, the kind of engine that serves
+// them.
 const (
 	PathReserve = "/v1/reserve" // POST ReserveRequest -> ReserveReply; decode engines
 	PathPrefill = "/v1/prefill" // POST PrefillRequest -> PrefillReply; prefill engines
-	PathExport  = "/v1/export"  // GET ?request=&attempt= -> KV bytes, paced by the link; prefill engines
-	PathDecode  = "/v1/decode"  // POST DecodeRequest -> stream of Chunk, one JSON object a line; decode engines
-	PathStream  = "/v1/stream"  // GET ?request=&attempt=&from= -> stream of Chunk from that index
+	PathExport  = "/v1/export"  // GET ?request=&attempt= -> bytes of the KV cache, at the rate of the link; prefill engines
+	PathDecode  = "/v1/decode"  // POST DecodeRequest -> stream of Chunk, one JSON object per line; decode engines
+	PathStream  = "/v1/stream"  // GET ?request=&attempt=&from= -> stream of Chunk, starting at index from
 	PathCancel  = "/v1/cancel"  // POST CancelRequest -> CancelReply
-	PathPause   = "/v1/pause"   // POST CancelRequest -> CancelReply; decode keeps memory, stops generating
+	PathPause   = "/v1/pause"   // POST CancelRequest -> CancelReply; the decode engine stops generating and keeps the memory
 	PathResume  = "/v1/resume"  // POST CancelRequest -> CancelReply
 	PathHeld    = "/v1/held"    // GET -> HeldReply
-	PathLoad    = "/v1/load"    // GET -> Load (lagged)
-	PathEvents  = "/v1/events"  // GET ?from= -> EventsReply (late, with gaps)
+	PathLoad    = "/v1/load"    // GET -> Load, which lags behind the real load
+	PathEvents  = "/v1/events"  // GET ?from= -> EventsReply, delayed and possibly incomplete
 	PathOrders  = "/v1/orders"  // POST Order -> OrderReply
 	PathState   = "/v1/state"   // GET -> State
 )
 
-// Owner identifies the daemon that holds memory on an engine.
+// Owner identifies the daemon for which an engine holds memory.
 type Owner struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
@@ -38,43 +39,43 @@
 	Attempt   int    `json:"attempt"`
 }
 
-// Original is the caller's own HTTP request, for engines that take it as it came
-// instead of a prompt. It is shared by all calls of a request and never changed.
+// Original is the caller's HTTP request, for engines that take it unchanged instead of a
+// prompt. All calls for a request share one Original, which must not be modified.
 type Original struct {
 	Method string
 	// Path is the path with the raw query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// FirstIndex is the index of the first token that the caller asked for; more
-	// than 0 when it resumes an answer of which it has the beginning.
+	// FirstIndex is the index of the first token that the caller asks for. It is greater
+	// than 0 if the caller already has the beginning of the answer and resumes it.
 	FirstIndex int
 }
 
-// Envelope is what a call needs besides its message where the transport carries
-// it in another way than JSON. Engines of the project's own interface ignore it.
+// Envelope has the metadata of a call that is not part of its JSON message. Clients of other
+// interfaces send it in HTTP headers; it is not sent to engines with this interface.
 type Envelope struct {
-	// Upstream is the name of the engine that is meant: its address may belong to
-	// another one by now.
+	// Upstream is the name of the engine that the call is for. An engine with another name
+	// may have taken over the address.
 	Upstream string
-	// Deadline is when nobody waits for the answer any more.
+	// Deadline is when the caller stops waiting for the answer.
 	Deadline time.Time
 	Original *Original
 }
 
-// Head is the beginning of an engine's own HTTP answer, for callers who get it as
-// it came.
+// Head is the status and header of an engine's HTTP response, to be passed on to the caller
+// unchanged.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// ReserveRequest asks a decode engine to keep a slot free.
+// ReserveRequest reserves a slot and KV cache memory on a decode engine.
 type ReserveRequest struct {
 	WorkID
 	Envelope Envelope `json:"-"`
-	// Tokens is the memory to reserve, in tokens, and Headroom how much more must be free
-	// beside it for the reservation to be granted.
+	// Tokens is the memory to reserve, in tokens. Headroom is the memory, in tokens, that must
+	// be free in addition for the reservation to be granted.
 	Tokens   int    `json:"-"`
 	Headroom int    `json:"-"`
 	Owner    Owner  `json:"owner"`
@@ -84,18 +85,19 @@
 	HoldMS   int64  `json:"hold_ms"`
 }
 
-// ReserveReply confirms a slot. A full engine answers 503 with a Refusal instead.
+// ReserveReply confirms a reservation. A full engine responds with status 503 and a Refusal
+// instead.
 type ReserveReply struct {
-	// Reservation names the reserved slot where the engine names it itself.
+	// Reservation is the id that the engine gave the reservation; empty if WorkID identifies it.
 	Reservation string `json:"-"`
 	Load        Load   `json:"load"`
 }
 
-// Refusal is the body of a definitive refusal (status 409, 429 or 503): the
-// engine did nothing for the request.
+// Refusal is the body of a response with status 409, 429 or 503. It guarantees that the
+// engine did not execute the request.
 type Refusal struct {
 	Reason string `json:"reason"`
-	// RetryAfterMS is when to come back; 0 means unknown.
+	// RetryAfterMS is the time after which to retry; 0 means unknown.
 	RetryAfterMS int64 `json:"retry_after_ms"`
 	Leaving      bool  `json:"leaving"`
 	Load         Load  `json:"load"`
@@ -111,14 +113,14 @@
 	Adapter  string   `json:"adapter,omitempty"`
 	Prompt   string   `json:"prompt"`
 	Priority int      `json:"priority"`
-	// Generated are the tokens an earlier attempt already delivered; they are
-	// part of the context to compute.
+	// Generated are the tokens that earlier attempts delivered to the caller. The KV cache is
+	// computed for the prompt and these tokens.
 	Generated []string `json:"generated,omitempty"`
 }
 
-// PrefillReply says the KV cache is ready for export.
+// PrefillReply confirms that the KV cache is ready for export.
 type PrefillReply struct {
-	// Handle names the result where the engine names it itself.
+	// Handle is the id that the engine gave the result; empty if WorkID identifies it.
 	Handle       string `json:"-"`
 	PromptTokens int    `json:"prompt_tokens"`
 	CachedTokens int    `json:"cached_tokens"`
@@ -127,12 +129,12 @@
 	Load         Load   `json:"load"`
 }
 
-// DecodeRequest turns a reservation into a running stream: the decode engine
-// imports the KV cache from Source and generates.
+// DecodeRequest starts the generation in a reserved slot. The decode engine imports the KV
+// cache from Source and streams the generated tokens.
 type DecodeRequest struct {
 	WorkID
 	Envelope Envelope `json:"-"`
-	// Reservation and Handle are those of the replies before.
+	// Reservation and Handle are those of the ReserveReply and the PrefillReply.
 	Reservation string `json:"-"`
 	Handle      string `json:"-"`
 	Owner       Owner  `json:"owner"`
@@ -142,21 +144,22 @@
 	Source    string `json:"source"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	// FromIndex is the index of the first token to generate: the number of
-	// tokens that earlier attempts delivered.
+	// FromIndex is the index of the first token to generate, which is the number of tokens
+	// that earlier attempts delivered.
 	FromIndex int `json:"from_index"`
 }
 
-// Chunk is one line of a decode stream.
+// Chunk is one line of a decode stream. Unless Imported or Done is set, it has one token.
 type Chunk struct {
 	WorkID
-	// Index is the token's position in the whole answer, from 0.
+	// Index is the token's position in the whole answer, starting at 0.
 	Index int    `json:"index"`
 	Text  string `json:"text,omitempty"`
-	// Imported is set on the first line, once the KV cache has arrived; it has no token.
+	// Imported is set on the first line, which is sent when the KV cache was imported and has
+	// no token.
 	Imported bool `json:"imported,omitempty"`
-	// Done is set on the last line; it has no token. Tokens is the length of the
-	// whole answer, counted from index 0.
+	// Done is set on the last line, which has no token. Tokens is then the number of tokens of
+	// the whole answer, counted from index 0.
 	Done         bool   `json:"done,omitempty"`
 	Tokens       int    `json:"tokens,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"` // "stop", "length" or "cancelled"
@@ -164,35 +167,36 @@
 	Load         *Load  `json:"load,omitempty"`
 }
 
-// CancelRequest frees, pauses or resumes one attempt's work. Attempt < 0 means every attempt.
+// CancelRequest cancels, pauses or resumes the work of one attempt, or of all attempts of
+// the request if Attempt is negative.
 type CancelRequest struct {
 	WorkID
-	// Reservation and Handle are what the engine holds for the attempt, as it named
-	// them; empty where it names nothing, or nothing is held any more.
+	// Reservation and Handle are the ids that the engine gave to what it holds for the
+	// attempt; empty if it gave none or holds nothing any more.
 	Reservation string `json:"-"`
 	Handle      string `json:"-"`
 }
 
-// CancelReply acknowledges. Found says whether the engine held such work; a
-// cancel of work it does not hold is acknowledged too, and a later arrival of
-// that work's own reserve, prefill or decode call is refused.
+// CancelReply acknowledges a CancelRequest. Found reports whether the engine had the work.
+// An engine also acknowledges the cancel of work that it does not have, and then refuses
+// reserve, prefill and decode calls for that work that arrive later.
 type CancelReply struct {
 	Found       bool   `json:"found"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// HeldKind says what form held memory has.
+// HeldKind is the purpose of memory that an engine holds.
 type HeldKind string
 
 // The kinds of held memory.
 const (
-	HeldReservation HeldKind = "reservation"
-	HeldPrefill     HeldKind = "prefill"
-	HeldExport      HeldKind = "export"
-	HeldDecode      HeldKind = "decode"
+	HeldReservation HeldKind = "reservation" // reserved for a decode call
+	HeldPrefill     HeldKind = "prefill"     // prefill is running
+	HeldExport      HeldKind = "export"      // result of a prefill, ready for export
+	HeldDecode      HeldKind = "decode"      // decode is running
 )
 
-// Held is one piece of memory an engine holds.
+// Held is a block of memory that an engine holds for one attempt.
 type Held struct {
 	WorkID
 	Owner Owner    `json:"owner"`
@@ -201,46 +205,48 @@
 	AgeMS int64    `json:"age_ms"`
 }
 
-// HeldReply lists everything an engine holds.
+// HeldReply lists all memory that an engine holds for requests.
 type HeldReply struct {
 	Incarnation uint64 `json:"incarnation"`
 	Held        []Held `json:"held"`
 }
 
-// Load is an engine's own view of its load.
+// Load is an engine's report of its load.
 type Load struct {
-	// Incarnation changes when the engine restarts; Seq grows with each report.
+	// Incarnation changes when the engine restarts. Seq increases with each report.
 	Incarnation uint64 `json:"incarnation"`
 	Seq         uint64 `json:"seq"`
 	Slots       int    `json:"slots"`
 	Active      int    `json:"active"`
 	Queued      int    `json:"queued"`
-	// QueuedTokens is the prompt tokens that wait for prefill.
+	// QueuedTokens is the number of prompt tokens that wait for prefill.
 	QueuedTokens int `json:"queued_tokens"`
-	// StepMS is the current time between tokens.
+	// StepMS is the current time between two tokens of a stream.
 	StepMS float64 `json:"step_ms"`
-	// LinkBusyMS is how long the KV link is booked from now.
+	// LinkBusyMS is how long the link for transfers of KV caches will be busy with the
+	// transfers that are already accepted.
 	LinkBusyMS int64 `json:"link_busy_ms"`
 	Leaving    bool  `json:"leaving"`
 }
 
-// CacheEvent says that a prefix block was stored or evicted.
+// CacheEvent reports that a block was added to the prefix cache or evicted from it.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Block uint64 `json:"block"`
 	Model string `json:"model"`
-	// Evicted is true for an eviction, false for a store.
+	// Evicted is true if the block was evicted and false if it was added.
 	Evicted bool `json:"evicted"`
 }
 
-// EventsReply holds the events from a sequence number on; a jump in Seq is a gap.
+// EventsReply lists the events from a sequence number on. A gap in Seq means that events were
+// lost.
 type EventsReply struct {
 	Incarnation uint64       `json:"incarnation"`
 	Next        uint64       `json:"next"`
 	Events      []CacheEvent `json:"events"`
 }
 
-// OrderKind says what an order changes.
+// OrderKind is the type of an order.
 type OrderKind string
 
 // The kinds of order.
@@ -250,8 +256,9 @@
 	OrderSetRole     OrderKind = "set-role"
 )
 
-// Order states the wanted end state of one item. An engine that checks fences
-// refuses an order whose Fence is below the highest it has seen for the item.
+// Order states the desired state of one item: a model, an adapter or the role. Fence is a
+// fencing token. An engine that checks it refuses an order whose Fence is lower than the
+// highest that it has received for the item.
 type Order struct {
 	Fence   uint64    `json:"fence"`
 	Kind    OrderKind `json:"kind"`
@@ -261,14 +268,14 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// OrderReply is the answer to an order.
+// OrderReply is the response to an order.
 type OrderReply struct {
 	Accepted bool   `json:"accepted"`
 	Fence    uint64 `json:"fence"`
 	Reason   string `json:"reason,omitempty"`
 }
 
-// State is what an engine serves now, for reading an order back.
+// State is what an engine serves now. It is read to check whether orders took effect.
 type State struct {
 	Incarnation uint64            `json:"incarnation"`
 	Role        string            `json:"role"`
--- a/upstream/engineapi/prefix.go
+++ b/upstream/engineapi/prefix.go
@@ -5,17 +5,18 @@
 // BlockTokens is the number of prompt tokens in one prefix-cache block.
 const BlockTokens = 16
 
-// BytesPerToken is the mean length of a prompt token, in bytes.
+// BytesPerToken is the assumed mean length of a prompt token, in bytes.
 const BytesPerToken = 4
 
-// CountTokens returns the number of tokens of a prompt, by the mean length of a token.
+// CountTokens returns an estimate of a prompt's number of tokens, based on BytesPerToken.
 func CountTokens(prompt string) int {
 	return (len(prompt) + BytesPerToken - 1) / BytesPerToken
 }
 
-// PrefixBlocks returns the chained hash of each whole block of the prompt: two
-// prompts share the first n blocks exactly when their first n hashes agree.
-// Engines publish these hashes in cache events.
+// PrefixBlocks returns the chained hashes of the complete blocks of a prompt. The hash of a
+// block covers the model and all blocks up to this one, so two prompts for one model have
+// equal first n hashes if and only if their first n blocks are equal. Engines publish these
+// hashes in cache events.
 func PrefixBlocks(model, prompt string) []uint64 {
 	const size = BlockTokens * BytesPerToken
 	n := len(prompt) / size
