--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -10,46 +10,50 @@
 )
 
 const (
-	// queueLines is how many lines wait for the writer; at some 300 bytes each that is
-	// under a megabyte.
-	queueLines = 2048
-	// reserveLines of them are kept for lines that tell of failures.
-	reserveLines = 512
-	// kindLines is how many lines a second are written of one kind: what a daemon of
-	// the design size writes of its plans at the peak, 26 requests a second, several
-	// times over.
-	kindLines = 200
+	// queueSize is the capacity of the queue in lines. At about 300 bytes a line, a full
+	// queue takes less than a megabyte.
+	queueSize = 2048
+	// failureReserve is the part of the queue that only lines about failures may use.
+	failureReserve = 512
+	// maxLinesPerKind limits the lines of one kind that are accepted in a second. It is
+	// several times the rate of the most frequent kind, the plan of a request: at its
+	// peak load a daemon logs 26 of them a second.
+	maxLinesPerKind = 200
 )
 
-// Bounded is a log handler that never blocks its caller and bounds what it writes.
+// Bounded is an asynchronous log handler that never blocks its caller and limits the
+// rate of lines.
 //
-// What goes wrong without it: whoever reads standard output stops reading, the pipe
-// fills, and the write inside a request waits for ever; one would notice a daemon
-// that answers nothing and says nothing. Under a burst, lines cost the processor time
-// that requests need. So lines are counted by kind and second, a bounded queue takes
-// them, one goroutine writes, and what was left out is told once a second by kind.
-// Lines of failures are of kinds of their own, and the last part of the queue is
-// theirs.
+// With a synchronous handler, a process that stops reading the daemon's standard output
+// stops the daemon as well: the pipe fills, and every request that logs a line blocks in
+// the write. In a burst of requests, logging would also use processor time that the
+// requests need. Therefore each kind of line has a limit per second, accepted lines go
+// through a queue of fixed size, and a single goroutine writes them. A line of its own
+// reports once a second how many lines of each kind were dropped.
+//
+// The kind of a line is its message, and for a decision also the step. Decisions that
+// fail a request are thus limited apart from the others. A part of the queue is reserved
+// for lines about failures.
 type Bounded struct {
 	next  log.Handler
 	queue chan *log.Entry
 	now   func() time.Time
 	wg    conc.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	second  int64
-	written map[string]int // lines of this second, by kind
-	left    map[string]int // lines left out and not told yet, by kind
+	mu            sync.Mutex
+	closed        bool
+	currentSecond int64          // Unix time
+	written       map[string]int // lines accepted in currentSecond, by kind
+	dropped       map[string]int // dropped lines that no summary has reported yet, by kind
 }
 
-// NewBounded returns a handler that writes to next from a goroutine of its own.
-// Close ends it.
+// NewBounded returns a handler that passes lines to next in a goroutine of its own.
+// Close stops the goroutine.
 func NewBounded(next log.Handler) *Bounded { return newBounded(next, time.Now) }
 
 func newBounded(next log.Handler, now func() time.Time) *Bounded {
-	b := &Bounded{next: next, queue: make(chan *log.Entry, queueLines), now: now, written: map[string]int{}, left: map[string]int{}}
-	b.wg.Go(b.write)
+	b := &Bounded{next: next, queue: make(chan *log.Entry, queueSize), now: now, written: map[string]int{}, dropped: map[string]int{}}
+	b.wg.Go(b.writeLoop)
 	return b
 }
 
@@ -61,55 +65,60 @@
 		return nil
 	}
 	kind := kindOf(e)
-	if second := b.now().Unix(); second != b.second {
-		b.second = second
+	if second := b.now().Unix(); second != b.currentSecond {
+		b.currentSecond = second
 		clear(b.written)
-		b.tellLeftOut(e)
+		b.enqueueDropSummary(e)
 	}
-	if b.written[kind] >= kindLines {
-		b.left[kind]++
+	if b.written[kind] >= maxLinesPerKind {
+		b.dropped[kind]++
 		return nil
 	}
 	b.written[kind]++
-	b.put(e, kind)
+	b.enqueue(e, kind)
 	return nil
 }
 
-// put queues a line or counts it as left out; b.mu is held, so that nobody else adds.
-func (b *Bounded) put(e *log.Entry, kind string) {
+// enqueue queues a line, or counts it as dropped if there is no room. The caller holds
+// b.mu.
+func (b *Bounded) enqueue(e *log.Entry, kind string) {
 	free := cap(b.queue) - len(b.queue)
-	if !failure(e) {
-		free -= reserveLines
+	if !isFailure(e) {
+		free -= failureReserve
 	}
 	if free <= 0 {
-		b.left[kind]++
+		b.dropped[kind]++
 		return
 	}
-	b.queue <- e // there is room, and only this adds
+	b.queue <- e // cannot block: there is room, and b.mu excludes other senders
 }
 
-// tellLeftOut queues one line that counts what was left out; b.mu is held.
-func (b *Bounded) tellLeftOut(like *log.Entry) {
-	if len(b.left) == 0 || cap(b.queue) == len(b.queue) {
+// enqueueDropSummary queues one line with the number of dropped lines by kind, if any.
+// trigger is the line being handled, from which the summary takes its time and logger.
+// The caller holds b.mu.
+func (b *Bounded) enqueueDropSummary(trigger *log.Entry) {
+	if len(b.dropped) == 0 || cap(b.queue) == len(b.queue) {
 		return
 	}
 	fields := log.Fields{}
-	for kind, n := range b.left {
+	for kind, n := range b.dropped {
 		fields[kind] = n
 	}
-	clear(b.left)
-	b.queue <- &log.Entry{Logger: like.Logger, Fields: fields, Level: log.WarnLevel, Timestamp: like.Timestamp, Message: "log lines left out"}
+	clear(b.dropped)
+	b.queue <- &log.Entry{Logger: trigger.Logger, Fields: fields, Level: log.WarnLevel, Timestamp: trigger.Timestamp, Message: "log lines left out"}
 }
 
-func (b *Bounded) write() {
+// writeLoop passes the queued lines to the next handler until the queue is closed.
+func (b *Bounded) writeLoop() {
 	for e := range b.queue {
-		_ = b.next.HandleLog(e) // there is nowhere left to tell it
+		_ = b.next.HandleLog(e) // an error of the log itself cannot be logged
 	}
 }
 
-// Close writes what is queued and ends the handler. It gives up after limit, when
-// nobody reads; the goroutine then ends with the process.
-func (b *Bounded) Close(limit time.Duration) {
+// Close writes the queued lines and stops the handler. It returns after timeout even if
+// the writer is still blocked; the writer's goroutine then remains until the process
+// exits.
+func (b *Bounded) Close(timeout time.Duration) {
 	b.mu.Lock()
 	if !b.closed {
 		b.closed = true
@@ -123,35 +132,37 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(limit):
+	case <-time.After(timeout):
 	}
 }
 
-// fieldStep is the field of a decision's kind.
-const fieldStep = "step"
+// stepField is the log field with the step of a decision, such as plan or reserve.
+const stepField = "step"
 
-// stepFail is the step of a request that ended without an answer.
-const stepFail = "fail"
+// failedStep is the step of the decision that fails a request.
+const failedStep = "fail"
 
-// kindOf tells lines apart that are bounded apart.
+// kindOf returns the kind of a line: its message and, for a decision, its step.
 func kindOf(e *log.Entry) string {
-	if step, ok := e.Fields[fieldStep].(string); ok {
+	if step, ok := e.Fields[stepField].(string); ok {
 		return e.Message + "." + step
 	}
 	return e.Message
 }
 
-// failure says whether a line tells of one.
-func failure(e *log.Entry) bool {
-	return e.Level >= log.WarnLevel || e.Fields[fieldStep] == stepFail
+// isFailure reports whether a line is about a failure: a warning, an error or a failed
+// request.
+func isFailure(e *log.Entry) bool {
+	return e.Level >= log.WarnLevel || e.Fields[stepField] == failedStep
 }
 
-// kinds returns the kinds of which lines were left out and not told yet, in order.
-func (b *Bounded) kinds() []string {
+// droppedKinds returns the sorted kinds with dropped lines that no summary has reported
+// yet.
+func (b *Bounded) droppedKinds() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]string, 0, len(b.left))
-	for kind := range b.left {
+	out := make([]string, 0, len(b.dropped))
+	for kind := range b.dropped {
 		out = append(out, kind)
 	}
 	sort.Strings(out)
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -12,30 +12,32 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// keeper keeps lines; while gate is set it blocks.
-type keeper struct {
+// recordingHandler records the kinds of the lines that it handles. If gate is not nil, it
+// blocks until the gate is closed.
+type recordingHandler struct {
 	mu    sync.Mutex
-	lines []string
+	kinds []string
 	gate  chan struct{}
 }
 
-func (k *keeper) HandleLog(e *log.Entry) error {
+func (k *recordingHandler) HandleLog(e *log.Entry) error {
 	if k.gate != nil {
 		<-k.gate
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lines = append(k.lines, kindOf(e))
+	k.kinds = append(k.kinds, kindOf(e))
 	return nil
 }
 
-func decision(l *log.Logger, step string) {
-	l.WithFields(log.Fields{fieldStep: step}).Info("decision")
+// logDecision logs a decision with a step, as the daemon does for a request.
+func logDecision(l *log.Logger, step string) {
+	l.WithFields(log.Fields{stepField: step}).Info("decision")
 }
 
-// Symptom: a daemon stands still, with all its requests.
-// Sequence: nobody reads its standard output, the pipe fills, and requests go on.
-// Cause: a log line written inside a request.
+// Guards against requests that block in logging. If nobody reads the daemon's standard
+// output, the pipe fills, and a handler that writes synchronously blocks every request
+// that logs a line.
 func TestLoggingNeverBlocks(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -48,69 +50,74 @@
 	now := time.Unix(1000, 0)
 	b := newBounded(inner.Handler, func() time.Time { return now })
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
-	for range 40 { // seconds, of 200 lines each: many times what the pipe takes
+	for range 40 { // seconds, of 200 lines each: many times the capacity of the pipe
 		now = now.Add(time.Second)
-		for range kindLines {
-			decision(logger, "plan")
+		for range maxLinesPerKind {
+			logDecision(logger, "plan")
 		}
 	}
-	decision(logger, stepFail)
-	if got := b.kinds(); len(got) == 0 {
-		t.Error("nothing was left out: the test does not fill the queue")
+	logDecision(logger, failedStep)
+	if got := b.droppedKinds(); len(got) == 0 {
+		t.Error("no lines were dropped: the test does not fill the queue")
 	}
-	go func() { _, _ = io.Copy(io.Discard, r) }() // let the writer end
+	go func() { _, _ = io.Copy(io.Discard, r) }() // unblock the writer, so that Close can drain the queue
 	b.Close(time.Minute)
 	_ = w.Close()
 }
 
+// The writer is blocked and the queue is full of plans. All ten failures must still be
+// logged, because part of the queue is reserved for them.
 func TestFailuresComeBeforeSuccesses(t *testing.T) {
-	k := &keeper{gate: make(chan struct{})}
+	k := &recordingHandler{gate: make(chan struct{})}
 	now := time.Unix(1000, 0)
 	b := newBounded(k, func() time.Time { return now })
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
 	for range 30 {
 		now = now.Add(time.Second)
-		for range kindLines {
-			decision(logger, "plan")
+		for range maxLinesPerKind {
+			logDecision(logger, "plan")
 		}
 	}
 	for range 10 {
-		decision(logger, stepFail)
+		logDecision(logger, failedStep)
 	}
 	close(k.gate)
 	b.Close(time.Minute)
 	count := map[string]int{}
-	for _, kind := range k.lines {
+	for _, kind := range k.kinds {
 		count[kind]++
 	}
-	if count["decision.fail"] != 10 || count["decision.plan"] > queueLines-reserveLines+1 {
+	if count["decision.fail"] != 10 || count["decision.plan"] > queueSize-failureReserve+1 {
 		t.Errorf("lines by kind: %v", count)
 	}
 }
 
+// Of one kind, only maxLinesPerKind lines are logged in a second. The next second begins
+// with a summary of the dropped lines. Lines of other kinds are not affected.
 func TestLinesOfAKindAreBoundedAndCounted(t *testing.T) {
-	k := &keeper{}
+	k := &recordingHandler{}
 	now := time.Unix(1000, 0)
 	b := newBounded(k, func() time.Time { return now })
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
-	for range kindLines + 7 {
-		decision(logger, "plan")
+	for range maxLinesPerKind + 7 {
+		logDecision(logger, "plan")
 	}
 	logger.Info("started")
 	now = now.Add(time.Second)
-	decision(logger, "plan")
+	logDecision(logger, "plan")
 	b.Close(time.Minute)
 	count := map[string]int{}
-	for _, kind := range k.lines {
+	for _, kind := range k.kinds {
 		count[kind]++
 	}
-	want := map[string]int{"decision.plan": kindLines + 1, "started": 1, "log lines left out": 1}
+	want := map[string]int{"decision.plan": maxLinesPerKind + 1, "started": 1, "log lines left out": 1}
 	if diff := cmp.Diff(want, count); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// BenchmarkBounded is the cost of a line for the goroutine that tells it.
+// BenchmarkBounded measures the time that a log call takes in its caller's goroutine, with
+// and without the asynchronous handler.
 func BenchmarkBounded(b *testing.B) {
 	for _, bounded := range []bool{false, true} {
 		name := "direct"
@@ -130,7 +137,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				decision(logger, strings.ToLower("plan"))
+				logDecision(logger, strings.ToLower("plan"))
 			}
 		})
 	}
--- a/internal/telemetry/instruments.go
+++ b/internal/telemetry/instruments.go
@@ -12,7 +12,7 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// OutcomeAnswered is the outcome of a request that got its whole answer; the
+// OutcomeAnswered is the outcome of a request whose complete answer was delivered. The
 // other outcomes are error kinds.
 const OutcomeAnswered = "answered"
 
@@ -28,87 +28,91 @@
 	labelFeed    = "feed"
 )
 
-// Buckets around the latency targets, in seconds.
+// Upper bounds of the histogram buckets, in seconds. They are densest around the latency
+// targets.
 var (
 	firstTokenBuckets    = []float64{.01, .025, .05, .1, .2, .35, .5, .75, .97, 1.5, 2.5, 5, 10, 30}
 	betweenTokensBuckets = []float64{.005, .01, .02, .03, .04, .05, .057, .07, .1, .2, .5, 1, 2}
 )
 
-// Instruments counts what happens. All methods are safe for concurrent use and
-// do not block. Label values come from closed lists, so that no caller can
-// make the page grow.
+// Instruments records a daemon's metrics. All methods are safe for concurrent use and
+// do not block. Label values come from closed lists, which limits the number of time
+// series: clients cannot create new ones.
 type Instruments struct {
-	requests        metric.Int64Counter
-	refusals        metric.Int64Counter
-	firstToken      metric.Float64Histogram
-	betweenTokens   metric.Float64Histogram
-	decisions       metric.Int64Counter
-	retries         metric.Int64Counter
-	permits         metric.Int64Counter
-	retryDaemons    metric.Int64Gauge
-	retryPart       metric.Float64Gauge
-	teamUnits       metric.Int64Counter
-	wasted          metric.Int64Counter
-	cancels         metric.Int64Counter
-	cancelsAcked    metric.Int64Counter
-	claims          metric.Int64Counter
-	steps           metric.Int64Counter
-	readings        metric.Int64Counter
-	looks           metric.Int64Counter
-	suspects        metric.Int64Gauge
-	configuration   metric.Int64Gauge
-	limitedRequests metric.Int64Counter
-	upstreamLimits  metric.Int64Gauge
-
-	// byClass saves building the label on each token.
-	byClass map[bundle.Class][]metric.RecordOption
-	teams   teamNames
-}
-
-// Discard returns instruments that count nothing.
+	requests             metric.Int64Counter
+	refusals             metric.Int64Counter
+	firstToken           metric.Float64Histogram
+	betweenTokens        metric.Float64Histogram
+	decisions            metric.Int64Counter
+	retries              metric.Int64Counter
+	retryPermits         metric.Int64Counter
+	retryDaemons         metric.Int64Gauge
+	retryShare           metric.Float64Gauge
+	teamUnits            metric.Int64Counter
+	wastedPrefillTokens  metric.Int64Counter
+	cancels              metric.Int64Counter
+	cancelsAcked         metric.Int64Counter
+	claims               metric.Int64Counter
+	steps                metric.Int64Counter
+	storeReads           metric.Int64Counter
+	upstreamProbes       metric.Int64Counter
+	crashedRequests      metric.Int64Gauge
+	configurationVersion metric.Int64Gauge
+	limitedRequests      metric.Int64Counter
+	limitedUpstreams     metric.Int64Gauge
+
+	// classOptions holds the label of each class, so that it need not be built for each
+	// token.
+	classOptions map[bundle.Class][]metric.RecordOption
+	teams        teamLabels
+}
+
+// Discard returns instruments that record nothing.
 func Discard() *Instruments {
 	return newInstruments(&builder{meter: &catalogMeter{Meter: noop.NewMeterProvider().Meter(Namespace)}})
 }
 
+// newInstruments creates all instruments; b.err holds the first error.
 func newInstruments(b *builder) *Instruments {
 	in := &Instruments{
-		requests:        b.counter("requests", "requests by class and outcome: answered, or an error kind", labelClass, labelOutcome),
-		refusals:        b.counter("refusals", "requests refused without having run, by error kind", labelKind),
-		firstToken:      b.histogram("first_token", "time from acceptance to the first token", firstTokenBuckets, labelClass),
-		betweenTokens:   b.histogram("between_tokens", "time between two tokens of one answer", betweenTokensBuckets, labelClass),
-		decisions:       b.counter("decisions", "decisions of the policy: a reason of a plan, or the error kind of a refusal", labelReason),
-		retries:         b.counter("retries", "attempts after the first"),
-		permits:         b.counter("retry_permits", "retries that the budget was asked for: allowed or denied", labelResult),
-		retryDaemons:    b.value("retry_daemons", "daemons by which the shared slack of retries is divided"),
-		retryPart:       b.fraction("retry_part", "this daemon's part of the shared slack, retries in a window"),
-		teamUnits:       b.counter("team_units", "units that requests of teams with a limit asked for, by team and result: admitted or refused; teams after the first hundred count as other", labelTeam, labelResult),
-		wasted:          b.counter("prefill_wasted_tokens", "prompt tokens computed for attempts that delivered nothing"),
-		cancels:         b.counter("cancels", "cancels that had to reach an engine"),
-		cancelsAcked:    b.counter("cancels_acked", "cancels that an engine acknowledged"),
-		claims:          b.counter("claims", "idempotency keys claimed: granted, repeated, elsewhere, or an error kind", labelResult),
-		steps:           b.counter("steps", "decision lines by step: reserve and prefill are those that an upstream refused", labelStep),
-		readings:        b.counter("store_readings", "readings of the platform's store by feed: direct, reader (through another instance) or failed", labelFeed, labelResult),
-		looks:           b.counter("upstream_looks", "looks at upstreams on which runs broke off, by what they showed: ended, lives or unsure", labelResult),
-		suspects:        b.value("quarantine_requests", "requests under which upstreams ended and that did not run whole since; those that are refused are counted by requests with the outcome crashes-upstreams"),
-		limitedRequests: b.counter("upstream_limit_requests", "requests that met the rate limit of an upstream: sent to it, sent with what another instance lent, sent elsewhere (left-out, for each such upstream), or refused", labelResult),
-		upstreamLimits:  b.value("upstream_limits", "upstreams that name a rate limit, as far as this daemon knows"),
-		configuration:   b.value("configuration_version", "version of the platform's configuration in force"),
-		byClass:         map[bundle.Class][]metric.RecordOption{},
+		requests:             b.counter("requests", "requests by class and outcome: answered, or an error kind", labelClass, labelOutcome),
+		refusals:             b.counter("refusals", "requests refused without having run, by error kind", labelKind),
+		firstToken:           b.histogram("first_token", "time from acceptance to the first token", firstTokenBuckets, labelClass),
+		betweenTokens:        b.histogram("between_tokens", "time between two consecutive tokens of an answer", betweenTokensBuckets, labelClass),
+		decisions:            b.counter("decisions", "decisions of the routing policy, by the reason of the plan or the error kind of the refusal", labelReason),
+		retries:              b.counter("retries", "attempts after the first"),
+		retryPermits:         b.counter("retry_permits", "retries requested from the retry budget, by result: allowed or denied", labelResult),
+		retryDaemons:         b.intGauge("retry_daemons", "number of daemons among which the slack of the retry budget is divided"),
+		retryShare:           b.floatGauge("retry_part", "this daemon's share of the slack of the retry budget, in retries per window"),
+		teamUnits:            b.counter("team_units", "quota units requested for teams with a limit, by team and result: admitted or refused; teams after the first hundred are counted as other", labelTeam, labelResult),
+		wastedPrefillTokens:  b.counter("prefill_wasted_tokens", "prompt tokens prefilled for attempts that delivered no token"),
+		cancels:              b.counter("cancels", "cancel requests to engines, acknowledged or not"),
+		cancelsAcked:         b.counter("cancels_acked", "cancel requests that an engine acknowledged"),
+		claims:               b.counter("claims", "claims of idempotency keys, by result: granted, repeated (the request was answered before), elsewhere (another daemon runs it), or an error kind", labelResult),
+		steps:                b.counter("steps", "logged decisions on requests, by step; reserve and prefill count only calls that an upstream refused", labelStep),
+		storeReads:           b.counter("store_readings", "reads of the platform's store, by feed and result: direct, reader (through another instance) or failed", labelFeed, labelResult),
+		upstreamProbes:       b.counter("upstream_looks", "probes of upstreams on which runs lost their connection, by result: ended (crashed), lives (alive) or unsure (timed out)", labelResult),
+		crashedRequests:      b.intGauge("quarantine_requests", "requests that have crashed upstreams and have not completed since; refusals of such requests are counted by requests with the outcome crashes-upstreams"),
+		limitedRequests:      b.counter("upstream_limit_requests", "decisions on requests for upstreams with a rate limit, by result: sent, lent (sent with units borrowed from another instance), left-out (an upstream was excluded because its limit was reached; counted for each such upstream) or refused", labelResult),
+		limitedUpstreams:     b.intGauge("upstream_limits", "upstreams with a rate limit known to this daemon"),
+		configurationVersion: b.intGauge("configuration_version", "version of the platform's configuration in force"),
+		classOptions:         map[bundle.Class][]metric.RecordOption{},
 	}
 	for _, c := range []bundle.Class{bundle.Urgent, bundle.Draft} {
 		set := attribute.NewSet(attribute.String(labelClass, string(c)))
-		in.byClass[c] = []metric.RecordOption{metric.WithAttributeSet(set)}
+		in.classOptions[c] = []metric.RecordOption{metric.WithAttributeSet(set)}
 	}
 	return in
 }
 
-// RequestDone counts a request's one outcome; err is nil for a whole answer.
+// RequestDone counts the outcome of a request. It is called once for each request; err is
+// nil if the complete answer was delivered.
 func (in *Instruments) RequestDone(class bundle.Class, err *errkind.Error) {
 	outcome := OutcomeAnswered
 	if err != nil {
 		outcome = string(err.Kind)
 		if errkind.Answer(err).Run == errkind.NotRun {
-			in.refusals.Add(context.Background(), 1, label(labelKind, outcome))
+			in.refusals.Add(context.Background(), 1, labelOption(labelKind, outcome))
 		}
 	}
 	in.requests.Add(context.Background(), 1, metric.WithAttributes(
@@ -117,113 +121,120 @@
 
 // FirstToken records the time from acceptance to the first token.
 func (in *Instruments) FirstToken(class bundle.Class, d time.Duration) {
-	in.firstToken.Record(context.Background(), d.Seconds(), in.byClass[class]...)
+	in.firstToken.Record(context.Background(), d.Seconds(), in.classOptions[class]...)
 }
 
-// BetweenTokens records the time between two tokens of one answer.
+// BetweenTokens records the time between two consecutive tokens of an answer.
 func (in *Instruments) BetweenTokens(class bundle.Class, d time.Duration) {
-	in.betweenTokens.Record(context.Background(), d.Seconds(), in.byClass[class]...)
+	in.betweenTokens.Record(context.Background(), d.Seconds(), in.classOptions[class]...)
 }
 
-// Step counts a decision line; step is from a closed list.
+// Step counts a logged decision on a request. The values of step are a closed list.
 func (in *Instruments) Step(step string) {
 	in.steps.Add(context.Background(), 1, metric.WithAttributes(attribute.String(labelStep, step)))
 }
 
-// The results of a reading of the platform's store.
+// The results of a read of the platform's store.
 const (
 	ReadDirect = "direct"
-	ReadReader = "reader"
+	ReadReader = "reader" // through another instance, which reads the store for others
 	ReadFailed = "failed"
 )
 
-// StoreReading counts a reading of a feed.
+// StoreReading counts a read of a feed of the platform's store.
 func (in *Instruments) StoreReading(feed, result string) {
-	in.readings.Add(context.Background(), 1, metric.WithAttributes(attribute.String(labelFeed, feed), attribute.String(labelResult, result)))
+	in.storeReads.Add(context.Background(), 1, metric.WithAttributes(attribute.String(labelFeed, feed), attribute.String(labelResult, result)))
 }
 
-// Configuration tells the version in force.
+// Configuration sets the version of the platform's configuration in force.
 func (in *Instruments) Configuration(version uint64) {
-	in.configuration.Record(context.Background(), int64(version))
+	in.configurationVersion.Record(context.Background(), int64(version))
 }
 
-// The results of a request that met the rate limit of an upstream.
+// The results of applying the rate limit of an upstream to a request.
 const (
 	LimitSent    = "sent"
-	LimitLent    = "lent"
-	LimitLeftOut = "left-out"
-	LimitRefused = "refused"
+	LimitLent    = "lent"     // sent with units borrowed from another instance
+	LimitLeftOut = "left-out" // the upstream was excluded from the request's plan
+	LimitRefused = "refused"  // the limits of all upstreams left for the request were reached
 )
 
-// UpstreamLimit counts requests that met the rate limit of an upstream, with one of the results
-// above.
+// UpstreamLimit counts n decisions with a result, one of the constants above. For
+// LimitLeftOut, n is the number of excluded upstreams; otherwise it is 1.
 func (in *Instruments) UpstreamLimit(result string, n int) {
-	in.limitedRequests.Add(context.Background(), int64(n), label(labelResult, result))
+	in.limitedRequests.Add(context.Background(), int64(n), labelOption(labelResult, result))
 }
 
-// UpstreamLimits tells how many upstreams name a rate limit.
+// UpstreamLimits sets the number of upstreams with a rate limit.
 func (in *Instruments) UpstreamLimits(n int) {
-	in.upstreamLimits.Record(context.Background(), int64(n))
+	in.limitedUpstreams.Record(context.Background(), int64(n))
 }
 
-// UpstreamLook counts a look at an upstream on which runs broke off; sign is from a closed
-// list.
+// UpstreamLook counts a probe of an upstream on which runs lost their connection. sign
+// is its result, the text of a quarantine.Sign.
 func (in *Instruments) UpstreamLook(sign string) {
-	in.looks.Add(context.Background(), 1, label(labelResult, sign))
+	in.upstreamProbes.Add(context.Background(), 1, labelOption(labelResult, sign))
 }
 
-// QuarantineRequests tells how many requests have something held against them.
-func (in *Instruments) QuarantineRequests(n int) { in.suspects.Record(context.Background(), int64(n)) }
+// QuarantineRequests sets the number of requests that have crashed upstreams and have not
+// completed since.
+func (in *Instruments) QuarantineRequests(n int) {
+	in.crashedRequests.Record(context.Background(), int64(n))
+}
 
 // Retry counts an attempt after the first.
 func (in *Instruments) Retry() { in.retries.Add(context.Background(), 1) }
 
-// The results of a question to the retry budget.
+// The results of a request to the retry budget.
 const (
 	permitAllowed = "allowed"
 	permitDenied  = "denied"
 )
 
-// RetryPermit counts an answer of the retry budget.
+// RetryPermit counts a retry that the retry budget allowed or denied.
 func (in *Instruments) RetryPermit(allowed bool) {
 	result := permitDenied
 	if allowed {
 		result = permitAllowed
 	}
-	in.permits.Add(context.Background(), 1, label(labelResult, result))
+	in.retryPermits.Add(context.Background(), 1, labelOption(labelResult, result))
 }
 
-// RetryShare tells by how many daemons the shared slack of retries is divided, and this
-// daemon's part of it in a window.
+// RetryShare sets the number of daemons among which the slack of the retry budget is
+// divided, and this daemon's share of it in retries per window.
 func (in *Instruments) RetryShare(daemons int, part float64) {
 	in.retryDaemons.Record(context.Background(), int64(daemons))
-	in.retryPart.Record(context.Background(), part)
+	in.retryShare.Record(context.Background(), part)
 }
 
-// TeamAdmitted and TeamRefused count units that a request of a team with a limit asked for.
+// TeamAdmitted counts the quota units of an admitted request of a team with a limit.
 func (in *Instruments) TeamAdmitted(team string, units float64) {
-	in.team(team, "admitted", units)
+	in.countTeamUnits(team, "admitted", units)
 }
 
-// TeamRefused is described at TeamAdmitted.
-func (in *Instruments) TeamRefused(team string, units float64) { in.team(team, "refused", units) }
+// TeamRefused counts the quota units of a refused request of a team with a limit.
+func (in *Instruments) TeamRefused(team string, units float64) {
+	in.countTeamUnits(team, "refused", units)
+}
 
-func (in *Instruments) team(team, result string, units float64) {
+// countTeamUnits adds units under the team's label and a result.
+func (in *Instruments) countTeamUnits(team, result string, units float64) {
 	in.teamUnits.Add(context.Background(), int64(units), metric.WithAttributes(
-		attribute.String(labelTeam, in.teams.label(team)), attribute.String(labelResult, result)))
+		attribute.String(labelTeam, in.teams.labelFor(team)), attribute.String(labelResult, result)))
 }
 
-// PrefillWasted counts the prompt tokens of a prefill that was not used.
+// PrefillWasted counts the prompt tokens of a prefill whose result was not used.
 func (in *Instruments) PrefillWasted(tokens int) {
-	in.wasted.Add(context.Background(), int64(tokens))
+	in.wastedPrefillTokens.Add(context.Background(), int64(tokens))
 }
 
-// Cancel counts a cancel that had to reach an engine.
+// Cancel counts a cancel request to an engine, acknowledged or not.
 func (in *Instruments) Cancel() { in.cancels.Add(context.Background(), 1) }
 
-// CancelAcked counts a cancel that an engine acknowledged.
+// CancelAcked counts a cancel request that an engine acknowledged.
 func (in *Instruments) CancelAcked() { in.cancelsAcked.Add(context.Background(), 1) }
 
-func label(name, value string) metric.MeasurementOption {
+// labelOption returns the option for a measurement with a single label.
+func labelOption(name, value string) metric.MeasurementOption {
 	return metric.WithAttributes(attribute.String(name, value))
 }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up log lines and metrics. Nothing in it is global:
-// a process may hold several daemons, each with its own logger and registry.
+// Package telemetry provides logging and metrics. It has no global state, so that several
+// daemons can run in one process, each with its own logger and metrics registry.
 package telemetry
 
 import (
@@ -34,34 +34,35 @@
 	case FormatJSON:
 		h = json.New(w)
 	default:
-		return nil, errors.Errorf("log format %q", format)
+		return nil, errors.Errorf("unknown log format %q", format)
 	}
 	return &log.Logger{Handler: &redactor{next: h}, Level: lv}, nil
 }
 
-const redacted = "redacted"
+// redactedText replaces a masked value.
+const redactedText = "redacted"
 
-// secretName matches the names of fields whose values are never written.
+// secretNamePattern matches the names of log fields whose values are always masked.
 // Counts such as prompt_tokens and names such as key_id do not match.
-var secretName = regexp.MustCompile(`(?i)^(.*[_-])?(authorization|token|key|secret|password|cookie)$`)
+var secretNamePattern = regexp.MustCompile(`(?i)^(.*[_-])?(authorization|token|key|secret|password|cookie)$`)
 
-// secretText matches credentials inside a text.
-var secretText = regexp.MustCompile(`(?i)\b(bearer|basic)\s+[A-Za-z0-9._~+/=-]+`)
+// credentialPattern matches the credentials of an Authorization header inside a text.
+var credentialPattern = regexp.MustCompile(`(?i)\b(bearer|basic)\s+[A-Za-z0-9._~+/=-]+`)
 
-// redactor masks secrets before a line is written. Callers don't log secrets;
-// this keeps one that slips into an error text or a field out of the logs,
-// where it would otherwise be found by whoever reads them.
+// redactor is a log handler that masks secrets. Callers do not log secrets on purpose;
+// the redactor is a second barrier against one that gets into an error text or a field.
+// Everyone who may read the logs could use it.
 type redactor struct {
 	next log.Handler
-	// secret keeps by field name what secretName says: names are few, and the
-	// expression takes longer than the rest of a line.
-	secret sync.Map
+	// isSecret caches by field name whether secretNamePattern matches. There are few
+	// names, and matching takes longer than the rest of the work on a line.
+	isSecret sync.Map
 }
 
 // HandleLog implements log.Handler.
 func (r *redactor) HandleLog(e *log.Entry) error {
 	c := *e
-	c.Message = mask(e.Message)
+	c.Message = maskCredentials(e.Message)
 	c.Fields = make(log.Fields, len(e.Fields))
 	for name, v := range e.Fields {
 		c.Fields[name] = r.maskField(name, v)
@@ -69,28 +70,31 @@
 	return r.next.HandleLog(&c)
 }
 
+// maskField returns the value to log for a field.
 func (r *redactor) maskField(name string, v any) any {
-	secret, known := r.secret.Load(name)
-	if !known {
-		secret = secretName.MatchString(name)
-		r.secret.Store(name, secret)
+	matched, cached := r.isSecret.Load(name)
+	if !cached {
+		matched = secretNamePattern.MatchString(name)
+		r.isSecret.Store(name, matched)
 	}
-	if secret == true {
-		return redacted
+	if matched == true {
+		return redactedText
 	}
 	switch t := v.(type) {
 	case string:
-		return mask(t)
+		return maskCredentials(t)
 	case error:
-		return mask(t.Error())
+		return maskCredentials(t.Error())
 	}
 	return v
 }
 
-func mask(s string) string {
-	// The test is much cheaper than the expression, and most texts fail it.
+// maskCredentials returns s with all credentials replaced by redactedText.
+func maskCredentials(s string) string {
+	// This test is much cheaper than the regular expression. Most texts contain no
+	// whitespace and so cannot match.
 	if !strings.ContainsAny(s, " \t") {
 		return s
 	}
-	return secretText.ReplaceAllString(s, "$1 "+redacted)
+	return credentialPattern.ReplaceAllString(s, "$1 "+redactedText)
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -15,33 +15,36 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Namespace starts the name of every metric.
+// Namespace is the prefix of all metric names.
 const Namespace = "corianderturn"
 
-// Metrics owns one daemon's metrics: the instruments and the page that shows them.
+// Metrics holds the metrics of one daemon: the instruments and the /metrics page.
 type Metrics struct {
 	*Instruments
 
 	provider *sdk.MeterProvider
 	meter    *catalogMeter
-	page     http.Handler
-	readings atomic.Pointer[func() Readings]
+	handler  http.Handler
+	onScrape atomic.Pointer[func() Readings]
 }
 
-// Readings are values that are read when the page is fetched. Those of type
-// uint64 only grow.
+// Readings are the values that are read when the /metrics page is fetched. Those of type
+// uint64 are counters.
 type Readings struct {
+	// PeersLive is the number of live peers in this daemon's membership view.
 	PeersLive int
-	InFlight  int
-	// ViewAge is the age of the oldest known load of an upstream that takes new work.
+	// InFlight is the number of requests in flight on this daemon.
+	InFlight int
+	// ViewAge is the age of the oldest load report among the upstreams that accept new
+	// requests and have reported a load.
 	ViewAge time.Duration
-	// These are what peer.Stats counts.
+	// These are the fields of the same names in peer.Stats.
 	BytesIn, BytesOut, FramesIn, FramesOut, Dropped uint64
-	// Sweeps and SweepCancels are what steward.Stats counts.
+	// Sweeps and SweepCancels are Sweeps and Cancels of steward.Stats.
 	Sweeps, SweepCancels uint64
 }
 
-// NewMetrics returns metrics on a registry of their own.
+// NewMetrics returns metrics with their own registry.
 func NewMetrics() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(
@@ -54,55 +57,56 @@
 	}
 	m := &Metrics{
 		provider: sdk.NewMeterProvider(sdk.WithReader(exporter)),
-		page:     promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
+		handler:  promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
 	}
 	m.meter = &catalogMeter{Meter: m.provider.Meter(Namespace)}
 	b := &builder{meter: m.meter}
 	m.Instruments = newInstruments(b)
-	m.observe(b)
+	m.registerObservables(b)
 	return m, b.err
 }
 
 // Handler returns the /metrics page.
-func (m *Metrics) Handler() http.Handler { return m.page }
+func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Meter is for packages that make instruments of their own; their names begin
-// with Namespace and a dot.
+// Meter returns the meter with which other packages create their own instruments. Their
+// names must begin with Namespace and a dot.
 func (m *Metrics) Meter() metric.Meter { return m.meter }
 
-// Definitions lists the metrics made so far.
+// Definitions returns the definitions of all metrics created so far.
 func (m *Metrics) Definitions() []Definition {
 	m.meter.mu.Lock()
 	defer m.meter.mu.Unlock()
 	return slices.Clone(m.meter.definitions)
 }
 
-// OnScrape sets the function that gives the readings. It is called from any
-// goroutine that fetches the page; before it is set the readings are absent.
-func (m *Metrics) OnScrape(read func() Readings) { m.readings.Store(&read) }
+// OnScrape sets the function that returns the readings. It is called when the /metrics
+// page is fetched, possibly by several goroutines at once. Until it is set, the page
+// lacks these metrics.
+func (m *Metrics) OnScrape(read func() Readings) { m.onScrape.Store(&read) }
 
-// Close releases the metrics; the page shows nothing new afterwards.
+// Close shuts down the meter provider; the page is not updated any more.
 func (m *Metrics) Close(ctx context.Context) error {
 	return errors.Wrap(m.provider.Shutdown(ctx), "shut down metrics")
 }
 
-// observe registers what is read when the page is fetched.
-func (m *Metrics) observe(b *builder) {
-	peers := b.gauge("peers_live", "", "peers that are alive in this daemon's view")
-	inFlight := b.gauge("requests_in_flight", "", "requests accepted and not yet answered")
-	age := b.gauge("view_age", "s", "age of the oldest known load among the upstreams that take new work")
-	in := b.total("control_received", "By", "bytes received from peers")
-	out := b.total("control_sent", "By", "bytes sent to peers")
-	framesIn := b.total("control_received_frames", "", "messages received from peers")
-	framesOut := b.total("control_sent_frames", "", "messages sent to peers")
-	dropped := b.total("control_dropped", "", "messages to peers that a full queue lost")
-	sweeps := b.total("sweeps", "", "reads of what an engine holds, to free memory of dead owners")
-	swept := b.total("sweep_cancels", "", "holds of dead owners that a sweep freed")
+// registerObservables creates the instruments whose values are read at each scrape.
+func (m *Metrics) registerObservables(b *builder) {
+	peers := b.observableGauge("peers_live", "", "live peers in this daemon's membership view")
+	inFlight := b.observableGauge("requests_in_flight", "", "requests accepted and not yet finished")
+	age := b.observableGauge("view_age", "s", "age of the oldest load report among the upstreams that accept new requests")
+	in := b.observableCounter("control_received", "By", "bytes received from peers")
+	out := b.observableCounter("control_sent", "By", "bytes sent to peers")
+	framesIn := b.observableCounter("control_received_frames", "", "messages received from peers")
+	framesOut := b.observableCounter("control_sent_frames", "", "messages sent to peers")
+	dropped := b.observableCounter("control_dropped", "", "messages to peers dropped because the send queue was full")
+	sweeps := b.observableCounter("sweeps", "", "listings of the memory that an engine holds for requests, made to free the memory of daemons that have died")
+	swept := b.observableCounter("sweep_cancels", "", "cancel requests of sweeps that an engine acknowledged, freeing the memory of a daemon that has died")
 	if b.err != nil {
 		return
 	}
 	_, b.err = m.meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
-		read := m.readings.Load()
+		read := m.onScrape.Load()
 		if read == nil {
 			return nil
 		}
--- a/internal/telemetry/teams.go
+++ b/internal/telemetry/teams.go
@@ -2,21 +2,23 @@
 
 import "sync"
 
-// maxTeams bounds the teams that the page names, and otherTeam stands for all more.
+// maxTeams is the number of teams that get their own label value in the metrics. All
+// further teams share the value otherTeam.
 const (
 	maxTeams  = 100
 	otherTeam = "other"
 )
 
-// teamNames are the teams that the page names, so that an operator's list of teams cannot
-// make it grow. It is safe for concurrent use.
-type teamNames struct {
+// teamLabels assigns label values to teams. It limits their number, because operators may
+// configure any number of teams and each one adds time series. It is safe for concurrent
+// use.
+type teamLabels struct {
 	mu    sync.Mutex
 	known map[string]bool
 }
 
-// label returns the label of a team.
-func (t *teamNames) label(team string) string {
+// labelFor returns the label value of a team.
+func (t *teamLabels) labelFor(team string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.known == nil {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -17,7 +17,8 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-func exerciseAll(in *Instruments) {
+// useAllInstruments records at least one value with each method of in.
+func useAllInstruments(in *Instruments) {
 	in.RequestDone(bundle.Urgent, nil)
 	in.RequestDone(bundle.Draft, errkind.New(errkind.Overloaded, ""))
 	in.FirstToken(bundle.Urgent, time.Second)
@@ -73,14 +74,16 @@
 func (f fakeGrant) Run() bool                  { return f.run }
 func (f fakeGrant) Owner() (wire.NodeID, bool) { return wire.NodeID{}, f.owner }
 
+// Every defined metric, including one of another package, must appear on the /metrics page
+// under the name and type of its definition.
 func TestEveryMetricIsOnThePage(t *testing.T) {
 	m, err := NewMetrics()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer m.Close(context.Background())
-	exerciseAll(Discard())
-	exerciseAll(m.Instruments)
+	useAllInstruments(Discard())
+	useAllInstruments(m.Instruments)
 	m.OnScrape(func() Readings { return Readings{Sweeps: 7, ViewAge: 1500 * time.Millisecond} })
 	other, err := m.Meter().Int64Counter("corianderturn.other.thing")
 	if err != nil {
@@ -118,9 +121,9 @@
 	}
 }
 
-// Symptom: whoever reads the logs can act as a caller.
-// Sequence: a request fails; its error or a field that holds its key is logged.
-// Cause: log lines repeat what they are given.
+// Guards against credentials in the logs, which would let everyone who reads them act as a
+// caller. They get there when a request fails and its error text, or a field with its key,
+// is logged.
 func TestSecretsAreMasked(t *testing.T) {
 	for _, format := range []string{FormatText, FormatJSON} {
 		var out bytes.Buffer
@@ -137,17 +140,17 @@
 			t.Errorf("%s: %s", format, got)
 		}
 		if !strings.Contains(got, "41") || !strings.Contains(got, "bearer redacted") {
-			t.Errorf("%s lost what may be shown: %s", format, got)
+			t.Errorf("%s: text that is not secret was masked: %s", format, got)
 		}
 	}
 }
 
 func TestBadLogSettings(t *testing.T) {
 	if _, err := NewLogger(nil, "loud", FormatText); err == nil {
-		t.Error("level accepted")
+		t.Error("an invalid level was accepted")
 	}
 	if _, err := NewLogger(nil, "info", "xml"); err == nil {
-		t.Error("format accepted")
+		t.Error("an unknown format was accepted")
 	}
 }
 
