--- a/settings/attached.go
+++ b/settings/attached.go
@@ -8,109 +8,111 @@
 	"github.com/pkg/errors"
 )
 
-// Attached is the whole settings file of a daemon that is attached to a platform
-// of its users: configuration, upstreams and balancing are the platform's.
+// Attached holds the settings file of a daemon that runs attached to its users' platform. The
+// platform provides the configuration, the list of upstreams and the load balancer in front of
+// the daemons.
 type Attached struct {
 	Instance Instance        `yaml:"instance" doc:"this daemon"`
 	Callers  AttachedCallers `yaml:"callers" doc:"the callers' HTTP listener"`
-	Ready    Listener        `yaml:"ready" doc:"the listener that the platform's balancer asks"`
-	Metrics  Listener        `yaml:"metrics" doc:"the listener of the metrics page"`
+	Ready    Listener        `yaml:"ready" doc:"the listener of the platform's readiness checks"`
+	Metrics  Listener        `yaml:"metrics" doc:"the listener that serves the metrics"`
 	Store    Store           `yaml:"store" doc:"the platform's metadata store"`
-	Relay    Relay           `yaml:"relay" doc:"the listener for other daemons, for which this one may read the store"`
-	Retries  Retries         `yaml:"retries" doc:"retries allowed to all daemons together"`
-	Quota    Quota           `yaml:"quota" doc:"how exactly all daemons together hold the limits of teams"`
-	Orders   Orders          `yaml:"orders" doc:"orders to engines"`
+	Relay    Relay           `yaml:"relay" doc:"the listener for other daemons, on whose behalf this one may read the store"`
+	Retries  Retries         `yaml:"retries" doc:"retry budget that all daemons share"`
+	Quota    Quota           `yaml:"quota" doc:"how far all daemons together may exceed the rate limits of teams"`
+	Orders   Orders          `yaml:"orders" doc:"orders that move engines between prefill and decode"`
 	Drain    AttachedDrain   `yaml:"drain" doc:"graceful shutdown"`
-	Limits   AttachedLimits  `yaml:"limits" doc:"bounds on what this daemon holds"`
+	Limits   AttachedLimits  `yaml:"limits" doc:"resources of the instance"`
 	Log      Log             `yaml:"log" doc:"log lines, written to standard output"`
 	Policy   Policy          `yaml:"policy" doc:"the routing policy"`
 }
 
-// AttachedCallers configures the callers' listener. The platform's configuration
-// bounds what callers send.
+// AttachedCallers configures the callers' listener. Limits on the size and the deadline of
+// requests are part of the platform's configuration.
 type AttachedCallers struct {
 	Listen       string        `yaml:"listen" validate:"hostport" unit:"host:port" doc:"address to listen on"`
-	BodyTimeout  time.Duration `yaml:"body_timeout" validate:"gt=0" unit:"duration" doc:"time within which a caller has to send its body"`
-	WriteTimeout time.Duration `yaml:"write_timeout" validate:"gt=0" unit:"duration" doc:"time within which a caller has to take a piece of its answer"`
+	BodyTimeout  time.Duration `yaml:"body_timeout" validate:"gt=0" unit:"duration" doc:"time within which a caller must send its body"`
+	WriteTimeout time.Duration `yaml:"write_timeout" validate:"gt=0" unit:"duration" doc:"time within which a caller must accept each write of its answer"`
 }
 
-// Listener is an address to listen on.
+// Listener configures a listener that can be turned off.
 type Listener struct {
 	Listen string `yaml:"listen" validate:"omitempty,hostport" unit:"host:port" doc:"address to listen on; empty turns the listener off"`
 }
 
-// Relay configures what daemons tell each other of the store.
+// Relay configures how daemons share reads of the store.
 type Relay struct {
 	Listen string   `yaml:"listen" validate:"omitempty,hostport" unit:"host:port" doc:"address to listen on; empty turns the listener off, and the daemon reads the store itself"`
-	Seeds  []string `yaml:"seeds" validate:"dive,hostport" unit:"host:port" doc:"addresses at which some daemons listen for others, perhaps this one too; a daemon that starts asks there first who reads the store"`
-	// DataCentres may be empty where there is one.
-	DataCentres []string `yaml:"data_centres" doc:"data centres in which daemons may run; one of which nothing is heard is taken to have as many daemons as the largest that is known"`
+	Seeds  []string `yaml:"seeds" validate:"dive,hostport" unit:"host:port" doc:"relay addresses of some daemons, possibly including this one; a daemon that starts asks these first which daemon reads the store"`
+	// DataCentres may be empty if there is only one data centre.
+	DataCentres []string `yaml:"data_centres" doc:"data centres in which daemons may run; one without known daemons is assumed to have as many as the largest known one"`
 }
 
-// Store configures the reading of the platform's store.
+// Store configures how the daemon reads the platform's store.
 type Store struct {
 	Address string        `yaml:"address" validate:"hostport" unit:"host:port" doc:"address of the store"`
-	Contact time.Duration `yaml:"contact" validate:"gt=1s" unit:"duration" doc:"time after which the platform counts a daemon as in touch again; a reading of the store is over within it, since an answer that is lost on a connection that lives is noticed by nothing else"`
-	Timeout time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"time for one call, besides its wait"`
+	Contact time.Duration `yaml:"contact" validate:"gt=1s" unit:"duration" doc:"time after which the platform considers a daemon that lost contact with the store to be in contact again; each read of the store ends within it, because nothing else detects an answer that is lost on an open connection"`
+	Timeout time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"timeout of one call, in addition to the wait of a long poll"`
 	Retry   time.Duration `yaml:"retry" validate:"gt=0" unit:"duration" doc:"pause after a failed call"`
-	Apply   time.Duration `yaml:"apply" validate:"gt=0" unit:"duration" doc:"time within which a new configuration has to be in force"`
-	Keep    time.Duration `yaml:"keep" validate:"gt=0" unit:"duration" doc:"how long the store keeps the records of daemons"`
-	Leave   time.Duration `yaml:"leave" validate:"gt=0" unit:"duration" doc:"time after which an upstream that leaves must get nothing new"`
+	Apply   time.Duration `yaml:"apply" validate:"gt=0" unit:"duration" doc:"time within which a new configuration must take effect"`
+	Keep    time.Duration `yaml:"keep" validate:"gt=0" unit:"duration" doc:"how long the store retains the records that daemons append"`
+	Leave   time.Duration `yaml:"leave" validate:"gt=0" unit:"duration" doc:"time after which an upstream that is leaving must receive no new requests"`
 }
 
-// Bound returns the time within which any change of the store has to be in force.
+// Bound returns the time within which every change in the store must take effect.
 func (s Store) Bound() time.Duration { return min(s.Apply, s.Leave) }
 
-// Retries bounds the sends beyond the first of each request.
+// Retries bounds the attempts of all requests beyond the first of each.
 type Retries struct {
-	Ratio   float64       `yaml:"ratio" validate:"gte=0,lte=1" doc:"retries for each request, over all daemons"`
-	Slack   float64       `yaml:"slack" validate:"gte=0" doc:"retries on top of the ratio in one window, over all daemons"`
+	Ratio   float64       `yaml:"ratio" validate:"gte=0,lte=1" doc:"retries allowed for each request, over all daemons"`
+	Slack   float64       `yaml:"slack" validate:"gte=0" doc:"retries allowed in addition to the ratio in one window, over all daemons"`
 	Window  time.Duration `yaml:"window" validate:"gt=0" unit:"duration" doc:"length of the sliding window"`
-	Daemons int           `yaml:"daemons" validate:"min=1" doc:"daemons that share the slack, at the least; more are counted as they are heard of; 1 lets a daemon that hears of no other take all of it"`
+	Daemons int           `yaml:"daemons" validate:"min=1" doc:"minimum number of daemons among which the slack is divided; further daemons are counted as they are discovered; with 1, a daemon that discovers no other uses all of the slack"`
 }
 
-// Quota bounds what runs of a team's requests beyond its limit: in any window, the limit's
-// rate for that time and its burst, by an excess more, and the slack.
+// Quota bounds how far a team's requests may exceed its rate limit: in any Window, at most
+// (rate x Window + burst) x (1 + Excess) + Slack units run.
 type Quota struct {
 	Window time.Duration `yaml:"window" validate:"gt=0" unit:"duration" doc:"length of the sliding window"`
-	Excess float64       `yaml:"excess" validate:"gte=0" doc:"part of the limit that may run on top of it in one window"`
-	Slack  float64       `yaml:"slack" validate:"gte=0" doc:"units of a team that may run besides in one window"`
+	Excess float64       `yaml:"excess" validate:"gte=0" doc:"fraction of the limit that may run in addition to it in one window"`
+	Slack  float64       `yaml:"slack" validate:"gte=0" doc:"units of a team that may run in addition to limit and excess in one window"`
 }
 
-// Orders configures the orders to engines.
+// Orders configures the orders that move engines between prefill and decode.
 type Orders struct {
-	Quiet time.Duration `yaml:"quiet" validate:"gt=0" unit:"duration" doc:"least time between the orders of two daemons"`
-	// Bootstrap is stated by the platform.
-	Bootstrap bool `yaml:"bootstrap" doc:"whether the whole system starts for the first time: all daemons at about the same moment, and none has given orders or sent retries before"`
+	Quiet time.Duration `yaml:"quiet" validate:"gt=0" unit:"duration" doc:"minimum time between the last order of one daemon and the first of another"`
+	// Bootstrap is set by the platform.
+	Bootstrap bool `yaml:"bootstrap" doc:"whether the whole system starts for the first time: all daemons start at about the same moment, and none has sent orders or retries before"`
 }
 
 // AttachedDrain configures graceful shutdown.
 type AttachedDrain struct {
-	Notice time.Duration `yaml:"notice" validate:"gte=0" unit:"duration" doc:"time of being not ready before the listener closes, for the balancer to notice; less than grace"`
-	Grace  time.Duration `yaml:"grace" validate:"gt=0" unit:"duration" doc:"time from SIGTERM until the platform ends the process"`
+	Notice time.Duration `yaml:"notice" validate:"gte=0" unit:"duration" doc:"time for which the daemon reports not ready before its listener closes, so that the load balancer stops sending requests; less than grace"`
+	Grace  time.Duration `yaml:"grace" validate:"gt=0" unit:"duration" doc:"time from SIGTERM until the platform kills the process"`
 }
 
-// AttachedLimits bounds what the daemon holds.
+// AttachedLimits holds the resources of the instance, to which the daemon limits itself.
 type AttachedLimits struct {
 	MemoryMB    int `yaml:"memory_mb" validate:"min=16" unit:"megabytes" doc:"memory of the instance"`
 	Descriptors int `yaml:"descriptors" validate:"min=64" unit:"descriptors" doc:"file descriptors of the process"`
 	Cores       int `yaml:"cores" validate:"min=1" doc:"processors of the instance"`
-	// Share and Link say what the instance can bear for others.
-	Share float64 `yaml:"share" validate:"gt=0" unit:"cores" doc:"processor time that the instance has for each second"`
-	Link  float64 `yaml:"link" validate:"gt=0" unit:"Mbit/s" doc:"rate of the instance's network link"`
+	// Share and Link determine Weight.
+	Share float64 `yaml:"share" validate:"gt=0" unit:"cores" doc:"processor time available to the instance per second"`
+	Link  float64 `yaml:"link" validate:"gt=0" unit:"Mbit/s" doc:"bandwidth of the instance's network link"`
 }
 
-// Weight returns what the instance can bear for others: thousandths of a processor, or
-// tenths of its link's Mbit/s where these are fewer. A fifth of a processor and 20 Mbit/s
-// carry about the same number of followers.
+// Weight returns the capacity of the instance to relay the store's feeds to other daemons, by
+// which readers are elected: the smaller of its CPU in thousandths of a core and its link's
+// bandwidth in tenths of a Mbit/s. A fifth of a core and 20 Mbit/s serve about the same number
+// of followers.
 func (l AttachedLimits) Weight() int { return int(min(1000*l.Share, 10*l.Link)) }
 
-// AttachedDefaults returns the settings that hold where the file is silent.
+// AttachedDefaults returns the values of the keys that the file does not set.
 func AttachedDefaults() *Attached {
-	own := Defaults()
+	base := Defaults()
 	return &Attached{
-		Instance: own.Instance,
-		Callers:  AttachedCallers{Listen: own.Callers.Listen, BodyTimeout: 5 * time.Second, WriteTimeout: own.Callers.WriteTimeout},
+		Instance: base.Instance,
+		Callers:  AttachedCallers{Listen: base.Callers.Listen, BodyTimeout: 5 * time.Second, WriteTimeout: base.Callers.WriteTimeout},
 		Store: Store{
 			Address: "127.0.0.1:8090",
 			Contact: 3 * time.Second,
@@ -129,8 +131,8 @@
 	}
 }
 
-// LoadAttached reads, decodes and validates a file over the defaults. A fault of
-// the content is an *Error.
+// LoadAttached reads and validates the settings file of an attached daemon. Keys that the file
+// does not set have their defaults. An invalid file results in an *Error.
 func LoadAttached(file string) (*Attached, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -139,22 +141,22 @@
 	return DecodeAttached(file, data)
 }
 
-// DecodeAttached decodes and validates the content of a file; file is used in
-// errors only.
+// DecodeAttached is LoadAttached for content that has been read already. The file name is used
+// in errors only.
 func DecodeAttached(file string, data []byte) (*Attached, error) {
 	s := AttachedDefaults()
 	keys := &keyIndex{file: file, lines: map[string]int{}, fields: AttachedFields()}
-	if err := decodeOver(s, keys, data); err != nil {
+	if err := decodeInto(s, keys, data); err != nil {
 		return nil, err
 	}
-	var faults validator.ValidationErrors
-	if err := rules().Struct(s); errors.As(err, &faults) {
-		return nil, ruleError(faults[0], keys)
+	var violations validator.ValidationErrors
+	if err := tagValidator().Struct(s); errors.As(err, &violations) {
+		return nil, violationError(violations[0], keys)
 	}
 	return s, nil
 }
 
-// AttachedFields returns every key of an attached daemon's file in its order.
+// AttachedFields describes every key of an attached daemon's settings file, in the file's order.
 func AttachedFields() []Field {
 	return appendFields(nil, "", reflect.ValueOf(*AttachedDefaults()))
 }
--- a/settings/attached_test.go
+++ b/settings/attached_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Each fault is one line that names file, key and reason.
+// Each error is a single line that names the file, line, key and reason.
 func TestDecodeAttachedFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"callers: {listen: nowhere}":       "node.yaml:1: callers.listen: want host:port",
@@ -40,8 +40,8 @@
 		"callers: {body_timeout: -1s}":     "node.yaml:1: callers.body_timeout: want more than 0",
 	} {
 		_, err := DecodeAttached("node.yaml", []byte(text))
-		var fault *Error
-		if !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		var decodeErr *Error
+		if !errors.As(err, &decodeErr) || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
--- a/settings/keys.go
+++ b/settings/keys.go
@@ -9,26 +9,28 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// keyIndex holds the line of each key of a file.
+// keyIndex checks the keys of a settings file and records their line numbers for error messages.
 type keyIndex struct {
-	file  string
+	file string
+	// lines holds the line number of each key that is in the file, by its full name.
 	lines map[string]int
-	// fields describes the keys of the file.
+	// fields describes the keys that the file may have.
 	fields []Field
 }
 
-// field returns the description of one key.
+// field returns the description of a key that is given by its full name.
 func (k *keyIndex) field(key string) (Field, bool) { return fieldOf(k.fields, key) }
 
-// walk records the keys of a document and refuses those that t lacks.
-// The YAML library refuses unknown keys too, but without naming the section
-// and what it allows.
-func (k *keyIndex) walk(t reflect.Type, body ast.Node) error {
-	return k.section("", t, body)
+// checkDocument records the keys of a document and rejects those for which the settings type t
+// has no field. The YAML library rejects unknown keys too, but its error names neither the
+// section nor the allowed keys.
+func (k *keyIndex) checkDocument(t reflect.Type, body ast.Node) error {
+	return k.checkSection("", t, body)
 }
 
-func (k *keyIndex) section(path string, t reflect.Type, n ast.Node) error {
-	values, err := k.mapping(path, n)
+// checkSection checks the keys of the section at path, whose settings type is t.
+func (k *keyIndex) checkSection(path string, t reflect.Type, n ast.Node) error {
+	values, err := k.mappingEntries(path, n)
 	if err != nil {
 		return err
 	}
@@ -38,46 +40,49 @@
 		if !ok {
 			return &Error{File: k.file, Line: nodeLine(v.Key), Key: join(path, name), Reason: "unknown key", Allowed: sectionKeys(t)}
 		}
-		if err := k.value(join(path, name), f.Type, v); err != nil {
+		if err := k.checkValue(join(path, name), f.Type, v); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *keyIndex) value(path string, t reflect.Type, v *ast.MappingValueNode) error {
+// checkValue records the line of a key and checks that its value has the form that type t needs.
+func (k *keyIndex) checkValue(path string, t reflect.Type, v *ast.MappingValueNode) error {
 	k.lines[path] = nodeLine(v.Key)
 	if v.Value == nil || v.Value.Type() == ast.NullType {
 		return &Error{File: k.file, Line: nodeLine(v.Key), Key: path, Reason: "no value"}
 	}
 	switch t.Kind() {
 	case reflect.Struct:
-		return k.section(path, t, v.Value)
+		return k.checkSection(path, t, v.Value)
 	case reflect.Map:
-		return k.entries(path, v.Value)
+		return k.checkMap(path, v.Value)
 	case reflect.Slice:
-		return k.items(path, v.Value)
+		return k.checkList(path, v.Value)
 	default:
-		return k.plain(path, t, v.Value)
+		return k.checkScalar(path, t, v.Value)
 	}
 }
 
-func (k *keyIndex) entries(path string, n ast.Node) error {
-	values, err := k.mapping(path, n)
+// checkMap checks a map from names to scalars.
+func (k *keyIndex) checkMap(path string, n ast.Node) error {
+	values, err := k.mappingEntries(path, n)
 	if err != nil {
 		return err
 	}
 	for _, v := range values {
 		name := join(path, v.Key.GetToken().Value)
 		k.lines[name] = nodeLine(v.Key)
-		if err := k.plain(name, reflect.TypeFor[string](), v.Value); err != nil {
+		if err := k.checkScalar(name, reflect.TypeFor[string](), v.Value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *keyIndex) items(path string, n ast.Node) error {
+// checkList checks a list of scalars.
+func (k *keyIndex) checkList(path string, n ast.Node) error {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
 		return &Error{File: k.file, Line: nodeLine(n), Key: path, Reason: "want a list"}
@@ -85,14 +90,16 @@
 	for i, item := range seq.Values {
 		name := fmt.Sprintf("%s[%d]", path, i)
 		k.lines[name] = nodeLine(item)
-		if err := k.plain(name, reflect.TypeFor[string](), item); err != nil {
+		if err := k.checkScalar(name, reflect.TypeFor[string](), item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *keyIndex) mapping(path string, n ast.Node) ([]*ast.MappingValueNode, error) {
+// mappingEntries returns the entries of a YAML mapping. The parser represents a mapping with one entry
+// by that entry alone.
+func (k *keyIndex) mappingEntries(path string, n ast.Node) ([]*ast.MappingValueNode, error) {
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		return m.Values, nil
@@ -102,9 +109,9 @@
 	return nil, &Error{File: k.file, Line: nodeLine(n), Key: path, Reason: "want a section of keys and values"}
 }
 
-// plain refuses anything but one value: anchors and aliases could make a small
-// file expand without bound, and a misplaced section would be dropped unseen.
-func (k *keyIndex) plain(path string, t reflect.Type, n ast.Node) error {
+// checkScalar rejects everything but a scalar: anchors and aliases could make a small file expand
+// without bound, and a section in place of a value would be ignored silently.
+func (k *keyIndex) checkScalar(path string, t reflect.Type, n ast.Node) error {
 	switch v := n.(type) {
 	case *ast.StringNode, *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode, *ast.LiteralNode:
 		if t != reflect.TypeFor[time.Duration]() {
@@ -114,25 +121,26 @@
 			return nil
 		}
 	}
-	e := &Error{File: k.file, Line: nodeLine(n), Key: path, Reason: "want one plain value"}
+	e := &Error{File: k.file, Line: nodeLine(n), Key: path, Reason: "want a single value"}
 	if f, ok := k.field(path); ok {
-		e.Reason = "want " + f.want()
+		e.Reason = "want " + f.expectedValue()
 		e.Allowed = f.Allowed
 	}
 	return e
 }
 
-// at returns the longest key on a line, or "".
-func (k *keyIndex) at(line int) string {
-	best := ""
+// keyAtLine returns the longest key on a line, which is the innermost one, or "" if the line has none.
+func (k *keyIndex) keyAtLine(line int) string {
+	longest := ""
 	for name, l := range k.lines {
-		if l == line && (len(name) > len(best) || len(name) == len(best) && name < best) {
-			best = name
+		if l == line && (len(name) > len(longest) || len(name) == len(longest) && name < longest) {
+			longest = name
 		}
 	}
-	return best
+	return longest
 }
 
+// fieldByKey returns the field of settings type t that has the given YAML key.
 func fieldByKey(t reflect.Type, key string) (reflect.StructField, bool) {
 	for f := range fieldsOf(t) {
 		if f.Tag.Get("yaml") == key {
@@ -142,6 +150,7 @@
 	return reflect.StructField{}, false
 }
 
+// sectionKeys returns the YAML keys of settings type t, sorted.
 func sectionKeys(t reflect.Type) []string {
 	var out []string
 	for f := range fieldsOf(t) {
@@ -151,6 +160,7 @@
 	return out
 }
 
+// join returns the full name of a key in the section at path.
 func join(path, name string) string {
 	if path == "" {
 		return name
--- a/settings/load.go
+++ b/settings/load.go
@@ -14,20 +14,21 @@
 	"github.com/pkg/errors"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// Error is one fault of a settings file.
+// Error reports an invalid settings file.
 type Error struct {
-	// File is the name given to Load, and Line the line from 1; 0 when the key is
-	// not in the file.
+	// File is the name given to Load. Line counts from 1 and is 0 if the key is not in the
+	// file.
 	File string
 	Line int
-	// Key is the full name of the key, such as "callers.listen".
+	// Key is the full name of the key, such as "callers.listen", or empty if the error is not
+	// about a key.
 	Key string
-	// Reason says what is wrong.
+	// Reason is what is wrong with the key's value or with the file.
 	Reason string
-	// Allowed lists the keys or values that would be right, where that is a list.
+	// Allowed lists the valid keys or values if they are a fixed set.
 	Allowed []string
 }
 
@@ -49,8 +50,8 @@
 	return b.String()
 }
 
-// Load reads, decodes and validates a file over the defaults. A fault of the
-// content is an *Error.
+// Load reads and validates a settings file. Keys that the file does not set have their
+// defaults. An invalid file results in an *Error.
 func Load(file string) (*Settings, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -59,6 +60,8 @@
 	return Decode(file, data)
 }
 
+// readFile reads at most one byte more than MaxFileBytes, so that decodeInto can reject a file
+// that is too large.
 func readFile(file string) ([]byte, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -69,12 +72,11 @@
 	return data, errors.Wrapf(err, "read %s", file)
 }
 
-// Decode decodes and validates the content of a file over the defaults; file is
-// used in errors only.
+// Decode is Load for content that has been read already. The file name is used in errors only.
 func Decode(file string, data []byte) (*Settings, error) {
 	s := Defaults()
 	keys := &keyIndex{file: file, lines: map[string]int{}, fields: Fields()}
-	if err := decodeOver(s, keys, data); err != nil {
+	if err := decodeInto(s, keys, data); err != nil {
 		return nil, err
 	}
 	if err := validateSettings(s, keys); err != nil {
@@ -83,8 +85,8 @@
 	return s, nil
 }
 
-// decodeOver decodes the content of a file over the defaults in s.
-func decodeOver(s any, keys *keyIndex, data []byte) error {
+// decodeInto decodes the content of a file into s, which holds the defaults.
+func decodeInto(s any, keys *keyIndex, data []byte) error {
 	file := keys.file
 	if len(data) > MaxFileBytes {
 		return &Error{File: file, Reason: fmt.Sprintf("larger than %d bytes", MaxFileBytes)}
@@ -93,11 +95,11 @@
 	if err != nil {
 		return syntaxError(file, nil, err)
 	}
-	body, err := onlyDocument(file, tree)
+	body, err := singleDocument(file, tree)
 	if err != nil || body == nil {
 		return err
 	}
-	if err := keys.walk(reflect.TypeOf(s).Elem(), body); err != nil {
+	if err := keys.checkDocument(reflect.TypeOf(s).Elem(), body); err != nil {
 		return err
 	}
 	dec := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
@@ -107,24 +109,24 @@
 	return nil
 }
 
-// onlyDocument returns the body of the file's one document, or nil for a file
-// that holds only comments.
-func onlyDocument(file string, tree *ast.File) (ast.Node, error) {
+// singleDocument returns the body of the file's single YAML document, or nil for a file that has
+// only comments.
+func singleDocument(file string, tree *ast.File) (ast.Node, error) {
 	var body ast.Node
 	for _, doc := range tree.Docs {
 		if doc.Body == nil || doc.Body.Type() == ast.CommentType {
 			continue
 		}
 		if body != nil {
-			return nil, &Error{File: file, Line: nodeLine(doc.Body), Reason: "a second document"}
+			return nil, &Error{File: file, Line: nodeLine(doc.Body), Reason: "more than one YAML document"}
 		}
 		body = doc.Body
 	}
 	return body, nil
 }
 
-// syntaxError turns an error of the YAML library into an Error; keys, when
-// known, gives the name of the key on the line.
+// syntaxError converts an error of the YAML library into an Error. keys provides the name of the
+// key on the line; it is nil before the keys have been read.
 func syntaxError(file string, keys *keyIndex, err error) error {
 	e := &Error{File: file, Reason: err.Error()}
 	var y yaml.Error
@@ -137,15 +139,15 @@
 	if keys == nil {
 		return e
 	}
-	e.Key = keys.at(e.Line)
+	e.Key = keys.keyAtLine(e.Line)
 	if f, ok := keys.field(e.Key); ok {
-		e.Reason = fmt.Sprintf("want %s", f.want())
+		e.Reason = fmt.Sprintf("want %s", f.expectedValue())
 		e.Allowed = f.Allowed
 	}
 	return e
 }
 
-// nodeLine returns the line of a node, or 0.
+// nodeLine returns the line number of a node, or 0 if it is unknown.
 func nodeLine(n ast.Node) int {
 	if n == nil || n.GetToken() == nil || n.GetToken().Position == nil {
 		return 0
--- a/settings/print.go
+++ b/settings/print.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// PrintDefaults writes a commented file with every key at its default. The
-// output is a valid file.
+// PrintDefaults writes a settings file that sets every key to its default and documents each in
+// a comment. Load accepts the output.
 func PrintDefaults(w io.Writer) error {
 	out := bufio.NewWriter(w)
-	fmt.Fprintln(out, "# Every key of the settings, at its default.")
+	fmt.Fprintln(out, "# All settings with their defaults.")
 	for _, f := range Fields() {
 		depth := strings.Count(f.Key, ".")
 		indent := strings.Repeat("  ", depth)
@@ -30,6 +30,7 @@
 	return out.Flush()
 }
 
+// comment returns the documentation of a key with its unit and allowed values.
 func (f Field) comment() string {
 	s := f.Doc
 	if f.Unit != "" {
@@ -41,8 +42,8 @@
 	return s
 }
 
-// Redacted returns a copy that may be logged: passwords in URLs are masked.
-// Files with secrets are named in settings but their content is not.
+// Redacted returns a copy that may be logged: passwords and queries in URLs are masked. Other
+// secrets are in files of which the settings hold only the names.
 func (s *Settings) Redacted() *Settings {
 	c := *s
 	c.Platform.LogURL = redactURL(s.Platform.LogURL)
@@ -50,11 +51,11 @@
 	return &c
 }
 
-// redactURL masks the password and the query, where tokens are put too.
+// redactURL masks the password and the query of a URL; a query may hold a token.
 func redactURL(raw string) string {
 	u, err := url.Parse(raw)
 	if err != nil {
-		return "unreadable URL"
+		return "invalid URL"
 	}
 	if u.RawQuery != "" {
 		u.RawQuery = "redacted"
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Field describes one key for the reference page.
+// Field describes one key of a settings file, for the reference page and for error messages.
 type Field struct {
 	// Key is the full name, such as "callers.listen".
 	Key string
-	// Section says that the key holds other keys.
+	// Section is set if the key is a section, which holds other keys.
 	Section bool
-	// Doc, Unit and Default are for people; Default is written as in YAML.
+	// Doc, Unit and Default are texts for the reader. Default is in YAML syntax.
 	Doc     string
 	Unit    string
 	Default string
-	// Allowed lists the values, where that is a closed list.
+	// Allowed lists the valid values if they are a fixed set.
 	Allowed []string
 
-	kind reflect.Type
+	goType reflect.Type
 }
 
-// Fields returns every key in the order of the file.
+// Fields describes every key of the settings file, in the file's order.
 func Fields() []Field {
 	return appendFields(nil, "", reflect.ValueOf(*Defaults()))
 }
 
-// FieldOf returns the description of one key.
+// FieldOf returns the description of a key that is given by its full name.
 func FieldOf(key string) (Field, bool) { return fieldOf(Fields(), key) }
 
 func fieldOf(fields []Field, key string) (Field, bool) {
@@ -41,6 +41,8 @@
 	return Field{}, false
 }
 
+// appendFields appends the descriptions of the keys of v, a section with its defaults, and of
+// the sections in it. path is the full name of the section.
 func appendFields(out []Field, path string, v reflect.Value) []Field {
 	for f := range fieldsOf(v.Type()) {
 		field := Field{
@@ -49,20 +51,20 @@
 			Doc:     f.Tag.Get("doc"),
 			Unit:    f.Tag.Get("unit"),
 			Allowed: allowedValues(f.Tag.Get("validate")),
-			kind:    f.Type,
+			goType:  f.Type,
 		}
 		value := v.FieldByIndex(f.Index)
 		if field.Section {
 			out = appendFields(append(out, field), field.Key, value)
 			continue
 		}
-		field.Default = literal(value)
+		field.Default = yamlLiteral(value)
 		out = append(out, field)
 	}
 	return out
 }
 
-// fieldsOf yields the fields of a settings type.
+// fieldsOf iterates over the fields of a settings struct.
 func fieldsOf(t reflect.Type) iter.Seq[reflect.StructField] {
 	return func(yield func(reflect.StructField) bool) {
 		for i := range t.NumField() {
@@ -73,8 +75,8 @@
 	}
 }
 
-// literal writes a default as YAML.
-func literal(v reflect.Value) string {
+// yamlLiteral returns a default in YAML syntax. Lists and maps have empty defaults.
+func yamlLiteral(v reflect.Value) string {
 	if d, ok := v.Interface().(time.Duration); ok {
 		return d.String()
 	}
@@ -90,7 +92,7 @@
 	}
 }
 
-// allowedValues returns the closed list of a validate tag, if it holds one.
+// allowedValues returns the values that the oneof rule of a validate tag lists, or nil.
 func allowedValues(tag string) []string {
 	for rule := range strings.SplitSeq(tag, ",") {
 		if list, ok := strings.CutPrefix(rule, "oneof="); ok {
@@ -100,12 +102,12 @@
 	return nil
 }
 
-// want says in words what value a key takes.
-func (f Field) want() string {
-	if f.kind == reflect.TypeFor[time.Duration]() {
+// expectedValue describes the type of the key's value for error messages that begin with "want".
+func (f Field) expectedValue() string {
+	if f.goType == reflect.TypeFor[time.Duration]() {
 		return `a duration such as "500ms"`
 	}
-	switch f.kind.Kind() {
+	switch f.goType.Kind() {
 	case reflect.Struct, reflect.Map:
 		return "a section of keys and values"
 	case reflect.Slice:
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -52,17 +52,17 @@
 	}
 	for _, f := range Fields() {
 		if f.Doc == "" {
-			t.Errorf("%s has no doc", f.Key)
+			t.Errorf("%s has no documentation", f.Key)
 		}
-		if strings.HasPrefix(f.kind.String(), "int") && f.Unit == "" {
+		if strings.HasPrefix(f.goType.String(), "int") && f.Unit == "" {
 			t.Errorf("%s has no unit", f.Key)
 		}
 	}
 }
 
-// Symptom: a daemon runs with a limit that its operator thought was set.
-// Sequence: a key is misspelt, misplaced or of the wrong type; the file loads.
-// Cause: a decoder that drops what it doesn't know.
+// A file with a misspelt or misplaced key, or with a value of the wrong type, is rejected. A
+// decoder that ignored such a key would run the daemon with a default in place of the value that
+// the operator set.
 func TestBadFilesAreRefused(t *testing.T) {
 	cases := []struct {
 		name, in string
@@ -83,17 +83,17 @@
 		{"not an address", "callers:\n  listen: localhost", Error{Line: 2, Key: "callers.listen", Reason: "want host:port"}},
 		{"list item", "peers:\n  seeds:\n    - a:1\n    - b", Error{Line: 4, Key: "peers.seeds[1]", Reason: "want host:port"}},
 		{"short key", "bundle:\n  reviewers:\n    bo: AAAA", Error{Line: 3, Key: "bundle.reviewers.bo", Reason: "want the base64 of an ed25519 public key of 32 bytes"}},
-		{"log forgets keys", "claims:\n  key_lifetime: 2h", Error{Key: "claims.log_retention", Reason: "keys kept for 2h0m0s need 2h32m0s: a key that the log has dropped would run again"}},
+		{"log forgets keys", "claims:\n  key_lifetime: 2h", Error{Key: "claims.log_retention", Reason: "a key_lifetime of 2h0m0s needs at least 2h32m0s: a request whose key is no longer in the log could run again"}},
 		{"short lifetime", "claims: {key_lifetime: 1s}", Error{Line: 1, Key: "claims.key_lifetime", Reason: "want at least 3m"}},
 		{"zero time", "peers:\n  heartbeat: 0s", Error{Line: 2, Key: "peers.heartbeat", Reason: "want more than 0"}},
-		{"dead before heartbeat", "peers:\n  heartbeat: 5s", Error{Key: "peers.dead_after", Reason: "has to be more than heartbeat"}},
+		{"dead before heartbeat", "peers:\n  heartbeat: 5s", Error{Key: "peers.dead_after", Reason: "want more than heartbeat"}},
 		{"twice", "drain:\n  delay: 1s\n  delay: 2s", Error{Line: 3, Reason: `mapping key "delay" already defined at [2:3]`}},
-		{"second document", "drain: {delay: 1s}\n---\ndrain: {delay: 2s}", Error{Line: 3, Reason: "a second document"}},
+		{"second document", "drain: {delay: 1s}\n---\ndrain: {delay: 2s}", Error{Line: 3, Reason: "more than one YAML document"}},
 		{"alias", "drain: {delay: &a 1s, timeout: *a}", Error{Line: 1, Key: "drain.delay", Reason: `want a duration such as "500ms"`}},
 		{"admin without token", "admin:\n  listen: 127.0.0.1:0", Error{Key: "admin.token_file", Reason: "needed when admin.listen is set"}},
-		{"admin in the open", "admin:\n  listen: 0.0.0.0:9\n  token_file: t", Error{Line: 2, Key: "admin.listen", Reason: "a listener without TLS has to be on a loopback address"}},
+		{"admin in the open", "admin:\n  listen: 0.0.0.0:9\n  token_file: t", Error{Line: 2, Key: "admin.listen", Reason: "without TLS, want a loopback address"}},
 		{"key without certificate", "peers:\n  tls: {key_file: k}", Error{Key: "peers.tls.cert_file", Reason: "needed with key_file"}},
-		{"peers without authorities", "peers:\n  tls: {key_file: k, cert_file: c}", Error{Key: "peers.tls.ca_file", Reason: "needed with cert_file: peers are known by their certificates"}},
+		{"peers without authorities", "peers:\n  tls: {key_file: k, cert_file: c}", Error{Key: "peers.tls.ca_file", Reason: "needed with cert_file: peers are authenticated by their certificates"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 		t.Error(got)
 	}
 	if !strings.Contains(s.Platform.LogURL, "hunter2") {
-		t.Error("the original was changed")
+		t.Error("Redacted changed the original settings")
 	}
 }
 
@@ -139,7 +139,7 @@
 		_ = tls.Client(b, c).Handshake()
 		go io.Copy(io.Discard, b)
 		if err := <-served; (err == nil) != present {
-			t.Errorf("with certificate %v: %v", present, err)
+			t.Errorf("client with a certificate: %v; handshake error %v", present, err)
 		}
 		b.Close()
 	}
@@ -155,14 +155,13 @@
 			t.Fatalf("settings %v with error %v", s, err)
 		}
 		if err == nil && s.Validate() != nil {
-			t.Fatalf("accepted but not valid: %v", s.Validate())
+			t.Fatalf("Decode accepted settings that Validate rejects: %v", s.Validate())
 		}
 	})
 }
 
-// Symptom: a draft that has run for a minute is lost when an instance is replaced.
-// Sequence: the daemon drains by its defaults while the draft streams.
-// Cause: requests may take longer than the drain waits for them.
+// The default drain timeout is at least the longest deadline of a request. With a shorter one, a
+// draft that has streamed for a minute is cut off when its instance is replaced.
 func TestDefaultDrainOutlastsRequests(t *testing.T) {
 	if s := Defaults(); s.Drain.Timeout < s.Callers.MaxDeadline {
 		t.Errorf("drain.timeout %s, callers.max_deadline %s", s.Drain.Timeout, s.Callers.MaxDeadline)
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -8,10 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// Enabled says whether the listener uses TLS.
+// Enabled reports whether the listener uses TLS.
 func (t ServerTLS) Enabled() bool { return t.CertFile != "" }
 
-// Config reads the files; nil without error means that TLS is off.
+// Config loads the certificate files and returns the configuration of the listener, which is nil
+// if TLS is off.
 func (t ServerTLS) Config() (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
@@ -24,19 +25,19 @@
 	if t.ClientCAFile == "" {
 		return cfg, nil
 	}
-	if cfg.ClientCAs, err = loadPool(t.ClientCAFile); err != nil {
+	if cfg.ClientCAs, err = loadCertPool(t.ClientCAFile); err != nil {
 		return nil, err
 	}
 	cfg.ClientAuth = tls.RequireAndVerifyClientCert
 	return cfg, nil
 }
 
-// Enabled says whether daemons use TLS among each other.
+// Enabled reports whether daemons use TLS between each other.
 func (t PeerTLS) Enabled() bool { return t.CertFile != "" }
 
-// Configs reads the files and returns the two sides of mutual TLS; nil without
-// error means that TLS is off. The client side checks the certificate against
-// the authorities and the host name that it dials.
+// Configs loads the certificate files and returns the server and client configurations of mutual
+// TLS, which are nil if TLS is off. The client verifies that the server's certificate is signed
+// by one of the authorities and matches the host name that it dials.
 func (t PeerTLS) Configs() (server, client *tls.Config, err error) {
 	if !t.Enabled() {
 		return nil, nil, nil
@@ -45,7 +46,7 @@
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "load certificate")
 	}
-	pool, err := loadPool(t.CAFile)
+	pool, err := loadCertPool(t.CAFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -60,14 +61,15 @@
 	return server, client, nil
 }
 
-func loadPool(file string) (*x509.CertPool, error) {
+// loadCertPool reads the certificates of the authorities in a PEM file.
+func loadCertPool(file string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "load authorities")
+		return nil, errors.Wrap(err, "load certificate authorities")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.Errorf("load authorities: no certificate in %s", file)
+		return nil, errors.Errorf("load certificate authorities: no certificate in %s", file)
 	}
 	return pool, nil
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -16,35 +16,39 @@
 	"github.com/pkg/errors"
 )
 
-var nodeName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
+// namePattern matches the names of instances, data centres and streams.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// rules returns the validator with this package's own rules.
-var rules = sync.OnceValue(func() *validator.Validate {
+// tagValidator returns a validator that also has the rules hostport, nodename and ed25519, which
+// the validate tags of this package use. Its errors refer to fields by their YAML keys.
+var tagValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("yaml") })
 	own := map[string]func(string) bool{
 		"hostport": isHostPort,
-		"nodename": nodeName.MatchString,
+		"nodename": namePattern.MatchString,
 		"ed25519":  func(s string) bool { _, err := parseKey(s); return err == nil },
 	}
 	for tag, ok := range own {
 		if err := v.RegisterValidation(tag, func(fl validator.FieldLevel) bool { return ok(fl.Field().String()) }); err != nil {
-			panic(err) // a tag name is wrong in this file
+			panic(err) // one of the tag names above is invalid
 		}
 	}
 	return v
 })
 
-// Validate checks settings that did not come from a file. Faults are *Error
-// values without a line.
+// Validate checks settings that were not read from a file. Invalid settings result in an *Error
+// without a line.
 func (s *Settings) Validate() error {
 	return validateSettings(s, &keyIndex{file: "settings"})
 }
 
+// validateSettings checks each value by the rules of its tag, then the values that depend on
+// each other.
 func validateSettings(s *Settings, keys *keyIndex) error {
-	var faults validator.ValidationErrors
-	if err := rules().Struct(s); errors.As(err, &faults) {
-		return ruleError(faults[0], keys)
+	var violations validator.ValidationErrors
+	if err := tagValidator().Struct(s); errors.As(err, &violations) {
+		return violationError(violations[0], keys)
 	}
 	if key, reason := s.conflict(); key != "" {
 		return &Error{File: keys.file, Line: keys.lines[key], Key: key, Reason: reason}
@@ -52,11 +56,11 @@
 	return nil
 }
 
-// ruleError describes a broken rule. It repeats no value: a secret pasted into
-// the wrong key must not reach the logs.
-func ruleError(f validator.FieldError, keys *keyIndex) error {
+// violationError returns the error for a value that violates the rule of its tag. The error does
+// not contain the value: a secret in the wrong key must not get into the logs.
+func violationError(f validator.FieldError, keys *keyIndex) error {
 	_, key, _ := strings.Cut(f.Namespace(), ".")
-	key = mapKey.ReplaceAllString(key, ".$1")
+	key = mapKeyPattern.ReplaceAllString(key, ".$1")
 	e := &Error{File: keys.file, Line: keys.lines[key], Key: key}
 	switch f.Tag() {
 	case "oneof":
@@ -72,25 +76,27 @@
 	case "required":
 		e.Reason = "no value"
 	case "gtfield":
-		e.Reason = "has to be more than " + strings.ToLower(f.Param())
+		e.Reason = "want more than " + strings.ToLower(f.Param())
 	default:
-		e.Reason = strings.TrimSpace(fmt.Sprintf("want %s %s", ruleWords[f.Tag()], f.Param()))
+		e.Reason = strings.TrimSpace(fmt.Sprintf("want %s %s", comparisonWords[f.Tag()], f.Param()))
 	}
 	return e
 }
 
-// mapKey matches the entry of a map, but not the index of a list, in a name
-// given by the validator.
-var mapKey = regexp.MustCompile(`\[([^\]0-9][^\]]*|[0-9]+[^\]0-9][^\]]*)\]`)
+// mapKeyPattern matches the key of a map entry in a field name from the validator, such as
+// "[ana]" in "authors[ana]", but not the index of a list element, such as "[0]".
+var mapKeyPattern = regexp.MustCompile(`\[([^\]0-9][^\]]*|[0-9]+[^\]0-9][^\]]*)\]`)
 
-var ruleWords = map[string]string{
+// comparisonWords holds the wording of the rules that compare with a number, for error messages.
+var comparisonWords = map[string]string{
 	"min": "at least",
 	"max": "at most",
 	"gt":  "more than",
 	"gte": "at least",
 }
 
-// conflict returns the first key that does not go with another one.
+// conflict returns the first key whose value is invalid because of the value of another key, and
+// the reason.
 func (s *Settings) conflict() (key, reason string) {
 	if key, reason := tlsConflict("callers.tls", s.Callers.TLS.CertFile, s.Callers.TLS.KeyFile, s.Callers.TLS.ClientCAFile); key != "" {
 		return key, reason
@@ -102,19 +108,20 @@
 		return key, reason
 	}
 	if s.Peers.TLS.CertFile != "" && s.Peers.TLS.CAFile == "" {
-		return "peers.tls.ca_file", "needed with cert_file: peers are known by their certificates"
+		return "peers.tls.ca_file", "needed with cert_file: peers are authenticated by their certificates"
 	}
-	if need := s.Claims.KeyLifetime*5/4 + 2*claimMargin; s.Claims.LogRetention < need {
-		return "claims.log_retention", fmt.Sprintf("keys kept for %s need %s: a key that the log has dropped would run again", s.Claims.KeyLifetime, need)
+	if minRetention := s.Claims.KeyLifetime*5/4 + 2*maxClockDifference; s.Claims.LogRetention < minRetention {
+		return "claims.log_retention", fmt.Sprintf("a key_lifetime of %s needs at least %s: a request whose key is no longer in the log could run again", s.Claims.KeyLifetime, minRetention)
 	}
 	return s.Admin.conflict()
 }
 
-// claimMargin is the largest difference of two clocks that package claims assumes.
-const claimMargin = time.Minute
+// maxClockDifference is the largest difference between two clocks that package claims expects by
+// default.
+const maxClockDifference = time.Minute
 
-// Check returns why an administration listener must not run with these
-// settings. Load has checked them; a program that builds its own has not.
+// Check returns an error if an administration listener must not run with these settings. It is
+// for programs that build their own settings; Load makes the same checks.
 func (a Admin) Check() error {
 	if a.Listen == "" {
 		return errors.New("admin.listen: empty")
@@ -129,6 +136,7 @@
 	return nil
 }
 
+// conflict is Settings.conflict for the keys of the administration listener.
 func (a Admin) conflict() (key, reason string) {
 	if a.Listen == "" {
 		return "", ""
@@ -136,12 +144,14 @@
 	if a.TokenFile == "" {
 		return "admin.token_file", "needed when admin.listen is set"
 	}
-	if !a.TLS.Enabled() && !isLoopback(a.Listen) {
-		return "admin.listen", "a listener without TLS has to be on a loopback address"
+	if !a.TLS.Enabled() && !isLoopbackAddress(a.Listen) {
+		return "admin.listen", "without TLS, want a loopback address"
 	}
 	return "", ""
 }
 
+// tlsConflict checks that the files of a TLS section are given together: a certificate needs a
+// key and the other way round, and authorities need a certificate.
 func tlsConflict(section, cert, key, ca string) (string, string) {
 	switch {
 	case cert != "" && key == "":
@@ -149,11 +159,12 @@
 	case cert == "" && key != "":
 		return section + ".cert_file", "needed with key_file"
 	case cert == "" && ca != "":
-		return section + ".cert_file", "needed with an authorities file"
+		return section + ".cert_file", "needed with a file of certificate authorities"
 	}
 	return "", ""
 }
 
+// isHostPort reports whether s is a host, which may be empty, and a numeric port.
 func isHostPort(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || strings.ContainsAny(host, " /\t") {
@@ -163,9 +174,9 @@
 	return err == nil
 }
 
-// isLoopback says whether an address can be reached from this machine only. A
-// name is resolved by nobody here, so only "localhost" counts among names.
-func isLoopback(address string) bool {
+// isLoopbackAddress reports whether an address can be reached from this machine only. Host names
+// are not resolved, so the only one that is accepted is "localhost".
+func isLoopbackAddress(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
@@ -174,6 +185,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
+// parseKey decodes a base64 ed25519 public key.
 func parseKey(s string) (ed25519.PublicKey, error) {
 	raw, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
@@ -185,7 +197,7 @@
 	return ed25519.PublicKey(raw), nil
 }
 
-// PublicKeys decodes Authors and Reviewers.
+// PublicKeys decodes the keys in Authors and Reviewers.
 func (b Bundle) PublicKeys() (authors, reviewers map[string]ed25519.PublicKey, err error) {
 	if authors, err = parseKeys(b.Authors); err != nil {
 		return nil, nil, err
@@ -194,12 +206,13 @@
 	return authors, reviewers, err
 }
 
+// parseKeys decodes public keys by key id.
 func parseKeys(in map[string]string) (map[string]ed25519.PublicKey, error) {
 	out := make(map[string]ed25519.PublicKey, len(in))
 	for id, text := range in {
 		key, err := parseKey(text)
 		if err != nil {
-			return nil, errors.Wrapf(err, "key %s", id)
+			return nil, errors.Wrapf(err, "public key %s", id)
 		}
 		out[id] = key
 	}
