--- a/cmd/corianderctl/main.go
+++ b/cmd/corianderctl/main.go
@@ -1,5 +1,5 @@
-// Command corianderctl is the operators' tool: it makes keys, checks, drafts,
-// signs and publishes bundles, and shows what the daemons do.
+// Command corianderctl is the command-line tool for operators. It generates keys, validates,
+// drafts, signs and publishes bundles, and shows the state of the daemons.
 package main
 
 import (
--- a/cmd/corianderturn/main.go
+++ b/cmd/corianderturn/main.go
@@ -1,4 +1,5 @@
-// Command corianderturn is the daemon of an entry instance.
+// Command corianderturn is the daemon that routes callers' requests to model engines and plain
+// services. It runs on each entry instance.
 package main
 
 import (
@@ -16,9 +17,9 @@
 )
 
 func main() {
-	if len(os.Args) > 1 && os.Args[1] == attach {
-		// The platform may tell of changed settings at any moment. Until the daemon
-		// follows them, the signal would end the process.
+	if len(os.Args) > 1 && os.Args[1] == attachCommand {
+		// The platform sends SIGHUP when the settings have changed, possibly before the
+		// daemon has installed its handler. By default the signal would end the process.
 		signal.Ignore(syscall.SIGHUP)
 	}
 	if err := run(); err != nil {
@@ -27,22 +28,24 @@
 	}
 }
 
-// attach is the command that runs a daemon on the users' platform.
-const attach = "attach"
+// attachCommand is the name of the subcommand that runs the daemon on the users' platform.
+const attachCommand = "attach"
 
-// exitSettings is the exit code for a fault of the settings, so that whoever starts
-// the daemon can tell one that never will run from one that failed.
-const exitSettings = 2
+// exitInvalidSettings is the exit code for invalid settings. It lets a service manager
+// distinguish a daemon that cannot start with this file from one that failed and may be restarted.
+const exitInvalidSettings = 2
 
+// exitCode returns the exit code of the process for an error of its command.
 func exitCode(err error) int {
-	var fault *settings.Error
-	if errors.As(err, &fault) {
-		return exitSettings
+	var invalid *settings.Error
+	if errors.As(err, &invalid) {
+		return exitInvalidSettings
 	}
 	return 1
 }
 
-// run returns once the command is done; SIGINT and SIGTERM end serve gracefully.
+// run parses the command line and runs the command. SIGINT and SIGTERM cancel the command's
+// context, on which serve and attach shut down gracefully.
 func run() error {
 	var cli daemon.CLI
 	k := kong.Parse(&cli, daemon.KongOptions()...)
--- a/cmd/docgen/main.go
+++ b/cmd/docgen/main.go
@@ -1,5 +1,5 @@
-// Command docgen writes the reference pages of the documentation from the code,
-// or with -check fails when a committed page differs.
+// Command docgen generates the reference pages of the documentation from the code. With -check
+// it writes nothing and fails if a committed page differs from the generated one.
 package main
 
 import (
@@ -11,14 +11,14 @@
 )
 
 func main() {
-	check := flag.Bool("check", false, "compare instead of writing")
-	dir := flag.String("dir", "docs", "folder of the pages")
+	check := flag.Bool("check", false, "compare the pages with the code instead of writing them")
+	dir := flag.String("dir", "docs", "directory of the pages")
 	flag.Parse()
-	do := docgen.Write
+	generate := docgen.Write
 	if *check {
-		do = docgen.Check
+		generate = docgen.Check
 	}
-	if err := do(*dir); err != nil {
+	if err := generate(*dir); err != nil {
 		fmt.Fprintln(os.Stderr, "docgen:", err)
 		os.Exit(1)
 	}
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,5 +1,5 @@
-// Command loadgen sends seeded, open-loop load to daemons, checks every answer,
-// and runs the measurements: see its subcommands.
+// Command loadgen sends open-loop load from a seeded generator to daemons and checks every
+// answer. Its subcommands also run a demonstration and the performance measurements.
 package main
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line.
+// cli holds the subcommands.
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Send load to running daemons and report what callers saw."`
-	Demo    demoCmd    `cmd:"" help:"Run the short tour: a mixed load, a rolled bundle, a killed and a drained daemon."`
-	Measure measureCmd `cmd:"" help:"Compare the policies on real processes, under load and faults."`
-	Slopes  slopesCmd  `cmd:"" help:"Fit the cost of one more unit of each size."`
-	Plot    plotCmd    `cmd:"" help:"Write a measurement's report and charts again from its raw figures."`
+	Run     runCmd     `cmd:"" help:"Send load to running daemons and report latencies and outcomes as seen by callers."`
+	Demo    demoCmd    `cmd:"" help:"Run a short demonstration: mixed load, a bundle rollout, a killed daemon and a drained daemon."`
+	Measure measureCmd `cmd:"" help:"Compare the routing policies on real processes, under load and injected faults."`
+	Slopes  slopesCmd  `cmd:"" help:"Measure how resource usage grows with each size parameter."`
+	Plot    plotCmd    `cmd:"" help:"Regenerate the report and charts of a measurement from its raw data."`
 }
 
 func main() {
@@ -26,7 +26,7 @@
 	var c cli
 	k := kong.Parse(&c,
 		kong.Name("loadgen"),
-		kong.Description("Open-loop load and measurements for corianderturn."),
+		kong.Description("Open-loop load generator and measurements for corianderturn."),
 		kong.UsageOnError(),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
--- a/cmd/loadgen/run.go
+++ b/cmd/loadgen/run.go
@@ -13,36 +13,37 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// runCmd is `loadgen run`.
+// runCmd implements the command `loadgen run`.
 type runCmd struct {
-	Daemon      []string          `help:"Base URLs of the daemons, in turn." required:"" placeholder:"URL"`
-	Team        map[string]string `help:"Teams with their bearer keys." required:"" placeholder:"NAME=KEY"`
+	Daemon      []string          `help:"Base URLs of the daemons, used in rotation." required:"" placeholder:"URL"`
+	Team        map[string]string `help:"Teams and their API keys, which are sent as bearer tokens." required:"" placeholder:"NAME=KEY"`
 	Model       string            `help:"Model of the completions." default:"drafter"`
-	Adapter     []string          `help:"Adapters to draw from; none when empty."`
-	Service     string            `help:"Plain service of the look-ups and submissions." default:"portal"`
-	LookupPath  string            `help:"Path of a look-up below the service." default:"/status"`
-	SubmitPath  string            `help:"Path of a non-idempotent call below the service." default:"/submit"`
+	Adapter     []string          `help:"Adapters to choose from at random; none when empty."`
+	Service     string            `help:"Plain service that receives the look-ups and submissions." default:"portal"`
+	LookupPath  string            `help:"Path of a look-up, relative to the service." default:"/status"`
+	SubmitPath  string            `help:"Path of a non-idempotent call, relative to the service." default:"/submit"`
 	Rate        float64           `help:"Mean arrivals per second." default:"20"`
-	Duration    time.Duration     `help:"How long requests arrive." default:"10s"`
-	Warmup      time.Duration     `help:"Part of the duration left out of latencies and goodput." default:"0s"`
-	MaxRequests int               `help:"Bound of requests; 0 means none but the duration." default:"0"`
-	MaxInFlight int               `help:"Bound of requests at once; arrivals above it are dropped and counted." default:"512"`
+	Duration    time.Duration     `help:"Duration for which requests are sent." default:"10s"`
+	Warmup      time.Duration     `help:"Initial part of the duration that is excluded from latencies and goodput." default:"0s"`
+	MaxRequests int               `help:"Maximum number of requests; 0 means that only the duration limits them." default:"0"`
+	MaxInFlight int               `help:"Maximum number of concurrent requests; arrivals above it are dropped and counted." default:"512"`
 	Timeout     time.Duration     `help:"Deadline of one request." default:"60s"`
-	Replay      bool              `help:"Send a POST to another daemon when the connection broke before an answer, as balancers do."`
+	Replay      bool              `help:"Retry a POST on another daemon if the connection breaks before an answer, as load balancers do."`
 	Seed        uint64            `help:"Seed of arrivals and requests." default:"1"`
-	Name        string            `help:"Name of the run, part of keys and prompts; the start time when empty."`
-	Lookups     float64           `help:"Share of look-ups." default:"0.45"`
-	Submits     float64           `help:"Share of non-idempotent calls." default:"0.05"`
-	Shorts      float64           `help:"Share of urgent short completions." default:"0.2"`
-	Drafts      float64           `help:"Share of drafts." default:"0.3"`
-	Control     []string          `help:"Base URLs of plain-service stand-ins' control listeners, to check that no key ran twice." placeholder:"URL"`
-	JSON        string            `help:"File for the report as JSON." type:"path" placeholder:"FILE"`
-	UrgentFirst time.Duration     `help:"First-token target of the urgent class." default:"970ms"`
-	DraftFirst  time.Duration     `help:"First-token target of drafts." default:"5s"`
-	Between     time.Duration     `help:"Between-tokens target of both classes." default:"57ms"`
+	Name        string            `help:"Name of the run, which is part of idempotency keys and prompts; the start time when empty."`
+	Lookups     float64           `help:"Fraction of requests that are look-ups." default:"0.45"`
+	Submits     float64           `help:"Fraction of requests that are non-idempotent calls." default:"0.05"`
+	Shorts      float64           `help:"Fraction of requests that are urgent short completions." default:"0.2"`
+	Drafts      float64           `help:"Fraction of requests that are drafts." default:"0.3"`
+	Control     []string          `help:"Base URLs of the control listeners of plain-service stand-ins, to check that no idempotency key was executed twice." placeholder:"URL"`
+	JSON        string            `help:"File to write the report to, as JSON." type:"path" placeholder:"FILE"`
+	UrgentFirst time.Duration     `help:"Target time to first token for the urgent class." default:"970ms"`
+	DraftFirst  time.Duration     `help:"Target time to first token for drafts." default:"5s"`
+	Between     time.Duration     `help:"Target time between tokens for both classes." default:"57ms"`
 }
 
-// Run implements kong's command.
+// Run is called by kong to run the command. It returns an error if the daemons
+// violated a guarantee.
 func (c *runCmd) Run(ctx context.Context) error {
 	rep, err := loadgen.Run(ctx, c.options())
 	if err != nil {
@@ -57,7 +58,7 @@
 		}
 	}
 	if !rep.Held() {
-		return errors.New("a promise was broken")
+		return errors.New("the daemons violated a guarantee, see the outcomes above")
 	}
 	return nil
 }
--- a/cmd/matrix/main.go
+++ b/cmd/matrix/main.go
@@ -1,5 +1,6 @@
-// Command matrix runs the tests and writes docs/FAULT-MATRIX.md from their
-// names and results. It exits 1 when a cell is red.
+// Command matrix runs the tests and generates docs/FAULT-MATRIX.md from their names and results:
+// a table of processing steps and faults that lists the tests of each combination. It exits with
+// code 1 if a cell is red, which means that one of its tests failed.
 package main
 
 import (
@@ -15,13 +16,13 @@
 )
 
 type cli struct {
-	Out      string   `default:"docs/FAULT-MATRIX.md" help:"Page to write."`
-	Packages []string `arg:"" optional:"" default:"./..." help:"Packages whose tests run."`
+	Out      string   `default:"docs/FAULT-MATRIX.md" help:"File to write the page to."`
+	Packages []string `arg:"" optional:"" default:"./..." help:"Packages whose tests are run."`
 }
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Name("matrix"), kong.Description("Runs the tests and writes the fault matrix."))
+	kong.Parse(&c, kong.Name("matrix"), kong.Description("Runs the tests and generates the fault matrix."))
 	if err := run(c); err != nil {
 		fmt.Fprintln(os.Stderr, "matrix:", err)
 		os.Exit(1)
@@ -29,7 +30,7 @@
 }
 
 func run(c cli) error {
-	results, err := test(c.Packages)
+	results, err := runTests(c.Packages)
 	if err != nil {
 		return err
 	}
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// test runs the packages' tests; failing tests are results, not errors.
-func test(packages []string) (matrix.Results, error) {
+// runTests runs the tests of the packages. A failed test is part of the results, not an error.
+func runTests(packages []string) (matrix.Results, error) {
 	args := append([]string{"test", "-json", "-count=1"}, packages...)
 	cmd := exec.Command("go", args...)
 	cmd.Stderr = os.Stderr
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,4 +1,5 @@
-// Command soak runs seeded faults against real daemons on loopback.
+// Command soak tests real daemon processes on loopback under faults that are injected by a seeded
+// schedule.
 package main
 
 import (
@@ -15,22 +16,22 @@
 )
 
 type cli struct {
-	Bin     string        `required:"" type:"existingfile" help:"The corianderturn program."`
-	Out     string        `default:"out/soak" help:"Folder for settings and logs, one folder a seed."`
+	Bin     string        `required:"" type:"existingfile" help:"Path of the corianderturn program."`
+	Out     string        `default:"out/soak" help:"Directory for settings and logs, with one subdirectory for each seed."`
 	Seed    uint64        `default:"1" help:"The first seed."`
-	Seeds   int           `default:"1" help:"How many seeds, one after the other."`
-	Length  time.Duration `default:"8s" help:"How long faults come in each run."`
-	Daemons int           `default:"3" help:"Daemons, each a process."`
-	Callers int           `default:"12" help:"Callers that ask at once."`
-	Fatal   bool          `help:"Add callers that repeat requests which end each upstream that runs them."`
-	Teams   bool          `help:"Give callers keys, and one team more callers than its limit bears."`
-	Limits  bool          `help:"Let upstreams name rate limits; give it --length 16s."`
-	Herd    bool          `help:"Add series in which a service refuses and all daemons are killed."`
+	Seeds   int           `default:"1" help:"Number of seeds to run, one after the other."`
+	Length  time.Duration `default:"8s" help:"Duration of fault injection in each run."`
+	Daemons int           `default:"3" help:"Number of daemon processes."`
+	Callers int           `default:"12" help:"Number of concurrent callers."`
+	Fatal   bool          `help:"Add callers that repeat requests which crash every upstream that runs them."`
+	Teams   bool          `help:"Give callers API keys, and one team more callers than its rate limit allows."`
+	Limits  bool          `help:"Let upstreams report rate limits; use with --length 16s."`
+	Herd    bool          `help:"Add fault sequences in which a service rejects requests and all daemons are killed."`
 }
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Name("soak"), kong.Description("Seeded faults against real daemons on loopback."))
+	kong.Parse(&c, kong.Name("soak"), kong.Description("Tests real daemons on loopback under faults from a seeded schedule."))
 	if err := c.run(); err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(1)
@@ -63,7 +64,7 @@
 		}
 	}
 	if failed > 0 {
-		return errors.Errorf("%d of %d seeds broke a promise", failed, c.Seeds)
+		return errors.Errorf("%d of %d seeds violated a guarantee", failed, c.Seeds)
 	}
 	return nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs one stand-in for tests and trials: an engine, a plain
-// service, the platform's log, its weight store or its instance list. It prints
-// one line of JSON with its addresses when it is ready and ends on SIGTERM.
+// Command standin runs a stand-in for an external system in tests: a model engine, a plain
+// service, or the platform's log, weight store or instance list. It prints one line of JSON with
+// its addresses when it is ready, and exits on SIGTERM.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/corianderturn/corianderturn/internal/standin/weights"
 )
 
-// addresses are the flags that every stand-in has.
+// addresses holds the flags that all stand-ins have.
 type addresses struct {
 	Listen  string `help:"Address to serve on." default:"127.0.0.1:0"`
-	Control string `help:"Address of the fault control API; loopback only." default:"127.0.0.1:0"`
+	Control string `help:"Address of the control API for fault injection; loopback only." default:"127.0.0.1:0"`
 }
 
 type cli struct {
-	Engine    engineCmd    `cmd:"" help:"A model engine, for prefill or decode."`
+	Engine    engineCmd    `cmd:"" help:"A model engine for prefill or decode."`
 	Service   serviceCmd   `cmd:"" help:"A plain service."`
 	Log       logCmd       `cmd:"" help:"The platform's append-only log."`
 	Weights   weightsCmd   `cmd:"" help:"The platform's weight store."`
@@ -38,7 +38,7 @@
 	engine.Config
 }
 
-// Run serves an engine.
+// Run runs a model engine.
 func (c *engineCmd) Run(ctx context.Context) error {
 	e, err := engine.New(c.Config)
 	if err != nil {
@@ -52,7 +52,7 @@
 	service.Config
 }
 
-// Run serves a plain service.
+// Run runs a plain service.
 func (c *serviceCmd) Run(ctx context.Context) error {
 	return serve(ctx, c.addresses, service.New(c.Config))
 }
@@ -62,7 +62,7 @@
 	logsvc.Config
 }
 
-// Run serves a log.
+// Run runs the platform's log.
 func (c *logCmd) Run(ctx context.Context) error {
 	return serve(ctx, c.addresses, logsvc.New(c.Config))
 }
@@ -72,7 +72,7 @@
 	weights.Config
 }
 
-// Run serves a weight store.
+// Run runs the platform's weight store.
 func (c *weightsCmd) Run(ctx context.Context) error {
 	return serve(ctx, c.addresses, weights.New(c.Config))
 }
@@ -82,14 +82,16 @@
 	instances.Config
 }
 
-// Run serves an instance list.
+// Run runs the platform's instance list.
 func (c *instancesCmd) Run(ctx context.Context) error {
 	return serve(ctx, c.addresses, instances.New(c.Config))
 }
 
-// standIn is what every stand-in offers.
+// standIn is implemented by all stand-ins.
 type standIn interface {
+	// Handler serves the API of the system that is replaced.
 	Handler() http.Handler
+	// Control serves the API for fault injection.
 	Control() http.Handler
 	Close()
 }
@@ -98,7 +100,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	var c cli
-	k := kong.Parse(&c, kong.Name("standin"), kong.Description("Stand-ins for tests and trials."),
+	k := kong.Parse(&c, kong.Name("standin"), kong.Description("Stand-ins for external systems in tests."),
 		kong.UsageOnError(), kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
--- a/cmd/standin/serve.go
+++ b/cmd/standin/serve.go
@@ -12,37 +12,37 @@
 	"github.com/sourcegraph/conc"
 )
 
-// readHeaderTimeout bounds how long a caller may take to send its headers.
+// readHeaderTimeout is the time within which a client must send its headers.
 const readHeaderTimeout = 10 * time.Second
 
-// ready is the line that tells the addresses.
-type ready struct {
+// readyAddresses is printed as a line of JSON once both listeners are open.
+type readyAddresses struct {
 	Listen  string `json:"listen"`
 	Control string `json:"control"`
 }
 
-// serve runs s on its two listeners until ctx ends.
+// serve runs s on its two listeners until ctx is cancelled.
 func serve(ctx context.Context, addr addresses, s standIn) error {
 	defer s.Close()
-	main, err := net.Listen("tcp", addr.Listen)
+	apiListener, err := net.Listen("tcp", addr.Listen)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	defer main.Close()
-	control, err := listenLoopback(addr.Control)
+	defer apiListener.Close()
+	controlListener, err := listenLoopback(addr.Control)
 	if err != nil {
-		return errors.Wrap(err, "control")
+		return errors.Wrap(err, "listen for the control API")
 	}
-	defer control.Close()
+	defer controlListener.Close()
 	servers := []*http.Server{newServer(s.Handler()), newServer(s.Control())}
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	for i, l := range []net.Listener{main, control} {
+	for i, l := range []net.Listener{apiListener, controlListener} {
 		wg.Go(func() { _ = servers[i].Serve(l) })
 	}
-	line := ready{Listen: main.Addr().String(), Control: control.Addr().String()}
-	if err := json.NewEncoder(os.Stdout).Encode(line); err != nil {
-		return errors.Wrap(err, "ready line")
+	readyLine := readyAddresses{Listen: apiListener.Addr().String(), Control: controlListener.Addr().String()}
+	if err := json.NewEncoder(os.Stdout).Encode(readyLine); err != nil {
+		return errors.Wrap(err, "print the ready line")
 	}
 	<-ctx.Done()
 	for _, srv := range servers {
@@ -55,8 +55,8 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// listenLoopback listens on an address that must be loopback: whoever reaches
-// the control API can break the stand-in.
+// listenLoopback listens on a loopback address and rejects others, because every client that
+// reaches the control API can inject faults.
 func listenLoopback(address string) (net.Listener, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
