--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock holds the one wait that every runner's loop needs.
+// Package clock holds helpers for waiting and for measuring time.
 package clock
 
 import (
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Sleep waits for d and returns true, or returns false as soon as ctx ends. A
-// plain time.Sleep would keep a runner, and so the daemon's shutdown, waiting
-// for the rest of its pause.
+// Sleep waits for d and returns true, or returns false as soon as ctx is cancelled. Loops use it
+// in place of time.Sleep, which would delay the shutdown of the daemon until d has passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,10 +9,10 @@
 func TestSleepEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	if !Sleep(ctx, 0) {
-		t.Error("a pause that passed was reported as cut short")
+		t.Error("Sleep returned false after the full duration")
 	}
 	cancel()
 	if Sleep(ctx, time.Hour) {
-		t.Error("a pause that was cut short was reported as passed")
+		t.Error("Sleep returned true although its context was cancelled")
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon holds the command line of the corianderturn program.
+// Package daemon implements the command line of the corianderturn program.
 package daemon
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// Version is the release; the build sets it.
+// Version is the release. It is to be set at build time.
 var Version = "dev"
 
-// CLI is the command line.
+// CLI holds the subcommands and flags.
 type CLI struct {
-	PrintDefaults printDefaults `help:"Print every setting with its default, unit and meaning, and exit."`
+	PrintDefaults printDefaults `help:"Print every setting with its default, unit and documentation, and exit."`
 
 	Serve   ServeCmd   `cmd:"" help:"Run the daemon until SIGTERM, then drain."`
 	Attach  AttachCmd  `cmd:"" help:"Run the daemon on the users' platform until SIGTERM, then drain."`
@@ -32,7 +32,7 @@
 	Version VersionCmd `cmd:"" help:"Print the release."`
 }
 
-// KongOptions name and describe the program.
+// KongOptions returns the options with which kong parses CLI.
 func KongOptions() []kong.Option {
 	return []kong.Option{
 		kong.Name("corianderturn"),
@@ -41,19 +41,19 @@
 	}
 }
 
-// ServeCmd runs the daemon.
+// ServeCmd runs the daemon with bundles from the log.
 type ServeCmd struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file, YAML."`
 }
 
-// Ready is the line that serve prints on standard output once it listens.
+// Ready is printed as a line of JSON on standard output once the callers' listener is open.
 type Ready struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
 	Callers     string `json:"callers"`
 }
 
-// Run implements the command.
+// Run is called by kong to run the command.
 func (c *ServeCmd) Run(ctx context.Context) error {
 	s, err := settings.Load(c.Settings)
 	if err != nil {
@@ -74,12 +74,12 @@
 	return r.Run(ctx)
 }
 
-// AttachCmd runs the daemon on a platform of its users.
+// AttachCmd runs the daemon attached to its users' platform.
 type AttachCmd struct {
 	Settings string `required:"" type:"existingfile" env:"CORIANDERTURN_SETTINGS" help:"Settings file, YAML."`
 }
 
-// Run implements the command.
+// Run is called by kong to run the command.
 func (c *AttachCmd) Run(ctx context.Context) error {
 	s, err := settings.LoadAttached(c.Settings)
 	if err != nil {
@@ -90,7 +90,7 @@
 		return err
 	}
 	bounded := telemetry.NewBounded(logger.Handler)
-	defer bounded.Close(logFlush)
+	defer bounded.Close(logFlushTimeout)
 	logger.Handler = bounded
 	a, err := router.NewAttached(s, logger)
 	if err != nil {
@@ -104,62 +104,62 @@
 	return a.Run(ctx)
 }
 
-// logFlush bounds the wait for the last log lines at the end.
-const logFlush = 200 * time.Millisecond
+// logFlushTimeout is the maximum time for which the process waits at its end until queued log
+// lines are written.
+const logFlushTimeout = 200 * time.Millisecond
 
-// settingsEvery is how often the settings file is looked at: it may change without a
-// signal.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is the time between two checks of the settings file for changes, which
+// need not be announced by a signal.
+const settingsPollInterval = 2 * time.Second
 
-// followSettings reads the settings again on SIGHUP and when their file changes,
-// until ctx ends. Without a handler SIGHUP would end the process and cut every
-// request that it holds.
+// followSettings reloads the settings on SIGHUP and when their file changes, until ctx is
+// cancelled. Without a handler SIGHUP would end the process and abort all requests in flight.
 func followSettings(ctx context.Context, file string, a *router.Attached) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(settingsEvery)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	seen := stamp(file)
+	seen := versionOf(file)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
 		case <-tick.C:
-			if stamp(file) == seen {
+			if versionOf(file) == seen {
 				continue
 			}
 		}
-		seen = stamp(file)
+		seen = versionOf(file)
 		s, err := settings.LoadAttached(file)
 		a.Reload(s, err)
 	}
 }
 
-// fileStamp tells one content of a file from another.
-type fileStamp struct {
-	at   time.Time
-	size int64
+// fileVersion identifies a version of a file's content.
+type fileVersion struct {
+	modTime time.Time
+	size    int64
 }
 
-// stamp returns a zero value for a file that cannot be read, which the next reading
-// then reports.
-func stamp(file string) fileStamp {
+// versionOf returns the zero value if the file's metadata cannot be read. If the file is missing,
+// the reload that this change causes reports the error.
+func versionOf(file string) fileVersion {
 	info, err := os.Stat(file)
 	if err != nil {
-		return fileStamp{}
+		return fileVersion{}
 	}
-	return fileStamp{at: info.ModTime(), size: info.Size()}
+	return fileVersion{modTime: info.ModTime(), size: info.Size()}
 }
 
-// CheckCmd validates a settings file.
+// CheckCmd validates a settings file without starting a daemon.
 type CheckCmd struct {
 	Settings string `arg:"" type:"existingfile" help:"Settings file, YAML."`
-	Attached bool   `help:"The file is one of an attached daemon."`
+	Attached bool   `help:"Validate the file as the settings of an attached daemon."`
 }
 
-// Run implements the command.
+// Run is called by kong to run the command.
 func (c *CheckCmd) Run() error {
 	if err := c.load(); err != nil {
 		return err
@@ -168,6 +168,7 @@
 	return nil
 }
 
+// load returns the error that the daemon would report at its start.
 func (c *CheckCmd) load() error {
 	if c.Attached {
 		_, err := settings.LoadAttached(c.Settings)
@@ -177,10 +178,10 @@
 	return err
 }
 
-// printDefaults is the flag that prints the default settings in place of a command.
+// printDefaults is a flag that prints the default settings instead of running a command.
 type printDefaults bool
 
-// BeforeReset is called by kong when the flag is given, before it asks for a command.
+// BeforeReset is called by kong if the flag is set, before it requires a command.
 func (printDefaults) BeforeReset(app *kong.Kong) error {
 	if err := settings.PrintDefaults(app.Stdout); err != nil {
 		return err
@@ -189,10 +190,10 @@
 	return nil
 }
 
-// VersionCmd prints the release.
+// VersionCmd prints Version.
 type VersionCmd struct{}
 
-// Run implements the command.
+// Run is called by kong to run the command.
 func (VersionCmd) Run() error {
 	fmt.Println(Version)
 	return nil
--- a/internal/docgen/docgen_test.go
+++ b/internal/docgen/docgen_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if err := Check(dir); err == nil || !strings.Contains(err.Error(), "ERRORS.md, METRICS.md;") {
-		t.Errorf("got %v", err)
+		t.Errorf("Check returned %v, want an error that lists ERRORS.md and METRICS.md", err)
 	}
 }
 
@@ -38,7 +38,7 @@
 	page := string(settingsPage())
 	for _, f := range settings.Fields() {
 		if !strings.Contains(page, "`"+f.Key+"`") {
-			t.Errorf("%s is missing", f.Key)
+			t.Errorf("key %s is not on the settings page", f.Key)
 		}
 	}
 }
--- a/internal/docgen/logs_test.go
+++ b/internal/docgen/logs_test.go
@@ -14,35 +14,34 @@
 	"github.com/corianderturn/corianderturn/internal/telemetry"
 )
 
-// logSources are the folders and files of an attached daemon that write lines.
+// logSources lists the directories and files of an attached daemon that write log lines.
 var logSources = []string{
 	"fleet", "relay", "roles", "platform", "quarantine", "internal/supervise", "internal/telemetry", "request/decision.go", "request/permit.go", "request/quarantine.go", "request/verdict.go",
 	"router/attached.go", "router/feeds.go", "router/quarantine.go", "router/quota.go", "router/retries.go", "router/roles.go", "router/upstreamlimits.go",
 }
 
-// Symptom: an engineer on call meets a line that no page explains.
-// Sequence: a line is added, or its text changed.
-// Cause: a page that is written beside the code.
+// Every log message in the code is in telemetry.LogEvents, from which the page is generated, and
+// the other way round. Otherwise a message that is added or reworded would be undocumented.
 func TestEveryLineIsOnThePage(t *testing.T) {
 	known := map[string]bool{}
 	for _, e := range telemetry.LogEvents() {
 		known[e.Message] = false
 	}
-	for _, message := range messages(t) {
+	for _, message := range loggedMessages(t) {
 		if _, ok := known[message]; !ok {
-			t.Errorf("%q is written and not among telemetry.LogEvents", message)
+			t.Errorf("message %q is logged but not in telemetry.LogEvents", message)
 		}
 		known[message] = true
 	}
 	for message, written := range known {
 		if !written {
-			t.Errorf("%q is among telemetry.LogEvents and written nowhere", message)
+			t.Errorf("message %q is in telemetry.LogEvents but never logged", message)
 		}
 	}
 }
 
-// messages returns the constant messages of all lines in logSources.
-func messages(t *testing.T) []string {
+// loggedMessages returns the constant messages of all log calls in logSources.
+func loggedMessages(t *testing.T) []string {
 	t.Helper()
 	var out []string
 	for _, source := range logSources {
@@ -56,7 +55,7 @@
 				return err
 			}
 			ast.Inspect(file, func(n ast.Node) bool {
-				if message, ok := messageOf(n); ok {
+				if message, ok := messageInNode(n); ok {
 					out = append(out, message)
 				}
 				return true
@@ -70,9 +69,9 @@
 	return out
 }
 
-// messageOf returns the message of a call such as logger.Info("text"), or of an entry
-// that is built by hand.
-func messageOf(n ast.Node) (string, bool) {
+// messageInNode returns the message of a call such as logger.Info("text") or of a log.Entry
+// literal.
+func messageInNode(n ast.Node) (string, bool) {
 	var text ast.Expr
 	switch n := n.(type) {
 	case *ast.CallExpr:
--- a/internal/docgen/pages.go
+++ b/internal/docgen/pages.go
@@ -22,39 +22,40 @@
 )
 
 func settingsPage() []byte {
-	p := newPage("Settings", "The daemon reads one YAML file at its start. An unknown or wrong key is refused with\n"+
-		"its file, line, name and what is allowed. `corianderturn check FILE` checks a file and\n"+
-		"`corianderturn --print-defaults` prints every key at its default.")
+	p := newPage("Settings", "The daemon reads one YAML file at its start. An unknown key or an invalid value is an error that\n"+
+		"states the file, the line, the key and what is allowed. `corianderturn check FILE` checks a file and\n"+
+		"`corianderturn --print-defaults` prints every key with its default.")
 	settingsTables(p, "##", settings.Fields())
-	fmt.Fprintf(p, "\n# Settings of an attached daemon\n\nThe file of `corianderturn attach`. `corianderturn check --attached FILE` checks one.\n"+
-		"`retries` and `drain.grace` follow a change of the file while the daemon runs; the rest holds from the next start.\n")
+	fmt.Fprintf(p, "\n# Settings of an attached daemon\n\nThe settings file of `corianderturn attach`. `corianderturn check --attached FILE` checks it.\n"+
+		"Changes of `retries` and `drain.grace` take effect while the daemon runs, those of other keys at its next start.\n")
 	settingsTables(p, "##", settings.AttachedFields())
 	return p.Bytes()
 }
 
+// settingsTables writes a heading and a table for each section.
 func settingsTables(p *page, heading string, fields []settings.Field) {
 	for _, f := range fields {
 		if f.Section {
-			fmt.Fprintf(p, "\n%s `%s`\n\n%s.\n", heading, f.Key, sentence(f.Doc))
+			fmt.Fprintf(p, "\n%s `%s`\n\n%s.\n", heading, f.Key, capitalize(f.Doc))
 			p.table("key", "default", "unit", "meaning")
 			continue
 		}
 		doc := f.Doc
 		if len(f.Allowed) > 0 {
-			doc += "; one of " + codes(f.Allowed)
+			doc += "; one of " + codeSpans(f.Allowed)
 		}
-		p.row(code(f.Key), code(f.Default), f.Unit, doc)
+		p.row(codeSpan(f.Key), codeSpan(f.Default), f.Unit, doc)
 	}
 }
 
 func errorsPage() []byte {
-	p := newPage("Errors", "Every request that is not answered with a result gets a problem document (RFC 9457, type\n"+
+	p := newPage("Errors", "A request that fails is answered with a problem document (RFC 9457, type\n"+
 		"`application/problem+json`) with the members `type`, `title`, `status`, `detail`, `kind`, `run`,\n"+
 		"`retryable`, `retry_after_ms` and `request_id`. A stream that has begun ends in an event of type\n"+
 		"`error` with the same document, and never in `[DONE]`.\n\n"+
-		"`run` says whether the request ran upstream: `not-run` is a promise that it did not, `unknown`\n"+
-		"says that it may have, `ran` that it did. The table gives what holds unless the request itself\n"+
-		"knows better: the run state and the time to come back can differ in one answer.")
+		"`run` is the run state, which states whether the request ran upstream: `not-run` guarantees that it\n"+
+		"did not, `unknown` means that it may have, `ran` that it did. The table lists the defaults of each\n"+
+		"kind; the run state and the retry delay in an answer can differ from them.")
 	p.table("kind", "status", "run", "retryable", "retry after", "meaning")
 	for _, k := range errkind.Kinds() {
 		row, _ := errkind.Lookup(k)
@@ -62,20 +63,20 @@
 		if row.RetryAfter > 0 {
 			after = row.RetryAfter.String()
 		}
-		p.row(code(string(k)), strconv.Itoa(row.Status), code(string(row.Run)), yesNo(row.Retryable), after, row.Title)
+		p.row(codeSpan(string(k)), strconv.Itoa(row.Status), codeSpan(string(row.Run)), yesNo(row.Retryable), after, row.Title)
 	}
 	return p.Bytes()
 }
 
 func logsPage() []byte {
-	p := newPage("Logs", "A daemon writes one line to standard output for each decision that touches a request or changes what it\n"+
-		"believes. With `log.format: json` a line is an object with `timestamp`, `level`, `message` and `fields`. Both edges\n"+
-		"use these messages; an error is the field `error`, and `source` beside it says where it arose. At most 200 lines of a\n"+
-		"message are written in a second; `log lines left out` counts the others by message. Writing never waits for the\n"+
-		"reader. [OPERATIONS.md](OPERATIONS.md) goes from a request's id to its cause with them.")
+	p := newPage("Logs", "A daemon writes one line to standard output for each decision about a request and each change of the daemon's state.\n"+
+		"With `log.format: json` a line is an object with `timestamp`, `level`, `message` and `fields`. The field `error`\n"+
+		"holds an error and `source` the place in the code where it occurred. `serve` and `attach` log requests with the same\n"+
+		"messages. At most 200 lines with the same message are written per second; `log lines left out` counts the others by\n"+
+		"message. A slow reader never blocks the daemon. [OPERATIONS.md](OPERATIONS.md) describes how to trace a failed request.")
 	p.table("message", "level", "when", "fields")
 	for _, e := range telemetry.LogEvents() {
-		p.row(code(e.Message), e.Level, e.When, codes(strings.FieldsFunc(e.Fields, func(r rune) bool { return r == ',' || r == ' ' })))
+		p.row(codeSpan(e.Message), e.Level, e.When, codeSpans(strings.FieldsFunc(e.Fields, func(r rune) bool { return r == ',' || r == ' ' })))
 	}
 	return p.Bytes()
 }
@@ -88,17 +89,17 @@
 	if err := addWatcherMetrics(m); err != nil {
 		return nil, err
 	}
-	p := newPage("Metrics", "The callers' listener shows these at `/metrics` in the Prometheus text format. Labels take\n"+
-		"their values from closed lists: classes, error kinds, and words of the policy.")
+	p := newPage("Metrics", "The callers' listener serves these metrics at `/metrics` in the Prometheus text format. The values\n"+
+		"of labels are from fixed sets: classes, error kinds and terms of the policy.")
 	p.table("name", "type", "unit", "labels", "meaning")
 	for _, d := range m.Definitions() {
-		p.row(code(d.Name), d.Type, d.Unit, codes(d.Labels), d.Doc)
+		p.row(codeSpan(d.Name), d.Type, d.Unit, codeSpans(d.Labels), d.Doc)
 	}
 	return p.Bytes(), nil
 }
 
-// addWatcherMetrics builds a watcher that is never run, for the instruments
-// that it makes.
+// addWatcherMetrics registers the metrics of package watch by creating a watcher, which is never
+// run.
 func addWatcherMetrics(m *telemetry.Metrics) error {
 	anyKey := map[string]ed25519.PublicKey{"any": make(ed25519.PublicKey, ed25519.PublicKeySize)}
 	_, err := watch.New(watch.Options{
@@ -119,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := newPage("Commands", "The programs for production. `--help` prints the same.")
+	p := newPage("Commands", "The programs that run in production. `--help` prints the same texts.")
 	for _, app := range []*kong.Application{k.Model, operators} {
 		fmt.Fprintf(p, "\n## `%s`\n\n%s\n", app.Name, app.Help)
 		p.flags(app.Flags)
@@ -130,6 +131,7 @@
 	return p.Bytes(), nil
 }
 
+// command writes the usage, the arguments and the flags of a command.
 func (p *page) command(n *kong.Node) {
 	usage := n.FullPath()
 	for _, a := range n.Positional {
@@ -139,31 +141,33 @@
 	if len(n.Positional) > 0 {
 		p.table("argument", "meaning")
 		for _, a := range n.Positional {
-			p.row(code(a.Summary()), a.Help)
+			p.row(codeSpan(a.Summary()), a.Help)
 		}
 	}
 	p.flags(n.Flags)
 }
 
+// flags writes a table of flags, or nothing if there are none.
 func (p *page) flags(flags []*kong.Flag) {
-	begun := false
+	hasHeader := false
 	for _, f := range flags {
 		if f.Hidden || f.Name == "help" {
 			continue
 		}
-		if !begun {
+		if !hasHeader {
 			p.table("flag", "default", "environment", "meaning")
-			begun = true
+			hasHeader = true
 		}
 		doc := f.Help
 		if f.Required {
 			doc += " Required."
 		}
-		p.row(code("--"+f.Name), code(f.Default), codes(f.Envs), doc)
+		p.row(codeSpan("--"+f.Name), codeSpan(f.Default), codeSpans(f.Envs), doc)
 	}
 }
 
-func sentence(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
+// capitalize returns s with its first letter in upper case.
+func capitalize(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
 
 func yesNo(b bool) string {
 	if b {
--- a/internal/httpsem/httpsem.go
+++ b/internal/httpsem/httpsem.go
@@ -1,5 +1,6 @@
-// Package httpsem holds the rules of HTTP that hold on both sides of a daemon
-// (RFC 9110): which methods only read, and which fields end at each connection.
+// Package httpsem implements rules of HTTP semantics (RFC 9110) that a daemon applies both to its
+// callers and to its upstreams: which methods are safe or idempotent, and which header fields a
+// proxy must not forward.
 package httpsem
 
 import (
@@ -8,7 +9,8 @@
 	"strings"
 )
 
-// Safe says whether a method only reads (RFC 9110, 9.2.1). An unknown one does not.
+// Safe reports whether a method is safe, that is read-only (RFC 9110, 9.2.1). Unknown methods are
+// not.
 func Safe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
@@ -18,21 +20,20 @@
 	}
 }
 
-// Idempotent says whether a proxy may send a request of the method again when
-// it does not know what became of the first (RFC 9110, 9.2.2). An unknown one
-// does not.
+// Idempotent reports whether a method is idempotent, so that a proxy may retry a request without
+// knowing whether the first attempt ran (RFC 9110, 9.2.2). Unknown methods are not.
 func Idempotent(method string) bool {
 	return Safe(method) || method == http.MethodPut || method == http.MethodDelete
 }
 
-// hopByHop lists the fields that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the header fields that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHop takes the fields of the connection out of h, among them those
-// that its Connection field names.
+// RemoveHopByHop deletes the hop-by-hop fields from h, including those that its Connection field
+// lists.
 func RemoveHopByHop(h http.Header) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/safepack/safepack.go
+++ b/internal/safepack/safepack.go
@@ -1,9 +1,8 @@
-// Package safepack decodes msgpack that comes from outside this process. The
-// msgpack library allocates byte strings and lists at the length that a header
-// claims, and skips unknown fields by recursion: ten bytes from a peer or from
-// the log would make a daemon allocate gigabytes, and a long run of nested
-// lists would overflow its stack, which ends the process. Check refuses both
-// before the library sees the data.
+// Package safepack decodes msgpack from untrusted sources. The msgpack library allocates byte
+// strings and lists with the length that their header states, and skips unknown fields by
+// recursion: ten bytes from a peer or from the log could make a daemon allocate gigabytes, and
+// deeply nested lists could overflow its stack, which ends the process. Check rejects both before
+// the library decodes the data.
 package safepack
 
 import (
@@ -15,11 +14,10 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// MaxDepth is the deepest nesting of lists and maps that is accepted; no message
-// of ours nests deeper than 6.
+// MaxDepth is the maximum nesting of lists and maps. The daemons' messages use at most 6 levels.
 const MaxDepth = 16
 
-// Unmarshal checks data and decodes exactly one value that fills it into v.
+// Unmarshal decodes data, which must hold exactly one value, into v. It calls Check first.
 func Unmarshal(data []byte, v any) error {
 	if err := Check(data); err != nil {
 		return err
@@ -30,23 +28,23 @@
 	return dec.Decode(v)
 }
 
-// Check returns an error unless data is exactly one well-formed value in which
-// every length is covered by the bytes that follow.
+// Check returns an error unless data is exactly one well-formed value, nested at most MaxDepth
+// levels, in which no stated length exceeds the bytes that follow.
 func Check(data []byte) error {
 	r := bytes.NewReader(data)
 	dec := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(dec)
 	dec.Reset(r)
 	c := checker{r: r, dec: dec}
-	c.depth = append(c.open[:0], 1)
-	for len(c.depth) > 0 {
-		top := len(c.depth) - 1
-		if c.depth[top] == 0 {
-			c.depth = c.depth[:top]
+	c.remaining = append(c.buffer[:0], 1)
+	for len(c.remaining) > 0 {
+		top := len(c.remaining) - 1
+		if c.remaining[top] == 0 {
+			c.remaining = c.remaining[:top]
 			continue
 		}
-		c.depth[top]--
-		if err := c.value(); err != nil {
+		c.remaining[top]--
+		if err := c.checkValue(); err != nil {
 			return err
 		}
 	}
@@ -56,16 +54,18 @@
 	return nil
 }
 
-// checker walks one value. depth holds, for each open list or map, how many of
-// its elements are still to come; it has its room in open.
+// checker checks one value without recursion. remaining is a stack that holds, for each list or
+// map that contains the current position, the number of its values that are still to be read. Its
+// backing array is buffer, so that it is never reallocated.
 type checker struct {
-	r     *bytes.Reader
-	dec   *msgpack.Decoder
-	open  [MaxDepth + 1]int
-	depth []int
+	r         *bytes.Reader
+	dec       *msgpack.Decoder
+	buffer    [MaxDepth + 1]int
+	remaining []int
 }
 
-func (c *checker) value() error {
+// checkValue checks a scalar, or the header of a list or map.
+func (c *checker) checkValue() error {
 	code, err := c.dec.PeekCode()
 	if err != nil {
 		return err
@@ -73,42 +73,42 @@
 	switch {
 	case isArray(code):
 		n, err := c.dec.DecodeArrayLen()
-		return c.enter(n, 1, err)
+		return c.openContainer(n, 1, err)
 	case isMap(code):
 		n, err := c.dec.DecodeMapLen()
-		return c.enter(n, 2, err)
+		return c.openContainer(n, 2, err)
 	case msgpcode.IsString(code), msgpcode.IsBin(code):
 		n, err := c.dec.DecodeBytesLen()
-		return c.pass(n, err)
+		return c.skipBytes(n, err)
 	case msgpcode.IsExt(code):
 		_, n, err := c.dec.DecodeExtHeader()
-		return c.pass(n, err)
+		return c.skipBytes(n, err)
 	}
 	return c.dec.Skip()
 }
 
-// enter opens a list or map of n elements, each of which takes the given number
-// of values and so at least as many bytes.
-func (c *checker) enter(n, values int, err error) error {
+// openContainer pushes a list or map of n elements, each of which consists of the given number of
+// values. A value has at least one byte, which bounds n. err is the error of decoding the header.
+func (c *checker) openContainer(n, values int, err error) error {
 	switch {
 	case err != nil:
 		return err
 	case n < 0 || n > c.r.Len()/values:
-		return errors.Errorf("%d elements where %d bytes are left", n, c.r.Len())
-	case len(c.depth) > MaxDepth:
+		return errors.Errorf("a list or map of %d elements with %d bytes left", n, c.r.Len())
+	case len(c.remaining) > MaxDepth:
 		return errors.Errorf("nested deeper than %d", MaxDepth)
 	}
-	c.depth = append(c.depth, n*values)
+	c.remaining = append(c.remaining, n*values)
 	return nil
 }
 
-// pass steps over n bytes.
-func (c *checker) pass(n int, err error) error {
+// skipBytes skips a value of n bytes. err is the error of decoding its header.
+func (c *checker) skipBytes(n int, err error) error {
 	if err != nil {
 		return err
 	}
 	if n < 0 || n > c.r.Len() {
-		return errors.Errorf("%d bytes claimed where %d are left", n, c.r.Len())
+		return errors.Errorf("a value of %d bytes with %d bytes left", n, c.r.Len())
 	}
 	_, err = c.r.Seek(int64(n), io.SeekCurrent)
 	return err
--- a/internal/safepack/safepack_test.go
+++ b/internal/safepack/safepack_test.go
@@ -47,10 +47,9 @@
 	}
 }
 
-// Symptom: a daemon is ended by the kernel, or dies of a stack overflow.
-// Sequence: a peer sends ten bytes that claim a list of millions, or megabytes
-// of nested lists in a field that this build does not know.
-// Cause: the msgpack library trusts lengths and recurses.
+// Malformed input is rejected without large allocations. The msgpack library itself trusts lengths
+// and recurses: ten bytes that state a list of millions of elements would exhaust the memory, and
+// megabytes of nested lists in an unknown field would overflow the stack.
 func TestHostileInputIsRefusedCheaply(t *testing.T) {
 	nested := append([]byte{0x81, 0xa1, 'q'}, bytes.Repeat([]byte{0x91}, 4<<20)...)
 	for name, data := range map[string][]byte{
@@ -68,7 +67,7 @@
 			runtime.ReadMemStats(&before)
 			for _, v := range []any{&wire.BundleRecords{}, &wire.Heartbeat{}, &outer{}} {
 				if safepack.Unmarshal(data, v) == nil {
-					t.Errorf("%T was decoded", v)
+					t.Errorf("Unmarshal into %T returned no error", v)
 				}
 			}
 			runtime.ReadMemStats(&after)
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,7 +1,7 @@
-// Package supervise runs the daemon's subsystems. A subsystem that panics or
-// returns an error is started again alone, at a bounded rate; when the bound is
-// passed the whole tree fails, so that the platform replaces the instance
-// instead of keeping one that limps.
+// Package supervise runs the daemon's subsystems. A subsystem that panics or returns an error is
+// restarted while the others keep running. If it exceeds a limit on its restart rate, the whole
+// tree fails, so that the platform replaces the instance instead of keeping one that works only
+// in part.
 package supervise
 
 import (
@@ -20,18 +20,18 @@
 type Service interface {
 	// Name returns the subsystem's name for logs.
 	Name() string
-	// Run works until ctx ends, then returns nil. The supervisor calls it again
-	// after a panic or an error.
+	// Run runs until ctx is cancelled, then returns nil. The supervisor calls it again after a
+	// panic, an error or an early return.
 	Run(ctx context.Context) error
 }
 
-// Limits bound how often one subsystem is started again.
+// Limits bound how often one subsystem is restarted.
 type Limits struct {
-	// Restarts is how many restarts are allowed within Window.
+	// Restarts is the maximum number of restarts within Window.
 	Restarts int
 	// Window is the period over which restarts are counted.
 	Window time.Duration
-	// Pause is the time between a failure and the restart.
+	// Pause is the delay between a failure and the restart.
 	Pause time.Duration
 }
 
@@ -40,7 +40,8 @@
 	return Limits{Restarts: 5, Window: time.Minute, Pause: 100 * time.Millisecond}
 }
 
-// Tree runs services until the context ends or one of them fails for good.
+// Tree runs services until the context is cancelled or one of them fails permanently, which means
+// that it exceeds the Limits.
 type Tree struct {
 	limits   Limits
 	logger   log.Interface
@@ -52,17 +53,18 @@
 	return &Tree{limits: limits, logger: logger}
 }
 
-// Add registers a service; call it before Run.
+// Add registers services. It must be called before Run.
 func (t *Tree) Add(s ...Service) { t.services = append(t.services, s...) }
 
-// Run runs every service and returns the first final failure, or nil when ctx ended.
+// Run runs all services. It returns nil once ctx is cancelled, or the first permanent failure, on
+// which it stops the other services.
 func (t *Tree) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg conc.WaitGroup
 	for _, s := range t.services {
 		wg.Go(func() {
-			if err := t.keep(ctx, s); err != nil {
+			if err := t.runWithRestarts(ctx, s); err != nil {
 				cancel(err)
 			}
 		})
@@ -74,8 +76,9 @@
 	return nil
 }
 
-// keep runs one service and restarts it within the limits.
-func (t *Tree) keep(ctx context.Context, s Service) error {
+// runWithRestarts runs one service and restarts it after failures. It returns an error if the
+// limits are exceeded.
+func (t *Tree) runWithRestarts(ctx context.Context, s Service) error {
 	var failures []time.Time
 	for {
 		err := runOnce(ctx, s)
@@ -86,7 +89,7 @@
 			err = errors.New("returned before shutdown")
 		}
 		now := time.Now()
-		failures = append(recent(failures, now.Add(-t.limits.Window)), now)
+		failures = append(timesAfter(failures, now.Add(-t.limits.Window)), now)
 		t.logger.WithError(err).WithField("service", s.Name()).Error("subsystem failed")
 		if len(failures) > t.limits.Restarts {
 			return errors.Wrapf(err, "%s failed %d times within %s", s.Name(), len(failures), t.limits.Window)
@@ -97,6 +100,7 @@
 	}
 }
 
+// runOnce runs a service once and returns a panic as an error.
 func runOnce(ctx context.Context, s Service) (err error) {
 	var catcher panics.Catcher
 	catcher.Try(func() { err = s.Run(ctx) })
@@ -106,7 +110,8 @@
 	return err
 }
 
-func recent(times []time.Time, since time.Time) []time.Time {
+// timesAfter returns the times that are after since. It overwrites the elements of times.
+func timesAfter(times []time.Time, since time.Time) []time.Time {
 	out := times[:0]
 	for _, at := range times {
 		if at.After(since) {
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -27,9 +27,8 @@
 	return New(&log.Logger{Handler: discard.Default}, limits)
 }
 
-// Symptom: one subsystem's panic ends every request of the daemon.
-// Sequence: a subsystem panics once while another one works.
-// Cause: a panic in one goroutine ends the process.
+// A subsystem that panics is restarted, and the others keep running. Without recovery, a panic in
+// one goroutine would end the process with all its requests.
 func TestPanicRestartsThatServiceAlone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -48,16 +47,15 @@
 		return nil
 	}})
 	if err := tree.Run(ctx); err != nil {
-		t.Fatalf("tree failed: %v", err)
+		t.Fatalf("Run returned %v", err)
 	}
 	if panicking.Load() != 2 || steady.Load() != 1 {
-		t.Fatalf("runs %d and %d, want 2 and 1", panicking.Load(), steady.Load())
+		t.Fatalf("%d runs of the panicking service and %d of the other, want 2 and 1", panicking.Load(), steady.Load())
 	}
 }
 
-// Symptom: a daemon looks alive but one of its subsystems never works.
-// Sequence: a subsystem fails each time it is started.
-// Cause: restarts without a bound hide a fault that only a new instance mends.
+// The tree fails if a subsystem fails at each start. With unlimited restarts, the daemon would
+// appear healthy although one of its subsystems never works, and would not be replaced.
 func TestBoundedRestartsFailTheTree(t *testing.T) {
 	var runs atomic.Int32
 	tree := newTree(2)
@@ -70,9 +68,9 @@
 		return nil
 	}})
 	if err := tree.Run(context.Background()); err == nil {
-		t.Fatal("the tree ended without an error")
+		t.Fatal("Run returned no error")
 	}
 	if runs.Load() != 3 {
-		t.Fatalf("%d runs, want the first and 2 restarts", runs.Load())
+		t.Fatalf("%d runs, want 3: the first and 2 restarts", runs.Load())
 	}
 }
