--- a/admin/admin.go
+++ b/admin/admin.go
@@ -38,7 +38,7 @@
 	Members() adminapi.Members
 	// StartDrain starts the drain and returns without waiting for its end. Further
 	// calls have no effect.
-	StartDrain() adminapi.Draining
+	StartDrain() adminapi.DrainResponse
 }
 
 // Limits of the token file, in bytes, and of the HTTP server. The limits of the
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -32,9 +32,9 @@
 func (*fakeSource) Upstreams() adminapi.Upstreams       { return adminapi.Upstreams{BundleNumber: 7} }
 func (*fakeSource) Members() adminapi.Members           { return adminapi.Members{Instance: "one"} }
 
-func (f *fakeSource) StartDrain() adminapi.Draining {
+func (f *fakeSource) StartDrain() adminapi.DrainResponse {
 	f.drainCalls.Add(1)
-	return adminapi.Draining{Instance: "one", InFlight: 2}
+	return adminapi.DrainResponse{Instance: "one", InFlight: 2}
 }
 
 // tokenFile writes a token file and returns its path.
@@ -75,7 +75,7 @@
 		{"requests", "GET", adminapi.PathRequests, "bearer " + testToken, 200, src.Requests()},
 		{"upstreams", "GET", adminapi.PathUpstreams, "Bearer " + testToken, 200, src.Upstreams()},
 		{"members", "GET", adminapi.PathMembers, "Bearer " + testToken, 200, src.Members()},
-		{"drain", "POST", adminapi.PathDrain, "Bearer " + testToken, 202, adminapi.Draining{Instance: "one", InFlight: 2}},
+		{"drain", "POST", adminapi.PathDrain, "Bearer " + testToken, 202, adminapi.DrainResponse{Instance: "one", InFlight: 2}},
 		{"drain by GET", "GET", adminapi.PathDrain, "Bearer " + testToken, 405, adminapi.Error{Error: "the path takes another method"}},
 		{"no path", "GET", "/v1/nothing", "Bearer " + testToken, 404, adminapi.Error{Error: "no such path"}},
 		{"no token", "GET", adminapi.PathBundle, "", 401, nil},
--- a/admin/adminapi/members.go
+++ b/admin/adminapi/members.go
@@ -24,9 +24,9 @@
 	Draining bool   `json:"draining"`
 }
 
-// Draining is the response to a drain request. The daemon has started to drain and
+// DrainResponse is the response to a drain request. The daemon has started to drain and
 // exits once its requests in flight have finished.
-type Draining struct {
+type DrainResponse struct {
 	Instance string `json:"instance"`
 	InFlight int    `json:"in_flight"`
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -158,8 +158,8 @@
 	k.updateCount()
 }
 
-// Ran records that a request completed. It does not block.
-func (k *Keeper) Ran(now time.Time, digest func() Digest) {
+// RecordCompletion records that a request completed. It does not block.
+func (k *Keeper) RecordCompletion(now time.Time, digest func() Digest) {
 	if k.requestsWithCrashes.Load() == 0 {
 		return
 	}
@@ -193,9 +193,9 @@
 	}
 }
 
-// Broke records a run that lost its connection, and queues a probe of its upstream. It does
+// ReportLostRun records a run that lost its connection, and queues a probe of its upstream. It does
 // not block.
-func (k *Keeper) Broke(b Broken) {
+func (k *Keeper) ReportLostRun(b Broken) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	waiting := k.lostRuns[b.Address]
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -149,7 +149,7 @@
 		shared.failAppends = 4
 		keepers := shared.start(t, 4)
 		for i, k := range keepers[:3] {
-			k.Broke(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
+			k.ReportLostRun(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
 			time.Sleep(time.Second)
 		}
 		time.Sleep(10 * time.Second)
@@ -158,7 +158,7 @@
 				t.Errorf("daemon %d does not refuse the request", i)
 			}
 		}
-		keepers[3].Ran(time.Now(), func() Digest { return fatal })
+		keepers[3].RecordCompletion(time.Now(), func() Digest { return fatal })
 		const maxDelay = 3 * time.Second // time in which all daemons must have the record
 		time.Sleep(maxDelay)
 		for i, k := range keepers {
@@ -325,7 +325,7 @@
 	done := make(chan error, 1)
 	go func() { done <- k.Run(ctx) }()
 	for _, b := range []Broken{{Request: "a", Address: "x"}, {Request: "b", Address: "x"}, {Request: "c", Address: "y"}, {Request: "d", Address: "x"}} {
-		k.Broke(b)
+		k.ReportLostRun(b)
 	}
 	close(unblock)
 	logged := func() map[string]any {
--- a/request/attached_test.go
+++ b/request/attached_test.go
@@ -86,7 +86,7 @@
 		if a.Retry || len(a.Exclude) > 0 || a.Tries != 1 {
 			t.Fatalf("plan %+v", a)
 		}
-		if s.find(ActionFull) == nil {
+		if s.find(ActionReportFull) == nil {
 			t.Fatal("the full engine was not reported")
 		}
 	}
@@ -101,7 +101,7 @@
 func TestRefusedPromptTellsThatTheEngineIsFull(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").step(Event{Kind: EventReserved, Reservation: "hold"}).refused()
-	if a := s.wantAction(ActionFull, "full"); a.Target.Name != "p0" || a.Step != StepPrefill {
+	if a := s.wantAction(ActionReportFull, "full"); a.Target.Name != "p0" || a.Step != StepPrefill {
 		t.Errorf("full: %q at %s", a.Target.Name, a.Step)
 	}
 	if a := s.wantAction(ActionPlan, "the second attempt"); !a.Retry {
@@ -129,7 +129,7 @@
 func TestRefusedHandoffLeavesOutBothEnds(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode().refused()
-	if a := s.wantAction(ActionHandoff, "a refused handoff"); a.Target.Name != "d0" || a.From.Name != "p0" || a.Taken {
+	if a := s.wantAction(ActionReportHandoff, "a refused handoff"); a.Target.Name != "d0" || a.From.Name != "p0" || a.Accepted {
 		t.Errorf("handoff %+v", a)
 	}
 	if a := s.wantAction(ActionPlan, "another plan"); len(a.Exclude) != 2 || a.Exclude[0] != "p0" || a.Exclude[1] != "d0" {
@@ -213,8 +213,8 @@
 	s.step(chunk(0))
 	s.now = s.now.Add(attachedLimits().Stall)
 	s.step(Event{Kind: EventTick})
-	if a := s.wantAction(ActionPermit, "a request to the retry budget"); a.Needs != 2 {
-		t.Errorf("requested %d permits, want 2: a prompt and a decode call", a.Needs)
+	if a := s.wantAction(ActionPermit, "a request to the retry budget"); a.Permits != 2 {
+		t.Errorf("requested %d permits, want 2: a prompt and a decode call", a.Permits)
 	}
 	if s.step(Event{Kind: EventPermitted}); len(s.last) > 0 {
 		t.Fatalf("a denial led to %+v", s.last)
@@ -223,7 +223,7 @@
 	s.wantAction(ActionEmit, "the late token")
 	s.now = s.now.Add(attachedLimits().Stall)
 	s.step(Event{Kind: EventTick})
-	s.step(Event{Kind: EventPermitted, Paid: 2})
+	s.step(Event{Kind: EventPermitted, Permits: 2})
 	s.wantAction(ActionPlan, "another engine")
 	if n := s.m.permitsNeeded(Action{Retry: true}, &policy.Plan{}); n != 0 {
 		t.Errorf("the plan needs %d more permits", n)
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -97,7 +97,7 @@
 	if m.lastStep == StepDecode || m.lastStep == StepResume {
 		m.run.settle(m.lastStep, upstream.Done)
 		if m.handle != "" && !m.decodeAccepted {
-			m.addAction(Action{Kind: ActionHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill), Taken: true})
+			m.addAction(Action{Kind: ActionReportHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill), Accepted: true})
 		}
 		m.decodeAccepted = true
 		m.reservation, m.handle = "", "" // the engine has consumed both
@@ -133,7 +133,7 @@
 		m.replanQueued()
 		return
 	}
-	if m.limits.Patient && m.lastStep == StepDecode && !m.mayRetry() {
+	if m.limits.KeepSilentStreams && m.lastStep == StepDecode && !m.mayRetry() {
 		// No other engine may produce this answer, so a silent stream is not given up: the
 		// engine may be busy, and the request's deadline bounds the wait.
 		m.stepDeadline = time.Time{}
@@ -141,7 +141,7 @@
 	}
 	if needs := m.permitsForTimeOut(); needs > 0 {
 		m.stepDeadline = now.Add(m.limits.Stall) // when to ask the budget again
-		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Needs: needs})
+		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Permits: needs})
 		return
 	}
 	m.timeOutCall(now)
@@ -154,7 +154,7 @@
 // Without this check, the stream of a busy engine is cut off, the retry is then denied, and an
 // answer that would have continued ends as a broken stream.
 func (m *Machine) permitsForTimeOut() int {
-	if !m.limits.Patient || !m.limits.CountArrivals || m.lastStep != StepDecode {
+	if !m.limits.KeepSilentStreams || !m.limits.CountArrivals || m.lastStep != StepDecode {
 		return 0
 	}
 	return m.arrivals.permitsNeeded(true)
@@ -163,9 +163,9 @@
 // handlePermitted gives up the silent call if the budget has granted the permits for another
 // attempt.
 func (m *Machine) handlePermitted(now time.Time, ev Event) {
-	m.arrivals.permits += ev.Paid
+	m.arrivals.permits += ev.Permits
 	waits := m.state == StateImporting || m.state == StateStreaming
-	if ev.Paid > 0 && ev.Call == m.call && waits {
+	if ev.Permits > 0 && ev.Call == m.call && waits {
 		m.timeOutCall(now)
 	}
 }
@@ -176,7 +176,7 @@
 		m.handleBrokenStream(now)
 		return
 	}
-	m.addAction(Action{Kind: ActionBlame, Step: m.lastStep, Late: true, Target: m.targetOf(roleOfStep(m.lastStep)), Unanswered: m.noResponse(upstream.Maybe)})
+	m.addAction(Action{Kind: ActionReportFailure, Step: m.lastStep, TimedOut: true, Target: m.targetOf(roleOfStep(m.lastStep)), Unanswered: m.noResponse(upstream.Maybe)})
 	if m.lastStep == StepReserve && m.refusals < m.limits.MaxRefusals {
 		m.run.settle(m.lastStep, upstream.Maybe)
 		m.handleUnsentCall()
--- a/request/call.go
+++ b/request/call.go
@@ -289,7 +289,7 @@
 		k.reportBroken(rep, now)
 	}
 	if err == nil {
-		k.r.o.Quarantine.Ran(k.r.o.Now(), k.digest)
+		k.r.o.Quarantine.RecordCompletion(k.r.o.Now(), k.digest)
 		k.r.o.Observer.Succeeded(k.r.o.Now(), rep.Name)
 		k.logDecision("finish", policy.ServicePlan{Replica: rep}, http.StatusText(answer.Status))
 		got := &CallAnswer{Status: answer.Status, Header: answer.Header, Body: answer.Body}
@@ -306,7 +306,7 @@
 // replica that is well past the first-byte target is given up for another one: it may be
 // partitioned or frozen, which a kept-alive connection reveals only after seconds.
 func (k *serviceCall) sendTimeout(left time.Duration) time.Duration {
-	first := time.Duration(k.r.o.Limits.CallPatience * float64(k.firstByteTarget))
+	first := time.Duration(k.r.o.Limits.CallTimeoutFactor * float64(k.firstByteTarget))
 	if first <= 0 || k.c.atMostOnce() || k.c.MaxSends > 0 && k.sends+1 >= k.c.MaxSends {
 		return left
 	}
@@ -346,7 +346,7 @@
 
 func (k *serviceCall) logDecision(step string, p policy.ServicePlan, reason string) {
 	k.r.logDecision(Decision{
-		Request: k.c.ID, Team: cmp.Or(k.c.Team, k.c.Caller), Class: k.c.Class, Attempt: k.attempt, Step: step,
+		Request: k.c.ID, Team: cmp.Or(k.c.Team, k.c.CallerTeam), Class: k.c.Class, Attempt: k.attempt, Step: step,
 		Candidates: p.Candidates, Limited: k.limitedCount, Upstream: p.Replica.Name, Reason: reason,
 		Bundle: k.bundleNumber, ViewAge: p.ViewAge,
 	})
--- a/request/chunks.go
+++ b/request/chunks.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if c.RequestID != m.c.ID || c.Attempt != m.attempt {
-		m.drops.Crossed++
+		m.drops.Misrouted++
 		return
 	}
 	switch {
@@ -96,7 +96,7 @@
 }
 
 func (m *Machine) handleStreamError(detail string) {
-	m.addAction(Action{Kind: ActionBlame, Target: m.targetOf(roleDecode)})
+	m.addAction(Action{Kind: ActionReportFailure, Target: m.targetOf(roleDecode)})
 	m.retry(errkind.New(errkind.UpstreamFailed, detail), true)
 }
 
@@ -107,7 +107,7 @@
 	if m.state != StateImporting && m.state != StateStreaming {
 		return
 	}
-	m.addAction(Action{Kind: ActionBlame, Target: m.targetOf(roleDecode)})
+	m.addAction(Action{Kind: ActionReportFailure, Target: m.targetOf(roleDecode)})
 	if m.canResume() {
 		m.resume(now)
 		return
--- a/request/complete.go
+++ b/request/complete.go
@@ -156,7 +156,7 @@
 	case ev := <-d.pauseEvents:
 		return ev
 	case <-d.waiter.readyChan():
-		return Event{Kind: EventTurn}
+		return Event{Kind: EventSlotAvailable}
 	case <-ctx.Done():
 		return d.contextEnded(ctx)
 	case <-d.r.shutdownCtx.Done():
@@ -213,10 +213,10 @@
 		d.endCall()
 		d.r.canceller.add(a.Target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.workID(a), Reservation: a.Reservation, Handle: a.Handle}})
 		d.logDecision("cancel", a.Target.Name, "attempt-ended")
-	case ActionBlame:
-		if a.Step == StepPrefill && a.Late {
-			d.r.LearnPrefill(d.r.o.Now(), d.c.Model, true)
-			d.r.o.Observer.PrefillLost(d.r.o.Now(), d.c.Model)
+	case ActionReportFailure:
+		if a.Step == StepPrefill && a.TimedOut {
+			d.r.RecordPrefill(d.r.o.Now(), d.c.Model, true)
+			d.r.o.Observer.PrefillTimedOut(d.r.o.Now(), d.c.Model)
 		}
 		if a.Unanswered {
 			d.r.o.Observer.Unanswered(d.r.o.Now(), a.Target.Name, a.Reached)
@@ -235,15 +235,15 @@
 		}
 	case ActionAnswer:
 		d.answer(a)
-	case ActionHandoff:
-		d.r.o.Observer.HandedOff(d.r.o.Now(), a.From.Name, a.Target.Name, a.Taken)
-		if !a.Taken {
+	case ActionReportHandoff:
+		d.r.o.Observer.HandedOff(d.r.o.Now(), a.From.Name, a.Target.Name, a.Accepted)
+		if !a.Accepted {
 			d.logDecision("decode", a.Target.Name, "handoff-refused")
 		}
-	case ActionFull:
+	case ActionReportFull:
 		d.r.o.Observer.Answered(d.r.o.Now(), a.Target.Name)
 		if a.Step == StepPrefill {
-			d.r.o.Observer.Shut(d.r.o.Now(), a.Target.Name)
+			d.r.o.Observer.PromptRefused(d.r.o.Now(), a.Target.Name)
 		} else {
 			d.r.o.Observer.Full(d.r.o.Now(), a.Target.Name)
 		}
@@ -274,7 +274,7 @@
 	d.result = result{reason: a.Reason, usage: a.Usage}
 	d.sink.Finish(a.Reason, a.Usage)
 	now := d.r.o.Now()
-	d.r.o.Quarantine.Ran(now, d.digest)
+	d.r.o.Quarantine.RecordCompletion(now, d.digest)
 	d.r.o.Observer.Succeeded(now, a.Target.Name)
 	chunks := len(d.m.Tokens())
 	tokens := chunks * d.r.o.ChunkTokens(d.c.Model)
@@ -296,7 +296,7 @@
 		d.fail(a)
 		return
 	}
-	d.r.o.Quarantine.Ran(d.r.o.Now(), d.digest)
+	d.r.o.Quarantine.RecordCompletion(d.r.o.Now(), d.digest)
 	s.Answer(*a.Answer)
 	d.logDecision("finish", a.Target.Name, http.StatusText(a.Answer.Status))
 }
@@ -323,7 +323,7 @@
 
 func (d *driver) logDecision(step, upstreamName, reason string) {
 	d.r.logDecision(Decision{
-		Request: d.c.ID, Team: cmp.Or(d.c.Team, d.c.Caller), Class: d.c.Class, Attempt: d.m.Attempt(), Step: step,
+		Request: d.c.ID, Team: cmp.Or(d.c.Team, d.c.CallerTeam), Class: d.c.Class, Attempt: d.m.Attempt(), Step: step,
 		Upstream: upstreamName, Prefill: d.entry.Prefill, Reason: reason, Bundle: d.bundleNumber,
 	})
 }
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -236,7 +236,7 @@
 		crossed := func(g engine.Garble) func(*faultCase) {
 			return func(c *faultCase) {
 				c.faults(1, engine.Faults{Garble: g, GarbleAfter: after})
-				c.check = c.chunksDropped(func(d request.Drops) int { return d.Crossed })
+				c.check = c.chunksDropped(func(d request.Drops) int { return d.Misrouted })
 			}
 		}
 		out[step+"/crossed-answer"] = faultCaseSpec{crossed(engine.GarbleCrossed), completeAnswer}
--- a/request/dispatch.go
+++ b/request/dispatch.go
@@ -20,7 +20,7 @@
 	}
 	if a.Step == StepReserve && a.Plan.PauseDraft && !d.pauseDraft(a) {
 		d.logDecision(a.Step.String(), a.Target.Name, "no-draft-to-pause")
-		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventLeft, Call: a.Call})
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventUpstreamLeaving, Call: a.Call})
 		return
 	}
 	d.countInflight(a)
@@ -55,13 +55,13 @@
 func (d *driver) blocked(a Action) (Event, bool) {
 	now := d.r.o.Now()
 	if d.r.o.Frozen(now) || grantExpired(d.notAfter, now) {
-		return Event{Kind: EventStale, Call: a.Call}, true
+		return Event{Kind: EventStaleView, Call: a.Call}, true
 	}
 	if a.Step != StepResume && d.r.quarantined(d.c.ID, d.digest) {
 		return Event{Kind: EventQuarantined, Call: a.Call}, true
 	}
 	if a.Step != StepResume && !d.r.mayTakeWork(replicaOf(a)) {
-		return Event{Kind: EventLeft, Call: a.Call}, true
+		return Event{Kind: EventUpstreamLeaving, Call: a.Call}, true
 	}
 	return Event{}, false
 }
@@ -200,7 +200,7 @@
 	}
 	now := d.r.o.Now()
 	d.r.reportLoad(a.Target.Name, &reply.Load)
-	d.r.LearnPrefill(now, d.c.Model, false)
+	d.r.RecordPrefill(now, d.c.Model, false)
 	d.r.o.Observer.Prefilled(now, a.Target.Name, PrefillObservation{
 		PromptTokens: reply.PromptTokens,
 		CachedTokens: reply.CachedTokens,
@@ -237,7 +237,7 @@
 			if !sawDone && mayHaveCrashed(ctx, a.Step, err) {
 				d.reportBroken(a, sent, answering)
 			}
-			d.sendEvent(ctx, Event{Kind: EventCut, Call: a.Call})
+			d.sendEvent(ctx, Event{Kind: EventStreamEnded, Call: a.Call})
 			return
 		}
 		sawDone = ev.Chunk.Done
--- a/request/events.go
+++ b/request/events.go
@@ -16,8 +16,8 @@
 	EventStart EventKind = iota
 	// EventPlanned is the successful result of ActionPlan and carries Plan.
 	EventPlanned
-	// EventPlanRefused is the result of ActionPlan when no plan could be made; Err says why.
-	EventPlanRefused
+	// EventPlanFailed is the result of ActionPlan when no plan could be made; Err says why.
+	EventPlanFailed
 	// EventRetryDenied is the result of ActionPlan when the retry budget lacks the permits
 	// that the plan needs.
 	EventRetryDenied
@@ -33,18 +33,18 @@
 	// EventCallFailed reports that call Call failed. Delivery says how far it got; Refusal is
 	// set if it was refused.
 	EventCallFailed
-	// EventLeft reports that call Call was not sent because its upstream takes no new work.
-	EventLeft
-	// EventStale reports that call Call was not sent because the daemon's data is stale.
-	EventStale
+	// EventUpstreamLeaving reports that call Call was not sent because its upstream takes no new work.
+	EventUpstreamLeaving
+	// EventStaleView reports that call Call was not sent because the daemon's data is stale.
+	EventStaleView
 	// EventQuarantined reports that call Call was not sent because upstreams crashed while
 	// they ran the request.
 	EventQuarantined
 	// EventChunk carries the next Chunk of stream Call.
 	EventChunk
-	// EventCut reports that stream Call ended. Unless the final chunk came first, the stream
+	// EventStreamEnded reports that stream Call ended. Unless the final chunk came first, the stream
 	// was incomplete.
-	EventCut
+	EventStreamEnded
 	// EventCallerGone reports that the caller no longer reads the answer.
 	EventCallerGone
 	// EventDrainLimit reports that the daemon has reached its shutdown limit.
@@ -53,8 +53,8 @@
 	// due; EventUnpaused reports that it continues.
 	EventPaused
 	EventUnpaused
-	// EventTurn tells a queued request to ask for a slot again.
-	EventTurn
+	// EventSlotAvailable tells a queued request to ask for a slot again.
+	EventSlotAvailable
 	// EventTick reports that the time returned by Wake has come.
 	EventTick
 )
@@ -68,8 +68,8 @@
 	Attempt  int
 	Delivery upstream.Delivery
 	Plan     *policy.Plan
-	// Paid is the number of retry permits that were taken from the budget.
-	Paid    int
+	// Permits is the number of retry permits that were taken from the budget.
+	Permits int
 	Prefill *engineapi.PrefillReply
 	// Reservation is the engine's id of the reservation in EventReserved.
 	Reservation string
@@ -88,7 +88,7 @@
 // answer from the engine.
 func (ev Event) deniesCall() bool {
 	switch ev.Kind {
-	case EventLeft, EventStale, EventQuarantined:
+	case EventUpstreamLeaving, EventStaleView, EventQuarantined:
 		return true
 	case EventCallFailed:
 		return ev.Answer == nil
@@ -115,10 +115,10 @@
 	// ActionCancel repeats the cancel of Attempt on Target until it is acknowledged, and ends
 	// the call in flight.
 	ActionCancel
-	// ActionBlame reports to the observer that a call to Target failed. Unanswered is set if
+	// ActionReportFailure reports to the observer that a call to Target failed. Unanswered is set if
 	// Target did not respond to a call that it must answer at once; Reached is set if its host
 	// did respond.
-	ActionBlame
+	ActionReportFailure
 	// ActionEmit delivers the token at Index.
 	ActionEmit
 	// ActionFinish ends the request with a complete answer.
@@ -129,11 +129,11 @@
 	ActionOpen
 	// ActionAnswer ends the request with an engine's own error answer.
 	ActionAnswer
-	// ActionFull reports that Target refused a reservation or a prompt, depending on Step.
-	ActionFull
-	// ActionHandoff reports whether Target, a decode engine that had granted a reservation,
+	// ActionReportFull reports that Target refused a reservation or a prompt, depending on Step.
+	ActionReportFull
+	// ActionReportHandoff reports whether Target, a decode engine that had granted a reservation,
 	// accepted the prefill result of From.
-	ActionHandoff
+	ActionReportHandoff
 )
 
 // Target is the upstream of an action.
@@ -151,29 +151,29 @@
 	// Tries is the number of Attempt, not counting attempts that ended with a refused
 	// reservation.
 	Tries int
-	// Streak is the number of reservations refused since the request last waited.
-	Streak  int
-	Target  Target
-	Plan    *policy.Plan
-	Exclude []string
-	Retry   bool
-	Again   bool
-	Needs   int
-	Index   int
-	Text    string
-	Reason  string
-	Usage   Usage
-	Err     *errkind.Error
+	// RefusalStreak is the number of reservations refused since the request last waited.
+	RefusalStreak int
+	Target        Target
+	Plan          *policy.Plan
+	Exclude       []string
+	Retry         bool
+	AfterWait     bool
+	Permits       int
+	Index         int
+	Text          string
+	Reason        string
+	Usage         Usage
+	Err           *errkind.Error
 	// Reservation and Handle are the engines' ids of what they hold for the attempt: the slot
 	// on the decode engine and the prefill result on the prefill engine.
 	Reservation, Handle string
 	Head                *engineapi.Head
 	Answer              *CallAnswer
 	Unanswered, Reached bool
-	// Late is set for ActionBlame if the call timed out.
-	Late  bool
-	From  Target
-	Taken bool
+	// TimedOut is set for ActionBlame if the call timed out.
+	TimedOut bool
+	From     Target
+	Accepted bool
 }
 
 // State is the phase that a Machine is in.
--- a/request/failure.go
+++ b/request/failure.go
@@ -19,16 +19,16 @@
 		}
 		switch m.lastStep {
 		case StepReserve:
-			m.addAction(Action{Kind: ActionFull, Step: m.lastStep, Target: target})
+			m.addAction(Action{Kind: ActionReportFull, Step: m.lastStep, Target: target})
 			m.handleRefusedReservation(ev)
 			return
 		case StepPrefill:
-			m.addAction(Action{Kind: ActionFull, Step: m.lastStep, Target: target})
+			m.addAction(Action{Kind: ActionReportFull, Step: m.lastStep, Target: target})
 		}
 		m.retry(refusedError(ev.Refusal), true)
 		return
 	}
-	m.addAction(Action{Kind: ActionBlame, Target: target, Unanswered: m.noResponse(ev.Delivery), Reached: ev.Reached})
+	m.addAction(Action{Kind: ActionReportFailure, Target: target, Unanswered: m.noResponse(ev.Delivery), Reached: ev.Reached})
 	if ev.Delivery == upstream.NotSent {
 		m.undoCall(ev.Delivery)
 		m.handleUnsentCall()
@@ -56,7 +56,7 @@
 // If a decode engine that is changing its role were used again, up to three prompts of each
 // request would be prefilled in vain, and the retry budget would be used up within seconds.
 func (m *Machine) handleRefusedHandoff(ev Event) {
-	m.addAction(Action{Kind: ActionHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill)})
+	m.addAction(Action{Kind: ActionReportHandoff, Target: m.targetOf(roleDecode), From: m.targetOf(rolePrefill)})
 	m.cause = refusedError(ev.Refusal)
 	m.exclude = append(slices.Clone(m.exclude), m.plan.Prefill.Name, m.plan.Decode.Name)
 	if !m.mayRetry() {
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -159,7 +159,7 @@
 	}
 }
 func (o observer) Finished(time.Time, request.FinishObservation) {}
-func (o observer) PrefillLost(time.Time, string)                 {}
+func (o observer) PrefillTimedOut(time.Time, string)             {}
 
 func (o observer) HandedOff(time.Time, string, string, bool) {}
 
@@ -169,7 +169,7 @@
 
 func (o observer) Full(time.Time, string) {}
 
-func (o observer) Shut(time.Time, string) {}
+func (o observer) PromptRefused(time.Time, string) {}
 
 func (o observer) Leaving(_ time.Time, name string) {
 	o.f.set(func() { o.f.left = append(o.f.left, name) })
--- a/request/learned.go
+++ b/request/learned.go
@@ -30,15 +30,15 @@
 	return got
 }
 
-// LearnAnswer records an answer that another daemon reported. tokens is its length, and
+// RecordAnswer records an answer that another daemon reported. tokens is its length, and
 // expected the length that its caller expected.
-func (r *Runner) LearnAnswer(now time.Time, model string, tokens, expected int) {
+func (r *Runner) RecordAnswer(now time.Time, model string, tokens, expected int) {
 	r.answers.forModel(model).Finished(now, tokens, expected)
 }
 
-// LearnPrefill records the end of a prefill, of this daemon or of another one that reported
+// RecordPrefill records the end of a prefill, of this daemon or of another one that reported
 // it. lost is set if the prefill was given up at its timeout.
-func (r *Runner) LearnPrefill(now time.Time, model string, lost bool) {
+func (r *Runner) RecordPrefill(now time.Time, model string, lost bool) {
 	r.throttles.forModel(model).Ended(now, lost)
 }
 
--- a/request/limits.go
+++ b/request/limits.go
@@ -15,21 +15,21 @@
 // daemons. Units that were taken for a request that is not sent are given back.
 // Implementations are safe for concurrent use.
 type UpstreamLimits interface {
-	// Spent returns the upstreams of a pool that must not get another request now.
-	Spent(now time.Time, s ratelimit.Seeker) []string
+	// Exhausted returns the upstreams of a pool that must not get another request now.
+	Exhausted(now time.Time, s ratelimit.Seeker) []string
 	// Take takes the units that one request to an upstream needs; ok is false if they are not
 	// left. giveBack returns them; it is nil if the upstream has no limit.
 	Take(now time.Time, upstream string, s ratelimit.Seeker) (giveBack func(), ok bool)
 	// Borrow is like Take with units of other daemons. It takes tens of milliseconds at most.
 	Borrow(ctx context.Context, upstream string, s ratelimit.Seeker) (giveBack func(), ok bool)
-	// Refuse returns how long a request must wait before it is tried again when none of the
+	// RetryAfter returns how long a request must wait before it is tried again when none of the
 	// given upstreams has units left for it.
-	Refuse(now time.Time, request string, s ratelimit.Seeker, upstreams []string) time.Duration
+	RetryAfter(now time.Time, request string, s ratelimit.Seeker, upstreams []string) time.Duration
 }
 
 type noUpstreamLimits struct{}
 
-func (noUpstreamLimits) Spent(time.Time, ratelimit.Seeker) []string { return nil }
+func (noUpstreamLimits) Exhausted(time.Time, ratelimit.Seeker) []string { return nil }
 
 func (noUpstreamLimits) Take(time.Time, string, ratelimit.Seeker) (func(), bool) { return nil, true }
 
@@ -37,7 +37,9 @@
 	return nil, true
 }
 
-func (noUpstreamLimits) Refuse(time.Time, string, ratelimit.Seeker, []string) time.Duration { return 0 }
+func (noUpstreamLimits) RetryAfter(time.Time, string, ratelimit.Seeker, []string) time.Duration {
+	return 0
+}
 
 // The ranks of the classes of the daemon's own interface; other classes use their priority.
 const (
@@ -101,7 +103,7 @@
 		q.Exclude = slices.Concat(k.exclude, out)
 		return p.PickService(s, k.r.o.Inflight, k.c.Service, q, k.rng)
 	}
-	plan, spent, err := pickWithinLimits(limits.Spent(q.Now, seeker), pick, func(plan policy.ServicePlan) (string, bool) {
+	plan, spent, err := pickWithinLimits(limits.Exhausted(q.Now, seeker), pick, func(plan policy.ServicePlan) (string, bool) {
 		var ok bool
 		k.returnLimit, ok = limits.Take(q.Now, plan.Replica.Name, seeker)
 		return plan.Replica.Name, ok
@@ -118,7 +120,7 @@
 	if borrowErr == nil || len(spent) == 0 {
 		return plan, borrowErr
 	}
-	return plan, limitError(err, limits.Refuse(k.r.o.Now(), k.c.ID, seeker, spent))
+	return plan, limitError(err, limits.RetryAfter(k.r.o.Now(), k.c.ID, seeker, spent))
 }
 
 // engineLimits holds the functions that return the units which an attempt took from its
@@ -168,7 +170,7 @@
 	takeLocal := func(plan policy.Plan) (string, bool) {
 		return d.takeLimits(plan, func(name string, s ratelimit.Seeker) (func(), bool) { return limits.Take(now, name, s) }, decode, prefill)
 	}
-	spent := slices.Concat(limits.Spent(now, decode), limits.Spent(now, prefill))
+	spent := slices.Concat(limits.Exhausted(now, decode), limits.Exhausted(now, prefill))
 	plan, spent, err := pickWithinLimits(spent, pick, takeLocal)
 	d.limitedCount = len(spent)
 	if err == nil || len(spent) == 0 {
@@ -181,5 +183,5 @@
 	if borrowErr == nil || len(spent) == 0 {
 		return plan, borrowErr
 	}
-	return plan, limitError(err, limits.Refuse(d.r.o.Now(), d.c.ID, decode, spent))
+	return plan, limitError(err, limits.RetryAfter(d.r.o.Now(), d.c.ID, decode, spent))
 }
--- a/request/limits_test.go
+++ b/request/limits_test.go
@@ -25,7 +25,7 @@
 	ranks []int
 }
 
-func (a *fakeLimits) Spent(_ time.Time, s ratelimit.Seeker) (out []string) {
+func (a *fakeLimits) Exhausted(_ time.Time, s ratelimit.Seeker) (out []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ranks = append(a.ranks, s.Rank)
@@ -66,7 +66,7 @@
 	return a.take(a.lent, name)
 }
 
-func (a *fakeLimits) Refuse(time.Time, string, ratelimit.Seeker, []string) time.Duration {
+func (a *fakeLimits) RetryAfter(time.Time, string, ratelimit.Seeker, []string) time.Duration {
 	return 700 * time.Millisecond
 }
 
--- a/request/machine.go
+++ b/request/machine.go
@@ -19,14 +19,14 @@
 	// PrefillRepeatable states that engines allow a prefill to be repeated, so that a prefill
 	// that led to no token does not count as having run the request.
 	PrefillRepeatable bool
-	// CallPatience is the timeout of a dispatch of an idempotent call that may be dispatched
+	// CallTimeoutFactor is the timeout of a dispatch of an idempotent call that may be dispatched
 	// again, as a multiple of its class's target for the first byte; 0 allows all the time
 	// until the deadline.
-	CallPatience float64
+	CallTimeoutFactor float64
 	// RetryServerErrors retries an idempotent call after status 500, within the retry budget.
 	RetryServerErrors bool
-	// Patient keeps a silent answer open if no other engine may produce it.
-	Patient bool
+	// KeepSilentStreams keeps a silent answer open if no other engine may produce it.
+	KeepSilentStreams bool
 	// CountArrivals charges the retry budget for every arrival at upstreams after the first
 	// one of a request, as defined by type arrivals. Otherwise each attempt after a failed one
 	// costs one retry permit.
@@ -67,7 +67,7 @@
 type Drops struct {
 	// Late chunks came from an older call, Crossed ones named another request or attempt, and
 	// Duplicate ones repeated an index.
-	Late, Crossed, Duplicate int
+	Late, Misrouted, Duplicate int
 }
 
 // Machine is the state machine of one completion. It does no I/O and does not read the clock.
@@ -161,13 +161,13 @@
 	switch ev.Kind {
 	case EventStart:
 		m.planNextAttempt(false)
-	case EventPlanned, EventPlanRefused, EventRetryDenied:
+	case EventPlanned, EventPlanFailed, EventRetryDenied:
 		m.handlePlanResult(now, ev)
 	case EventCallerGone:
 		m.fail(errkind.New(errkind.ClientGone, "the caller went away"))
 	case EventDrainLimit:
 		m.fail(errkind.New(errkind.Draining, "the instance reached its shutdown limit"))
-	case EventTurn:
+	case EventSlotAvailable:
 		m.replanQueued()
 	case EventTick:
 		m.handleTick(now)
@@ -204,7 +204,7 @@
 	m.reservation, m.handle = "", ""
 	m.stepDeadline = time.Time{}
 	m.call++ // from here on, events of earlier calls are outdated
-	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Retry: retry, Tries: m.countedAttempts(), Streak: m.refusalStreak})
+	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Retry: retry, Tries: m.countedAttempts(), RefusalStreak: m.refusalStreak})
 }
 
 func (m *Machine) handlePlanResult(now time.Time, ev Event) {
@@ -213,7 +213,7 @@
 	}
 	switch ev.Kind {
 	case EventPlanned:
-		m.arrivals.permits += ev.Paid
+		m.arrivals.permits += ev.Permits
 		if ev.Plan.Wait > 0 {
 			m.state, m.stepDeadline = StateQueued, now.Add(ev.Plan.Wait)
 			return
@@ -241,7 +241,7 @@
 		return
 	}
 	m.state, m.stepDeadline, m.refusalStreak = StatePlanning, time.Time{}, 0
-	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, Again: true, Tries: m.countedAttempts()})
+	m.addAction(Action{Kind: ActionPlan, Attempt: m.attempt, Exclude: m.exclude, AfterWait: true, Tries: m.countedAttempts()})
 }
 
 // permitsNeeded returns how many retry permits must be taken for plan p, which answers action
@@ -279,10 +279,10 @@
 		m.handleOpened(now, ev.Head)
 	case EventCallFailed:
 		m.handleCallFailed(now, ev)
-	case EventLeft:
+	case EventUpstreamLeaving:
 		m.undoCall(upstream.NotSent)
 		m.retry(errkind.New(errkind.NoUpstream, "the chosen upstream takes no new work now"), false)
-	case EventStale:
+	case EventStaleView:
 		m.undoCall(upstream.NotSent)
 		m.fail(errkind.New(errkind.StaleView, "the instance was stopped for a while"))
 	case EventQuarantined:
@@ -290,7 +290,7 @@
 		m.fail(errQuarantined())
 	case EventChunk:
 		m.handleChunk(now, &ev.Chunk)
-	case EventCut:
+	case EventStreamEnded:
 		m.handleBrokenStream(now)
 	}
 }
--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -70,7 +70,7 @@
 	if k.acceptedCall == ev.Call {
 		return
 	}
-	if ev.Kind == EventLeft || ev.Kind == EventStale || ev.Kind == EventQuarantined ||
+	if ev.Kind == EventUpstreamLeaving || ev.Kind == EventStaleView || ev.Kind == EventQuarantined ||
 		ev.Kind == EventCallFailed && (ev.Delivery == upstream.NotSent || ev.Delivery == upstream.Refused) {
 		k.pending = false
 		if a.Step == StepDecode {
@@ -95,7 +95,7 @@
 	switch a.Kind {
 	case ActionPlan:
 		k.next(false)
-		if !a.Again {
+		if !a.AfterWait {
 			k.plans++
 		}
 		if len(k.held) > 0 {
@@ -191,7 +191,7 @@
 	ev := Event{Call: call, Kind: EventKind(rapid.IntRange(int(EventPlanned), int(EventTick)).Draw(t, "kind"))}
 	if rapid.IntRange(0, 2).Draw(t, "forward") > 0 { // usually an event that advances the request
 		ev.Kind = map[State]EventKind{
-			StatePlanning: EventPlanned, StateQueued: EventTurn, StateReserving: EventReserved, StatePrefilling: EventPrefilled,
+			StatePlanning: EventPlanned, StateQueued: EventSlotAvailable, StateReserving: EventReserved, StatePrefilling: EventPrefilled,
 			StateImporting: EventChunk, StateStreaming: EventChunk,
 		}[k.state]
 	}
@@ -247,7 +247,7 @@
 // attachedLimits returns limits like those of attached daemons.
 func attachedLimits() Limits {
 	l := DefaultLimits()
-	l.MaxRefusals, l.MaxResumes, l.PrefillRepeatable, l.Patient = 5, 0, true, true
+	l.MaxRefusals, l.MaxResumes, l.PrefillRepeatable, l.KeepSilentStreams = 5, 0, true, true
 	return l
 }
 
@@ -287,7 +287,7 @@
 	first := m.Step(at, Event{Kind: EventPlanned, Plan: &plans[0]})[0].Call
 	m.Step(at.Add(time.Second), Event{Kind: EventTick})
 	m.Step(at.Add(time.Second), Event{Kind: EventPlanned, Plan: &plans[0]})
-	for _, kind := range []EventKind{EventReserved, EventPrefilled, EventOpened, EventCallFailed, EventLeft, EventStale, EventChunk, EventCut} {
+	for _, kind := range []EventKind{EventReserved, EventPrefilled, EventOpened, EventCallFailed, EventUpstreamLeaving, EventStaleView, EventChunk, EventStreamEnded} {
 		if a := m.Step(at.Add(time.Second), Event{Kind: kind, Call: first, Prefill: &engineapi.PrefillReply{}}); len(a) > 0 {
 			t.Errorf("late event %d led to %+v", kind, a)
 		}
@@ -303,7 +303,7 @@
 		after time.Duration
 		want  int
 	}{
-		"turn":       {EventTurn, 0, 1},
+		"turn":       {EventSlotAvailable, 0, 1},
 		"time":       {EventTick, time.Second, 1},
 		"early tick": {EventTick, time.Millisecond, 0},
 	} {
@@ -311,7 +311,7 @@
 		m.Step(at, Event{Kind: EventStart})
 		m.Step(at, Event{Kind: EventPlanned, Plan: &policy.Plan{Wait: time.Second}})
 		got := m.Step(at.Add(tc.after), Event{Kind: tc.kind})
-		if len(got) != tc.want || tc.want > 0 && (got[0].Kind != ActionPlan || !got[0].Again || got[0].Attempt != 1) {
+		if len(got) != tc.want || tc.want > 0 && (got[0].Kind != ActionPlan || !got[0].AfterWait || got[0].Attempt != 1) {
 			t.Errorf("%s led to %+v", name, got)
 		}
 	}
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -295,9 +295,9 @@
 // switchableBudget is a retry budget that a test can empty.
 type switchableBudget struct{ empty *atomic.Bool }
 
-func (switchableBudget) OnFirstAttempt(time.Time)    {}
-func (s switchableBudget) Allow(time.Time, int) bool { return !s.empty.Load() }
-func (s switchableBudget) Held(time.Time) float64    { return 0 }
+func (switchableBudget) OnFirstAttempt(time.Time)      {}
+func (s switchableBudget) Allow(time.Time, int) bool   { return !s.empty.Load() }
+func (s switchableBudget) Remaining(time.Time) float64 { return 0 }
 
 var (
 	_ request.RetryBudget = (*retry.Bucket)(nil)
--- a/request/options.go
+++ b/request/options.go
@@ -39,8 +39,8 @@
 	Prefilled(now time.Time, upstream string, o PrefillObservation)
 	// Failed reports a call that failed without a definitive refusal.
 	Failed(now time.Time, upstream string)
-	// PrefillLost reports that a prefill for a model was given up at its timeout.
-	PrefillLost(now time.Time, model string)
+	// PrefillTimedOut reports that a prefill for a model was given up at its timeout.
+	PrefillTimedOut(now time.Time, model string)
 	// Unanswered reports that an upstream did not respond to a call that it must answer at
 	// once. reached is set if its host refused the connection, so that the network path works.
 	Unanswered(now time.Time, upstream string, reached bool)
@@ -55,8 +55,8 @@
 	// HandedOff reports whether a decode engine that had granted a reservation accepted a
 	// prefill engine's result.
 	HandedOff(now time.Time, prefill, decode string, taken bool)
-	// Shut reports that a prefill engine refused a prompt.
-	Shut(now time.Time, upstream string)
+	// PromptRefused reports that a prefill engine refused a prompt.
+	PromptRefused(now time.Time, upstream string)
 	// Leaving reports that an upstream announced that it takes no new work, without sending
 	// its load. A leaving notice within a load goes to Report only.
 	Leaving(now time.Time, upstream string)
@@ -213,20 +213,20 @@
 func (noopObserver) Prefilled(time.Time, string, PrefillObservation) {}
 func (noopObserver) Failed(time.Time, string)                        {}
 func (noopObserver) Answered(time.Time, string)                      {}
-func (noopObserver) PrefillLost(time.Time, string)                   {}
+func (noopObserver) PrefillTimedOut(time.Time, string)               {}
 func (noopObserver) Unanswered(time.Time, string, bool)              {}
 func (noopObserver) Succeeded(time.Time, string)                     {}
 func (noopObserver) Finished(time.Time, FinishObservation)           {}
 func (noopObserver) Full(time.Time, string)                          {}
 func (noopObserver) HandedOff(time.Time, string, string, bool)       {}
-func (noopObserver) Shut(time.Time, string)                          {}
+func (noopObserver) PromptRefused(time.Time, string)                 {}
 func (noopObserver) Leaving(time.Time, string)                       {}
 
 type unlimitedBudget struct{}
 
-func (unlimitedBudget) OnFirstAttempt(time.Time)  {}
-func (unlimitedBudget) Allow(time.Time, int) bool { return true }
-func (unlimitedBudget) Held(time.Time) float64    { return math.Inf(1) }
+func (unlimitedBudget) OnFirstAttempt(time.Time)    {}
+func (unlimitedBudget) Allow(time.Time, int) bool   { return true }
+func (unlimitedBudget) Remaining(time.Time) float64 { return math.Inf(1) }
 
 type noopMetrics struct{}
 
--- a/request/permit.go
+++ b/request/permit.go
@@ -15,8 +15,8 @@
 	OnFirstAttempt(now time.Time)
 	// Allow takes n permits; it returns false if fewer are left.
 	Allow(now time.Time, n int) bool
-	// Held returns how many permits are left.
-	Held(now time.Time) float64
+	// Remaining returns how many permits are left.
+	Remaining(now time.Time) float64
 }
 
 // permitRequest is one request to a retry budget, with the fields for its log line.
@@ -35,7 +35,7 @@
 // or denied one although upstreams had room.
 func (r *Runner) requestPermits(p permitRequest) bool {
 	budget, now := r.o.RetryBudget(p.target), r.o.Now()
-	held := budget.Held(now)
+	held := budget.Remaining(now)
 	allowed := budget.Allow(now, p.needs)
 	r.o.Metrics.Permitted(allowed)
 	r.o.Logger.WithFields(log.Fields{
--- a/request/permit_test.go
+++ b/request/permit_test.go
@@ -62,8 +62,8 @@
 // countingBudget is a retry budget that grants and counts all permits.
 type countingBudget struct{ permits int }
 
-func (*countingBudget) OnFirstAttempt(time.Time) {}
-func (*countingBudget) Held(time.Time) float64   { return 100 }
+func (*countingBudget) OnFirstAttempt(time.Time)    {}
+func (*countingBudget) Remaining(time.Time) float64 { return 100 }
 func (p *countingBudget) Allow(_ time.Time, n int) bool {
 	p.permits += n
 	return true
--- a/request/planning.go
+++ b/request/planning.go
@@ -14,12 +14,12 @@
 	now := d.r.o.Now()
 	d.endAttempt()
 	if d.r.quarantined(d.c.ID, d.digest) {
-		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanRefused, Err: errQuarantined()})
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanFailed, Err: errQuarantined()})
 		return
 	}
 	s, p, err := d.r.snapshotAndPolicy()
 	if err != nil {
-		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanRefused, Err: err})
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanFailed, Err: err})
 		return
 	}
 	d.bundleNumber = s.Number
@@ -43,7 +43,7 @@
 	})
 	if err != nil {
 		d.logDecision("plan", "", string(err.Kind))
-		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanRefused, Err: err})
+		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanFailed, Err: err})
 		return
 	}
 	paid, ok := d.takePermits(a, &plan)
@@ -58,7 +58,7 @@
 	}
 	d.recordPrediction(now, plan.FirstToken, plan.BetweenTokens)
 	d.logPlan(a, plan)
-	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &plan, Paid: paid})
+	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &plan, Permits: paid})
 }
 
 // takePermits takes the retry permits that a plan needs. If the plan is to wait for a slot,
@@ -78,8 +78,8 @@
 // permitTimeOut takes the retry permits for the attempt that would follow a silent call.
 func (d *driver) permitTimeOut(a Action) {
 	ev := Event{Kind: EventPermitted, Call: a.Call}
-	if d.r.requestPermits(permitRequest{request: d.c.ID, class: d.c.Class, attempt: a.Attempt + 1, target: d.c.Model, needs: a.Needs}) {
-		ev.Paid = a.Needs
+	if d.r.requestPermits(permitRequest{request: d.c.ID, class: d.c.Class, attempt: a.Attempt + 1, target: d.c.Model, needs: a.Permits}) {
+		ev.Permits = a.Permits
 	}
 	d.pendingEvents = append(d.pendingEvents, ev)
 }
@@ -113,8 +113,8 @@
 		DataCentre:   d.r.o.DataCentre,
 		Priority:     d.c.Priority,
 		Accepted:     d.waitingSince(now, a),
-		Returned:     d.c.Waited > 0 || a.Tries > 1,
-		Streak:       a.Streak,
+		Returned:     d.c.PreviousWait > 0 || a.Tries > 1,
+		Streak:       a.RefusalStreak,
 		MayWait:      true,
 		Ahead:        d.r.waiters.ahead(d.waiter, pool, d.rank()),
 	}
@@ -139,7 +139,7 @@
 		d.currentTry, d.tryStartedAt = a.Tries, now
 	}
 	if a.Tries <= 1 {
-		return d.c.Accepted.Add(-d.c.Waited)
+		return d.c.Accepted.Add(-d.c.PreviousWait)
 	}
 	return d.tryStartedAt
 }
@@ -149,7 +149,7 @@
 	switch {
 	case d.c.Class == bundle.Urgent:
 		return rankUrgent
-	case d.c.Waited > 0, d.currentTry > 1:
+	case d.c.PreviousWait > 0, d.currentTry > 1:
 		return rankReturned
 	}
 	return rankOther
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -17,10 +17,10 @@
 // upstreams crashed while running them. quarantine.Keeper implements it. Implementations are
 // safe for concurrent use and do not block; they call digest only if they need it.
 type Quarantine interface {
-	// Broke records a run that failed in a way that a crash of its upstream would explain.
-	Broke(b quarantine.Broken)
-	// Ran records that a request ran to completion.
-	Ran(now time.Time, digest func() quarantine.Digest)
+	// ReportLostRun records a run that failed in a way that a crash of its upstream would explain.
+	ReportLostRun(b quarantine.Broken)
+	// RecordCompletion records that a request ran to completion.
+	RecordCompletion(now time.Time, digest func() quarantine.Digest)
 	// Refuses reports whether the request must not be sent, and how many upstreams crashed
 	// while running it.
 	Refuses(now time.Time, digest func() quarantine.Digest) (ends int, refused bool)
@@ -28,9 +28,9 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) Broke(quarantine.Broken) {}
+func (noQuarantine) ReportLostRun(quarantine.Broken) {}
 
-func (noQuarantine) Ran(time.Time, func() quarantine.Digest) {}
+func (noQuarantine) RecordCompletion(time.Time, func() quarantine.Digest) {}
 
 func (noQuarantine) Refuses(time.Time, func() quarantine.Digest) (int, bool) { return 0, false }
 
@@ -66,9 +66,9 @@
 // contentDigest identifies the content of a completion in the quarantine.
 func (c *Completion) contentDigest() quarantine.Digest {
 	if o := c.Original; o != nil {
-		return quarantine.DigestOf(c.Team, c.Caller, o.Header.Get("Host"), o.Method, o.Path, string(o.Body))
+		return quarantine.DigestOf(c.Team, c.CallerTeam, o.Header.Get("Host"), o.Method, o.Path, string(o.Body))
 	}
-	return quarantine.DigestOf(c.Team, c.Caller, c.Model, c.Adapter, strconv.Itoa(c.MaxTokens), c.Prompt)
+	return quarantine.DigestOf(c.Team, c.CallerTeam, c.Model, c.Adapter, strconv.Itoa(c.MaxTokens), c.Prompt)
 }
 
 // contentDigest identifies the content of a plain-service call in the quarantine. If the
@@ -79,7 +79,7 @@
 	if target == "" {
 		target = c.Service
 	}
-	return quarantine.DigestOf(c.Team, c.Caller, target, c.Method, c.Path, string(c.Body))
+	return quarantine.DigestOf(c.Team, c.CallerTeam, target, c.Method, c.Path, string(c.Body))
 }
 
 // mayHaveCrashed reports whether a call may have failed because the upstream crashed while it
@@ -91,14 +91,14 @@
 // reportBroken reports a call that failed after it was sent at the given time. answering is
 // set if a part of the answer was received.
 func (d *driver) reportBroken(a Action, sent time.Time, answering bool) {
-	d.r.o.Quarantine.Broke(quarantine.Broken{
+	d.r.o.Quarantine.ReportLostRun(quarantine.Broken{
 		Request: d.c.ID, Digest: d.digest(), Upstream: a.Target.Name, Address: a.Target.Address, Step: a.Step.String(),
 		Answering: answering, Ran: d.r.o.Now().Sub(sent),
 	})
 }
 
 func (k *serviceCall) reportBroken(rep policy.Replica, sent time.Time) {
-	k.r.o.Quarantine.Broke(quarantine.Broken{
+	k.r.o.Quarantine.ReportLostRun(quarantine.Broken{
 		Request: k.c.ID, Digest: k.digest(), Upstream: rep.Name, Address: rep.Address, Step: StepCall.String(),
 		Ran: k.r.o.Now().Sub(sent),
 	})
--- a/request/queue.go
+++ b/request/queue.go
@@ -109,7 +109,7 @@
 			d.shownState, d.entry.State = StateQueued, StateQueued.String()
 		})
 	}
-	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &p, Paid: paid})
+	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &p, Permits: paid})
 }
 
 // leaveQueue removes the request from the queue. It is called after the request's slot is
--- a/request/runner.go
+++ b/request/runner.go
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// EndFlight fails all requests in flight at once, as Drain does when its context ends. It also
+// FailInFlight fails all requests in flight at once, as Drain does when its context ends. It also
 // ends calls that continue after their callers have left.
-func (r *Runner) EndFlight() { r.endInFlight() }
+func (r *Runner) FailInFlight() { r.endInFlight() }
 
 // Close stops the goroutines that outlive requests. Call it after Drain.
 func (r *Runner) Close() {
--- a/request/types.go
+++ b/request/types.go
@@ -39,16 +39,16 @@
 	// PromptTokens and AnswerTokens are the sizes that the caller stated, the latter as an
 	// estimate; 0 if not stated.
 	PromptTokens, AnswerTokens int
-	// Waited is how long the caller has waited before this request if it returns after a
+	// PreviousWait is how long the caller has waited before this request if it returns after a
 	// refusal; otherwise 0.
-	Waited time.Duration
+	PreviousWait time.Duration
 	// Prefix holds the chained hashes of the prompt's blocks if Prompt is empty.
 	Prefix []uint64
 	// Original is the caller's unmodified request, for engines that accept it in that form.
 	Original *engineapi.Original
-	// Caller is the team name of a caller whose team is not in the bundle. It is logged, so it
+	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so it
 	// must never be a key.
-	Caller string
+	CallerTeam string
 	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
 }
@@ -78,9 +78,9 @@
 	// MaxSends bounds the number of replicas that the call is sent to; 0 means that only
 	// Limits apply.
 	MaxSends int
-	// Caller is the team name of a caller whose team is not in the bundle. It is logged, so it
+	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so it
 	// must never be a key.
-	Caller string
+	CallerTeam string
 	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
 }
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -74,8 +74,8 @@
 	return true
 }
 
-// Held returns the number of retries left.
-func (b *Bucket) Held(now time.Time) float64 {
+// Remaining returns the number of retries left.
+func (b *Bucket) Remaining(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.remaining(now)
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -37,8 +37,8 @@
 		t.Error("a credit of 0.25 and a slack of 0.5 were accepted for one retry")
 	}
 	b.OnFirstAttempt(t0)
-	if b.Allow(t0, 2) || !b.Allow(t0, 1) || b.Held(t0) != 0 {
-		t.Errorf("a credit of 0.5 and a slack of 0.5 do not make exactly one retry; %g left", b.Held(t0))
+	if b.Allow(t0, 2) || !b.Allow(t0, 1) || b.Remaining(t0) != 0 {
+		t.Errorf("a credit of 0.5 and a slack of 0.5 do not make exactly one retry; %g left", b.Remaining(t0))
 	}
 }
 
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -207,5 +207,5 @@
 // Allow takes n retries and returns true, or takes none and returns false if fewer are left.
 func (t *Budget) Allow(now time.Time, n int) bool { return t.bucket.Allow(now, n) }
 
-// Held returns the number of retries left.
-func (t *Budget) Held(now time.Time) float64 { return t.bucket.Held(now) }
+// Remaining returns the number of retries left.
+func (t *Budget) Remaining(now time.Time) float64 { return t.bucket.Remaining(now) }
--- a/router/admin.go
+++ b/router/admin.go
@@ -122,7 +122,7 @@
 }
 
 // StartDrain implements admin.Source.
-func (r *Router) StartDrain() adminapi.Draining {
+func (r *Router) StartDrain() adminapi.DrainResponse {
 	r.drainOnce.Do(func() { close(r.drainRequested) })
-	return adminapi.Draining{Instance: r.self.Instance, InFlight: r.frontend.InFlight()}
+	return adminapi.DrainResponse{Instance: r.self.Instance, InFlight: r.frontend.InFlight()}
 }
--- a/router/attached.go
+++ b/router/attached.go
@@ -239,7 +239,7 @@
 		Seed:        a.seed,
 		ChunkTokens: a.chunkTokens,
 		Limits: request.Limits{
-			MaxAttempts: maxAttempts, MaxRefusals: maxRefusals, PrefillRepeatable: true, Patient: true, CountArrivals: true, CallPatience: firstTryTargets, RetryServerErrors: true,
+			MaxAttempts: maxAttempts, MaxRefusals: maxRefusals, PrefillRepeatable: true, KeepSilentStreams: true, CountArrivals: true, CallTimeoutFactor: firstTryTargets, RetryServerErrors: true,
 			Reserve: reserveTimeout, Prefill: prefillTimeout, Import: importTimeout, Stall: stallTimeout,
 		},
 		UpstreamLimits: a.upstreamLimits,
@@ -351,7 +351,7 @@
 	a.logger.WithField("grace_ms", a.settings.Load().Drain.Grace.Milliseconds()).Info("draining")
 	drainCtx, cancel := context.WithTimeout(context.Background(), a.settings.Load().Drain.Grace-exitMargin)
 	defer cancel()
-	defer context.AfterFunc(drainCtx, a.runner.EndFlight)()
+	defer context.AfterFunc(drainCtx, a.runner.FailInFlight)()
 	if err := a.callersListener.Drain(drainCtx, a.settings.Load().Drain.Notice); err != nil {
 		a.logger.WithError(err).Warn("drain timed out")
 	}
--- a/router/observe.go
+++ b/router/observe.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// PrefillLost does nothing: only attached daemons use timed-out prefills in estimates.
-func (o observer) PrefillLost(time.Time, string) {}
+// PrefillTimedOut does nothing: only attached daemons use timed-out prefills in estimates.
+func (o observer) PrefillTimedOut(time.Time, string) {}
 
 // HandedOff notes whether a decode engine accepted the result of a prefill engine.
 func (o observer) HandedOff(now time.Time, prefill, decode string, taken bool) {
@@ -71,8 +71,8 @@
 // Full notes that an upstream refused a reservation for lack of room.
 func (o observer) Full(_ time.Time, upstream string) { o.inflight.MarkFull(upstream) }
 
-// Shut notes that a prefill engine refused a prompt.
-func (o observer) Shut(_ time.Time, upstream string) { o.inflight.MarkShut(upstream) }
+// PromptRefused notes that a prefill engine refused a prompt.
+func (o observer) PromptRefused(_ time.Time, upstream string) { o.inflight.MarkShut(upstream) }
 
 func (o observer) Leaving(now time.Time, upstream string) {
 	o.holder.Update(func(b *board.Board) { b.Leaving(now, upstream, board.FromUpstream) })
--- a/router/roles.go
+++ b/router/roles.go
@@ -109,7 +109,7 @@
 	o.a.addSample(now, estimate.Sample{Model: service, ReadPerToken: p.Took / time.Duration(tokens)})
 }
 
-func (o attachedObserver) PrefillLost(now time.Time, model string) {
+func (o attachedObserver) PrefillTimedOut(now time.Time, model string) {
 	o.a.addSample(now, estimate.Sample{Model: model, ReadLost: true})
 }
 
@@ -147,7 +147,7 @@
 	now := time.Now()
 	for _, s := range list {
 		if s.ReadLost || s.ReadPerToken > 0 {
-			a.runner.LearnPrefill(now, s.Model, s.ReadLost)
+			a.runner.RecordPrefill(now, s.Model, s.ReadLost)
 		}
 	}
 	list = slices.DeleteFunc(list, func(s estimate.Sample) bool {
@@ -160,7 +160,7 @@
 		costs := a.costs.get(s.Model)
 		costs.Finished(now, roles.Sample{Prompt: s.PromptTokens, Answer: s.AnswerTokens, Held: s.Held})
 		costs.Prefilled(now, 1, s.ReadPerToken)
-		a.runner.LearnAnswer(now, s.Model, s.AnswerTokens, s.ExpectedTokens)
+		a.runner.RecordAnswer(now, s.Model, s.AnswerTokens, s.ExpectedTokens)
 	}
 	a.holder.Update(func(b *board.Board) {
 		for _, s := range list {
--- a/router/router.go
+++ b/router/router.go
@@ -200,7 +200,7 @@
 	// A non-idempotent call continues when its caller's context ends. The runner must
 	// therefore end it as soon as the time limit passes: later, when the frontend's drain
 	// has timed out, the caller's connection is closed without an answer.
-	defer context.AfterFunc(limit, r.runner.EndFlight)()
+	defer context.AfterFunc(limit, r.runner.FailInFlight)()
 	err := r.frontend.Drain(ctx)
 	// The frontend does not wait for requests that peers forwarded, so wait for the runner
 	// too, up to the same limit.
@@ -227,7 +227,7 @@
 // Run implements supervise.Service.
 func (f inflightEnder) Run(ctx context.Context) error {
 	<-ctx.Done()
-	f.runner.EndFlight()
+	f.runner.FailInFlight()
 	return nil
 }
 
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -173,9 +173,9 @@
 	}
 }
 
-// Spent returns the upstreams that may not be sent this request now because this daemon has
+// Exhausted returns the upstreams that may not be sent this request now because this daemon has
 // no units left for them, and queues loans for them. It implements request.UpstreamLimits.
-func (l *upstreamLimits) Spent(now time.Time, s ratelimit.Seeker) (out []string) {
+func (l *upstreamLimits) Exhausted(now time.Time, s ratelimit.Seeker) (out []string) {
 	asked := false
 	for _, u := range l.book.Limited() {
 		found, pool := l.o.Lookup(u.Name)
@@ -265,9 +265,9 @@
 	return l.refundFunc(ticket), true
 }
 
-// Refuse logs a request that is refused because of the limits of upstreams, and returns the
+// RetryAfter logs a request that is refused because of the limits of upstreams, and returns the
 // time after which its caller may retry. It implements request.UpstreamLimits.
-func (l *upstreamLimits) Refuse(now time.Time, request string, s ratelimit.Seeker, names []string) time.Duration {
+func (l *upstreamLimits) RetryAfter(now time.Time, request string, s ratelimit.Seeker, names []string) time.Duration {
 	upstreams := make([]ratelimit.Upstream, 0, len(names))
 	for _, name := range names {
 		u, _ := l.o.Lookup(name)
