--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -155,7 +155,7 @@
 			continue
 		}
 		reader := f.reader(d.dataCentre)
-		if f.now.Sub(t0)%TickEvery < simStep {
+		if f.now.Sub(t0)%TickInterval < simStep {
 			d.ledger.Tick(f.now, f.share(d), f.noLending || d == reader)
 		}
 		if !f.noLending && d != reader && f.now.Sub(d.lastCall) >= handOverInterval {
@@ -176,7 +176,7 @@
 	f.handovers++
 	if d.stampIssuer == reader {
 		if span := d.ledger.HandOver(f.now, d.stamp, d.stampReceived, 1); f.rng.Float64() > 0.02 {
-			reader.ledger.Take(f.now, span, f.share(d))
+			reader.ledger.AcceptHandOver(f.now, span, f.share(d))
 		}
 	}
 	d.stampIssuer, d.stamp, d.stampReceived = reader, reader.ledger.Stamp(f.now), f.now
@@ -244,14 +244,14 @@
 // admit spends units of the daemon's own ledger, after borrowing from readers if necessary.
 func (f *simFleet) admit(t *simTeam, d *simDaemon, units float64) bool {
 	account, terms := Account{Team: t.name}, simBounds.Terms(t.limit)
-	d.ledger.Asked(f.now, account, terms, units)
+	d.ledger.RecordDemand(f.now, account, terms, units)
 	if _, ok := d.ledger.Spend(f.now, account, terms, units, 0); ok {
 		return true
 	}
 	if f.noLending {
 		return false
 	}
-	needs := units - d.ledger.Left(f.now, account, terms)
+	needs := units - d.ledger.Available(f.now, account, terms)
 	for i := range dataCentres {
 		lender := f.reader((d.dataCentre + i) % dataCentres)
 		if lender == nil || lender == d || !f.reachable(d, lender) {
@@ -259,7 +259,7 @@
 		}
 		f.loanCalls++
 		loan := lender.ledger.Lend(f.now, account, terms, needs, needs+d.ledger.Demand(f.now, account)/2, 0, false)
-		d.ledger.Borrowed(f.now, account, terms, f.now, loan)
+		d.ledger.AddLoan(f.now, account, terms, f.now, loan)
 		if loan.Units >= needs {
 			_, ok := d.ledger.Spend(f.now, account, terms, units, 0)
 			return ok
--- a/quota/handover.go
+++ b/quota/handover.go
@@ -5,8 +5,8 @@
 // Stamp is a point in time on the clock of one incarnation of a ledger. It lets a daemon
 // describe a span of time to a ledger whose clock it does not share.
 type Stamp struct {
-	// Life identifies the incarnation of the ledger that issued the stamp.
-	Life uint64 `msgpack:"l"`
+	// Incarnation identifies the incarnation of the ledger that issued the stamp.
+	Incarnation uint64 `msgpack:"l"`
 	// At is the time since that ledger was created.
 	At time.Duration `msgpack:"a"`
 }
@@ -16,7 +16,7 @@
 func (l *Ledger) Stamp(now time.Time) Stamp {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Stamp{Life: l.incarnation, At: now.Sub(l.epoch)}
+	return Stamp{Incarnation: l.incarnation, At: now.Sub(l.epoch)}
 }
 
 // Span is elapsed time that one daemon hands over to the ledger of another, which accrues it.
@@ -24,8 +24,8 @@
 type Span struct {
 	From   Stamp         `msgpack:"f"`
 	Length time.Duration `msgpack:"n"`
-	// Near is the number of daemons that the sender has discovered in its data centre.
-	Near int `msgpack:"r"`
+	// KnownDaemons is the number of daemons that the sender has discovered in its data centre.
+	KnownDaemons int `msgpack:"r"`
 }
 
 // HandOver returns the time that this daemon has neither accrued nor handed over yet, to be
@@ -36,21 +36,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetAfterStall(now)
-	if l.settledUntil.IsZero() || stamp.Life == 0 {
+	if l.settledUntil.IsZero() || stamp.Incarnation == 0 {
 		return Span{}
 	}
-	s := Span{From: Stamp{Life: stamp.Life, At: stamp.At + l.settledUntil.Sub(stampReceived)}, Length: now.Sub(l.settledUntil), Near: knownDaemons}
+	s := Span{From: Stamp{Incarnation: stamp.Incarnation, At: stamp.At + l.settledUntil.Sub(stampReceived)}, Length: now.Sub(l.settledUntil), KnownDaemons: knownDaemons}
 	l.settledUntil = now
 	return s
 }
 
-// Take accrues a span that another daemon handed over; share is that daemon's share of the
+// AcceptHandOver accrues a span that another daemon handed over; share is that daemon's share of the
 // rate. A span that was stamped by an earlier incarnation of this ledger is dropped.
-func (l *Ledger) Take(now time.Time, s Span, share float64) {
+func (l *Ledger) AcceptHandOver(now time.Time, s Span, share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetAfterStall(now)
-	if s.From.Life != l.incarnation || s.Length <= 0 || s.Length > MostLife || share <= 0 {
+	if s.From.Incarnation != l.incarnation || s.Length <= 0 || s.Length > MaxLifetime || share <= 0 {
 		return
 	}
 	from := l.epoch.Add(s.From.At)
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -13,11 +13,11 @@
 	// are grouped. It is the resolution at which their age is tracked.
 	slotLength = 100 * time.Millisecond
 	// slots is the number of slots kept: the longest lifetime and the slot being filled.
-	slots = int64(MostLife/slotLength) + 2
-	// TickEvery is the interval at which Tick must be called.
-	TickEvery = slotLength
+	slots = int64(MaxLifetime/slotLength) + 2
+	// TickInterval is the interval at which Tick must be called.
+	TickInterval = slotLength
 	// stallGap is the time without a tick above which the process counts as stalled.
-	stallGap = 10 * TickEvery
+	stallGap = 10 * TickInterval
 	// handOverTimeout is how long a daemon waits for a chance to hand its time over before it
 	// accrues that time itself. It spans a few calls of a follower to its reader.
 	handOverTimeout = 1500 * time.Millisecond
@@ -27,7 +27,7 @@
 	// has discovered.
 	startupDelay = time.Second
 	// accountIdleTimeout is how long an unused account is kept.
-	accountIdleTimeout = 2 * MostLife
+	accountIdleTimeout = 2 * MaxLifetime
 )
 
 // Ledger holds the time that this daemon has accrued or received from others and, for each
@@ -123,7 +123,7 @@
 // accrue adds the time between from and to, weighted by share, to the slots that it covers.
 // The caller holds l.mu.
 func (l *Ledger) accrue(from, to time.Time, share float64) {
-	if oldest := to.Add(-MostLife); from.Before(oldest) {
+	if oldest := to.Add(-MaxLifetime); from.Before(oldest) {
 		from = oldest
 	}
 	l.accrued.advance(l.slotOf(to))
@@ -176,8 +176,8 @@
 	return ticket, true
 }
 
-// Return refunds the units of a request that did not run, to the slots they came from.
-func (l *Ledger) Return(now time.Time, t Ticket) {
+// Refund refunds the units of a request that did not run, to the slots they came from.
+func (l *Ledger) Refund(now time.Time, t Ticket) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[t.account]
@@ -190,8 +190,8 @@
 	}
 }
 
-// Asked records units requested from an account at this daemon, as input to Demand.
-func (l *Ledger) Asked(now time.Time, name Account, t Terms, units float64) {
+// RecordDemand records units requested from an account at this daemon, as input to Demand.
+func (l *Ledger) RecordDemand(now time.Time, name Account, t Terms, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.account(now, name, t).demand.Add(now, units)
@@ -209,8 +209,8 @@
 	return a.demand.Rate(now)
 }
 
-// Left returns the units of an account that are available at this daemon.
-func (l *Ledger) Left(now time.Time, name Account, t Terms) float64 {
+// Available returns the units of an account that are available at this daemon.
+func (l *Ledger) Available(now time.Time, name Account, t Terms) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.available(now, l.account(now, name, t), t)
@@ -219,9 +219,9 @@
 // maxWait bounds the retry delay that refused callers are given.
 const maxWait = 10 * time.Second
 
-// Wait returns the time after which a refused request may be retried: when the whole fleet will
+// RetryAfter returns the time after which a refused request may be retried: when the whole fleet will
 // have accrued its shortfall and that of the requests refused before it.
-func (l *Ledger) Wait(now time.Time, name Account, t Terms, shortfall float64) time.Duration {
+func (l *Ledger) RetryAfter(now time.Time, name Account, t Terms, shortfall float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.retryDelay(now, l.account(now, name, t), t, shortfall)
@@ -255,7 +255,7 @@
 
 // oldestUsableSlot returns the oldest slot of which no part has expired.
 func (l *Ledger) oldestUsableSlot(now time.Time, t Terms) int64 {
-	return max(l.slotOf(now)-slots+1, int64(math.Ceil(float64(now.Add(-t.Life).Sub(l.epoch))/float64(slotLength))))
+	return max(l.slotOf(now)-slots+1, int64(math.Ceil(float64(now.Add(-t.Lifetime).Sub(l.epoch))/float64(slotLength))))
 }
 
 // availableIn returns the unspent units of one slot.
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -28,7 +28,7 @@
 
 // tick calls Tick at its regular interval, with the whole rate as the share.
 func tick(l *Ledger, from, to int) {
-	for ms := from; ms <= to; ms += int(TickEvery / time.Millisecond) {
+	for ms := from; ms <= to; ms += int(TickInterval / time.Millisecond) {
 		l.Tick(at(ms), 1, true)
 	}
 }
@@ -40,7 +40,7 @@
 	for _, l := range []Limit{limit, {Rate: 1, Burst: 0}, {Rate: 218052, Burst: 218052}} {
 		got := bounds.Terms(l)
 		allowed := (8*l.Rate+l.Burst)*1.1 + 1000
-		if !approxEqual(got.Rate*(8+got.Life.Seconds()), allowed, 1e-6*allowed) || got.Life <= 0 {
+		if !approxEqual(got.Rate*(8+got.Lifetime.Seconds()), allowed, 1e-6*allowed) || got.Lifetime <= 0 {
 			t.Errorf("limit %+v: terms %+v do not match the bounds", l, got)
 		}
 	}
@@ -50,8 +50,8 @@
 // window.
 func TestAccrualsEndWithTheirLife(t *testing.T) {
 	l := accruingLedger(30_000)
-	rate, life := terms.Rate, terms.Life
-	if got := l.Left(at(30_000), team("a"), terms); !approxEqual(got, rate*life.Seconds(), rate*0.2) {
+	rate, life := terms.Rate, terms.Lifetime
+	if got := l.Available(at(30_000), team("a"), terms); !approxEqual(got, rate*life.Seconds(), rate*0.2) {
 		t.Errorf("%v units left at %v a second with a lifetime of %v", got, rate, life)
 	}
 	if _, ok := l.Spend(at(30_000), team("a"), terms, rate*life.Seconds()*1.1, 0); ok {
@@ -60,7 +60,7 @@
 	if _, ok := l.Spend(at(30_000), team("a"), terms, rate, 0); !ok {
 		t.Error("refused fewer units than are available")
 	}
-	if got := l.Left(at(30_000), team("b"), terms); !approxEqual(got, rate*life.Seconds(), rate*0.2) {
+	if got := l.Available(at(30_000), team("b"), terms); !approxEqual(got, rate*life.Seconds(), rate*0.2) {
 		t.Errorf("spending of one team left another %v units", got)
 	}
 }
@@ -69,19 +69,19 @@
 // returned to the ledger after a stall emptied it.
 func TestReturn(t *testing.T) {
 	l := accruingLedger(10_000)
-	before := l.Left(at(10_000), team("a"), terms)
+	before := l.Available(at(10_000), team("a"), terms)
 	ticket, ok := l.Spend(at(10_000), team("a"), terms, 1500, 0)
-	if !ok || !approxEqual(l.Left(at(10_000), team("a"), terms), before-1500, 1e-6) {
+	if !ok || !approxEqual(l.Available(at(10_000), team("a"), terms), before-1500, 1e-6) {
 		t.Fatal(ok)
 	}
-	l.Return(at(10_000), ticket)
-	if got := l.Left(at(10_000), team("a"), terms); !approxEqual(got, before, 1e-6) {
+	l.Refund(at(10_000), ticket)
+	if got := l.Available(at(10_000), team("a"), terms); !approxEqual(got, before, 1e-6) {
 		t.Errorf("%v units left after the return, %v before the spending", got, before)
 	}
 	ticket, _ = l.Spend(at(10_000), team("a"), terms, 1500, 0)
 	l.Tick(at(20_000), 1, true) // 10 s without a tick: a stall
-	l.Return(at(20_000), ticket)
-	if got := l.Left(at(20_000), team("a"), terms); got != 0 {
+	l.Refund(at(20_000), ticket)
+	if got := l.Available(at(20_000), team("a"), terms); got != 0 {
 		t.Errorf("%v units left after a stall", got)
 	}
 }
@@ -97,20 +97,20 @@
 		}
 		if ms >= 1000 && ms%500 == 0 {
 			stamp := reader.Stamp(at(900))
-			reader.Take(at(ms+5), follower.HandOver(at(ms), stamp, at(903), 2), 0.5)
+			reader.AcceptHandOver(at(ms+5), follower.HandOver(at(ms), stamp, at(903), 2), 0.5)
 		}
 	}
-	rate, life := terms.Rate, terms.Life
-	if got := follower.Left(at(4000), team("a"), terms); got != 0 {
+	rate, life := terms.Rate, terms.Lifetime
+	if got := follower.Available(at(4000), team("a"), terms); got != 0 {
 		t.Errorf("the follower has %v units of time that it handed over", got)
 	}
-	if got := reader.Left(at(4000), team("a"), terms); !approxEqual(got, rate*life.Seconds(), 0.2*rate) {
+	if got := reader.Available(at(4000), team("a"), terms); !approxEqual(got, rate*life.Seconds(), 0.2*rate) {
 		t.Errorf("the reader has %v units, want %v", got, rate*life.Seconds())
 	}
-	stale := follower.HandOver(at(4100), Stamp{Life: 99}, at(903), 2)
-	before := reader.Left(at(4100), team("a"), terms)
-	reader.Take(at(4100), stale, 0.5)
-	if got := reader.Left(at(4100), team("a"), terms); got != before {
+	stale := follower.HandOver(at(4100), Stamp{Incarnation: 99}, at(903), 2)
+	before := reader.Available(at(4100), team("a"), terms)
+	reader.AcceptHandOver(at(4100), stale, 0.5)
+	if got := reader.Available(at(4100), team("a"), terms); got != before {
 		t.Error("accepted a span stamped by another incarnation")
 	}
 }
@@ -120,16 +120,16 @@
 func TestLoan(t *testing.T) {
 	lender, borrower := accruingLedger(10_000), NewLedger(t0, false)
 	borrower.Tick(at(10_000), 0, false)
-	before := lender.Left(at(10_000), team("a"), terms)
+	before := lender.Available(at(10_000), team("a"), terms)
 	loan := lender.Lend(at(10_000), team("a"), terms, 500, 700, 0, false)
-	if loan.Units < 500 || loan.Units > 700 || !approxEqual(loan.Left+loan.Units, before, 1e-6) {
+	if loan.Units < 500 || loan.Units > 700 || !approxEqual(loan.Remaining+loan.Units, before, 1e-6) {
 		t.Fatalf("loan %+v of %v units, want 500 to 700", loan, before)
 	}
-	borrower.Borrowed(at(10_010), team("a"), terms, at(9_990), loan)
-	if got := borrower.Left(at(10_010), team("a"), terms); !approxEqual(got, loan.Units, 1e-6) {
+	borrower.AddLoan(at(10_010), team("a"), terms, at(9_990), loan)
+	if got := borrower.Available(at(10_010), team("a"), terms); !approxEqual(got, loan.Units, 1e-6) {
 		t.Errorf("borrower has %v units of a loan of %v", got, loan.Units)
 	}
-	if got := borrower.Left(at(9_990).Add(terms.Life), team("a"), terms); got != 0 {
+	if got := borrower.Available(at(9_990).Add(terms.Lifetime), team("a"), terms); got != 0 {
 		t.Errorf("%v units of the loan have not expired", got)
 	}
 	if got := lender.Lend(at(10_000), team("b"), terms, 500, math.NaN(), 0, false); got.Units != 500 {
@@ -139,7 +139,7 @@
 	if refused.Units != 0 || refused.Wait <= 0 {
 		t.Errorf("loan %+v for more units than available, want none and a wait", refused)
 	}
-	if some := lender.Lend(at(10_000), team("a"), terms, before, before, 0, true); !approxEqual(some.Units, loan.Left, 1e-6) {
+	if some := lender.Lend(at(10_000), team("a"), terms, before, before, 0, true); !approxEqual(some.Units, loan.Remaining, 1e-6) {
 		t.Errorf("partial loan %+v, want all available units", some)
 	}
 }
@@ -147,12 +147,12 @@
 // Guards against refused callers that are all told to retry at the same time.
 func TestWaitGrowsWithThoseThatWait(t *testing.T) {
 	l := accruingLedger(10_000)
-	first := l.Wait(at(10_000), team("a"), terms, 500)
-	second := l.Wait(at(10_000), team("a"), terms, 500)
+	first := l.RetryAfter(at(10_000), team("a"), terms, 500)
+	second := l.RetryAfter(at(10_000), team("a"), terms, 500)
 	if second < first*3/2 {
 		t.Errorf("first wait %v, second %v, want at least 1.5 times as long", first, second)
 	}
-	if later := l.Wait(at(10_000).Add(second), team("a"), terms, 500); !approxEqual(later.Seconds(), first.Seconds(), 1e-3) {
+	if later := l.RetryAfter(at(10_000).Add(second), team("a"), terms, 500); !approxEqual(later.Seconds(), first.Seconds(), 1e-3) {
 		t.Errorf("wait %v once the backlog is accrued, want the first wait %v", later, first)
 	}
 }
@@ -161,15 +161,15 @@
 // count that time, so the units look newer than they are.
 func TestNothingOutlivesAStandstill(t *testing.T) {
 	l := accruingLedger(10_000)
-	if got := l.Left(at(12_000), team("a"), terms); got != 0 {
+	if got := l.Available(at(12_000), team("a"), terms); got != 0 {
 		t.Errorf("%v units left after a stall", got)
 	}
 	tick(l, 12_000, 12_900)
-	if got := l.Left(at(12_900), team("a"), terms); got != 0 {
+	if got := l.Available(at(12_900), team("a"), terms); got != 0 {
 		t.Errorf("%v units accrued during the startup delay", got)
 	}
 	tick(l, 13_000, 14_000)
-	if got := l.Left(at(14_000), team("a"), terms); got == 0 {
+	if got := l.Available(at(14_000), team("a"), terms); got == 0 {
 		t.Error("nothing accrued after the startup delay")
 	}
 }
@@ -178,7 +178,7 @@
 func TestLoweredLimit(t *testing.T) {
 	l := accruingLedger(10_000)
 	low := Limit{Rate: 10, Burst: 10}
-	if got, want := l.Left(at(10_000), team("a"), bounds.Terms(low)), bounds.Terms(low).Rate*2; got > want+1e-6 {
+	if got, want := l.Available(at(10_000), team("a"), bounds.Terms(low)), bounds.Terms(low).Rate*2; got > want+1e-6 {
 		t.Errorf("%v units left, want at most %v", got, want)
 	}
 }
@@ -186,7 +186,7 @@
 // Guards against a burst that neither limit allows after a limit is raised, and against units
 // saved up under the higher limit after it is lowered.
 func TestWhatWasAccruedIsWorthTheLowerLimit(t *testing.T) {
-	high, low := Terms{Rate: 100, Life: 2 * time.Second}, Terms{Rate: 1, Life: 4 * time.Second}
+	high, low := Terms{Rate: 100, Lifetime: 2 * time.Second}, Terms{Rate: 1, Lifetime: 4 * time.Second}
 	for _, c := range []struct {
 		name  string
 		terms []Terms // in force for a second each, the last one from now on
@@ -201,11 +201,11 @@
 	} {
 		l, now := accruingLedger(10_000), 10_000
 		for _, terms := range c.terms[:3] {
-			l.Left(at(now), team("a"), terms)
+			l.Available(at(now), team("a"), terms)
 			tick(l, now, now+1000)
 			now += 1000
 		}
-		if got := l.Left(at(now), team("a"), c.terms[3]); !approxEqual(got, c.want, 0.15*c.want) {
+		if got := l.Available(at(now), team("a"), c.terms[3]); !approxEqual(got, c.want, 0.15*c.want) {
 			t.Errorf("%s: %g units left, want %g", c.name, got, c.want)
 		}
 	}
@@ -214,11 +214,11 @@
 // Guards against a reserve of units that are always about to expire, so that it goes unused.
 func TestReserveIsOfTheYoungest(t *testing.T) {
 	l := accruingLedger(10_000)
-	half := l.Left(at(10_000), team("a"), terms) / 2
+	half := l.Available(at(10_000), team("a"), terms) / 2
 	if loan := l.Lend(at(10_000), team("a"), terms, half, half, 1, false); !approxEqual(loan.Units, half, 1e-6) {
 		t.Fatalf("loan %+v, want half of %v units", loan, 2*half)
 	}
-	if left := l.Left(at(10_000).Add(terms.Life*2/5), team("a"), terms); left < 0.8*half {
+	if left := l.Available(at(10_000).Add(terms.Lifetime*2/5), team("a"), terms); left < 0.8*half {
 		t.Errorf("%v of %v units left after two fifths of the lifetime", left, half)
 	}
 }
@@ -239,12 +239,12 @@
 		{"fewer units", 10, 1, 3, false},
 		{"later", 500, 2, 3, false},
 	} {
-		var r Rest
-		if r.Holds(at(0), c.units, c.rank) {
+		var r Backoff
+		if r.Active(at(0), c.units, c.rank) {
 			t.Errorf("%s: backoff applies before one was set", c.name)
 		}
-		r.Set(at(0), 2, 3, time.Minute, 500*time.Millisecond)
-		if got := r.Holds(at(c.ms), c.units, c.rank); got != c.want {
+		r.Start(at(0), 2, 3, time.Minute, 500*time.Millisecond)
+		if got := r.Active(at(c.ms), c.units, c.rank); got != c.want {
 			t.Errorf("%s: backoff applies: %t", c.name, got)
 		}
 	}
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -11,8 +11,8 @@
 	Units float64 `msgpack:"u"`
 	// Age is the age of the oldest of the units when they were lent.
 	Age time.Duration `msgpack:"a"`
-	// Left is the number of units that the lender can still lend, beside its reserve.
-	Left float64 `msgpack:"l"`
+	// Remaining is the number of units that the lender can still lend, beside its reserve.
+	Remaining float64 `msgpack:"l"`
 	// Wait is the time until the fleet will have accrued the shortfall and those of requests
 	// refused before it; 0 if the lender had enough.
 	Wait time.Duration `msgpack:"w"`
@@ -41,7 +41,7 @@
 			units = left
 		}
 	}
-	out := Loan{Units: units, Left: left - units}
+	out := Loan{Units: units, Remaining: left - units}
 	if left < needs {
 		out.Wait = l.retryDelay(now, a, t, needs-left)
 	}
@@ -79,9 +79,9 @@
 	}
 }
 
-// Borrowed credits a loan to an account. All its units count as accrued loan.Age before the
+// AddLoan credits a loan to an account. All its units count as accrued loan.Age before the
 // loan was requested, so that none is used after it would have expired at the lender.
-func (l *Ledger) Borrowed(now time.Time, name Account, t Terms, requestedAt time.Time, loan Loan) {
+func (l *Ledger) AddLoan(now time.Time, name Account, t Terms, requestedAt time.Time, loan Loan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(now, name, t)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -28,8 +28,8 @@
 type Account struct {
 	Team string // set for the limit of a team
 	// Upstream and Life, its incarnation, are set for the limit of an upstream.
-	Upstream string
-	Life     int64
+	Upstream    string
+	Incarnation int64
 }
 
 // Limit is the rate limit of a team across all daemons.
@@ -51,8 +51,8 @@
 type Terms struct {
 	// Rate is in units a second across all daemons.
 	Rate float64
-	// Life is the lifetime of accrued units, at most MostLife.
-	Life time.Duration
+	// Lifetime is the lifetime of accrued units, at most MostLife.
+	Lifetime time.Duration
 }
 
 const (
@@ -60,14 +60,14 @@
 	// larger bursts but a lower rate; with a shorter one, units expire before they have been
 	// handed over and lent.
 	lifetimeFraction = 0.25
-	// MostLife bounds the lifetime, and so the number of slots that a ledger keeps.
-	MostLife = 16 * time.Second
+	// MaxLifetime bounds the lifetime, and so the number of slots that a ledger keeps.
+	MaxLifetime = 16 * time.Second
 )
 
 // Terms returns the terms for a limit, chosen so that rate x (window + lifetime) is exactly what
 // the bounds allow.
 func (b Bounds) Terms(l Limit) Terms {
-	life := min(time.Duration(lifetimeFraction*float64(b.Window)), MostLife)
+	life := min(time.Duration(lifetimeFraction*float64(b.Window)), MaxLifetime)
 	allowed := (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Excess) + b.Slack
-	return Terms{Rate: allowed / (b.Window + life).Seconds(), Life: life}
+	return Terms{Rate: allowed / (b.Window + life).Seconds(), Lifetime: life}
 }
--- a/quota/rest.go
+++ b/quota/rest.go
@@ -5,27 +5,27 @@
 // minBackoff is the shortest pause between requests for a loan.
 const minBackoff = 100 * time.Millisecond
 
-// Rest is a backoff after a failed attempt to borrow units of an account: until it ends, no
+// Backoff is a backoff after a failed attempt to borrow units of an account: until it ends, no
 // daemon is asked again for as many units or more. Its zero value is no backoff.
 //
 // Load pattern: dozens of requests a second for which no daemon has units to lend, and among
 // them an occasional request of a more urgent rank.
-type Rest struct {
+type Backoff struct {
 	until time.Time
 	units float64
 	rank  int
 }
 
-// Set starts a backoff after no units could be borrowed for a request. A lower rank is more
+// Start starts a backoff after no units could be borrowed for a request. A lower rank is more
 // urgent. wait is the time until the lenders expect to have enough; maxBackoff bounds the
 // backoff.
-func (r *Rest) Set(now time.Time, units float64, rank int, wait, maxBackoff time.Duration) {
-	*r = Rest{until: now.Add(max(minBackoff, min(wait, maxBackoff))), units: units, rank: rank}
+func (r *Backoff) Start(now time.Time, units float64, rank int, wait, maxBackoff time.Duration) {
+	*r = Backoff{until: now.Add(max(minBackoff, min(wait, maxBackoff))), units: units, rank: rank}
 }
 
-// Holds reports whether the backoff applies to a request, so that it should not ask for a loan.
+// Active reports whether the backoff applies to a request, so that it should not ask for a loan.
 // A more urgent request than the one that failed may still ask: lenders keep a reserve for it
 // that the failed one could not get.
-func (r *Rest) Holds(now time.Time, units float64, rank int) bool {
+func (r *Backoff) Active(now time.Time, units float64, rank int) bool {
 	return now.Before(r.until) && units >= r.units && rank >= r.rank
 }
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -61,7 +61,7 @@
 	stampReceived     time.Time
 	stampIssuer       *simDaemon
 	lastCall          time.Time
-	backoffs          map[string]*quota.Rest // by upstream
+	backoffs          map[string]*quota.Backoff // by upstream
 	buckets           map[string]*bucket
 }
 
@@ -146,9 +146,9 @@
 	d.upAt, d.startedAt, d.frozenUntil, d.stampIssuer, d.hasView = f.now.Add(downtime), f.now.Add(downtime), time.Time{}, nil, false
 	d.ledger, d.book = quota.NewLedger(d.startedAt, newFleet), NewBook()
 	d.gate = NewGate(d.book, d.ledger)
-	d.backoffs, d.buckets = map[string]*quota.Rest{}, map[string]*bucket{}
+	d.backoffs, d.buckets = map[string]*quota.Backoff{}, map[string]*bucket{}
 	for _, u := range f.upstreams {
-		d.backoffs[u.name] = &quota.Rest{}
+		d.backoffs[u.name] = &quota.Backoff{}
 		if u.limitKnownAt != nil {
 			u.limitKnownAt[d.index] = time.Time{}
 		}
@@ -202,7 +202,7 @@
 			f.applyRecords(d, reader.book.News(f.now, true))
 		}
 		d.hasView = true
-		if f.now.Sub(t0)%quota.TickEvery < simStep {
+		if f.now.Sub(t0)%quota.TickInterval < simStep {
 			d.ledger.Tick(f.now, f.share(d), d == reader)
 		}
 		if f.now.Sub(d.lastCall) >= callInterval {
@@ -242,7 +242,7 @@
 	}
 	if d.stampIssuer == reader {
 		span := d.ledger.HandOver(f.now, d.stamp, d.stampReceived, 1)
-		reader.ledger.Take(f.now, span, f.share(d))
+		reader.ledger.AcceptHandOver(f.now, span, f.share(d))
 	}
 	d.stampIssuer, d.stamp, d.stampReceived = reader, reader.ledger.Stamp(f.now), f.now
 }
@@ -382,14 +382,14 @@
 // borrow borrows one unit from readers, unless a backoff applies. It reports whether the daemon
 // then has enough.
 func (f *simFleet) borrow(d *simDaemon, u *simUpstream, s Seeker) bool {
-	if f.strategy != accrual || d.backoffs[u.name].Holds(f.now, 1, s.Rank) {
+	if f.strategy != accrual || d.backoffs[u.name].Active(f.now, 1, s.Rank) {
 		return false
 	}
 	lack, ok := d.gate.Lack(f.now, u.id(), s)
 	if !ok {
 		return true
 	}
-	needs, remaining, wait := 1+lack.Reserve-d.ledger.Left(f.now, u.id().Account(), lack.Terms), 0.0, maxBackoff
+	needs, remaining, wait := 1+lack.Reserve-d.ledger.Available(f.now, u.id().Account(), lack.Terms), 0.0, maxBackoff
 	for _, partial := range []bool{false, true} {
 		if partial && remaining < needs {
 			break
@@ -404,14 +404,14 @@
 				f.applyRecords(lender, []Record{r})
 			}
 			loan := lender.gate.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, partial)
-			d.ledger.Borrowed(f.now, u.id().Account(), lack.Terms, f.now, loan)
-			needs, remaining, wait = needs-loan.Units, remaining+loan.Left, min(wait, loan.Wait)
+			d.ledger.AddLoan(f.now, u.id().Account(), lack.Terms, f.now, loan)
+			needs, remaining, wait = needs-loan.Units, remaining+loan.Remaining, min(wait, loan.Wait)
 			if d.gate.May(f.now, u.id(), s) {
 				return true
 			}
 		}
 	}
-	d.backoffs[u.name].Set(f.now, 1, s.Rank, wait, maxBackoff)
+	d.backoffs[u.name].Start(f.now, 1, s.Rank, wait, maxBackoff)
 	return false
 }
 
--- a/ratelimit/gate.go
+++ b/ratelimit/gate.go
@@ -31,12 +31,12 @@
 func Terms(limit float64) quota.Terms {
 	rate := min(max(limit, probeRate), maxRate)
 	life := safetyFactor*(allowedExcess*Window.Seconds()+allowedSlack/rate) - Window.Seconds()
-	return quota.Terms{Rate: rate, Life: min(time.Duration(life*float64(time.Second)), quota.MostLife)}
+	return quota.Terms{Rate: rate, Lifetime: min(time.Duration(life*float64(time.Second)), quota.MaxLifetime)}
 }
 
 // Account returns the quota account for the limit of an upstream.
 func (u Upstream) Account() quota.Account {
-	return quota.Account{Upstream: u.Name, Life: u.Life}
+	return quota.Account{Upstream: u.Name, Incarnation: u.Life}
 }
 
 // maxReserve bounds the number of requests that a daemon reserves for more urgent ones. Shares
@@ -117,7 +117,7 @@
 // May reports whether an upstream may receive a request now. It spends nothing.
 func (g *Gate) May(now time.Time, u Upstream, s Seeker) bool {
 	limit, ok := g.book.Limit(u)
-	return !ok || g.ledger.Left(now, u.Account(), Terms(limit)) >= 1+g.reserve(now, s)
+	return !ok || g.ledger.Available(now, u.Account(), Terms(limit)) >= 1+g.reserve(now, s)
 }
 
 // Take spends one unit for a request to an upstream; ok is false if too few are available. For
@@ -129,7 +129,7 @@
 	}
 	terms := Terms(limit)
 	if ticket, ok = g.ledger.Spend(now, u.Account(), terms, 1, g.reserve(now, s)); ok {
-		g.ledger.Asked(now, u.Account(), terms, 1)
+		g.ledger.RecordDemand(now, u.Account(), terms, 1)
 		g.book.Sent(now, u)
 	}
 	return ticket, true, ok
--- a/ratelimit/gate_test.go
+++ b/ratelimit/gate_test.go
@@ -28,9 +28,9 @@
 	for _, limit := range []float64{0, 1e-9, 0.1, 0.5, 5.4, 200, 1e5, 1e300} {
 		terms := Terms(limit)
 		allowed := allowedExcess*limit*Window.Seconds() + allowedSlack
-		most := terms.Rate * (Window + terms.Life).Seconds()
-		if most > allowed || terms.Life < time.Second || terms.Life > quota.MostLife {
-			t.Errorf("limit %g a second: terms allow %g requests in a window of %g allowed, with a lifetime of %v", limit, most, allowed, terms.Life)
+		most := terms.Rate * (Window + terms.Lifetime).Seconds()
+		if most > allowed || terms.Lifetime < time.Second || terms.Lifetime > quota.MaxLifetime {
+			t.Errorf("limit %g a second: terms allow %g requests in a window of %g allowed, with a lifetime of %v", limit, most, allowed, terms.Lifetime)
 		}
 		if limit > probeRate && limit < maxRate && terms.Rate != limit {
 			t.Errorf("limit %g a second is accrued at %g", limit, terms.Rate)
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -49,12 +49,12 @@
 
 // Account returns the account to lend from.
 func (c *LoanCall) Account() quota.Account {
-	return quota.Account{Team: c.Team, Upstream: c.Upstream, Life: c.Life}
+	return quota.Account{Team: c.Team, Upstream: c.Upstream, Incarnation: c.Life}
 }
 
 // SetAccount sets the account to lend from.
 func (c *LoanCall) SetAccount(a quota.Account) {
-	c.Team, c.Upstream, c.Life = a.Team, a.Upstream, a.Life
+	c.Team, c.Upstream, c.Life = a.Team, a.Upstream, a.Incarnation
 }
 
 // Loans borrows units of accounts from other daemons. It is safe for concurrent use.
@@ -112,7 +112,7 @@
 		if !ok {
 			continue
 		}
-		out.Left += loan.Left
+		out.Left += loan.Remaining
 		if loan.Units >= ask.Needs {
 			out.Lent = true
 			return out
@@ -147,7 +147,7 @@
 	call.From, call.Accrued = l.o.Roster.Self(), l.o.Time.handOver(asked, peer)
 	err := conn.client.call(ctx, peer.Address, wire.TypeLoan, loanTimeout, &call, &loan)
 	fields := l.o.Logger.WithFields(log.Fields{
-		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Left,
+		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Remaining,
 	})
 	if err != nil {
 		conn.backoffUntil = l.o.Now().Add(loanBackoff)
@@ -155,7 +155,7 @@
 		return loan, false
 	}
 	fields.Debug("units requested")
-	l.o.Quota.Borrowed(l.o.Now(), call.Account(), call.Terms, asked, loan)
+	l.o.Quota.AddLoan(l.o.Now(), call.Account(), call.Terms, asked, loan)
 	return loan, true
 }
 
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -15,7 +15,7 @@
 func newTestLedger(share float64) *quota.Ledger {
 	now := time.Now()
 	l := quota.NewLedger(now.Add(-time.Second), true)
-	for ago := time.Second; ago >= 0; ago -= quota.TickEvery {
+	for ago := time.Second; ago >= 0; ago -= quota.TickInterval {
 		l.Tick(now.Add(-ago), share, true)
 	}
 	return l
@@ -62,7 +62,7 @@
 func TestLoansOfOtherDataCentres(t *testing.T) {
 	loans, l := newTestLoans(t, serveLoans(t, newTestLedger(0.1), "a"), serveLoans(t, newTestLedger(1), "b"))
 	answer := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 500, Wants: 600})
-	if left := l.Left(time.Now(), quota.Account{Team: "red"}, loanTerms); !answer.Lent || left < 500 {
+	if left := l.Available(time.Now(), quota.Account{Team: "red"}, loanTerms); !answer.Lent || left < 500 {
 		t.Errorf("%+v, %v left", answer, left)
 	}
 	answer = loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 5000, Wants: 5000})
@@ -126,13 +126,13 @@
 	if _, err := d.readFrom(t, 0); err != nil { // the response contains the reader's stamp
 		t.Fatal(err)
 	}
-	before := ledger.Left(time.Now(), quota.Account{Team: "red"}, loanTerms)
+	before := ledger.Available(time.Now(), quota.Account{Team: "red"}, loanTerms)
 	d.now = d.now.Add(500 * time.Millisecond)
 	own.Tick(d.now, 0.1, false)
 	if _, err := d.readFrom(t, 0); err != nil {
 		t.Fatal(err)
 	}
-	if after := ledger.Left(time.Now(), quota.Account{Team: "red"}, loanTerms); after <= before {
+	if after := ledger.Available(time.Now(), quota.Account{Team: "red"}, loanTerms); after <= before {
 		t.Errorf("the reader has %v, %v before", after, before)
 	}
 	if got := d.o.Time.lastRecipient(); got.Address != reader.Address {
--- a/relay/server.go
+++ b/relay/server.go
@@ -264,8 +264,8 @@
 func (s *Server) acceptAccrual(from Peer, span quota.Span) {
 	if span.Length > 0 && from.DataCentre == s.o.Roster.Self().DataCentre {
 		now := s.o.Now()
-		s.o.Roster.NearKnown(span.Near)
-		s.o.Quota.Take(now, span, s.o.Roster.Part(now))
+		s.o.Roster.NearKnown(span.KnownDaemons)
+		s.o.Quota.AcceptHandOver(now, span, s.o.Roster.Part(now))
 	}
 }
 
--- a/router/lending.go
+++ b/router/lending.go
@@ -37,12 +37,12 @@
 	// answer is the refusal, and backoff suppresses further loan requests for a while.
 	refusedAt time.Time
 	answer    relay.Answer
-	backoff   quota.Rest
+	backoff   quota.Backoff
 }
 
 // backingOff reports whether a recent refusal forbids requesting the loan req now.
 func (st *borrowState) backingOff(now time.Time, req loanRequest) bool {
-	return st.backoff.Holds(now, req.units, req.call.Rank)
+	return st.backoff.Active(now, req.units, req.call.Rank)
 }
 
 // newUnitBorrower returns a borrower for the accounts of a ledger.
@@ -119,7 +119,7 @@
 	}
 	defer func() { <-st.sem }()
 	now := time.Now()
-	if st.backingOff(now, req) || l.ledger.Left(now, req.account, req.terms) >= req.units+req.reserve {
+	if st.backingOff(now, req) || l.ledger.Available(now, req.account, req.terms) >= req.units+req.reserve {
 		return
 	}
 	if answer := l.borrow(ctx, now, req); !answer.Lent {
@@ -130,7 +130,7 @@
 // borrow requests a loan of what the account lacks. If no single daemon has enough but all
 // of them together do, it requests whatever each has.
 func (l *unitBorrower) borrow(ctx context.Context, now time.Time, req loanRequest) relay.Answer {
-	own := l.ledger.Left(now, req.account, req.terms)
+	own := l.ledger.Available(now, req.account, req.terms)
 	call := req.call
 	call.Terms, call.Needs = req.terms, req.units+req.reserve-own
 	call.Wants = call.Needs + req.prefetch
@@ -146,7 +146,7 @@
 // recordRefusal starts a backoff after a refused loan. The caller holds st.sem.
 func (l *unitBorrower) recordRefusal(st *borrowState, req loanRequest, answer relay.Answer) {
 	st.refusedAt, st.answer = time.Now(), answer
-	st.backoff.Set(st.refusedAt, req.units, req.call.Rank, answer.Wait, req.maxBackoff)
+	st.backoff.Start(st.refusedAt, req.units, req.call.Rank, answer.Wait, req.maxBackoff)
 }
 
 // state returns the borrowing state of an account and creates it if needed.
--- a/router/lending_test.go
+++ b/router/lending_test.go
@@ -21,7 +21,7 @@
 	}
 	l.units -= ask.Needs
 	now := time.Now()
-	l.ledger.Borrowed(now, ask.Account(), ask.Terms, now, quota.Loan{Units: ask.Needs})
+	l.ledger.AddLoan(now, ask.Account(), ask.Terms, now, quota.Loan{Units: ask.Needs})
 	return relay.Answer{Lent: true, Left: l.units}
 }
 
@@ -32,7 +32,7 @@
 	ledger := quota.NewLedger(time.Now(), false)
 	l := newUnitBorrower(ledger)
 	l.lenders = &fakeLender{ledger: ledger, units: 1.5}
-	urgent := loanRequest{account: quota.Account{Upstream: "u"}, terms: quota.Terms{Rate: 1, Life: quota.MostLife}, units: 1, maxBackoff: time.Minute}
+	urgent := loanRequest{account: quota.Account{Upstream: "u"}, terms: quota.Terms{Rate: 1, Lifetime: quota.MaxLifetime}, units: 1, maxBackoff: time.Minute}
 	lessUrgent := urgent
 	lessUrgent.reserve, lessUrgent.call.Rank = 1, 1
 	if _, _, ok := l.borrowAndSpend(t.Context(), lessUrgent); ok {
--- a/router/quota.go
+++ b/router/quota.go
@@ -52,7 +52,7 @@
 
 // Run implements supervise.Service.
 func (l *teamLimits) Run(ctx context.Context) error {
-	for clock.Sleep(ctx, quota.TickEvery) {
+	for clock.Sleep(ctx, quota.TickInterval) {
 		share, keepsTime := l.share(time.Now())
 		l.ledger.Tick(time.Now(), share, keepsTime)
 	}
@@ -85,7 +85,7 @@
 	}
 	now := time.Now()
 	account, terms := quota.Account{Team: team.Name}, l.terms(team.Limit)
-	l.ledger.Asked(now, account, terms, units)
+	l.ledger.RecordDemand(now, account, terms, units)
 	ticket, ok := l.ledger.Spend(now, account, terms, units, 0)
 	answer := relay.Answer{}
 	if !ok {
@@ -96,7 +96,7 @@
 		return nil, l.refuse(team, id, units, answer)
 	}
 	l.a.metrics.TeamAdmitted(team.Name, units)
-	return func() { l.ledger.Return(time.Now(), ticket) }, nil
+	return func() { l.ledger.Refund(time.Now(), ticket) }, nil
 }
 
 // refuse returns the error for a request over its team's limit. Its Retry-After is the
@@ -104,8 +104,8 @@
 func (l *teamLimits) refuse(team fleet.Team, id string, units float64, answer relay.Answer) *errkind.Error {
 	now := time.Now()
 	account, terms := quota.Account{Team: team.Name}, l.terms(team.Limit)
-	own := l.ledger.Left(now, account, terms)
-	wait := l.ledger.Wait(now, account, terms, units-own-answer.Left)
+	own := l.ledger.Available(now, account, terms)
+	wait := l.ledger.RetryAfter(now, account, terms, units-own-answer.Left)
 	if answer.Wait > 0 {
 		wait = answer.Wait // the lenders have seen refused callers of other daemons too
 	}
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -242,7 +242,7 @@
 
 // refundFunc returns a function that returns the units of a request that was not sent.
 func (l *upstreamLimits) refundFunc(t quota.Ticket) func() {
-	return func() { l.ledger.Return(time.Now(), t) }
+	return func() { l.ledger.Refund(time.Now(), t) }
 }
 
 // Borrow is like Take, but borrows from other daemons if this one holds too little. It
--- a/router/upstreamlimits_own.go
+++ b/router/upstreamlimits_own.go
@@ -30,7 +30,7 @@
 
 // Run implements supervise.Service.
 func (s *equalShare) Run(ctx context.Context) error {
-	for clock.Sleep(ctx, quota.TickEvery) {
+	for clock.Sleep(ctx, quota.TickInterval) {
 		now := time.Now()
 		s.ledger.Tick(now, s.share(now), true)
 	}
