--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,18 +12,18 @@
 func BenchmarkMay(b *testing.B) {
 	for _, n := range []int{1, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, ledger := NewBook(), quota.NewLedger(t0, true)
+			book, ledger := NewTable(), quota.NewLedger(t0, true)
 			tick(ledger, 0, 20_000)
 			var all []Upstream
 			for i := range n {
 				u := Upstream{Name: fmt.Sprint("i-", i)}
-				book.Hear(at(20_000), Word{Upstream: u, Named: true, Limit: 5, At: at(20_000)})
+				book.Observe(at(20_000), Observation{Upstream: u, HasLimit: true, Limit: 5, At: at(20_000)})
 				all = append(all, u)
 			}
-			g := NewGate(book, ledger)
+			g := NewLimiter(book, ledger)
 			b.ResetTimer()
 			for i := range b.N {
-				g.May(at(20_000), all[i%n], Seeker{Pool: "p", Rank: 1})
+				g.Allows(at(20_000), all[i%n], Request{Pool: "p", Rank: 1})
 			}
 		})
 	}
@@ -31,7 +31,7 @@
 
 // BenchmarkNoLimit measures the cost for each request while no upstream has a limit.
 func BenchmarkNoLimit(b *testing.B) {
-	book := NewBook()
+	book := NewTable()
 	for range b.N {
 		if len(book.Limited()) > 0 {
 			b.Fatal("an empty book has limits")
--- a/ratelimit/book.go
+++ b/ratelimit/book.go
@@ -16,16 +16,16 @@
 // upstream has no limit until it reports one.
 type Upstream struct {
 	Name string
-	// Life is the incarnation, 0 where the platform reports none.
-	Life int64
+	// Incarnation is the incarnation, 0 where the platform reports none.
+	Incarnation int64
 }
 
-// Word is what one response says about the limit of its upstream.
-type Word struct {
+// Observation is what one response says about the limit of its upstream.
+type Observation struct {
 	Upstream Upstream
-	// Named is set if the response reports a limit: Limit requests a second from all daemons.
-	Named bool
-	Limit float64
+	// HasLimit is set if the response reports a limit: Limit requests a second from all daemons.
+	HasLimit bool
+	Limit    float64
 	// At orders responses. If the response reports a limit, At is its time of arrival, the
 	// latest time at which it can have been written. If not, At is the time at which the
 	// request was sent, the earliest such time. If both used the time of arrival, a long
@@ -36,14 +36,14 @@
 // Change describes how a response changed the limit of an upstream.
 type Change struct {
 	Upstream Upstream
-	// Was and Is are the limits before and after, in requests a second, or None.
-	Was, Is float64
+	// Old and Is are the limits before and after, in requests a second, or None.
+	Old, New float64
 	// Sent is the number of requests that this daemon sent to the upstream in the last Window.
 	Sent int
 }
 
-// None is the value of Was or Is in a Change for no limit.
-const None = -1
+// NoLimit is the value of Was or Is in a Change for no limit.
+const NoLimit = -1
 
 const (
 	// Window is the span over which users count the requests that a limited upstream receives.
@@ -57,8 +57,8 @@
 	sweepInterval = 10 * time.Second
 )
 
-// Book is the table of the limits in force, by upstream. It is safe for concurrent use.
-type Book struct {
+// Table is the table of the limits in force, by upstream. It is safe for concurrent use.
+type Table struct {
 	mu        sync.Mutex
 	entries   map[Upstream]*entry
 	lastSweep time.Time
@@ -81,40 +81,40 @@
 	sends      sendCounter
 }
 
-// NewBook returns a book without limits.
-func NewBook() *Book { return &Book{entries: map[Upstream]*entry{}} }
+// NewTable returns a book without limits.
+func NewTable() *Table { return &Table{entries: map[Upstream]*entry{}} }
 
-// Hear updates the limit of an upstream from a response and returns what changed. Responses may
+// Observe updates the limit of an upstream from a response and returns what changed. Responses may
 // arrive in any order.
-func (b *Book) Hear(now time.Time, o Word) (c Change, changed bool) {
+func (b *Table) Observe(now time.Time, o Observation) (c Change, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.evictStale(now)
 	e := b.entries[o.Upstream]
 	if e == nil {
-		if !o.Named {
+		if !o.HasLimit {
 			return c, false
 		}
 		e = &entry{}
 		b.entries[o.Upstream] = e
 	}
-	c = Change{Upstream: o.Upstream, Was: e.limitOrNone(), Sent: e.sends.count(now)}
+	c = Change{Upstream: o.Upstream, Old: e.limitOrNone(), Sent: e.sends.count(now)}
 	e.lastUpdate = now
 	e.apply(o)
-	if c.Is = e.limitOrNone(); (c.Is == None) != (c.Was == None) {
+	if c.New = e.limitOrNone(); (c.New == NoLimit) != (c.Old == NoLimit) {
 		b.rebuildLimited()
 	}
-	if c.Is != c.Was || o.Named != e.inForce {
+	if c.New != c.Old || o.HasLimit != e.inForce {
 		e.lastChange = now
 	}
-	return c, c.Is != c.Was
+	return c, c.New != c.Old
 }
 
 // apply updates the entry unless the entry is newer.
-func (e *entry) apply(o Word) {
+func (e *entry) apply(o Observation) {
 	switch {
-	case o.Named && o.At.Before(e.limitAsOf), o.Named && o.At.Before(e.noLimitAsOf):
-	case o.Named:
+	case o.HasLimit && o.At.Before(e.limitAsOf), o.HasLimit && o.At.Before(e.noLimitAsOf):
+	case o.HasLimit:
 		e.inForce, e.limit, e.limitAsOf = true, o.Limit, o.At
 	case o.At.Before(e.limitAsOf), o.At.Before(e.noLimitAsOf):
 	default:
@@ -125,13 +125,13 @@
 // limitOrNone returns the limit in force, or None.
 func (e *entry) limitOrNone() float64 {
 	if !e.inForce {
-		return None
+		return NoLimit
 	}
 	return e.limit
 }
 
 // evictStale removes upstreams that had no update within their TTL. The caller holds b.mu.
-func (b *Book) evictStale(now time.Time) {
+func (b *Table) evictStale(now time.Time) {
 	if now.Sub(b.lastSweep) < sweepInterval {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // rebuildLimited replaces the list of upstreams with a limit. The caller holds b.mu.
-func (b *Book) rebuildLimited() {
+func (b *Table) rebuildLimited() {
 	var out []Upstream
 	for u, e := range b.entries {
 		if e.inForce {
@@ -161,7 +161,7 @@
 
 // Limited returns the upstreams with a limit, in no particular order. Callers must not modify the
 // slice.
-func (b *Book) Limited() []Upstream {
+func (b *Table) Limited() []Upstream {
 	if list := b.limited.Load(); list != nil {
 		return *list
 	}
@@ -169,7 +169,7 @@
 }
 
 // Limit returns the limit of an upstream, in requests a second, if one is in force.
-func (b *Book) Limit(u Upstream) (limit float64, ok bool) {
+func (b *Table) Limit(u Upstream) (limit float64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entries[u]
@@ -179,8 +179,8 @@
 	return e.limit, true
 }
 
-// Sent records that this daemon sends a request to an upstream.
-func (b *Book) Sent(now time.Time, u Upstream) {
+// RecordSent records that this daemon sends a request to an upstream.
+func (b *Table) RecordSent(now time.Time, u Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.entries[u]; e != nil {
@@ -188,22 +188,22 @@
 	}
 }
 
-// Held is the limit of an upstream, in requests a second, and the number of requests that this
+// Usage is the limit of an upstream, in requests a second, and the number of requests that this
 // daemon sent to it in the last Window.
-type Held struct {
+type Usage struct {
 	Upstream Upstream
 	Limit    float64
 	Sent     int
 }
 
 // InForce returns all limits in force, in no particular order.
-func (b *Book) InForce(now time.Time) []Held {
+func (b *Table) InForce(now time.Time) []Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Held
+	var out []Usage
 	for u, e := range b.entries {
 		if e.inForce {
-			out = append(out, Held{Upstream: u, Limit: e.limit, Sent: e.sends.count(now)})
+			out = append(out, Usage{Upstream: u, Limit: e.limit, Sent: e.sends.count(now)})
 		}
 	}
 	return out
--- a/ratelimit/book_test.go
+++ b/ratelimit/book_test.go
@@ -9,7 +9,7 @@
 
 var (
 	t0        = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	upstream1 = Upstream{Name: "i-1", Life: 7}
+	upstream1 = Upstream{Name: "i-1", Incarnation: 7}
 )
 
 // at returns the time ms milliseconds after t0, the start of each test.
@@ -18,34 +18,34 @@
 // Guards against a limit that is cleared by a response written before it was set, or kept after
 // the upstream has ended it.
 func TestBookTellsOldWordsFromNewOnes(t *testing.T) {
-	named := func(limit float64, ms int) Word {
-		return Word{Upstream: upstream1, Named: true, Limit: limit, At: at(ms)}
+	named := func(limit float64, ms int) Observation {
+		return Observation{Upstream: upstream1, HasLimit: true, Limit: limit, At: at(ms)}
 	}
-	free := func(ms int) Word { return Word{Upstream: upstream1, At: at(ms)} }
+	free := func(ms int) Observation { return Observation{Upstream: upstream1, At: at(ms)} }
 	for name, c := range map[string]struct {
-		words []Word
+		words []Observation
 		want  float64
 	}{
-		"nothing":                        {nil, None},
-		"no limit":                       {[]Word{free(0)}, None},
-		"a limit":                        {[]Word{named(5, 10)}, 5},
-		"another limit":                  {[]Word{named(5, 10), named(2, 20)}, 2},
-		"an older limit":                 {[]Word{named(5, 20), named(2, 10)}, 5},
-		"sent before the limit came":     {[]Word{named(5, 10), free(9)}, 5},
-		"sent after it":                  {[]Word{named(5, 10), free(11)}, None},
-		"sent between two":               {[]Word{named(5, 10), named(5, 30), free(20)}, 5},
-		"came late, written before":      {[]Word{named(5, 10), free(30), named(5, 20)}, None},
-		"again":                          {[]Word{named(5, 10), free(30), named(4, 40)}, 4},
-		"of nothing":                     {[]Word{named(0, 10)}, 0},
-		"free twice, the older one last": {[]Word{named(5, 10), free(30), free(20)}, None},
+		"nothing":                        {nil, NoLimit},
+		"no limit":                       {[]Observation{free(0)}, NoLimit},
+		"a limit":                        {[]Observation{named(5, 10)}, 5},
+		"another limit":                  {[]Observation{named(5, 10), named(2, 20)}, 2},
+		"an older limit":                 {[]Observation{named(5, 20), named(2, 10)}, 5},
+		"sent before the limit came":     {[]Observation{named(5, 10), free(9)}, 5},
+		"sent after it":                  {[]Observation{named(5, 10), free(11)}, NoLimit},
+		"sent between two":               {[]Observation{named(5, 10), named(5, 30), free(20)}, 5},
+		"came late, written before":      {[]Observation{named(5, 10), free(30), named(5, 20)}, NoLimit},
+		"again":                          {[]Observation{named(5, 10), free(30), named(4, 40)}, 4},
+		"of nothing":                     {[]Observation{named(0, 10)}, 0},
+		"free twice, the older one last": {[]Observation{named(5, 10), free(30), free(20)}, NoLimit},
 	} {
-		b := NewBook()
+		b := NewTable()
 		for _, w := range c.words {
-			b.Hear(at(100), w)
+			b.Observe(at(100), w)
 		}
 		got, ok := b.Limit(upstream1)
 		if !ok {
-			got = None
+			got = NoLimit
 		}
 		if got != c.want {
 			t.Errorf("%s: limit %g, want %g", name, got, c.want)
@@ -55,44 +55,44 @@
 
 // Guards against a limit that also applies to the next incarnation of an upstream.
 func TestBookKeepsLivesApart(t *testing.T) {
-	b := NewBook()
-	b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
-	if _, ok := b.Limit(Upstream{Name: upstream1.Name, Life: 8}); ok {
+	b := NewTable()
+	b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
+	if _, ok := b.Limit(Upstream{Name: upstream1.Name, Incarnation: 8}); ok {
 		t.Error("the next incarnation has the limit of the previous one")
 	}
 }
 
 func TestBookTellsWhatChangedAndWhatWasSent(t *testing.T) {
-	b := NewBook()
-	b.Sent(at(0), upstream1)
-	c, changed := b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
-	if d := cmp.Diff(Change{Upstream: upstream1, Was: None, Is: 5}, c); d != "" || !changed {
+	b := NewTable()
+	b.RecordSent(at(0), upstream1)
+	c, changed := b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
+	if d := cmp.Diff(Change{Upstream: upstream1, Old: NoLimit, New: 5}, c); d != "" || !changed {
 		t.Error(d)
 	}
-	if _, changed := b.Hear(at(20), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(20)}); changed {
+	if _, changed := b.Observe(at(20), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(20)}); changed {
 		t.Error("the same limit is reported as a change")
 	}
 	for ms := 0; ms < 5000; ms += 500 {
-		b.Sent(at(ms), upstream1)
+		b.RecordSent(at(ms), upstream1)
 	}
-	if d := cmp.Diff([]Held{{upstream1, 5, 8}}, b.InForce(at(4900))); d != "" {
+	if d := cmp.Diff([]Usage{{upstream1, 5, 8}}, b.InForce(at(4900))); d != "" {
 		t.Error(d)
 	}
-	b.Hear(at(6000), Word{Upstream: upstream1, At: at(5900)})
+	b.Observe(at(6000), Observation{Upstream: upstream1, At: at(5900)})
 	if got := b.InForce(at(6000)); got != nil {
 		t.Errorf("%+v in force after the limit ended", got)
 	}
 }
 
 func TestBookForgets(t *testing.T) {
-	b := NewBook()
-	b.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
+	b := NewTable()
+	b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	other := Upstream{Name: "i-2"}
-	b.Hear(t0.Add(limitTTL-time.Second), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitTTL - time.Second)})
+	b.Observe(t0.Add(limitTTL-time.Second), Observation{Upstream: other, HasLimit: true, Limit: 1, At: t0.Add(limitTTL - time.Second)})
 	if len(b.InForce(t0)) != 2 {
 		t.Error("evicted before its TTL")
 	}
-	b.Hear(t0.Add(limitTTL+sweepInterval), Word{Upstream: other, Named: true, Limit: 1, At: t0.Add(limitTTL)})
+	b.Observe(t0.Add(limitTTL+sweepInterval), Observation{Upstream: other, HasLimit: true, Limit: 1, At: t0.Add(limitTTL)})
 	if len(b.InForce(t0)) != 1 {
 		t.Error("an upstream without updates was not evicted")
 	}
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -52,8 +52,8 @@
 type simDaemon struct {
 	index, dataCentre int
 	ledger            *quota.Ledger
-	book              *Book
-	gate              *Gate
+	book              *Table
+	gate              *Limiter
 	upAt, startedAt   time.Time
 	hasView           bool // it has received the limits in force once
 	frozenUntil       time.Time
@@ -110,17 +110,17 @@
 	partitioned    int       // the data centre that is cut off from the others, -1 for none
 	loanCalls      int
 	// numbers of requests, and of refused ones, from countingDelay after limitsStart
-	asked, refused map[Seeker]int
+	asked, refused map[Request]int
 }
 
 // The two kinds of requests. Urgent ones take precedence.
 var (
-	normalRequest = Seeker{Pool: "p", Rank: 5}
-	urgentRequest = Seeker{Pool: "p", Rank: 1}
+	normalRequest = Request{Pool: "p", Rank: 5}
+	urgentRequest = Request{Pool: "p", Rank: 1}
 )
 
 // nextRequest returns a random kind for the next request.
-func (f *simFleet) nextRequest() Seeker {
+func (f *simFleet) nextRequest() Request {
 	if f.urgentFraction > 0 && f.rng.Float64() < f.urgentFraction {
 		return urgentRequest
 	}
@@ -128,7 +128,7 @@
 }
 
 func newSimFleet(seed uint64, st strategy, daemons int, upstreams []*simUpstream, requestRate float64) *simFleet {
-	f := &simFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), strategy: st, now: t0, upstreams: upstreams, requestRate: requestRate, partitioned: -1, asked: map[Seeker]int{}, refused: map[Seeker]int{}}
+	f := &simFleet{rng: rand.New(rand.NewPCG(seed, uint64(daemons))), strategy: st, now: t0, upstreams: upstreams, requestRate: requestRate, partitioned: -1, asked: map[Request]int{}, refused: map[Request]int{}}
 	for i := range daemons {
 		d := &simDaemon{index: i, dataCentre: i % dataCentres}
 		f.daemons = append(f.daemons, d)
@@ -144,8 +144,8 @@
 // restart replaces a daemon by one without state that starts after the downtime.
 func (f *simFleet) restart(d *simDaemon, downtime time.Duration, newFleet bool) {
 	d.upAt, d.startedAt, d.frozenUntil, d.stampIssuer, d.hasView = f.now.Add(downtime), f.now.Add(downtime), time.Time{}, nil, false
-	d.ledger, d.book = quota.NewLedger(d.startedAt, newFleet), NewBook()
-	d.gate = NewGate(d.book, d.ledger)
+	d.ledger, d.book = quota.NewLedger(d.startedAt, newFleet), NewTable()
+	d.gate = NewLimiter(d.book, d.ledger)
 	d.backoffs, d.buckets = map[string]*quota.Backoff{}, map[string]*bucket{}
 	for _, u := range f.upstreams {
 		d.backoffs[u.name] = &quota.Backoff{}
@@ -199,7 +199,7 @@
 		}
 		reader := f.reader(d.dataCentre)
 		if !d.hasView && reader != d && f.reachable(d, reader) {
-			f.applyRecords(d, reader.book.News(f.now, true))
+			f.applyRecords(d, reader.book.RecentChanges(f.now, true))
 		}
 		d.hasView = true
 		if f.now.Sub(t0)%quota.TickInterval < simStep {
@@ -234,8 +234,8 @@
 		if !f.reachable(d, other) {
 			continue
 		}
-		f.applyRecords(other, d.book.News(f.now, false))
-		f.applyRecords(d, other.book.News(f.now, false))
+		f.applyRecords(other, d.book.RecentChanges(f.now, false))
+		f.applyRecords(d, other.book.RecentChanges(f.now, false))
 	}
 	if d == reader {
 		return
@@ -250,7 +250,7 @@
 // applyRecords updates the book of a daemon with records from another one.
 func (f *simFleet) applyRecords(d *simDaemon, list []Record) {
 	for _, r := range list {
-		d.book.Hear(f.now, r.Word(f.now))
+		d.book.Observe(f.now, r.Observation(f.now))
 	}
 }
 
@@ -276,7 +276,7 @@
 
 // request submits one request at a daemon. It tries the upstreams in random order, first without
 // and then with borrowing.
-func (f *simFleet) request(d *simDaemon, s Seeker) {
+func (f *simFleet) request(d *simDaemon, s Request) {
 	if d == nil {
 		return
 	}
@@ -284,7 +284,7 @@
 	if counted {
 		f.asked[s]++
 	}
-	d.gate.Asked(f.now, s)
+	d.gate.RecordDemand(f.now, s)
 	order := f.rng.Perm(len(f.upstreams))
 	for n, i := range order {
 		if !f.admit(d, f.upstreams[i], s) {
@@ -311,14 +311,14 @@
 
 // admit reports whether a daemon may send a request to an upstream without borrowing, and spends
 // the unit or token for it.
-func (f *simFleet) admit(d *simDaemon, u *simUpstream, s Seeker) bool {
+func (f *simFleet) admit(d *simDaemon, u *simUpstream, s Request) bool {
 	limit, limited := d.book.Limit(u.id())
 	if !limited {
 		return true
 	}
 	switch f.strategy {
 	case accrual:
-		_, _, ok := d.gate.Take(f.now, u.id(), s)
+		_, _, ok := d.gate.Acquire(f.now, u.id(), s)
 		return ok
 	case equalShares:
 		return f.takeToken(d, u, limit*f.share(d))
@@ -381,11 +381,11 @@
 
 // borrow borrows one unit from readers, unless a backoff applies. It reports whether the daemon
 // then has enough.
-func (f *simFleet) borrow(d *simDaemon, u *simUpstream, s Seeker) bool {
+func (f *simFleet) borrow(d *simDaemon, u *simUpstream, s Request) bool {
 	if f.strategy != accrual || d.backoffs[u.name].Active(f.now, 1, s.Rank) {
 		return false
 	}
-	lack, ok := d.gate.Lack(f.now, u.id(), s)
+	lack, ok := d.gate.LoanRequest(f.now, u.id(), s)
 	if !ok {
 		return true
 	}
@@ -406,7 +406,7 @@
 			loan := lender.gate.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, partial)
 			d.ledger.AddLoan(f.now, u.id().Account(), lack.Terms, f.now, loan)
 			needs, remaining, wait = needs-loan.Units, remaining+loan.Remaining, min(wait, loan.Wait)
-			if d.gate.May(f.now, u.id(), s) {
+			if d.gate.Allows(f.now, u.id(), s) {
 				return true
 			}
 		}
@@ -434,11 +434,11 @@
 		if r.sent.Before(r.daemon.startedAt) {
 			continue // the daemon was restarted since
 		}
-		if r.limit == None {
-			r.daemon.book.Hear(f.now, Word{Upstream: r.upstream.id(), At: r.sent})
+		if r.limit == NoLimit {
+			r.daemon.book.Observe(f.now, Observation{Upstream: r.upstream.id(), At: r.sent})
 			continue
 		}
-		r.daemon.book.Hear(f.now, Word{Upstream: r.upstream.id(), Named: true, Limit: r.limit, At: f.now})
+		r.daemon.book.Observe(f.now, Observation{Upstream: r.upstream.id(), HasLimit: true, Limit: r.limit, At: f.now})
 		if r.upstream.firstLimited.IsZero() {
 			r.upstream.firstLimited = f.now
 		}
@@ -457,7 +457,7 @@
 	for _, u := range f.upstreams {
 		since := u.firstLimited
 		for i, from := range u.sent {
-			if from.limit == None && !u.firstLimited.IsZero() {
+			if from.limit == NoLimit && !u.firstLimited.IsZero() {
 				since = from.at
 			}
 			if u.firstLimited.IsZero() || from.at.Before(since.Add(countingDelay)) {
@@ -468,8 +468,8 @@
 				if a.at.Sub(from.at) >= Window {
 					break
 				}
-				if a.limit == None {
-					highest = None
+				if a.limit == NoLimit {
+					highest = NoLimit
 					break
 				}
 				highest = max(highest, a.limit)
@@ -477,7 +477,7 @@
 					countedRequests++
 				}
 			}
-			if highest == None {
+			if highest == NoLimit {
 				continue
 			}
 			allowed := allowedExcess*highest*Window.Seconds() + allowedSlack
@@ -493,12 +493,12 @@
 	sent, allowed := 0.0, 0.0
 	for _, u := range f.upstreams {
 		for at := limitsStart + countingDelay; at < simDuration; at += time.Second {
-			if limit := u.limit(at); limit != None {
+			if limit := u.limit(at); limit != NoLimit {
 				allowed += limit
 			}
 		}
 		for _, a := range u.sent {
-			if a.limit != None && a.at.Sub(t0) >= limitsStart+countingDelay {
+			if a.limit != NoLimit && a.at.Sub(t0) >= limitsStart+countingDelay {
 				sent++
 			}
 		}
@@ -515,7 +515,7 @@
 	"changes": func(at time.Duration) float64 { return []float64{2, 9, 0.5, 30, 5}[int(at.Seconds())%5] },
 	"ends": func(at time.Duration) float64 {
 		if at > 20*time.Second && at < 28*time.Second {
-			return None
+			return NoLimit
 		}
 		return 4
 	},
@@ -526,11 +526,11 @@
 func newSimUpstreams(limited int, limit func(time.Duration) float64) []*simUpstream {
 	var out []*simUpstream
 	for i := range 3 {
-		u := &simUpstream{name: fmt.Sprint("u", i), limit: func(time.Duration) float64 { return None }}
+		u := &simUpstream{name: fmt.Sprint("u", i), limit: func(time.Duration) float64 { return NoLimit }}
 		if i < limited {
 			u.limit = func(at time.Duration) float64 {
 				if at < limitsStart {
-					return None
+					return NoLimit
 				}
 				return limit(at)
 			}
--- a/ratelimit/gate.go
+++ b/ratelimit/gate.go
@@ -36,22 +36,22 @@
 
 // Account returns the quota account for the limit of an upstream.
 func (u Upstream) Account() quota.Account {
-	return quota.Account{Upstream: u.Name, Incarnation: u.Life}
+	return quota.Account{Upstream: u.Name, Incarnation: u.Incarnation}
 }
 
 // maxReserve bounds the number of requests that a daemon reserves for more urgent ones. Shares
 // are small: in fleets of dozens of daemons a larger reserve would leave nothing for the rest.
 const maxReserve = 1.0
 
-// Gate is the rate limiter of this daemon: it decides which upstreams with a limit may receive
+// Limiter is the rate limiter of this daemon: it decides which upstreams with a limit may receive
 // another request. It is safe for concurrent use.
 //
 // Each request spends a unit that this daemon accrued, was handed over or borrowed in its
 // quota.Ledger. The units spent by all daemons stay within the bound, no matter which daemon
 // learns of the limit first. A request leaves up to one unit for more urgent ones if any arrived
 // within about the last second.
-type Gate struct {
-	book   *Book
+type Limiter struct {
+	book   *Table
 	ledger *quota.Ledger
 
 	mu    sync.Mutex
@@ -66,20 +66,20 @@
 	backlog backlog
 }
 
-// NewGate returns a gate that takes limits from a book and spends units of a ledger.
-func NewGate(book *Book, ledger *quota.Ledger) *Gate {
-	return &Gate{book: book, ledger: ledger, pools: map[string]*poolState{}}
+// NewLimiter returns a gate that takes limits from a book and spends units of a ledger.
+func NewLimiter(book *Table, ledger *quota.Ledger) *Limiter {
+	return &Limiter{book: book, ledger: ledger, pools: map[string]*poolState{}}
 }
 
-// Seeker describes a request for which an upstream is being selected.
-type Seeker struct {
+// Request describes a request for which an upstream is being selected.
+type Request struct {
 	Pool string
 	// Rank is the priority of the request; a lower rank is more urgent.
 	Rank int
 }
 
-// Asked records the demand of a request for a pool in which any upstream has a limit.
-func (g *Gate) Asked(now time.Time, s Seeker) {
+// RecordDemand records the demand of a request for a pool in which any upstream has a limit.
+func (g *Limiter) RecordDemand(now time.Time, s Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.pool(s.Pool)
@@ -92,7 +92,7 @@
 }
 
 // pool returns the state of a pool, created if necessary. The caller holds g.mu.
-func (g *Gate) pool(name string) *poolState {
+func (g *Limiter) pool(name string) *poolState {
 	p := g.pools[name]
 	if p == nil {
 		p = &poolState{demand: map[int]*quota.Demand{}}
@@ -102,7 +102,7 @@
 }
 
 // reserve returns the number of units that a request must leave for more urgent ones.
-func (g *Gate) reserve(now time.Time, s Seeker) float64 {
+func (g *Limiter) reserve(now time.Time, s Request) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	moreUrgent := 0.0
@@ -114,15 +114,15 @@
 	return min(moreUrgent, maxReserve)
 }
 
-// May reports whether an upstream may receive a request now. It spends nothing.
-func (g *Gate) May(now time.Time, u Upstream, s Seeker) bool {
+// Allows reports whether an upstream may receive a request now. It spends nothing.
+func (g *Limiter) Allows(now time.Time, u Upstream, s Request) bool {
 	limit, ok := g.book.Limit(u)
 	return !ok || g.ledger.Available(now, u.Account(), Terms(limit)) >= 1+g.reserve(now, s)
 }
 
-// Take spends one unit for a request to an upstream; ok is false if too few are available. For
+// Acquire spends one unit for a request to an upstream; ok is false if too few are available. For
 // an upstream without a limit, limited is false, ok is true and the ticket is empty.
-func (g *Gate) Take(now time.Time, u Upstream, s Seeker) (ticket quota.Ticket, limited, ok bool) {
+func (g *Limiter) Acquire(now time.Time, u Upstream, s Request) (ticket quota.Ticket, limited, ok bool) {
 	limit, limited := g.book.Limit(u)
 	if !limited {
 		return ticket, false, true
@@ -130,7 +130,7 @@
 	terms := Terms(limit)
 	if ticket, ok = g.ledger.Spend(now, u.Account(), terms, 1, g.reserve(now, s)); ok {
 		g.ledger.RecordDemand(now, u.Account(), terms, 1)
-		g.book.Sent(now, u)
+		g.book.RecordSent(now, u)
 	}
 	return ticket, true, ok
 }
@@ -138,22 +138,22 @@
 // borrowAheadTime is how much expected demand a daemon borrows for beyond the waiting request.
 const borrowAheadTime = 500 * time.Millisecond
 
-// Lack describes the loan that a daemon needs for one more request to an upstream.
-type Lack struct {
+// LoanRequest describes the loan that a daemon needs for one more request to an upstream.
+type LoanRequest struct {
 	Terms quota.Terms
 	// Reserve is the number of units to leave for more urgent requests. Ahead is the number
 	// wanted for requests expected soon.
 	Reserve, Ahead float64
 }
 
-// Lack returns the loan needed for a request to an upstream; ok is false if the upstream has no
+// LoanRequest returns the loan needed for a request to an upstream; ok is false if the upstream has no
 // limit.
-func (g *Gate) Lack(now time.Time, u Upstream, s Seeker) (l Lack, ok bool) {
+func (g *Limiter) LoanRequest(now time.Time, u Upstream, s Request) (l LoanRequest, ok bool) {
 	limit, ok := g.book.Limit(u)
 	if !ok {
 		return l, false
 	}
-	return Lack{
+	return LoanRequest{
 		Terms:   Terms(limit),
 		Reserve: g.reserve(now, s),
 		Ahead:   g.ledger.Demand(now, u.Account()) * borrowAheadTime.Seconds(),
@@ -163,12 +163,12 @@
 // Lend lends units of an upstream's limit to another daemon for the request s. It keeps the
 // reserve for requests more urgent than s, both this daemon's own and those that other daemons
 // asked loans for. partial allows a loan of less than needs.
-func (g *Gate) Lend(now time.Time, u Upstream, s Seeker, needs, wants float64, partial bool) quota.Loan {
+func (g *Limiter) Lend(now time.Time, u Upstream, s Request, needs, wants float64, partial bool) quota.Loan {
 	limit, ok := g.book.Limit(u)
 	if !ok || !(needs > 0) {
 		return quota.Loan{}
 	}
-	g.Asked(now, s)
+	g.RecordDemand(now, s)
 	return g.ledger.Lend(now, u.Account(), Terms(limit), needs, wants, g.reserve(now, s), partial)
 }
 
@@ -178,10 +178,10 @@
 	maxWait = 10 * time.Second
 )
 
-// Wait returns the time after which a request that no upstream of its pool could take may be
+// RetryAfter returns the time after which a request that no upstream of its pool could take may be
 // retried: when this daemon's share of their limits will have covered it and all earlier refused
 // requests that are at least as urgent.
-func (g *Gate) Wait(now time.Time, s Seeker, upstreams []Upstream, share float64) time.Duration {
+func (g *Limiter) RetryAfter(now time.Time, s Request, upstreams []Upstream, share float64) time.Duration {
 	rate := 0.0
 	for _, u := range upstreams {
 		if limit, ok := g.book.Limit(u); ok {
--- a/ratelimit/gate_test.go
+++ b/ratelimit/gate_test.go
@@ -9,11 +9,11 @@
 
 // newTestGate returns the gate and ledger of the only daemon of a fleet, which has accrued for 20 s
 // and has a limit for upstream1.
-func newTestGate(limit float64) (*Gate, *quota.Ledger) {
-	b, l := NewBook(), quota.NewLedger(t0, true)
+func newTestGate(limit float64) (*Limiter, *quota.Ledger) {
+	b, l := NewTable(), quota.NewLedger(t0, true)
 	tick(l, 0, 20_000)
-	b.Hear(at(20_000), Word{Upstream: upstream1, Named: true, Limit: limit, At: at(20_000)})
-	return NewGate(b, l), l
+	b.Observe(at(20_000), Observation{Upstream: upstream1, HasLimit: true, Limit: limit, At: at(20_000)})
+	return NewLimiter(b, l), l
 }
 
 // tick calls Tick every 100 ms with the whole rate as the share.
@@ -44,7 +44,7 @@
 	probes := 0
 	for ms := 20_000; ms < 60_000; ms += 100 {
 		l.Tick(at(ms), 1, true)
-		if _, _, ok := g.Take(at(ms), upstream1, Seeker{}); ok {
+		if _, _, ok := g.Acquire(at(ms), upstream1, Request{}); ok {
 			probes++
 		}
 	}
@@ -56,10 +56,10 @@
 // Guards against less urgent requests that use up the units more urgent ones need, and against a
 // reserve that is kept without any urgent requests.
 func TestLessUrgentRequestsLeaveOneForOthers(t *testing.T) {
-	urgent, other := Seeker{Pool: "p", Rank: 1}, Seeker{Pool: "p", Rank: 2}
-	count := func(g *Gate, now time.Time, s Seeker) (n int) {
-		for g.May(now, upstream1, s) {
-			if _, _, ok := g.Take(now, upstream1, s); !ok {
+	urgent, other := Request{Pool: "p", Rank: 1}, Request{Pool: "p", Rank: 2}
+	count := func(g *Limiter, now time.Time, s Request) (n int) {
+		for g.Allows(now, upstream1, s) {
+			if _, _, ok := g.Acquire(now, upstream1, s); !ok {
 				t.Fatal("Take refused a request that May allowed")
 			}
 			n++
@@ -72,7 +72,7 @@
 	}
 	g, _ = newTestGate(2)
 	for range 5 {
-		g.Asked(at(20_000), urgent)
+		g.RecordDemand(at(20_000), urgent)
 	}
 	count(g, at(20_000), other)
 	if n := count(g, at(20_000), urgent); n != 1 {
@@ -86,12 +86,12 @@
 // Guards against refused callers that are all told to retry at the same time, or never.
 func TestWaitGrowsWithThoseThatWait(t *testing.T) {
 	g, _ := newTestGate(5)
-	first := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{upstream1}, 0.5)
-	second := g.Wait(at(20_000), Seeker{Pool: "p"}, []Upstream{upstream1}, 0.5)
+	first := g.RetryAfter(at(20_000), Request{Pool: "p"}, []Upstream{upstream1}, 0.5)
+	second := g.RetryAfter(at(20_000), Request{Pool: "p"}, []Upstream{upstream1}, 0.5)
 	if first != 400*time.Millisecond || second != 2*first {
 		t.Errorf("first wait %v, second %v, want 400ms and 800ms", first, second)
 	}
-	if got := g.Wait(at(20_000), Seeker{Pool: "q"}, []Upstream{upstream1}, 0); got != maxWait {
+	if got := g.RetryAfter(at(20_000), Request{Pool: "q"}, []Upstream{upstream1}, 0); got != maxWait {
 		t.Errorf("wait %v for a daemon without a share", got)
 	}
 }
@@ -100,8 +100,8 @@
 // larger than the limit can cover in the longest wait.
 func TestWaitOfUrgentCallersIsTheirOwn(t *testing.T) {
 	g, _ := newTestGate(5)
-	urgent, other := Seeker{Pool: "p", Rank: 1}, Seeker{Pool: "p", Rank: 2}
-	wait := func(ms int, s Seeker) time.Duration { return g.Wait(at(ms), s, []Upstream{upstream1}, 1) }
+	urgent, other := Request{Pool: "p", Rank: 1}, Request{Pool: "p", Rank: 2}
+	wait := func(ms int, s Request) time.Duration { return g.RetryAfter(at(ms), s, []Upstream{upstream1}, 1) }
 	for range 100 {
 		wait(20_000, other)
 	}
@@ -123,12 +123,12 @@
 // Guards against loans for an upstream without a limit at the lender.
 func TestNothingIsLentWithoutALimit(t *testing.T) {
 	g, _ := newTestGate(5)
-	for _, u := range []Upstream{{Name: "other"}, {Name: upstream1.Name, Life: upstream1.Life + 1}} {
-		if loan := g.Lend(at(20_000), u, Seeker{}, 1, 1, true); loan.Units != 0 {
+	for _, u := range []Upstream{{Name: "other"}, {Name: upstream1.Name, Incarnation: upstream1.Incarnation + 1}} {
+		if loan := g.Lend(at(20_000), u, Request{}, 1, 1, true); loan.Units != 0 {
 			t.Errorf("upstream %+v: loan %+v", u, loan)
 		}
 	}
-	if _, limited, ok := g.Take(at(20_000), Upstream{Name: "other"}, Seeker{}); limited || !ok {
+	if _, limited, ok := g.Acquire(at(20_000), Upstream{Name: "other"}, Request{}); limited || !ok {
 		t.Error("a request to an upstream without a limit is refused")
 	}
 }
--- a/ratelimit/news.go
+++ b/ratelimit/news.go
@@ -10,10 +10,10 @@
 type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 
-	Name  string
-	Life  int64
-	Named bool
-	Limit float64
+	Name        string
+	Incarnation int64
+	HasLimit    bool
+	Limit       float64
 	// Age is the time from At of the underlying response to the sending of the record.
 	Age time.Duration
 }
@@ -29,9 +29,9 @@
 	transitMargin = 200 * time.Millisecond
 )
 
-// News returns the limits that changed within propagationTime and, if all is set, also all other
+// RecentChanges returns the limits that changed within propagationTime and, if all is set, also all other
 // limits in force. The most recent changes come first; at most maxRecords are returned.
-func (b *Book) News(now time.Time, all bool) []Record {
+func (b *Table) RecentChanges(now time.Time, all bool) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var upstreams []Upstream
@@ -49,7 +49,7 @@
 }
 
 // Record returns the record of one upstream; ok is false if the book has no entry for it.
-func (b *Book) Record(now time.Time, u Upstream) (r Record, ok bool) {
+func (b *Table) Record(now time.Time, u Upstream) (r Record, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.entries[u]
@@ -65,13 +65,13 @@
 	if e.inForce {
 		at = e.limitAsOf
 	}
-	return Record{Name: u.Name, Life: u.Life, Named: e.inForce, Limit: e.limit, Age: max(0, now.Sub(at))}
+	return Record{Name: u.Name, Incarnation: u.Incarnation, HasLimit: e.inForce, Limit: e.limit, Age: max(0, now.Sub(at))}
 }
 
-// Word converts a record that arrived at now to the argument of Hear.
-func (r Record) Word(now time.Time) Word {
-	o := Word{Upstream: Upstream{Name: r.Name, Life: r.Life}, Named: r.Named, Limit: r.Limit, At: now.Add(-max(0, r.Age))}
-	if !r.Named {
+// Observation converts a record that arrived at now to the argument of Hear.
+func (r Record) Observation(now time.Time) Observation {
+	o := Observation{Upstream: Upstream{Name: r.Name, Incarnation: r.Incarnation}, HasLimit: r.HasLimit, Limit: r.Limit, At: now.Add(-max(0, r.Age))}
+	if !r.HasLimit {
 		o.At = o.At.Add(-transitMargin)
 	}
 	return o
--- a/ratelimit/news_test.go
+++ b/ratelimit/news_test.go
@@ -9,22 +9,22 @@
 )
 
 // relayNews sends the recent changes of one book to another, which receives them after delay.
-func relayNews(now time.Time, from, to *Book, delay time.Duration) {
-	for _, r := range from.News(now, false) {
-		to.Hear(now.Add(delay), r.Word(now.Add(delay)))
+func relayNews(now time.Time, from, to *Table, delay time.Duration) {
+	for _, r := range from.RecentChanges(now, false) {
+		to.Observe(now.Add(delay), r.Observation(now.Add(delay)))
 	}
 }
 
 // Guards against daemons that never learn of a limit, or of its end, because they send no requests
 // to the upstream.
 func TestNewsOfALimitAndItsEnd(t *testing.T) {
-	a, b := NewBook(), NewBook()
-	a.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
+	a, b := NewTable(), NewTable()
+	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	relayNews(at(100), a, b, 50*time.Millisecond)
 	if limit, ok := b.Limit(upstream1); !ok || limit != 5 {
 		t.Fatalf("limit %g, in force: %t", limit, ok)
 	}
-	a.Hear(at(3000), Word{Upstream: upstream1, At: at(2900)})
+	a.Observe(at(3000), Observation{Upstream: upstream1, At: at(2900)})
 	relayNews(at(3100), a, b, 50*time.Millisecond)
 	if _, ok := b.Limit(upstream1); ok {
 		t.Error("the limit is still in force after its end")
@@ -33,10 +33,10 @@
 
 // Guards against a delayed record of the end of a limit that clears a limit reported since.
 func TestOldNewsLiftNoLimit(t *testing.T) {
-	a, b := NewBook(), NewBook()
-	a.Hear(at(0), Word{Upstream: upstream1, Named: true, Limit: 5, At: at(0)})
-	a.Hear(at(1000), Word{Upstream: upstream1, At: at(1000)})
-	b.Hear(at(1100), Word{Upstream: upstream1, Named: true, Limit: 4, At: at(1100)})
+	a, b := NewTable(), NewTable()
+	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
+	a.Observe(at(1000), Observation{Upstream: upstream1, At: at(1000)})
+	b.Observe(at(1100), Observation{Upstream: upstream1, HasLimit: true, Limit: 4, At: at(1100)})
 	relayNews(at(1200), a, b, transitMargin)
 	if limit, ok := b.Limit(upstream1); !ok || limit != 4 {
 		t.Errorf("limit %g, in force: %t", limit, ok)
@@ -50,23 +50,23 @@
 // Guards against calls that grow with the number of limits, and against a starting daemon that
 // receives only recent changes instead of all limits.
 func TestNewsAreBounded(t *testing.T) {
-	b := NewBook()
+	b := NewTable()
 	for i := range 3 * maxRecords {
-		b.Hear(at(i), Word{Upstream: Upstream{Name: fmt.Sprint("i-", i)}, Named: true, Limit: 1, At: at(i)})
+		b.Observe(at(i), Observation{Upstream: Upstream{Name: fmt.Sprint("i-", i)}, HasLimit: true, Limit: 1, At: at(i)})
 	}
-	if n := len(b.News(at(200), false)); n != maxRecords {
+	if n := len(b.RecentChanges(at(200), false)); n != maxRecords {
 		t.Errorf("%d records of recent changes", n)
 	}
-	if n := len(b.News(at(20_000), false)); n != 0 {
+	if n := len(b.RecentChanges(at(20_000), false)); n != 0 {
 		t.Errorf("%d records without recent changes", n)
 	}
-	if n := len(b.News(at(20_000), true)); n != maxRecords {
+	if n := len(b.RecentChanges(at(20_000), true)); n != maxRecords {
 		t.Errorf("%d records of the limits in force", n)
 	}
 }
 
 func TestRecordOnTheWire(t *testing.T) {
-	want := Record{Name: "i-1", Life: 7, Named: true, Limit: 0.25, Age: time.Second}
+	want := Record{Name: "i-1", Incarnation: 7, HasLimit: true, Limit: 0.25, Age: time.Second}
 	raw, err := msgpack.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
--- a/request/limits.go
+++ b/request/limits.go
@@ -16,28 +16,28 @@
 // Implementations are safe for concurrent use.
 type UpstreamLimits interface {
 	// Exhausted returns the upstreams of a pool that must not get another request now.
-	Exhausted(now time.Time, s ratelimit.Seeker) []string
+	Exhausted(now time.Time, s ratelimit.Request) []string
 	// Take takes the units that one request to an upstream needs; ok is false if they are not
 	// left. giveBack returns them; it is nil if the upstream has no limit.
-	Take(now time.Time, upstream string, s ratelimit.Seeker) (giveBack func(), ok bool)
+	Take(now time.Time, upstream string, s ratelimit.Request) (giveBack func(), ok bool)
 	// Borrow is like Take with units of other daemons. It takes tens of milliseconds at most.
-	Borrow(ctx context.Context, upstream string, s ratelimit.Seeker) (giveBack func(), ok bool)
+	Borrow(ctx context.Context, upstream string, s ratelimit.Request) (giveBack func(), ok bool)
 	// RetryAfter returns how long a request must wait before it is tried again when none of the
 	// given upstreams has units left for it.
-	RetryAfter(now time.Time, request string, s ratelimit.Seeker, upstreams []string) time.Duration
+	RetryAfter(now time.Time, request string, s ratelimit.Request, upstreams []string) time.Duration
 }
 
 type noUpstreamLimits struct{}
 
-func (noUpstreamLimits) Exhausted(time.Time, ratelimit.Seeker) []string { return nil }
+func (noUpstreamLimits) Exhausted(time.Time, ratelimit.Request) []string { return nil }
 
-func (noUpstreamLimits) Take(time.Time, string, ratelimit.Seeker) (func(), bool) { return nil, true }
+func (noUpstreamLimits) Take(time.Time, string, ratelimit.Request) (func(), bool) { return nil, true }
 
-func (noUpstreamLimits) Borrow(context.Context, string, ratelimit.Seeker) (func(), bool) {
+func (noUpstreamLimits) Borrow(context.Context, string, ratelimit.Request) (func(), bool) {
 	return nil, true
 }
 
-func (noUpstreamLimits) RetryAfter(time.Time, string, ratelimit.Seeker, []string) time.Duration {
+func (noUpstreamLimits) RetryAfter(time.Time, string, ratelimit.Request, []string) time.Duration {
 	return 0
 }
 
@@ -91,8 +91,8 @@
 	return errkind.New(errkind.UpstreamLimit, "the upstreams take no more requests now").WithRetryAfter(wait)
 }
 
-func (k *serviceCall) seeker(s *policy.Snapshot) ratelimit.Seeker {
-	return ratelimit.Seeker{Pool: s.Bundle.Services[k.c.Service].Pool, Rank: limitRank(s.Bundle, k.c.Class, k.c.Priority)}
+func (k *serviceCall) seeker(s *policy.Snapshot) ratelimit.Request {
+	return ratelimit.Request{Pool: s.Bundle.Services[k.c.Service].Pool, Rank: limitRank(s.Bundle, k.c.Class, k.c.Priority)}
 }
 
 // pickReplica picks a replica whose rate limit has units left here or, if there is none, one
@@ -134,11 +134,11 @@
 }
 
 // takeFunc takes the units that one request needs from an upstream's rate limit.
-type takeFunc func(upstream string, s ratelimit.Seeker) (giveBack func(), ok bool)
+type takeFunc func(upstream string, s ratelimit.Request) (giveBack func(), ok bool)
 
 // takeLimits takes the units that a plan needs from its engines' rate limits. If one of the
 // engines has none left, it returns that engine's name.
-func (d *driver) takeLimits(plan policy.Plan, take takeFunc, decode, prefill ratelimit.Seeker) (exhausted string, ok bool) {
+func (d *driver) takeLimits(plan policy.Plan, take takeFunc, decode, prefill ratelimit.Request) (exhausted string, ok bool) {
 	if plan.Wait > 0 {
 		return "", true // the request is to wait; no engines are planned
 	}
@@ -160,15 +160,15 @@
 func (d *driver) chooseEngines(now time.Time, s *policy.Snapshot, p policy.Policy, q policy.Query) (policy.Plan, *errkind.Error) {
 	limits, model := d.r.o.UpstreamLimits, s.Bundle.Models[d.c.Model]
 	rank := limitRank(s.Bundle, d.c.Class, d.c.Priority)
-	decode := ratelimit.Seeker{Pool: model.DecodePool, Rank: rank}
-	prefill := ratelimit.Seeker{Pool: model.PrefillPool, Rank: rank}
+	decode := ratelimit.Request{Pool: model.DecodePool, Rank: rank}
+	prefill := ratelimit.Request{Pool: model.PrefillPool, Rank: rank}
 	excluded := q.Exclude
 	pick := func(out []string) (policy.Plan, *errkind.Error) {
 		q.Exclude = slices.Concat(excluded, out)
 		return p.Plan(s, d.r.o.Inflight, q, d.rng)
 	}
 	takeLocal := func(plan policy.Plan) (string, bool) {
-		return d.takeLimits(plan, func(name string, s ratelimit.Seeker) (func(), bool) { return limits.Take(now, name, s) }, decode, prefill)
+		return d.takeLimits(plan, func(name string, s ratelimit.Request) (func(), bool) { return limits.Take(now, name, s) }, decode, prefill)
 	}
 	spent := slices.Concat(limits.Exhausted(now, decode), limits.Exhausted(now, prefill))
 	plan, spent, err := pickWithinLimits(spent, pick, takeLocal)
@@ -177,7 +177,7 @@
 		return plan, err
 	}
 	borrow := func(plan policy.Plan) (string, bool) {
-		return d.takeLimits(plan, func(name string, s ratelimit.Seeker) (func(), bool) { return limits.Borrow(d.baseCtx, name, s) }, decode, prefill)
+		return d.takeLimits(plan, func(name string, s ratelimit.Request) (func(), bool) { return limits.Borrow(d.baseCtx, name, s) }, decode, prefill)
 	}
 	plan, spent, borrowErr := pickWithinLimits(nil, pick, borrow)
 	if borrowErr == nil || len(spent) == 0 {
--- a/request/limits_test.go
+++ b/request/limits_test.go
@@ -25,7 +25,7 @@
 	ranks []int
 }
 
-func (a *fakeLimits) Exhausted(_ time.Time, s ratelimit.Seeker) (out []string) {
+func (a *fakeLimits) Exhausted(_ time.Time, s ratelimit.Request) (out []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ranks = append(a.ranks, s.Rank)
@@ -38,7 +38,7 @@
 	return out
 }
 
-func (a *fakeLimits) Take(_ time.Time, name string, _ ratelimit.Seeker) (func(), bool) {
+func (a *fakeLimits) Take(_ time.Time, name string, _ ratelimit.Request) (func(), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.take(a.left, name)
@@ -59,14 +59,14 @@
 	}, true
 }
 
-func (a *fakeLimits) Borrow(_ context.Context, name string, _ ratelimit.Seeker) (func(), bool) {
+func (a *fakeLimits) Borrow(_ context.Context, name string, _ ratelimit.Request) (func(), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asked = append(a.asked, name)
 	return a.take(a.lent, name)
 }
 
-func (a *fakeLimits) RetryAfter(time.Time, string, ratelimit.Seeker, []string) time.Duration {
+func (a *fakeLimits) RetryAfter(time.Time, string, ratelimit.Request, []string) time.Duration {
 	return 700 * time.Millisecond
 }
 
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -31,8 +31,8 @@
 // is safe for concurrent use.
 type upstreamLimits struct {
 	o        upstreamLimitOptions
-	book     *ratelimit.Book
-	gate     *ratelimit.Gate
+	book     *ratelimit.Table
+	gate     *ratelimit.Limiter
 	ledger   *quota.Ledger
 	borrower *unitBorrower
 	// prefetchQueue holds loans to be borrowed before a request needs them.
@@ -55,9 +55,9 @@
 
 // newUpstreamLimits returns upstream limits without any limit in force.
 func newUpstreamLimits(o upstreamLimitOptions) *upstreamLimits {
-	book := ratelimit.NewBook()
+	book := ratelimit.NewTable()
 	return &upstreamLimits{
-		o: o, book: book, gate: ratelimit.NewGate(book, o.Ledger), ledger: o.Ledger, borrower: o.Borrower,
+		o: o, book: book, gate: ratelimit.NewLimiter(book, o.Ledger), ledger: o.Ledger, borrower: o.Borrower,
 		prefetchQueue: make(chan loanRequest, maxQueuedPrefetches),
 	}
 }
@@ -80,7 +80,7 @@
 	u.Name = name
 	if v := a.watcher.View(); v != nil && v.Bundle != nil {
 		member := v.Bundle.Bundle.Upstreams[name]
-		u.Life, pool = member.Life, member.Pool
+		u.Incarnation, pool = member.Life, member.Pool
 	}
 	return u, pool
 }
@@ -130,9 +130,9 @@
 	u, _ := l.o.Lookup(n.Upstream)
 	switch {
 	case n.Named:
-		l.applyReport(ratelimit.Word{Upstream: u, Named: true, Limit: n.Limit, At: n.Came})
+		l.applyReport(ratelimit.Observation{Upstream: u, HasLimit: true, Limit: n.Limit, At: n.Came})
 	case n.Ran && n.Unreadable == "":
-		l.applyReport(ratelimit.Word{Upstream: u, At: n.Sent})
+		l.applyReport(ratelimit.Observation{Upstream: u, At: n.Sent})
 	}
 }
 
@@ -144,16 +144,16 @@
 
 // applyReport records what an answer stated about its upstream's limit, seen here or reported
 // by another daemon, and logs a change of the limit.
-func (l *upstreamLimits) applyReport(report ratelimit.Word) {
+func (l *upstreamLimits) applyReport(report ratelimit.Observation) {
 	now := time.Now()
-	change, changed := l.book.Hear(now, report)
+	change, changed := l.book.Observe(now, report)
 	if !changed {
 		return
 	}
 	fields := l.o.Logger.WithFields(log.Fields{
-		"upstream": change.Upstream.Name, "life": change.Upstream.Life, "was": change.Was, "limit": change.Is, "sent_here": change.Sent, "age_ms": now.Sub(report.At).Milliseconds(),
+		"upstream": change.Upstream.Name, "life": change.Upstream.Incarnation, "was": change.Old, "limit": change.New, "sent_here": change.Sent, "age_ms": now.Sub(report.At).Milliseconds(),
 	})
-	if change.Is == ratelimit.None {
+	if change.New == ratelimit.NoLimit {
 		fields.Info("upstream rate limit lifted")
 		return
 	}
@@ -162,20 +162,22 @@
 
 // News returns the limits to send to other daemons: those that changed recently, or all. It
 // implements relay.Limits.
-func (l *upstreamLimits) News(all bool) []ratelimit.Record { return l.book.News(time.Now(), all) }
+func (l *upstreamLimits) News(all bool) []ratelimit.Record {
+	return l.book.RecentChanges(time.Now(), all)
+}
 
 // Told applies limits that another daemon sent. It implements relay.Limits.
 func (l *upstreamLimits) Told(list []ratelimit.Record) {
 	for _, r := range list {
 		if r.Valid() {
-			l.applyReport(r.Word(time.Now()))
+			l.applyReport(r.Observation(time.Now()))
 		}
 	}
 }
 
 // Exhausted returns the upstreams that may not be sent this request now because this daemon has
 // no units left for them, and queues loans for them. It implements request.UpstreamLimits.
-func (l *upstreamLimits) Exhausted(now time.Time, s ratelimit.Seeker) (out []string) {
+func (l *upstreamLimits) Exhausted(now time.Time, s ratelimit.Request) (out []string) {
 	asked := false
 	for _, u := range l.book.Limited() {
 		found, pool := l.o.Lookup(u.Name)
@@ -183,10 +185,10 @@
 			continue
 		}
 		if !asked {
-			l.gate.Asked(now, s)
+			l.gate.RecordDemand(now, s)
 			asked = true
 		}
-		if !l.gate.May(now, u, s) {
+		if !l.gate.Allows(now, u, s) {
 			out = append(out, u.Name)
 			l.queuePrefetch(now, u, s)
 		}
@@ -199,7 +201,7 @@
 
 // queuePrefetch queues a loan of what the next request with the pool and rank of s will need
 // to be sent to an upstream.
-func (l *upstreamLimits) queuePrefetch(now time.Time, u ratelimit.Upstream, s ratelimit.Seeker) {
+func (l *upstreamLimits) queuePrefetch(now time.Time, u ratelimit.Upstream, s ratelimit.Request) {
 	req, ok := l.loanRequestFor(now, u, s)
 	if !ok || l.borrower.backingOff(now, req) {
 		return
@@ -212,8 +214,8 @@
 
 // loanRequestFor returns the loan that one request to an upstream needs. ok is false if the
 // upstream has no limit.
-func (l *upstreamLimits) loanRequestFor(now time.Time, u ratelimit.Upstream, s ratelimit.Seeker) (req loanRequest, ok bool) {
-	lack, ok := l.gate.Lack(now, u, s)
+func (l *upstreamLimits) loanRequestFor(now time.Time, u ratelimit.Upstream, s ratelimit.Request) (req loanRequest, ok bool) {
+	lack, ok := l.gate.LoanRequest(now, u, s)
 	if !ok {
 		return req, false
 	}
@@ -227,12 +229,12 @@
 
 // Take spends a unit that this daemon holds on a request to an upstream. refund is nil if the
 // upstream has no limit. It implements request.UpstreamLimits.
-func (l *upstreamLimits) Take(now time.Time, name string, s ratelimit.Seeker) (refund func(), ok bool) {
+func (l *upstreamLimits) Take(now time.Time, name string, s ratelimit.Request) (refund func(), ok bool) {
 	if len(l.book.Limited()) == 0 {
 		return nil, true
 	}
 	u, _ := l.o.Lookup(name)
-	ticket, limited, ok := l.gate.Take(now, u, s)
+	ticket, limited, ok := l.gate.Acquire(now, u, s)
 	if !limited || !ok {
 		return nil, ok
 	}
@@ -247,7 +249,7 @@
 
 // Borrow is like Take, but borrows from other daemons if this one holds too little. It
 // implements request.UpstreamLimits.
-func (l *upstreamLimits) Borrow(ctx context.Context, name string, s ratelimit.Seeker) (refund func(), ok bool) {
+func (l *upstreamLimits) Borrow(ctx context.Context, name string, s ratelimit.Request) (refund func(), ok bool) {
 	if refund, ok = l.Take(time.Now(), name, s); ok {
 		return refund, true
 	}
@@ -260,21 +262,21 @@
 	if !ok {
 		return nil, false
 	}
-	l.book.Sent(time.Now(), u)
+	l.book.RecordSent(time.Now(), u)
 	l.o.Metrics.UpstreamLimit(telemetry.LimitLent, 1)
 	return l.refundFunc(ticket), true
 }
 
 // RetryAfter logs a request that is refused because of the limits of upstreams, and returns the
 // time after which its caller may retry. It implements request.UpstreamLimits.
-func (l *upstreamLimits) RetryAfter(now time.Time, request string, s ratelimit.Seeker, names []string) time.Duration {
+func (l *upstreamLimits) RetryAfter(now time.Time, request string, s ratelimit.Request, names []string) time.Duration {
 	upstreams := make([]ratelimit.Upstream, 0, len(names))
 	for _, name := range names {
 		u, _ := l.o.Lookup(name)
 		upstreams = append(upstreams, u)
 	}
 	share := l.o.Share(now)
-	wait := l.gate.Wait(now, s, upstreams, share)
+	wait := l.gate.RetryAfter(now, s, upstreams, share)
 	l.o.Metrics.UpstreamLimit(telemetry.LimitRefused, 1)
 	l.o.Logger.WithFields(log.Fields{
 		"request": request, "upstreams": names, "rank": s.Rank, "part": share, "retry_after_ms": wait.Milliseconds(),
@@ -285,9 +287,9 @@
 // lend takes units of an upstream's limit from this daemon's account for a loan to another
 // daemon.
 func (l *upstreamLimits) lend(call relay.LoanCall) quota.Loan {
-	u := ratelimit.Upstream{Name: call.Upstream, Life: call.Life}
+	u := ratelimit.Upstream{Name: call.Upstream, Incarnation: call.Life}
 	_, pool := l.o.Lookup(u.Name)
-	return l.gate.Lend(time.Now(), u, ratelimit.Seeker{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.Whatever)
+	return l.gate.Lend(time.Now(), u, ratelimit.Request{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.Whatever)
 }
 
 // lendUnits lends another daemon units of an upstream's limit or of a team's.
