--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -182,13 +182,13 @@
 	for i := range 3 {
 		records = append(records, Record{Digest: fatal, Upstream: fmt.Sprint(i), Millis: t0.UnixMilli()})
 	}
-	reader.Take(records)
-	other.Take(records[maxBatch+10:])
+	reader.ApplyRemote(records)
+	other.ApplyRemote(records[maxBatch+10:])
 	follower := newTestKeeper(nil, discard.New())
 	position := uint64(0)
 	read := func(k *Keeper) int {
 		list, next := k.Since(position)
-		follower.Take(list)
+		follower.ApplyRemote(list)
 		position = next
 		return len(list)
 	}
@@ -201,14 +201,14 @@
 	if n := read(other); n != 3 {
 		t.Errorf("%d records received from the other daemon, want 3", n)
 	}
-	if more, _ := reader.News(position); !more {
+	if more, _ := reader.HasRecords(position); !more {
 		t.Error("the first daemon has no records for a position of the other daemon")
 	}
-	more, changed := other.News(position)
+	more, changed := other.HasRecords(position)
 	if more {
 		t.Error("the other daemon has records before any was added")
 	}
-	other.Take(records[:2])
+	other.ApplyRemote(records[:2])
 	select {
 	case <-changed:
 	default:
@@ -217,11 +217,11 @@
 	if n := read(other); n != 2 {
 		t.Errorf("%d records received, want 2", n)
 	}
-	other.Take(records[:2])
-	if more, _ := other.News(position); more {
+	other.ApplyRemote(records[:2])
+	if more, _ := other.HasRecords(position); more {
 		t.Error("known records are passed on, so two daemons that follow each other would never stop")
 	}
-	reader.Take(make([]Record, 2*maxRecent))
+	reader.ApplyRemote(make([]Record, 2*maxRecent))
 	if n := len(reader.recent.records); n > maxRecent {
 		t.Errorf("%d records kept", n)
 	}
@@ -236,7 +236,7 @@
 func (t *forwarder) forward() int {
 	list, next := t.from.Since(t.position)
 	t.position = next
-	t.to.Take(list)
+	t.to.ApplyRemote(list)
 	return len(list)
 }
 
@@ -261,10 +261,10 @@
 				list = append(list, held(i))
 			}
 			a, b := newTestKeeper(nil, discard.New()), newTestKeeper(nil, discard.New())
-			a.Take(list)
-			b.Take(list)
+			a.ApplyRemote(list)
+			b.ApplyRemote(list)
 			there, back := forwarder{a, b, a.recent.next()}, forwarder{b, a, b.recent.next()}
-			a.Take([]Record{old})
+			a.ApplyRemote([]Record{old})
 			forwarded := 0
 			for range rounds {
 				forwarded += there.forward() + back.forward()
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -181,7 +181,7 @@
 		records[i] = Record{Digest: DigestOf(fmt.Sprint(i)), Upstream: fmt.Sprint(i / 12), Millis: t0.UnixMilli(), Answering: true, RanMillis: 500}
 	}
 	for b.Loop() {
-		newTestKeeper(nil, discard.New()).Take(records)
+		newTestKeeper(nil, discard.New()).ApplyRemote(records)
 	}
 }
 
@@ -199,6 +199,6 @@
 			n++
 			records[i] = Record{Digest: DigestOf(fmt.Sprint(n)), Upstream: fmt.Sprint(i / 12), Millis: at(time.Duration(n) * time.Millisecond).UnixMilli(), Answering: true, RanMillis: 500}
 		}
-		k.Take(records)
+		k.ApplyRemote(records)
 	}
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -51,9 +51,9 @@
 	return position >= n.base && position <= n.next()
 }
 
-// News reports whether there are records for a follower that has received those before a
+// HasRecords reports whether there are records for a follower that has received those before a
 // position, and returns a channel that is closed when more are added.
-func (k *Keeper) News(position uint64) (more bool, changed <-chan struct{}) {
+func (k *Keeper) HasRecords(position uint64) (more bool, changed <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.recent.contains(position) {
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -64,12 +64,12 @@
 // readsLog reports whether this daemon is a reader; see Options.Reads.
 func (k *Keeper) readsLog() bool { return k.o.Reads == nil || k.o.Reads() }
 
-// Take applies records received from another daemon. It does not block.
+// ApplyRemote applies records received from another daemon. It does not block.
 //
 // Only records that are new to this daemon are passed on to its followers. Otherwise two daemons
 // that follow each other, as happens when the store is unavailable to one of them, would exchange
 // the same records forever.
-func (k *Keeper) Take(list []Record) { k.applyRecords(list, 0, false) }
+func (k *Keeper) ApplyRemote(list []Record) { k.applyRecords(list, 0, false) }
 
 // applyRecords applies records that may have been in the log for up to age. Records read from the
 // log are passed on even if they are not new, because the followers derive from them when the log
--- a/relay/asked.go
+++ b/relay/asked.go
@@ -13,21 +13,21 @@
 // reading the store for this long next to the current reader.
 const followerTimeout = 3 * time.Second
 
-// Asked records when another daemon last read the store's feeds through this one. It is
+// FollowerActivity records when another daemon last read the store's feeds through this one. It is
 // safe for concurrent use.
-type Asked struct {
+type FollowerActivity struct {
 	mu        sync.Mutex
 	lastCall  time.Time
 	callbacks map[int]func() // registered with OnFirst
 	nextID    int
 }
 
-// NewAsked returns an Asked without any recorded call.
-func NewAsked() *Asked { return &Asked{callbacks: map[int]func(){}} }
+// NewFollowerActivity returns an Asked without any recorded call.
+func NewFollowerActivity() *FollowerActivity { return &FollowerActivity{callbacks: map[int]func(){}} }
 
-// Note records a call of a follower. If no call was recent, it runs the callbacks
+// RecordCall records a call of a follower. If no call was recent, it runs the callbacks
 // registered with OnFirst.
-func (a *Asked) Note(now time.Time) {
+func (a *FollowerActivity) RecordCall(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.recentlyAsked(now) {
@@ -38,22 +38,22 @@
 	a.lastCall = now
 }
 
-// Lately reports whether a follower has called within followerTimeout. While it has, this
+// Recent reports whether a follower has called within followerTimeout. While it has, this
 // daemon reads the store itself, with short waits.
-func (a *Asked) Lately(now time.Time) bool {
+func (a *FollowerActivity) Recent(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.recentlyAsked(now)
 }
 
-func (a *Asked) recentlyAsked(now time.Time) bool {
+func (a *FollowerActivity) recentlyAsked(now time.Time) bool {
 	return !a.lastCall.IsZero() && clock.Elapsed(a.lastCall, now) < followerTimeout
 }
 
-// OnFirst registers f, which is run when a follower calls and none has called recently. The
+// OnActive registers f, which is run when a follower calls and none has called recently. The
 // store uses it to cancel a read through another daemon, which may be unreachable. f must
 // neither block nor call methods of a. stop removes f.
-func (a *Asked) OnFirst(f func()) (stop func()) {
+func (a *FollowerActivity) OnActive(f func()) (stop func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := a.nextID
--- a/relay/borrower_test.go
+++ b/relay/borrower_test.go
@@ -34,12 +34,12 @@
 			t.Fatal(err)
 		}
 		p := peer(ln.Addr().String(), "a", 1)
-		s := NewServer(ServerOptions{Journal: NewJournal(), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(t0), Quarantine: newQuarantine(), Lend: l.lend, Pace: testPace, Logger: discardLogger, Now: time.Now})
+		s := NewServer(ServerOptions{Cache: NewFeedCache(), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(t0), Quarantine: newQuarantine(), Lend: l.lend, Timing: testPace, Logger: discardLogger, Now: time.Now})
 		s.Listen(ln)
 		runUntilCleanup(t, s.Run)
 		order = append(order, p)
 	}
-	roster.Told(Succession{Order: order, Daemons: 20})
+	roster.SetSuccession(Succession{Order: order, Daemons: 20})
 	now := t0
 	return NewBorrower(BorrowerOptions{
 		Roster: roster, Dial: DialTCP, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return now },
--- a/relay/count_test.go
+++ b/relay/count_test.go
@@ -27,7 +27,7 @@
 					w.startAll(w.daemons)
 					time.Sleep(known)
 					for _, d := range w.daemons {
-						if got := d.roster.Sharing(time.Now()); got < n || got > n+dataCentres {
+						if got := d.roster.ShareCount(time.Now()); got < n || got > n+dataCentres {
 							t.Errorf("%s counts %d of %d daemons", d.self.Instance, got, n)
 						}
 					}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -47,7 +47,7 @@
 	// neither.
 	Limits Limits
 	// Time hands accrual time over to the reader; nil hands none over.
-	Time   *TimeKeeper
+	Time   *AccrualSender
 	Dial   Dialer
 	Logger log.Interface
 	Now    func() time.Time
@@ -72,9 +72,9 @@
 		pause = exchangeInterval
 		order := e.o.Roster.Order(e.o.Now())
 		switch {
-		case e.o.Roster.Leads():
+		case e.o.Roster.IsReader():
 			e.exchangeWithPartners(ctx)
-		case len(order) > 0 && (e.o.Roster.Daemons(e.o.Now()) < minFleet || n%announceEveryRounds == announceFirstRound):
+		case len(order) > 0 && (e.o.Roster.FleetSize(e.o.Now()) < minFleet || n%announceEveryRounds == announceFirstRound):
 			e.announceToReader(ctx, order)
 		default:
 			e.closeAllExcept(nil)
@@ -101,7 +101,7 @@
 		if err == nil {
 			e.o.Time.recordStamp(e.o.Now(), peer.Address, reply.Stamp)
 			e.closeAllExcept(map[string]bool{peer.Address: true})
-			e.o.Roster.Told(reply.Succession)
+			e.o.Roster.SetSuccession(reply.Succession)
 			return
 		}
 	}
@@ -111,8 +111,8 @@
 func (e *Exchange) exchangeWithPartners(ctx context.Context) {
 	partners := e.partners()
 	e.closeAllExcept(partners)
-	samples := toWireSamples(e.o.Samples.TakeAcross())
-	if e.o.Roster.Daemons(e.o.Now()) < minFleet {
+	samples := toWireSamples(e.o.Samples.TakeForOtherReaders())
+	if e.o.Roster.FleetSize(e.o.Now()) < minFleet {
 		// A daemon of a small fleet handles enough completions itself. Samples of others
 		// would also lack what it knows of its own requests, such as which prompts were
 		// queued.
@@ -132,15 +132,15 @@
 		e.clients[address] = c
 	}
 	now := e.o.Now()
-	m.Limits = e.o.Limits.News(e.o.Roster.Daemons(now) < minFleet)
+	m.Limits = e.o.Limits.Changes(e.o.Roster.FleetSize(now) < minFleet)
 	reply, err := c.discover(ctx, address, m, exchangeTimeout)
 	if err != nil {
 		e.o.Logger.WithField("daemon", address).WithError(err).Debug("exchange unanswered")
 		return reply, err
 	}
-	e.o.Roster.Answered(address)
-	e.o.Roster.Claimed(now, reply.Claims)
-	e.o.Limits.Told(reply.Limits)
+	e.o.Roster.MarkReachable(address)
+	e.o.Roster.AddClaims(now, reply.Claims)
+	e.o.Limits.Update(reply.Limits)
 	return reply, nil
 }
 
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -240,7 +240,7 @@
 		from := w.elapsed()
 		w.store.update(func() {
 			for i, d := range w.daemons {
-				w.store.refusedInstances[d.self.Instance] = i%3 == 0 || d.roster.Leads()
+				w.store.refusedInstances[d.self.Instance] = i%3 == 0 || d.roster.IsReader()
 			}
 		})
 		time.Sleep(time.Second)
@@ -438,7 +438,7 @@
 		w.startAll(w.daemons)
 		time.Sleep(startupTime)
 		for _, d := range w.daemons {
-			if !d.feeds.Reads() {
+			if !d.feeds.ReadsStore() {
 				t.Errorf("%s reads through another daemon", d.self.Instance)
 			}
 		}
@@ -456,7 +456,7 @@
 		for range seconds {
 			for i, d := range w.daemons {
 				if i%2 == int(w.elapsed()/time.Second)%2 {
-					d.samples.Saw(time.Now(), estimate.Sample{Model: "m", PromptTokens: 3000, AnswerTokens: 700, Held: time.Second})
+					d.samples.AddOwn(time.Now(), estimate.Sample{Model: "m", PromptTokens: 3000, AnswerTokens: 700, Held: time.Second})
 				}
 			}
 			time.Sleep(time.Second)
@@ -467,7 +467,7 @@
 			got := len(d.received)
 			d.mu.Unlock()
 			switch {
-			case d.roster.Leads() && got < all/2:
+			case d.roster.IsReader() && got < all/2:
 				t.Errorf("reader %s has received %d of %d samples", d.self.Instance, got, all)
 			case got < 24:
 				t.Errorf("%s has received %d samples", d.self.Instance, got)
@@ -485,7 +485,7 @@
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		for range 5 {
 			for _, d := range w.daemons {
-				d.samples.Saw(time.Now(), estimate.Sample{Model: "m", AnswerTokens: 700})
+				d.samples.AddOwn(time.Now(), estimate.Sample{Model: "m", AnswerTokens: 700})
 			}
 			time.Sleep(time.Second)
 		}
--- a/relay/journal.go
+++ b/relay/journal.go
@@ -22,9 +22,9 @@
 	batch fleet.Batch
 }
 
-// Journal caches what this daemon has read of the feeds: the newest record of each key and
+// FeedCache caches what this daemon has read of the feeds: the newest record of each key and
 // the most recent batches. It is safe for concurrent use.
-type Journal struct {
+type FeedCache struct {
 	mu    sync.Mutex
 	feeds [feedCount]feedState
 	// lastContact is the time of the newest data from the store, read directly or through
@@ -53,8 +53,8 @@
 // upstreams need this long to register again.
 const recoveryWindow = 2 * time.Second
 
-// Look is the cached content of a feed from an offset on.
-type Look struct {
+// CachedFeed is the cached content of a feed from an offset on.
+type CachedFeed struct {
 	// Known reports that the feed has been read. Batch then holds the records from the
 	// offset on or, where these are no longer cached, a snapshot.
 	Known bool
@@ -62,18 +62,18 @@
 	// Age is the time since the last contact with the store. It includes time during which
 	// the machine was suspended.
 	Age time.Duration
-	// Away reports that a call to the store has failed since the last contact.
-	Away bool
+	// StoreDown reports that a call to the store has failed since the last contact.
+	StoreDown bool
 	// Changed is closed when any other field than Age changes.
 	Changed <-chan struct{}
 }
 
-// NewJournal returns an empty journal.
-func NewJournal() *Journal { return &Journal{changed: make(chan struct{})} }
+// NewFeedCache returns an empty journal.
+func NewFeedCache() *FeedCache { return &FeedCache{changed: make(chan struct{})} }
 
 // Add stores a batch of a feed that was read from the offset from on. readAt is when its
 // data came from the store.
-func (j *Journal) Add(readAt time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
+func (j *FeedCache) Add(readAt time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if readAt.After(j.lastContact) {
@@ -99,8 +99,8 @@
 	j.notify()
 }
 
-// Away records that the store failed to answer this daemon.
-func (j *Journal) Away() {
+// MarkStoreDown records that the store failed to answer this daemon.
+func (j *FeedCache) MarkStoreDown() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.storeDown = true
@@ -108,7 +108,7 @@
 }
 
 // notify wakes the callers that wait for a change.
-func (j *Journal) notify() {
+func (j *FeedCache) notify() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
@@ -136,13 +136,13 @@
 	}
 }
 
-// Look returns the cached records of a feed from the offset from on, or a snapshot if whole
+// Get returns the cached records of a feed from the offset from on, or a snapshot if whole
 // is set.
-func (j *Journal) Look(now time.Time, f fleet.Feed, from uint64, whole bool) Look {
+func (j *FeedCache) Get(now time.Time, f fleet.Feed, from uint64, whole bool) CachedFeed {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	s := &j.feeds[f]
-	l := Look{Known: s.state != nil, Away: j.storeDown, Changed: j.changed}
+	l := CachedFeed{Known: s.state != nil, StoreDown: j.storeDown, Changed: j.changed}
 	if !l.Known {
 		return l
 	}
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -10,15 +10,15 @@
 // limit has changed or was removed, and a daemon that has just started exceeds the limit
 // until it gets its first response.
 type Limits interface {
-	// News returns the limits that changed recently, or all limits in force if all is set.
-	News(all bool) []ratelimit.Record
-	// Told stores limits received from another daemon.
-	Told(list []ratelimit.Record)
+	// Changes returns the limits that changed recently, or all limits in force if all is set.
+	Changes(all bool) []ratelimit.Record
+	// Update stores limits received from another daemon.
+	Update(list []ratelimit.Record)
 }
 
 // noLimits is the Limits of a daemon that shares no rate limits.
 type noLimits struct{}
 
-func (noLimits) News(bool) []ratelimit.Record { return nil }
+func (noLimits) Changes(bool) []ratelimit.Record { return nil }
 
-func (noLimits) Told([]ratelimit.Record) {}
+func (noLimits) Update([]ratelimit.Record) {}
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -22,8 +22,8 @@
 	maxLoanIdle = idleTimeout / 2
 )
 
-// LoanCall asks a daemon to lend units of an account.
-type LoanCall struct {
+// LoanRequest asks a daemon to lend units of an account.
+type LoanRequest struct {
 	// Team, or Upstream and Life, identify the account; see quota.Account.
 	Team     string `msgpack:"t"`
 	Upstream string `msgpack:"u,omitempty"`
@@ -36,8 +36,8 @@
 	// expected soon.
 	Needs float64 `msgpack:"n"`
 	Wants float64 `msgpack:"w"`
-	// Whatever reports that fewer units than Needs are useful too.
-	Whatever bool `msgpack:"p,omitempty"`
+	// PartialOK reports that fewer units than Needs are useful too.
+	PartialOK bool `msgpack:"p,omitempty"`
 	// From is the borrower. Accrued is accrual time that it hands over to the lender (see
 	// TimeKeeper).
 	From    Peer       `msgpack:"f"`
@@ -48,12 +48,12 @@
 }
 
 // Account returns the account to lend from.
-func (c *LoanCall) Account() quota.Account {
+func (c *LoanRequest) Account() quota.Account {
 	return quota.Account{Team: c.Team, Upstream: c.Upstream, Incarnation: c.Life}
 }
 
 // SetAccount sets the account to lend from.
-func (c *LoanCall) SetAccount(a quota.Account) {
+func (c *LoanRequest) SetAccount(a quota.Account) {
 	c.Team, c.Upstream, c.Life = a.Team, a.Upstream, a.Incarnation
 }
 
@@ -72,7 +72,7 @@
 // LoansOptions configure Loans; all fields are required.
 type LoansOptions struct {
 	Roster *Roster
-	Time   *TimeKeeper
+	Time   *AccrualSender
 	Quota  *quota.Ledger
 	Dial   Dialer
 	Logger log.Interface
@@ -90,8 +90,8 @@
 // NewLoans returns Loans without connections.
 func NewLoans(o LoansOptions) *Loans { return &Loans{o: o, conns: map[string]*lenderConn{}} }
 
-// Answer is the result of a loan request to other daemons.
-type Answer struct {
+// LoanResult is the result of a loan request to other daemons.
+type LoanResult struct {
 	// Lent reports that the needed units were lent. Left is the sum of the units that the
 	// asked lenders have left.
 	Lent bool
@@ -102,12 +102,12 @@
 }
 
 // Borrow asks other daemons one after the other until the needed units are lent.
-func (l *Loans) Borrow(ctx context.Context, ask LoanCall) (out Answer) {
+func (l *Loans) Borrow(ctx context.Context, ask LoanRequest) (out LoanResult) {
 	// The call goes on if the caller of the request disconnects, because cancelling it
 	// would close the connection to the lender.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loanTimeout)
 	defer cancel()
-	for _, peer := range l.o.Roster.Keepers(l.o.Now(), l.o.Time.lastRecipient()) {
+	for _, peer := range l.o.Roster.LoanCandidates(l.o.Now(), l.o.Time.lastRecipient()) {
 		loan, ok := l.borrowFrom(ctx, peer, ask)
 		if !ok {
 			continue
@@ -120,7 +120,7 @@
 		if out.Wait == 0 || loan.Wait < out.Wait {
 			out.Wait = loan.Wait
 		}
-		if ask.Whatever {
+		if ask.PartialOK {
 			ask.Needs -= loan.Units
 		}
 	}
@@ -128,7 +128,7 @@
 }
 
 // borrowFrom borrows from one daemon; ok is false if it gave no answer.
-func (l *Loans) borrowFrom(ctx context.Context, peer Peer, call LoanCall) (loan quota.Loan, ok bool) {
+func (l *Loans) borrowFrom(ctx context.Context, peer Peer, call LoanRequest) (loan quota.Loan, ok bool) {
 	conn := l.conn(peer.Address)
 	select {
 	case conn.inUse <- struct{}{}:
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -30,11 +30,11 @@
 	}
 	p := peer(ln.Addr().String(), dataCentre, 800)
 	s := NewServer(ServerOptions{
-		Journal: newTestJournal(time.Now(), "a"), Roster: NewRoster(p, nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Quota: l,
-		LendUnits: func(c LoanCall) quota.Loan {
-			return l.Lend(time.Now(), c.Account(), loanTerms, c.Needs, c.Wants, 0, c.Whatever)
+		Cache: newTestJournal(time.Now(), "a"), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Quota: l,
+		LendUnits: func(c LoanRequest) quota.Loan {
+			return l.Lend(time.Now(), c.Account(), loanTerms, c.Needs, c.Wants, 0, c.PartialOK)
 		},
-		Pace: testPace, Logger: discardLogger, Now: time.Now,
+		Timing: testPace, Logger: discardLogger, Now: time.Now,
 	})
 	s.Listen(ln)
 	runUntilCleanup(t, s.Run)
@@ -46,9 +46,9 @@
 func newTestLoans(t *testing.T, own Peer, others ...Peer) (*Loans, *quota.Ledger) {
 	t.Helper()
 	r := NewRoster(peer("me", "a", 1), []string{"a", "b"})
-	r.Told(Succession{Order: []Peer{own}, Others: others, Daemons: 20, Sharing: 20, Near: 10})
+	r.SetSuccession(Succession{Order: []Peer{own}, Others: others, Daemons: 20, ShareCount: 20, LocalDaemons: 10})
 	l := quota.NewLedger(time.Now(), false)
-	loans := NewLoans(LoansOptions{Roster: r, Time: NewTimeKeeper(l, r), Quota: l, Dial: DialTCP, Logger: discardLogger, Now: time.Now})
+	loans := NewLoans(LoansOptions{Roster: r, Time: NewAccrualSender(l, r), Quota: l, Dial: DialTCP, Logger: discardLogger, Now: time.Now})
 	t.Cleanup(func() {
 		for _, line := range loans.conns {
 			line.client.close()
@@ -61,15 +61,15 @@
 // unused units.
 func TestLoansOfOtherDataCentres(t *testing.T) {
 	loans, l := newTestLoans(t, serveLoans(t, newTestLedger(0.1), "a"), serveLoans(t, newTestLedger(1), "b"))
-	answer := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 500, Wants: 600})
+	answer := loans.Borrow(t.Context(), LoanRequest{Team: "red", Terms: loanTerms, Needs: 500, Wants: 600})
 	if left := l.Available(time.Now(), quota.Account{Team: "red"}, loanTerms); !answer.Lent || left < 500 {
 		t.Errorf("%+v, %v left", answer, left)
 	}
-	answer = loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 5000, Wants: 5000})
+	answer = loans.Borrow(t.Context(), LoanRequest{Team: "red", Terms: loanTerms, Needs: 5000, Wants: 5000})
 	if answer.Lent || answer.Left <= 0 || answer.Wait <= 0 {
 		t.Errorf("%+v for more units than all lenders have", answer)
 	}
-	if some := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: answer.Left * 0.95, Wants: answer.Left * 0.95, Whatever: true}); !some.Lent {
+	if some := loans.Borrow(t.Context(), LoanRequest{Team: "red", Terms: loanTerms, Needs: answer.Left * 0.95, Wants: answer.Left * 0.95, PartialOK: true}); !some.Lent {
 		t.Errorf("%+v for units that two lenders have together", some)
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	loans, _ := newTestLoans(t, peer(gone.Addr().String(), "a", 1), serveLoans(t, newTestLedger(1), "b"))
 	gone.Close()
-	if answer := loans.Borrow(t.Context(), LoanCall{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}); !answer.Lent {
+	if answer := loans.Borrow(t.Context(), LoanRequest{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}); !answer.Lent {
 		t.Errorf("%+v", answer)
 	}
 	if conn := loans.conn(gone.Addr().String()); !time.Now().Before(conn.backoffUntil) {
@@ -97,7 +97,7 @@
 	loans, _ := newTestLoans(t, lender)
 	now := time.Now()
 	loans.o.Now = func() time.Time { return now }
-	ask := LoanCall{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}
+	ask := LoanRequest{Team: "red", Terms: loanTerms, Needs: 10, Wants: 10}
 	if answer := loans.Borrow(t.Context(), ask); !answer.Lent {
 		t.Fatal("nothing lent")
 	}
@@ -121,7 +121,7 @@
 	reader := serveLoans(t, ledger, "a")
 	d := newTestDaemon(&fakeFeedStore{}, reader, testSelf)
 	own := quota.NewLedger(d.now, true)
-	d.o.Time = NewTimeKeeper(own, d.o.Roster)
+	d.o.Time = NewAccrualSender(own, d.o.Roster)
 	own.Tick(d.now, 0.1, false)
 	if _, err := d.readFrom(t, 0); err != nil { // the response contains the reader's stamp
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	if got := d.o.Time.lastRecipient(); got.Address != reader.Address {
 		t.Errorf("the time was handed over to %v", got)
 	}
-	if keepers := d.o.Roster.Keepers(d.now, d.o.Time.lastRecipient()); len(keepers) == 0 || keepers[0].Address != reader.Address {
+	if keepers := d.o.Roster.LoanCandidates(d.now, d.o.Time.lastRecipient()); len(keepers) == 0 || keepers[0].Address != reader.Address {
 		t.Errorf("the lenders are %v", keepers)
 	}
 	if span := d.o.Time.handOver(d.now, peer("other", "b", 1)); span.Length != 0 {
@@ -150,15 +150,15 @@
 // too large a share for each.
 func TestPartOfAFollowerThatKnowsMore(t *testing.T) {
 	r := NewRoster(peer("r", "a", 1), []string{"a", "b", "c"})
-	if got := r.Part(t0); got != 0 {
+	if got := r.Share(t0); got != 0 {
 		t.Errorf("a share of %v before another daemon is known", got)
 	}
-	r.Heard(t0, peer("x", "a", 1))
-	if got := r.Part(t0); got != 1.0/6 {
+	r.RecordCall(t0, peer("x", "a", 1))
+	if got := r.Share(t0); got != 1.0/6 {
 		t.Errorf("a share of %v, want half of a third", got)
 	}
-	r.NearKnown(24)
-	if got := r.Part(t0); got != 1.0/72 {
+	r.RaiseLocalDaemons(24)
+	if got := r.Share(t0); got != 1.0/72 {
 		t.Errorf("a share of %v, want a 24th of a third", got)
 	}
 }
--- a/relay/message.go
+++ b/relay/message.go
@@ -33,10 +33,10 @@
 	Others []Peer `msgpack:"x,omitempty"`
 	// Daemons is the number of known daemons in the whole fleet.
 	Daemons int `msgpack:"n"`
-	// Sharing is the number of daemons by which the fleet's shared limits are divided.
-	Sharing int `msgpack:"h"`
-	// Near is the number of daemons in the data centre; 0 if unknown.
-	Near int `msgpack:"r,omitempty"`
+	// ShareCount is the number of daemons by which the fleet's shared limits are divided.
+	ShareCount int `msgpack:"h"`
+	// LocalDaemons is the number of daemons in the data centre; 0 if unknown.
+	LocalDaemons int `msgpack:"r,omitempty"`
 }
 
 // readStatus classifies the data that a reader can offer.
@@ -190,7 +190,7 @@
 	for _, count := range []struct {
 		daemons int
 		step    float64
-	}{{s.Daemons, 1.2}, {s.Sharing, 1.05}, {s.Near, 1.05}} {
+	}{{s.Daemons, 1.2}, {s.ShareCount, 1.05}, {s.LocalDaemons, 1.05}} {
 		_, _ = h.WriteString(strconv.Itoa(int(math.Log(float64(max(1, count.daemons)))/math.Log(count.step))) + "/")
 	}
 	return h.Sum64()
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Pace holds the durations that control how long reads wait and how long their results
+// Timing holds the durations that control how long reads wait and how long their results
 // count as fresh. All of them derive from one bound, the time within which a change in the
 // store must be in force on all daemons.
-type Pace struct {
+type Timing struct {
 	// AnswerWithin is how long a reader holds a call without new records, and Slack how
 	// much longer its answer may take. A shorter hold costs more frames, each of which
 	// takes about 50 µs of CPU time on both sides; a longer one delays the detection of an
@@ -42,11 +42,11 @@
 	answerSlack = 250 * time.Millisecond
 )
 
-// PaceOf returns the durations for a bound.
-func PaceOf(bound time.Duration) Pace {
+// TimingFor returns the durations for a bound.
+func TimingFor(bound time.Duration) Timing {
 	bound = max(bound, minBound)
 	fraction := func(p float64) time.Duration { return time.Duration(p * float64(bound)) }
-	return Pace{
+	return Timing{
 		AnswerWithin: fraction(answerFraction),
 		Slack:        answerSlack,
 		MaxAge:       fraction(maxAgeFraction),
--- a/relay/part.go
+++ b/relay/part.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Part returns this daemon's share of the fleet's shared limits: an equal share for each
+// Share returns this daemon's share of the fleet's shared limits: an equal share for each
 // data centre, divided by the largest number of daemons ever known in this data centre. It
 // is 0 while no other daemon is known.
 //
 // The limits are not divided by the number of all daemons, because a reader that has just
 // started knows few daemons of the other data centres and would take their share as well.
-func (r *Roster) Part(now time.Time) float64 {
+func (r *Roster) Share(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
@@ -20,31 +20,31 @@
 	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.maxLocal))
 }
 
-// Near returns the largest number of daemons known in this data centre since this process
+// LocalDaemons returns the largest number of daemons known in this data centre since this process
 // started.
-func (r *Roster) Near(now time.Time) int {
+func (r *Roster) LocalDaemons(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.countDaemons(now)
 	return r.maxLocal
 }
 
-// NearKnown raises the number of daemons known in this data centre to the number that
+// RaiseLocalDaemons raises the number of daemons known in this data centre to the number that
 // another daemon knows.
 //
 // Without it, a restarted reader, which knows few daemons, would accrue too large a share
 // for the time that its followers hand over.
-func (r *Roster) NearKnown(n int) {
+func (r *Roster) RaiseLocalDaemons(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.maxLocal = max(r.maxLocal, n)
 }
 
-// Keepers returns the daemons that may hold accrued units, in the order in which to ask
+// LoanCandidates returns the daemons that may hold accrued units, in the order in which to ask
 // them: the one to which this daemon handed its accrual time last (holder), the reader of
 // this data centre, and the readers of the others. In a small fleet, where each daemon
 // accrues for itself, it returns all lenders.
-func (r *Roster) Keepers(now time.Time, holder Peer) []Peer {
+func (r *Roster) LoanCandidates(now time.Time, holder Peer) []Peer {
 	lenders := r.Lenders(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -55,8 +55,8 @@
 
 // Step is the next action of a daemon that reads a feed.
 type Step struct {
-	Do   Do
-	Peer Peer // for AskPeer and Meet
+	Action Action
+	Peer   Peer // for AskPeer and Meet
 	// Patient is set if there is no other daemon left to ask (see readRequest).
 	Patient bool
 	// Probe is set if the store may be unavailable. The call then does not wait at the
@@ -65,15 +65,15 @@
 	Pause time.Duration // for Wait
 }
 
-// Do is the kind of a Step.
-type Do uint8
+// Action is the kind of a Step.
+type Action uint8
 
 // The kinds of steps.
 const (
-	AskStore Do = iota
+	AskStore Action = iota
 	AskPeer
-	Meet // ask a daemon for the readers of this data centre
-	List // ask the store for the list of readers
+	AskReader   // ask a daemon for the readers of this data centre
+	ListReaders // ask the store for the list of readers
 	Wait
 )
 
@@ -117,7 +117,7 @@
 	p := &Plan{self: self, startedAt: now, roster: roster, rng: rng, seeds: seeds, backoffUntil: map[string]time.Time{}}
 	for _, address := range seeds {
 		if address == self.Address {
-			roster.Lead() // starting daemons ask the seeds for their reader, so a seed leads at first
+			roster.BecomeReader() // starting daemons ask the seeds for their reader, so a seed leads at first
 		}
 	}
 	p.startSearch(now)
@@ -135,9 +135,9 @@
 	}
 }
 
-// Reads reports whether this daemon reads the store itself in normal operation, and not
+// ReadsStore reports whether this daemon reads the store itself in normal operation, and not
 // only as a fallback while its reader fails.
-func (p *Plan) Reads(now time.Time) bool {
+func (p *Plan) ReadsStore(now time.Time) bool {
 	order := p.roster.Order(now)
 	if len(order) == 0 {
 		return !p.listedAt.IsZero() && len(p.candidates) == 0 // the search has found no reader
@@ -147,7 +147,7 @@
 
 // smallFleet reports whether the fleet is too small for readers, so that each daemon reads
 // the store itself.
-func (p *Plan) smallFleet(now time.Time) bool { return p.roster.Daemons(now) < minFleet }
+func (p *Plan) smallFleet(now time.Time) bool { return p.roster.FleetSize(now) < minFleet }
 
 // Next returns the next step for a feed. hasFollowers is set while other daemons read
 // through this one.
@@ -183,15 +183,15 @@
 	if len(p.candidates) > 0 {
 		next := p.candidates[0]
 		p.candidates = p.candidates[1:]
-		return Step{Do: Meet, Peer: Peer{Address: next}}, true
+		return Step{Action: AskReader, Peer: Peer{Address: next}}, true
 	}
 	if len(order) == 0 && len(p.seeds) > 0 && now.Sub(p.startedAt) < seedWait {
 		p.startSearch(now)
-		return Step{Do: Wait, Pause: p.withJitter(seedRetryInterval)}, true
+		return Step{Action: Wait, Pause: p.withJitter(seedRetryInterval)}, true
 	}
 	if len(order) == 0 && now.Sub(p.listedAt) >= max(interval, minSearchInterval) {
 		p.listedAt = now
-		return Step{Do: List}, true
+		return Step{Action: ListReaders}, true
 	}
 	return Step{}, false
 }
@@ -200,14 +200,14 @@
 // or, while the store fails, of another daemon that may have fresh data.
 func (p *Plan) readerStep(now time.Time, f fleet.Feed, order []Peer) Step {
 	if p.storeDue(now, f) {
-		return Step{Do: AskStore, Probe: p.noFreshPeer || p.store.failures > 0}
+		return Step{Action: AskStore, Probe: p.noFreshPeer || p.store.failures > 0}
 	}
-	for _, peer := range append(order, p.roster.Others(now)...) {
+	for _, peer := range append(order, p.roster.OtherReaders(now)...) {
 		if peer.Address != p.self.Address && p.available(now, peer) {
-			return Step{Do: AskPeer, Peer: peer}
+			return Step{Action: AskPeer, Peer: peer}
 		}
 	}
-	return Step{Do: Wait, Pause: p.idleTime(now)}
+	return Step{Action: Wait, Pause: p.idleTime(now)}
 }
 
 // followerStep returns the step of a daemon that has a reader.
@@ -217,13 +217,13 @@
 			return p.readerStep(now, f, order) // no daemon earlier in the order has fresh data
 		}
 		if p.available(now, peer) {
-			return Step{Do: AskPeer, Peer: peer}
+			return Step{Action: AskPeer, Peer: peer}
 		}
 	}
 	if p.noFreshPeer && f == fleet.FeedUpstreams && !now.Before(p.store.nextProbe) {
-		return Step{Do: AskStore, Probe: true}
+		return Step{Action: AskStore, Probe: true}
 	}
-	return Step{Do: AskPeer, Peer: order[0], Patient: true}
+	return Step{Action: AskPeer, Peer: order[0], Patient: true}
 }
 
 // storeDue reports whether a call to the store is due. While the store fails, only the
@@ -254,21 +254,21 @@
 	return !ok
 }
 
-// Took records that a peer returned fresh data.
-func (p *Plan) Took(now time.Time, peer Peer) {
+// PeerFresh records that a peer returned fresh data.
+func (p *Plan) PeerFresh(now time.Time, peer Peer) {
 	delete(p.backoffUntil, peer.Address)
 	p.noFreshPeer = false
-	p.roster.Served(now, peer)
+	p.roster.RecordAnswer(now, peer)
 }
 
-// Silent records that a peer failed to answer.
-func (p *Plan) Silent(now time.Time, peer Peer) { p.roster.Silent(now, peer.Address) }
+// PeerUnreachable records that a peer failed to answer.
+func (p *Plan) PeerUnreachable(now time.Time, peer Peer) { p.roster.MarkUnreachable(now, peer.Address) }
 
-// Waits records that a peer answered that the store is unavailable.
-func (p *Plan) Waits(now time.Time, peer Peer) { p.backOff(now, peer, storeDownBackoff) }
+// PeerStoreDown records that a peer answered that the store is unavailable.
+func (p *Plan) PeerStoreDown(now time.Time, peer Peer) { p.backOff(now, peer, storeDownBackoff) }
 
-// Unfit records that a peer answered that its data is stale.
-func (p *Plan) Unfit(now time.Time, peer Peer) { p.backOff(now, peer, staleBackoff) }
+// PeerStale records that a peer answered that its data is stale.
+func (p *Plan) PeerStale(now time.Time, peer Peer) { p.backOff(now, peer, staleBackoff) }
 
 // backOff keeps a peer without fresh data from being asked for about d. If it is the first
 // such peer, backOff also schedules the first probe of the store, at a random time so that
@@ -281,14 +281,14 @@
 	}
 }
 
-// Failed records that the store failed to answer this daemon.
-func (p *Plan) Failed(now time.Time) {
+// StoreFailed records that the store failed to answer this daemon.
+func (p *Plan) StoreFailed(now time.Time) {
 	p.store.failures++
 	p.store.nextProbe = now.Add(p.withJitter(p.probeInterval(now)))
 }
 
-// Answered records that the store answered this daemon.
-func (p *Plan) Answered() { p.store, p.noFreshPeer = storeBackoff{}, false }
+// StoreAnswered records that the store answered this daemon.
+func (p *Plan) StoreAnswered() { p.store, p.noFreshPeer = storeBackoff{}, false }
 
 // probeInterval returns the pause before the next call to a failing store. It is shortest
 // for the reader and longer for successors; followers divide one call a second among them.
@@ -307,7 +307,7 @@
 	if len(order) == 0 || p.smallFleet(now) {
 		return min(d, maxIsolatedProbeInterval)
 	}
-	return followerProbeInterval * time.Duration(max(1, p.roster.Daemons(now)/max(1, 1+len(p.roster.Others(now)))))
+	return followerProbeInterval * time.Duration(max(1, p.roster.FleetSize(now)/max(1, 1+len(p.roster.OtherReaders(now)))))
 }
 
 // withJitter returns d, changed at random by up to the fraction jitter.
@@ -315,18 +315,18 @@
 	return time.Duration(float64(d) * (1 + jitter*(2*p.rng.Float64()-1)))
 }
 
-// Met stores the succession that the daemon at an address returned and ends the search. A
+// ReaderFound stores the succession that the daemon at an address returned and ends the search. A
 // seed that does not answer may only have started later than this daemon, so it isn't
 // marked as unreachable.
-func (p *Plan) Met(address string, s Succession) {
-	p.roster.Answered(address)
-	p.roster.Told(s)
+func (p *Plan) ReaderFound(address string, s Succession) {
+	p.roster.MarkReachable(address)
+	p.roster.SetSuccession(s)
 	p.candidates = nil
 }
 
-// Listed adds the readers that the store listed to the search: those of this data centre
+// ReadersListed adds the readers that the store listed to the search: those of this data centre
 // first, at most maxSuccessors in all.
-func (p *Plan) Listed(peers []Peer) {
+func (p *Plan) ReadersListed(peers []Peer) {
 	for _, near := range []bool{true, false} {
 		for _, peer := range peers {
 			if peer.Address != p.self.Address && (peer.DataCentre == p.self.DataCentre) == near && len(p.candidates) < maxSuccessors {
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -17,22 +17,22 @@
 	var peers []Peer
 	for _, name := range order {
 		peers = append(peers, peer(name, "a", 192))
-		r.Heard(t0, peer(name, "a", 192))
+		r.RecordCall(t0, peer(name, "a", 192))
 	}
-	r.Told(Succession{Order: peers, Others: []Peer{peer("x", "b", 192)}, Daemons: 300})
+	r.SetSuccession(Succession{Order: peers, Others: []Peer{peer("x", "b", 192)}, Daemons: 300})
 	return NewPlan(t0, peer("m", "a", 192), []string{"seed"}, r, rand.New(rand.NewPCG(1, 1)))
 }
 
 // String returns a short form of a step, which the tests compare.
 func (s Step) String() string {
-	switch s.Do {
+	switch s.Action {
 	case AskStore:
 		return map[bool]string{false: "store", true: "probe"}[s.Probe]
 	case AskPeer:
 		return map[bool]string{false: "", true: "patient "}[s.Patient] + s.Peer.Address
-	case Meet:
+	case AskReader:
 		return "meet " + s.Peer.Address
-	case List:
+	case ListReaders:
 		return "list"
 	default:
 		return "wait"
@@ -51,18 +51,22 @@
 		"the reader":                             {[]string{"r", "s"}, nil, false, "r"},
 		"it is the reader":                       {[]string{"m", "s"}, nil, false, "store"},
 		"it has followers":                       {[]string{"r", "s"}, nil, true, "store"},
-		"the reader is unreachable":              {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader is unreachable, it is next":  {[]string{"r", "m"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)) }, false, "store"},
-		"the reader's store is down":             {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader's data is stale":             {[]string{"r", "s"}, func(p *Plan) { p.Unfit(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader's store is down, it is next": {[]string{"r", "m"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)) }, false, "probe"},
-		"the store is down for all":              {[]string{"r", "s"}, func(p *Plan) { p.Waits(t0, peer("r", "a", 0)); p.Waits(t0, peer("s", "a", 0)) }, false, "patient r"},
-		"all are unreachable":                    {[]string{"r", "s"}, func(p *Plan) { p.Silent(t0, peer("r", "a", 0)); p.Silent(t0, peer("s", "a", 0)) }, false, "meet seed"},
-		"it reads, the store fails":              {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0) }, false, "s"},
-		"it reads, store and next fail":          {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)) }, false, "x"},
-		"it reads, the next has fresh data":      {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("s", "a", 0)); p.Took(t0, peer("s", "a", 192)) }, false, "s"},
-		"it reads, no peer has fresh data":       {[]string{"m"}, func(p *Plan) { p.Failed(t0); p.Waits(t0, peer("x", "b", 0)) }, false, "wait"},
-		"it reads, the store answers again":      {[]string{"m", "s"}, func(p *Plan) { p.Failed(t0); p.Answered() }, false, "store"},
+		"the reader is unreachable":              {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader is unreachable, it is next":  {[]string{"r", "m"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "store"},
+		"the reader's store is down":             {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's data is stale":             {[]string{"r", "s"}, func(p *Plan) { p.PeerStale(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's store is down, it is next": {[]string{"r", "m"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "probe"},
+		"the store is down for all":              {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "patient r"},
+		"all are unreachable":                    {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)); p.PeerUnreachable(t0, peer("s", "a", 0)) }, false, "meet seed"},
+		"it reads, the store fails":              {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0) }, false, "s"},
+		"it reads, store and next fail":          {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "x"},
+		"it reads, the next has fresh data": {[]string{"m", "s"}, func(p *Plan) {
+			p.StoreFailed(t0)
+			p.PeerStoreDown(t0, peer("s", "a", 0))
+			p.PeerFresh(t0, peer("s", "a", 192))
+		}, false, "s"},
+		"it reads, no peer has fresh data":  {[]string{"m"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("x", "b", 0)) }, false, "wait"},
+		"it reads, the store answers again": {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.StoreAnswered() }, false, "store"},
 	} {
 		p := newTestPlan(tc.order...)
 		if tc.event != nil {
@@ -82,15 +86,15 @@
 	now := t0
 	for len(got) == 0 || got[len(got)-1] != "store" {
 		step := p.Next(now, upstreamsFeed, false)
-		if step.Do != AskStore && len(p.candidates) > 0 && p.Reads(now) {
+		if step.Action != AskStore && len(p.candidates) > 0 && p.ReadsStore(now) {
 			t.Error("counts as a reader during its search")
 		}
-		if step.Do == Wait {
+		if step.Action == Wait {
 			now = now.Add(step.Pause)
 			continue
 		}
-		if step.Do == List {
-			p.Listed([]Peer{peer("far", "b", 1), peer("near", "a", 1), peer("m", "a", 1)})
+		if step.Action == ListReaders {
+			p.ReadersListed([]Peer{peer("far", "b", 1), peer("near", "a", 1), peer("m", "a", 1)})
 		}
 		if s := step.String(); len(got) == 0 || got[len(got)-1] != s {
 			got = append(got, s)
@@ -105,7 +109,7 @@
 	if now.Sub(t0) < seedWait || now.Sub(t0) > 2*seedWait {
 		t.Errorf("asked the store after %v", now.Sub(t0))
 	}
-	if !p.Reads(now) {
+	if !p.ReadsStore(now) {
 		t.Error("does not count as a reader after its search")
 	}
 }
@@ -113,7 +117,7 @@
 // A daemon that is itself a seed reads the store at once.
 func TestPlanOfASeedReads(t *testing.T) {
 	p := NewPlan(t0, peer("m", "a", 192), []string{"m", "s"}, NewRoster(peer("m", "a", 192), nil), rand.New(rand.NewPCG(1, 1)))
-	if got := p.Next(t0, upstreamsFeed, false).String(); got != "store" || !p.Reads(t0) {
+	if got := p.Next(t0, upstreamsFeed, false).String(); got != "store" || !p.ReadsStore(t0) {
 		t.Error(got)
 	}
 }
@@ -126,12 +130,12 @@
 		p := newTestPlan(order, "s")
 		probes := 0
 		for at := time.Duration(0); at < 10*time.Minute; at += 50 * time.Millisecond {
-			switch step := p.Next(after(at), upstreamsFeed, false); step.Do {
+			switch step := p.Next(after(at), upstreamsFeed, false); step.Action {
 			case AskStore:
 				probes++
-				p.Failed(after(at))
+				p.StoreFailed(after(at))
 			case AskPeer:
-				p.Waits(after(at), step.Peer)
+				p.PeerStoreDown(after(at), step.Peer)
 			}
 		}
 		if probes == 0 || probes > most {
@@ -143,10 +147,10 @@
 // While the store is unavailable, only the upstreams feed probes it.
 func TestPlanOneFeedProbes(t *testing.T) {
 	p := newTestPlan("m")
-	p.Failed(t0)
-	p.Waits(t0, peer("x", "b", 0))
+	p.StoreFailed(t0)
+	p.PeerStoreDown(t0, peer("x", "b", 0))
 	at := after(storeDownBackoff / 2)
-	if got := p.Next(at, fleet.FeedConfig, false); got.Do != Wait || got.Pause <= 0 {
+	if got := p.Next(at, fleet.FeedConfig, false); got.Action != Wait || got.Pause <= 0 {
 		t.Errorf("the configuration's feed: %v", got)
 	}
 	if got := p.Next(at, upstreamsFeed, false).String(); got != "probe" {
@@ -156,12 +160,12 @@
 
 func TestPlanComesBackToItsReader(t *testing.T) {
 	p := newTestPlan("r", "s")
-	p.Silent(t0, peer("r", "a", 0))
+	p.PeerUnreachable(t0, peer("r", "a", 0))
 	if got := p.Next(after(unreachableTTL), upstreamsFeed, false).String(); got != "r" {
 		t.Error(got)
 	}
 	p = newTestPlan("r", "s")
-	p.Unfit(t0, peer("r", "a", 0))
+	p.PeerStale(t0, peer("r", "a", 0))
 	if got := p.Next(after(2*staleBackoff), upstreamsFeed, false).String(); got != "r" {
 		t.Error(got)
 	}
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -99,10 +99,10 @@
 		{"none", func(*testFleet) {}},
 		{"readers killed", func(w *testFleet) { w.kill(w.readers()...) }},
 		{"readers refused by the store", func(w *testFleet) {
-			refuse(w, func(_ int, d *daemon) bool { return d.roster.Leads() })
+			refuse(w, func(_ int, d *daemon) bool { return d.roster.IsReader() })
 		}},
 		{"a third refused by the store", func(w *testFleet) {
-			refuse(w, func(i int, d *daemon) bool { return i%3 == 0 || d.roster.Leads() })
+			refuse(w, func(i int, d *daemon) bool { return i%3 == 0 || d.roster.IsReader() })
 		}},
 		{"all killed, and started again", func(w *testFleet) {
 			w.kill(w.daemons...)
@@ -159,12 +159,12 @@
 // another daemon as the reader.
 func newQuarantineServer(self, reader Peer, news *countingQuarantine, freshFor time.Duration) *Server {
 	news.Keeper = newQuarantine()
-	news.Take([]quarantine.Record{{Digest: testDigest, Upstream: "u", Millis: time.Now().UnixMilli()}})
+	news.ApplyRemote([]quarantine.Record{{Digest: testDigest, Upstream: "u", Millis: time.Now().UnixMilli()}})
 	roster := NewRoster(self, nil)
-	roster.Told(Succession{Order: []Peer{reader}, Daemons: 300})
+	roster.SetSuccession(Succession{Order: []Peer{reader}, Daemons: 300})
 	return NewServer(ServerOptions{
-		Journal: newTestJournal(time.Now().Add(freshFor)), Roster: roster, Asked: NewAsked(), Samples: NewSamples(time.Now()),
-		Quarantine: news, Pace: testPace, Logger: discardLogger, Now: time.Now,
+		Cache: newTestJournal(time.Now().Add(freshFor)), Roster: roster, Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()),
+		Quarantine: news, Timing: testPace, Logger: discardLogger, Now: time.Now,
 	})
 }
 
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -73,8 +73,8 @@
 // Self returns the description of this daemon.
 func (r *Roster) Self() Peer { return r.self }
 
-// Heard records that a daemon called this one.
-func (r *Roster) Heard(now time.Time, p Peer) {
+// RecordCall records that a daemon called this one.
+func (r *Roster) RecordCall(now time.Time, p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.unreachable, p.Address)
@@ -99,8 +99,8 @@
 	return e
 }
 
-// Claimed adds the readers' claims that another daemon sent.
-func (r *Roster) Claimed(now time.Time, claims []claim) {
+// AddClaims adds the readers' claims that another daemon sent.
+func (r *Roster) AddClaims(now time.Time, claims []claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range claims {
@@ -117,52 +117,52 @@
 	}
 }
 
-// Told stores the succession of this data centre that another daemon sent.
-func (r *Roster) Told(s Succession) {
+// SetSuccession stores the succession of this data centre that another daemon sent.
+func (r *Roster) SetSuccession(s Succession) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.received = s
 	r.maxDaemons = max(r.maxDaemons, s.Daemons)
-	r.maxSharing = max(r.maxSharing, s.Sharing)
-	r.maxLocal = max(r.maxLocal, s.Near)
+	r.maxSharing = max(r.maxSharing, s.ShareCount)
+	r.maxLocal = max(r.maxLocal, s.LocalDaemons)
 }
 
-// Lead makes this daemon the reader of its data centre until the roster elects another one.
-func (r *Roster) Lead() {
+// BecomeReader makes this daemon the reader of its data centre until the roster elects another one.
+func (r *Roster) BecomeReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.isReader = true
 }
 
-// Leads reports whether this daemon is the reader of its data centre.
-func (r *Roster) Leads() bool {
+// IsReader reports whether this daemon is the reader of its data centre.
+func (r *Roster) IsReader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isReader
 }
 
-// Silent records that a daemon failed to answer.
-func (r *Roster) Silent(now time.Time, address string) {
+// MarkUnreachable records that a daemon failed to answer.
+func (r *Roster) MarkUnreachable(now time.Time, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unreachable[address] = now.Add(unreachableTTL)
 	delete(r.peers, address)
 }
 
-// Answered records that a daemon answered, and so is reachable.
-func (r *Roster) Answered(address string) {
+// MarkReachable records that a daemon answered, and so is reachable.
+func (r *Roster) MarkReachable(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.unreachable, address)
 }
 
-// Served records that a daemon answered a read of this one.
+// RecordAnswer records that a daemon answered a read of this one.
 //
 // Suppose that the store refuses a reader, and that a successor reads the store for it. The
 // successor doesn't call the reader, so without Served it would drop out of the reader's
 // order after peerTTL. The reader would then try the next successors, which the store may
 // refuse as well, and a new configuration would arrive seconds late.
-func (r *Roster) Served(now time.Time, p Peer) {
+func (r *Roster) RecordAnswer(now time.Time, p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.unreachable, p.Address)
@@ -179,8 +179,8 @@
 	return ok
 }
 
-// SilentOnes returns the addresses of the daemons that recently failed to answer.
-func (r *Roster) SilentOnes(now time.Time) []string {
+// Unreachable returns the addresses of the daemons that recently failed to answer.
+func (r *Roster) Unreachable(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
@@ -212,8 +212,8 @@
 	return order
 }
 
-// Others returns the reachable readers of the other data centres.
-func (r *Roster) Others(now time.Time) []Peer {
+// OtherReaders returns the reachable readers of the other data centres.
+func (r *Roster) OtherReaders(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.otherReaders(now)
@@ -258,9 +258,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Succession{Daemons: r.countDaemons(now)}
-	s.Sharing = r.maxSharing
+	s.ShareCount = r.maxSharing
 	if dataCentre == r.self.DataCentre {
-		s.Near = r.maxLocal
+		s.LocalDaemons = r.maxLocal
 	}
 	for _, p := range r.otherReaders(now) {
 		if p.DataCentre != dataCentre {
@@ -365,10 +365,10 @@
 	return out
 }
 
-// Sharing returns the number of daemons by which the fleet's shared limits are divided: the
+// ShareCount returns the number of daemons by which the fleet's shared limits are divided: the
 // largest number known since this process started, plus an estimate for data centres
 // without any known daemon. It is 0 while no other daemon is known.
-func (r *Roster) Sharing(now time.Time) int {
+func (r *Roster) ShareCount(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
@@ -377,9 +377,9 @@
 	return r.maxSharing
 }
 
-// Daemons returns the largest number of daemons of the fleet that was known since this
+// FleetSize returns the largest number of daemons of the fleet that was known since this
 // process started.
-func (r *Roster) Daemons(now time.Time) int {
+func (r *Roster) FleetSize(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.countDaemons(now)
--- a/relay/roster_test.go
+++ b/relay/roster_test.go
@@ -33,13 +33,13 @@
 func TestRosterNamesTheHeaviest(t *testing.T) {
 	r := NewRoster(peer("seed", "a", 800), nil)
 	for _, p := range []Peer{peer("b3", "b", 192), peer("b1", "b", 192), peer("b2", "b", 800), peer("a1", "a", 192)} {
-		r.Heard(t0, p)
+		r.RecordCall(t0, p)
 	}
 	wantPeers(t, "b", r.Succession(t0, "b", nil).Order, "b2", "b1", "b3")
 	wantPeers(t, "b without b2", r.Succession(t0, "b", []string{"b2"}).Order, "b1", "b3")
 	wantPeers(t, "a", r.Succession(t0, "a", nil).Order, "seed", "a1")
 	wantPeers(t, "c", r.Succession(t0, "c", nil).Order)
-	if n := r.Daemons(t0); n != 5 {
+	if n := r.FleetSize(t0); n != 5 {
 		t.Errorf("%d daemons", n)
 	}
 }
@@ -48,16 +48,16 @@
 // of larger weight is heard of.
 func TestRosterKeepsWhoReads(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
-	r.Lead()
-	r.Heard(t0, peer("b", "a", 192))
-	r.Heard(t0, peer("z", "a", 800))
+	r.BecomeReader()
+	r.RecordCall(t0, peer("b", "a", 192))
+	r.RecordCall(t0, peer("z", "a", 800))
 	wantPeers(t, "at first", r.Order(t0), "m", "z", "b")
 	for at := time.Duration(0); at <= takeoverDelay; at += time.Second {
-		r.Heard(after(at), peer("z", "a", 800))
-		r.Heard(after(at), peer("b", "a", 192))
+		r.RecordCall(after(at), peer("z", "a", 800))
+		r.RecordCall(after(at), peer("b", "a", 192))
 	}
 	wantPeers(t, "a much heavier one has settled", r.Order(after(takeoverDelay)), "z", "b", "m")
-	if r.Leads() {
+	if r.IsReader() {
 		t.Error("it is still the reader")
 	}
 }
@@ -68,14 +68,14 @@
 func TestRosterOneOfTwoReadersGivesWay(t *testing.T) {
 	a, b := peer("a1", "a", 192), peer("a2", "a", 192)
 	first, second := NewRoster(a, nil), NewRoster(b, nil)
-	first.Lead()
-	second.Lead()
-	first.Claimed(t0, second.Claims(t0))
-	second.Claimed(t0, first.Claims(t0))
+	first.BecomeReader()
+	second.BecomeReader()
+	first.AddClaims(t0, second.Claims(t0))
+	second.AddClaims(t0, first.Claims(t0))
 	wantPeers(t, "the first", first.Order(t0), "a1", "a2")
 	wantPeers(t, "the second", second.Order(t0), "a1", "a2")
-	if !first.Leads() || second.Leads() {
-		t.Errorf("first is the reader: %t, second: %t", first.Leads(), second.Leads())
+	if !first.IsReader() || second.IsReader() {
+		t.Errorf("first is the reader: %t, second: %t", first.IsReader(), second.IsReader())
 	}
 }
 
@@ -83,29 +83,29 @@
 // if other daemons pass it on to each other.
 func TestRosterClaimsLapse(t *testing.T) {
 	reader, x, y := NewRoster(peer("b1", "b", 800), nil), NewRoster(peer("x", "a", 192), nil), NewRoster(peer("y", "c", 192), nil)
-	reader.Lead()
-	x.Claimed(t0, reader.Claims(t0))
+	reader.BecomeReader()
+	x.AddClaims(t0, reader.Claims(t0))
 	for at := time.Duration(0); at < 2*claimTTL; at += time.Second {
-		y.Claimed(after(at), x.Claims(after(at)))
-		x.Claimed(after(at), y.Claims(after(at)))
+		y.AddClaims(after(at), x.Claims(after(at)))
+		x.AddClaims(after(at), y.Claims(after(at)))
 	}
-	wantPeers(t, "others", x.Others(after(claimTTL-1)), "b1")
-	wantPeers(t, "others later", y.Others(after(claimTTL)))
+	wantPeers(t, "others", x.OtherReaders(after(claimTTL-1)), "b1")
+	wantPeers(t, "others later", y.OtherReaders(after(claimTTL)))
 }
 
 func TestRosterFollowsWhatItIsTold(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
-	r.Told(Succession{Order: []Peer{peer("r", "a", 800), peer("m", "a", 192), peer("s", "a", 100)}, Others: []Peer{peer("x", "b", 1)}, Daemons: 40})
+	r.SetSuccession(Succession{Order: []Peer{peer("r", "a", 800), peer("m", "a", 192), peer("s", "a", 100)}, Others: []Peer{peer("x", "b", 1)}, Daemons: 40})
 	wantPeers(t, "told", r.Order(t0), "r", "m", "s")
-	wantPeers(t, "others", r.Others(t0), "x")
+	wantPeers(t, "others", r.OtherReaders(t0), "x")
 	wantPeers(t, "passed on", r.Succession(t0, "a", nil).Order, "r", "m", "s")
 	wantPeers(t, "passed on to one that reaches no r", r.Succession(t0, "a", []string{"r"}).Order, "m", "s")
-	if n := r.Daemons(t0); n != 40 {
+	if n := r.FleetSize(t0); n != 40 {
 		t.Errorf("%d daemons", n)
 	}
-	r.Silent(t0, "r")
+	r.MarkUnreachable(t0, "r")
 	wantPeers(t, "the reader is gone", r.Order(t0), "m", "s")
-	if !r.Leads() {
+	if !r.IsReader() {
 		t.Error("the next daemon in the succession is not the reader")
 	}
 }
@@ -113,15 +113,15 @@
 func TestRosterSilenceEnds(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	told := Succession{Order: []Peer{peer("r", "a", 800), peer("s", "a", 192)}}
-	r.Told(told)
-	r.Silent(t0, "r")
+	r.SetSuccession(told)
+	r.MarkUnreachable(t0, "r")
 	wantPeers(t, "silent", r.Order(t0), "s")
-	if d := cmp.Diff([]string{"r"}, r.SilentOnes(t0)); d != "" {
+	if d := cmp.Diff([]string{"r"}, r.Unreachable(t0)); d != "" {
 		t.Error(d)
 	}
 	wantPeers(t, "after its time", r.Order(after(unreachableTTL)), "r", "s")
-	r.Silent(t0, "r")
-	r.Heard(t0, peer("r", "a", 800))
+	r.MarkUnreachable(t0, "r")
+	r.RecordCall(t0, peer("r", "a", 800))
 	wantPeers(t, "heard again", r.Order(t0), "r", "s")
 }
 
@@ -129,13 +129,13 @@
 // knew 300 daemons and now hears of sixty must go on dividing the limit by 300.
 func TestRosterCountNeverShrinks(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
-	r.Lead()
-	r.Heard(t0, peer("n", "a", 192))
-	r.Claimed(t0, []claim{{Peer: peer("b1", "b", 192), Daemons: 58}})
-	if n := r.Daemons(t0); n != 60 {
+	r.BecomeReader()
+	r.RecordCall(t0, peer("n", "a", 192))
+	r.AddClaims(t0, []claim{{Peer: peer("b1", "b", 192), Daemons: 58}})
+	if n := r.FleetSize(t0); n != 60 {
 		t.Errorf("%d daemons", n)
 	}
-	if n := r.Daemons(after(time.Hour)); n != 60 {
+	if n := r.FleetSize(after(time.Hour)); n != 60 {
 		t.Errorf("%d daemons after an hour without contact", n)
 	}
 }
@@ -143,13 +143,13 @@
 // A succession gets a new version if its daemons change or if their number changes
 // considerably, but not with each daemon that starts.
 func TestSuccessionVersion(t *testing.T) {
-	base := Succession{Order: []Peer{peer("a", "a", 1), peer("b", "a", 1)}, Others: []Peer{peer("x", "x", 1)}, Daemons: 300, Sharing: 300}
+	base := Succession{Order: []Peer{peer("a", "a", 1), peer("b", "a", 1)}, Others: []Peer{peer("x", "x", 1)}, Daemons: 300, ShareCount: 300}
 	same, order, others, count, sharing := base, base, base, base, base
-	same.Daemons, same.Sharing = 301, 301
+	same.Daemons, same.ShareCount = 301, 301
 	order.Order = []Peer{base.Order[1], base.Order[0]}
 	others.Others = nil
 	count.Daemons = 400
-	sharing.Sharing = 320
+	sharing.ShareCount = 320
 	if base.version() != same.version() {
 		t.Error("one more daemon changes the version")
 	}
@@ -166,10 +166,10 @@
 // store may refuse too.
 func TestRosterKeepsWhoServesIt(t *testing.T) {
 	r := NewRoster(peer("m", "a", 800), nil)
-	r.Lead()
+	r.BecomeReader()
 	for at := time.Duration(0); at <= 2*peerTTL; at += time.Second {
-		r.Heard(after(at), peer("c", "a", 192))
-		r.Served(after(at), peer("b", "a", 800))
+		r.RecordCall(after(at), peer("c", "a", 192))
+		r.RecordAnswer(after(at), peer("b", "a", 800))
 	}
 	wantPeers(t, "order", r.Order(after(2*peerTTL)), "m", "b", "c")
 }
--- a/relay/samples.go
+++ b/relay/samples.go
@@ -59,8 +59,8 @@
 	return &Samples{base: uint64(now.UnixMilli()) * perMilli}
 }
 
-// Saw adds a sample taken by this daemon.
-func (s *Samples) Saw(now time.Time, sample estimate.Sample) {
+// AddOwn adds a sample taken by this daemon.
+func (s *Samples) AddOwn(now time.Time, sample estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.toReader = lastN(append(s.toReader, sample), maxSamplesPerCall)
@@ -68,8 +68,8 @@
 	s.keep(now, "", sample)
 }
 
-// Take returns and removes the samples to send to this daemon's reader.
-func (s *Samples) Take() []estimate.Sample {
+// TakeForReader returns and removes the samples to send to this daemon's reader.
+func (s *Samples) TakeForReader() []estimate.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.toReader
@@ -77,8 +77,8 @@
 	return out
 }
 
-// TakeAcross returns and removes the samples to send to the other readers.
-func (s *Samples) TakeAcross() []estimate.Sample {
+// TakeForOtherReaders returns and removes the samples to send to the other readers.
+func (s *Samples) TakeForOtherReaders() []estimate.Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.toOtherReaders
@@ -86,8 +86,8 @@
 	return out
 }
 
-// FromFollower adds the samples sent by a follower.
-func (s *Samples) FromFollower(now time.Time, address string, list []estimate.Sample) {
+// AddFromFollower adds the samples sent by a follower.
+func (s *Samples) AddFromFollower(now time.Time, address string, list []estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sample := range list {
@@ -96,8 +96,8 @@
 	}
 }
 
-// FromReader adds the samples sent by the reader of another data centre.
-func (s *Samples) FromReader(now time.Time, list []estimate.Sample) {
+// AddFromReader adds the samples sent by the reader of another data centre.
+func (s *Samples) AddFromReader(now time.Time, list []estimate.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sample := range list {
--- a/relay/samples_test.go
+++ b/relay/samples_test.go
@@ -29,18 +29,18 @@
 
 func TestSamplesGoOnceToEach(t *testing.T) {
 	s := NewSamples(t0)
-	s.Saw(t0, newSample(1))
-	s.FromFollower(t0, "f", []estimate.Sample{newSample(2)})
-	s.FromReader(t0, []estimate.Sample{newSample(3)})
-	wantSizes(t, "to the reader", s.Take(), 1)
-	wantSizes(t, "to the reader again", s.Take())
-	wantSizes(t, "to other readers", s.TakeAcross(), 1, 2)
-	wantSizes(t, "to other readers again", s.TakeAcross())
+	s.AddOwn(t0, newSample(1))
+	s.AddFromFollower(t0, "f", []estimate.Sample{newSample(2)})
+	s.AddFromReader(t0, []estimate.Sample{newSample(3)})
+	wantSizes(t, "to the reader", s.TakeForReader(), 1)
+	wantSizes(t, "to the reader again", s.TakeForReader())
+	wantSizes(t, "to other readers", s.TakeForOtherReaders(), 1, 2)
+	wantSizes(t, "to other readers again", s.TakeForOtherReaders())
 	got, seen := s.Since(t0, "f", 0)
 	wantSizes(t, "to the follower that saw one itself", got, 1, 3)
 	got, _ = s.Since(t0, "f", seen)
 	wantSizes(t, "again", got)
-	s.FromReader(t0, []estimate.Sample{newSample(4)})
+	s.AddFromReader(t0, []estimate.Sample{newSample(4)})
 	got, _ = s.Since(t0, "f", seen)
 	wantSizes(t, "one more", got, 4)
 }
@@ -49,7 +49,7 @@
 func TestSamplesOfAnotherReader(t *testing.T) {
 	a, b := NewSamples(t0), NewSamples(after(time.Second))
 	for i := range 2 * maxSamplesAtStart {
-		b.Saw(t0, newSample(i))
+		b.AddOwn(t0, newSample(i))
 	}
 	_, seen := a.Since(t0, "f", 0)
 	if got, _ := b.Since(t0, "f", seen); len(got) != maxSamplesAtStart {
@@ -60,13 +60,13 @@
 func TestSamplesAreBounded(t *testing.T) {
 	s := NewSamples(t0)
 	for i := range 3 * maxKeptSamples {
-		s.Saw(t0, newSample(i))
+		s.AddOwn(t0, newSample(i))
 	}
 	if n := len(s.kept); n != maxKeptSamples {
 		t.Errorf("%d samples kept", n)
 	}
-	wantSizes(t, "to the reader", s.Take(), 764, 765, 766, 767)
-	if n := len(s.TakeAcross()); n != maxSamplesPerExchange {
+	wantSizes(t, "to the reader", s.TakeForReader(), 764, 765, 766, 767)
+	if n := len(s.TakeForOtherReaders()); n != maxSamplesPerExchange {
 		t.Errorf("%d samples to other readers", n)
 	}
 	if got, _ := s.Since(after(sampleTTL), "f", 0); len(got) != 0 {
--- a/relay/server.go
+++ b/relay/server.go
@@ -40,26 +40,26 @@
 // ServerOptions configure a Server; all fields but Limits, Lend, Quota and LendUnits are
 // required.
 type ServerOptions struct {
-	Journal *Journal
-	Roster  *Roster
-	Asked   *Asked
-	Samples *Samples
+	Cache     *FeedCache
+	Roster    *Roster
+	Followers *FollowerActivity
+	Samples   *Samples
 	// Quarantine supplies the quarantine records that followers are sent with the upstreams
 	// feed.
 	Quarantine Quarantine
 	// Limits supplies and receives the upstreams' rate limits of all calls; nil does
 	// neither.
 	Limits Limits
-	// Learned receives samples that other daemons have taken of completions on engines.
-	Learned func(list []estimate.Sample)
+	// OnSamples receives samples that other daemons have taken of completions on engines.
+	OnSamples func(list []estimate.Sample)
 	// Lend deducts n retries for a target from this daemon's budget, or returns false if
 	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
 	// Quota receives the accrual time that followers hand over (see TimeKeeper); with nil
 	// the time is lost. LendUnits lends units of an account; with nil nothing is lent.
 	Quota     *quota.Ledger
-	LendUnits func(ask LoanCall) quota.Loan
-	Pace      Pace
+	LendUnits func(ask LoanRequest) quota.Loan
+	Timing    Timing
 	Logger    log.Interface
 	Now       func() time.Time
 }
@@ -67,14 +67,14 @@
 // Quarantine holds records of requests during which upstreams ended. quarantine.Keeper
 // implements it. Implementations are safe for concurrent use.
 type Quarantine interface {
-	// News reports whether there are records after the sequence number seen, and returns a
+	// HasRecords reports whether there are records after the sequence number seen, and returns a
 	// channel that is closed when records are added.
-	News(seen uint64) (more bool, changed <-chan struct{})
+	HasRecords(seen uint64) (more bool, changed <-chan struct{})
 	// Since returns the records after the sequence number seen, and the number to use in
 	// the next call.
 	Since(seen uint64) (list []quarantine.Record, next uint64)
-	// Take adds records received from another daemon.
-	Take(list []quarantine.Record)
+	// ApplyRemote adds records received from another daemon.
+	ApplyRemote(list []quarantine.Record)
 }
 
 // Server answers the calls of other daemons from the journal and the roster. It is a
@@ -218,7 +218,7 @@
 		}
 		return &borrowResponse{Given: s.o.Lend != nil && call.Needs > 0 && s.o.Lend(call.Target, call.Needs)}, nil
 	case wire.TypeLoan:
-		var call LoanCall
+		var call LoanRequest
 		if err := wire.Decode(env.Body, &call); err != nil {
 			return nil, err
 		}
@@ -226,7 +226,7 @@
 			return &quota.Loan{}, nil
 		}
 		s.acceptAccrual(call.From, call.Accrued)
-		s.o.Limits.Told(call.Limits)
+		s.o.Limits.Update(call.Limits)
 		loan := s.o.LendUnits(call)
 		return &loan, nil
 	case wire.TypeReaders:
@@ -242,21 +242,21 @@
 
 // handleDiscover answers with the succession of the caller's data centre.
 func (s *Server) handleDiscover(ctx context.Context, call discoverRequest) *discoverResponse {
-	s.o.Roster.Heard(s.o.Now(), call.Self)
-	s.o.Roster.Claimed(s.o.Now(), call.Claims)
+	s.o.Roster.RecordCall(s.o.Now(), call.Self)
+	s.o.Roster.AddClaims(s.o.Now(), call.Claims)
 	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
-		s.o.Samples.FromReader(s.o.Now(), samples)
-		s.o.Learned(samples)
+		s.o.Samples.AddFromReader(s.o.Now(), samples)
+		s.o.OnSamples(samples)
 	}
 	s.acceptAccrual(call.Self, call.Accrued)
-	s.o.Limits.Told(call.Limits)
+	s.o.Limits.Update(call.Limits)
 	s.awaitStartup(ctx)
 	now := s.o.Now()
 	return &discoverResponse{
 		Succession: s.o.Roster.Succession(now, call.Self.DataCentre, call.Unreachable),
 		Claims:     s.o.Roster.Claims(now),
 		Stamp:      s.o.Quota.Stamp(now),
-		Limits:     s.o.Limits.News(s.o.Roster.Daemons(now) < minFleet),
+		Limits:     s.o.Limits.Changes(s.o.Roster.FleetSize(now) < minFleet),
 	}
 }
 
@@ -264,8 +264,8 @@
 func (s *Server) acceptAccrual(from Peer, span quota.Span) {
 	if span.Length > 0 && from.DataCentre == s.o.Roster.Self().DataCentre {
 		now := s.o.Now()
-		s.o.Roster.NearKnown(span.KnownDaemons)
-		s.o.Quota.AcceptHandOver(now, span, s.o.Roster.Part(now))
+		s.o.Roster.RaiseLocalDaemons(span.KnownDaemons)
+		s.o.Quota.AcceptHandOver(now, span, s.o.Roster.Share(now))
 	}
 }
 
@@ -287,34 +287,34 @@
 // handleRead answers a read as soon as there is fresh data with something new, or at the
 // latest when the wait of the request is over.
 func (s *Server) handleRead(ctx context.Context, call readRequest) (*readResponse, error) {
-	s.o.Roster.Heard(s.o.Now(), call.Self)
-	s.o.Asked.Note(s.o.Now())
+	s.o.Roster.RecordCall(s.o.Now(), call.Self)
+	s.o.Followers.RecordCall(s.o.Now())
 	s.acceptAccrual(call.Self, call.Accrued)
-	s.o.Limits.Told(call.Limits)
+	s.o.Limits.Update(call.Limits)
 	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
-		s.o.Samples.FromFollower(s.o.Now(), call.Self.Address, samples)
-		s.o.Learned(samples)
+		s.o.Samples.AddFromFollower(s.o.Now(), call.Self.Address, samples)
+		s.o.OnSamples(samples)
 	}
-	waitTimer := time.NewTimer(min(max(call.Wait, 0), s.o.Pace.AnswerWithin))
+	waitTimer := time.NewTimer(min(max(call.Wait, 0), s.o.Timing.AnswerWithin))
 	defer waitTimer.Stop()
 	freshTimer := time.NewTimer(freshDataWait)
 	defer freshTimer.Stop()
 	for timedOut, freshWaitOver := false, false; ; {
-		look := s.o.Journal.Look(s.o.Now(), call.Feed, call.From, call.Whole)
-		fresh := look.Known && look.Age < s.o.Pace.MaxAge
-		hasQuarantineNews, quarantineChanged := s.o.Quarantine.News(call.QuarantineUpTo)
+		look := s.o.Cache.Get(s.o.Now(), call.Feed, call.From, call.Whole)
+		fresh := look.Known && look.Age < s.o.Timing.MaxAge
+		hasQuarantineNews, quarantineChanged := s.o.Quarantine.HasRecords(call.QuarantineUpTo)
 		hasNews := call.Whole || look.Batch.Whole || look.Batch.Next > call.From || call.Feed == fleet.FeedUpstreams && hasQuarantineNews
 		switch {
 		case fresh && (hasNews || timedOut):
 			return s.respondWithBatch(call, look)
-		case !fresh && look.Away && (timedOut || !call.Patient):
+		case !fresh && look.StoreDown && (timedOut || !call.Patient):
 			return s.addNews(call, &readResponse{Status: statusStoreDown}), nil
 		case !fresh && (timedOut || freshWaitOver && !call.Patient):
 			return s.addNews(call, &readResponse{Status: statusStale}), nil
 		}
 		var expired <-chan time.Time
 		if fresh {
-			timer := time.NewTimer(s.o.Pace.MaxAge - look.Age)
+			timer := time.NewTimer(s.o.Timing.MaxAge - look.Age)
 			defer timer.Stop()
 			expired = timer.C
 		}
@@ -333,7 +333,7 @@
 }
 
 // respondWithBatch returns a response with records.
-func (s *Server) respondWithBatch(call readRequest, look Look) (*readResponse, error) {
+func (s *Server) respondWithBatch(call readRequest, look CachedFeed) (*readResponse, error) {
 	body, err := s.encode(call.Feed, call.From, look.Batch)
 	if err != nil {
 		return nil, err
@@ -372,7 +372,7 @@
 		samples, upTo := s.o.Samples.Since(s.o.Now(), call.Self.Address, call.SamplesUpTo)
 		reply.Samples, reply.SamplesUpTo = toWireSamples(samples), upTo
 		reply.Quarantine, reply.QuarantineUpTo = s.o.Quarantine.Since(call.QuarantineUpTo)
-		reply.Limits = s.o.Limits.News(call.Whole)
+		reply.Limits = s.o.Limits.Changes(call.Whole)
 	}
 	return reply
 }
--- a/relay/size_test.go
+++ b/relay/size_test.go
@@ -30,23 +30,23 @@
 // fleet's shared limits. A data centre that is not heard of must not count as empty.
 func TestSilenceIsNoCount(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), []string{"a", "b"})
-	if n := r.Sharing(t0); n != 0 {
+	if n := r.ShareCount(t0); n != 0 {
 		t.Errorf("counted %d daemons before any was known", n)
 	}
-	r.Heard(t0, peer("o", "a", 192))
-	if n := r.Sharing(t0.Add(time.Second)); n != 4 {
+	r.RecordCall(t0, peer("o", "a", 192))
+	if n := r.ShareCount(t0.Add(time.Second)); n != 4 {
 		t.Errorf("counted %d daemons, want twice those of data centre a", n)
 	}
-	r.Heard(t0, peer("x", "b", 192))
-	if n := r.Sharing(t0.Add(time.Second)); n != 4 {
+	r.RecordCall(t0, peer("x", "b", 192))
+	if n := r.ShareCount(t0.Add(time.Second)); n != 4 {
 		t.Errorf("counted %d daemons, want the largest number known so far", n)
 	}
-	if n := r.Daemons(t0.Add(time.Second)); n != 3 {
+	if n := r.FleetSize(t0.Add(time.Second)); n != 3 {
 		t.Errorf("%d daemons known, want 3", n)
 	}
 	follower := NewRoster(peer("f", "b", 192), []string{"a", "b"})
-	follower.Told(r.Succession(t0, "b", nil))
-	if n := follower.Sharing(t0.Add(time.Second)); n != 4 {
+	follower.SetSuccession(r.Succession(t0, "b", nil))
+	if n := follower.ShareCount(t0.Add(time.Second)); n != 4 {
 		t.Errorf("a follower counts %d daemons, want 4", n)
 	}
 }
--- a/relay/store.go
+++ b/relay/store.go
@@ -23,11 +23,11 @@
 type Options struct {
 	Direct    fleet.Store
 	Directory Directory
-	Journal   *Journal
+	Cache     *FeedCache
 	Roster    *Roster
-	Asked     *Asked
+	Followers *FollowerActivity
 	Dial      Dialer
-	Pace      Pace
+	Timing    Timing
 	Samples   *Samples
 	// Quarantine receives the quarantine records that come with reads of the upstreams
 	// feed.
@@ -35,10 +35,10 @@
 	// Limits supplies and receives the rate limits that go with these reads; nil does
 	// neither.
 	Limits Limits
-	// Learned receives samples that other daemons have taken of completions on engines.
-	Learned func(list []estimate.Sample)
+	// OnSamples receives samples that other daemons have taken of completions on engines.
+	OnSamples func(list []estimate.Sample)
 	// Time hands accrual time over to the reader that is asked; nil hands none over.
-	Time *TimeKeeper
+	Time *AccrualSender
 	// Self describes this daemon. Seeds are the addresses of the daemons that are asked for
 	// a reader first.
 	Self   Peer
@@ -46,18 +46,18 @@
 	Random *rand.Rand
 	Logger log.Interface
 	Now    func() time.Time
-	// Counted is called after each read; nil is allowed.
-	Counted func(f fleet.Feed, w Way)
+	// OnRead is called after each read; nil is allowed.
+	OnRead func(f fleet.Feed, w Outcome)
 }
 
-// Way is the source of a read, or Failed.
-type Way uint8
+// Outcome is the source of a read, or Failed.
+type Outcome uint8
 
 // The outcomes of a read.
 const (
-	Direct  Way = iota // answered by the store
-	Through            // answered by another daemon
-	Failed             // the call to the store failed
+	Direct  Outcome = iota // answered by the store
+	ViaPeer                // answered by another daemon
+	Failed                 // the call to the store failed
 )
 
 const (
@@ -122,25 +122,25 @@
 	return s
 }
 
-// Reads reports whether this daemon reads the store itself in normal operation.
-func (s *Store) Reads() bool {
+// ReadsStore reports whether this daemon reads the store itself in normal operation.
+func (s *Store) ReadsStore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.plan.Reads(s.o.Now())
+	return s.plan.ReadsStore(s.o.Now())
 }
 
-// Provides reports whether this daemon reads the store itself at present, and does so
+// ReadsForOthers reports whether this daemon reads the store itself at present, and does so
 // either in normal operation or for followers. Only a daemon that provides reads the
 // quarantine log.
 //
 // If every daemon that reads the store also read the quarantine log, the loss of a reader
 // would cause a burst of calls: for about a second all daemons of its data centre read the
 // store, and each would read the quarantine log too.
-func (s *Store) Provides() bool {
+func (s *Store) ReadsForOthers() bool {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readsStore && (s.plan.Reads(now) || s.o.Asked.Lately(now))
+	return s.readsStore && (s.plan.ReadsStore(now) || s.o.Followers.Recent(now))
 }
 
 // Newest implements fleet.Store.
@@ -167,7 +167,7 @@
 func (s *Store) read(ctx context.Context, q query) (fleet.Batch, error) {
 	for ctx.Err() == nil {
 		step := s.next(ctx, q.feed)
-		switch step.Do {
+		switch step.Action {
 		case AskStore:
 			q.probe = step.Probe
 			return s.readFromStore(ctx, q)
@@ -188,21 +188,21 @@
 	select {
 	case s.searchLock <- struct{}{}:
 	case <-ctx.Done():
-		return Step{Do: Wait}
+		return Step{Action: Wait}
 	}
 	defer func() { <-s.searchLock }()
 	for {
 		step := s.step(f)
-		switch step.Do {
-		case Meet:
+		switch step.Action {
+		case AskReader:
 			s.discover(ctx, step.Peer.Address)
-		case List:
+		case ListReaders:
 			s.listReaders(ctx)
 		default:
 			return step
 		}
 		if ctx.Err() != nil {
-			return Step{Do: Wait}
+			return Step{Action: Wait}
 		}
 	}
 }
@@ -212,12 +212,12 @@
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.plan.Next(now, f, s.o.Asked.Lately(now))
+	return s.plan.Next(now, f, s.o.Followers.Recent(now))
 }
 
 // discover asks the daemon at an address for the readers of this data centre.
 func (s *Store) discover(ctx context.Context, address string) {
-	call := discoverRequest{Self: s.o.Self, Limits: s.o.Limits.News(false), Unreachable: s.o.Roster.SilentOnes(s.o.Now())}
+	call := discoverRequest{Self: s.o.Self, Limits: s.o.Limits.Changes(false), Unreachable: s.o.Roster.Unreachable(s.o.Now())}
 	within := discoverTimeout
 	if s.o.Now().Sub(s.started) < startupPeriod {
 		within = startupDiscoverTimeout
@@ -228,12 +228,12 @@
 		s.o.Logger.WithField("daemon", address).WithError(err).Debug("reader query unanswered")
 		return
 	}
-	s.o.Roster.Claimed(s.o.Now(), reply.Claims)
-	s.o.Limits.Told(reply.Limits)
+	s.o.Roster.AddClaims(s.o.Now(), reply.Claims)
+	s.o.Limits.Update(reply.Limits)
 	s.o.Time.recordStamp(s.o.Now(), address, reply.Stamp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Met(address, reply.Succession)
+	s.plan.ReaderFound(address, reply.Succession)
 }
 
 // listReaders asks the store for its list of readers.
@@ -247,7 +247,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.plan.Listed(peers)
+	s.plan.ReadersListed(peers)
 }
 
 // readFromPeer reads from another daemon; ok is false if that one has no fresh data.
@@ -256,8 +256,8 @@
 	call := s.buildRequest(q, step)
 	callCtx, cancel := context.WithCancel(ctx) // cancelled when a follower calls this daemon
 	defer cancel()
-	defer s.o.Asked.OnFirst(cancel)()
-	reply, b, err := s.clients[q.feed].read(callCtx, step.Peer.Address, call, s.o.Pace.Slack)
+	defer s.o.Followers.OnActive(cancel)()
+	reply, b, err := s.clients[q.feed].read(callCtx, step.Peer.Address, call, s.o.Timing.Slack)
 	if callCtx.Err() != nil {
 		return b, false // this daemon is to read the store itself, or is stopping
 	}
@@ -270,8 +270,8 @@
 	if err != nil || reply.Status != statusFresh {
 		return b, false
 	}
-	s.o.Journal.Add(now.Add(-reply.Age), q.feed, q.from, b)
-	s.countRead(q.feed, Through)
+	s.o.Cache.Add(now.Add(-reply.Age), q.feed, q.from, b)
+	s.countRead(q.feed, ViaPeer)
 	return b, true
 }
 
@@ -282,18 +282,18 @@
 	defer s.mu.Unlock()
 	switch {
 	case err != nil:
-		s.plan.Silent(now, peer)
+		s.plan.PeerUnreachable(now, peer)
 		s.o.Logger.WithField("reader", peer.Instance).WithError(err).Info("reader lost")
 		return
 	case reply.Status == statusStoreDown:
-		s.plan.Waits(now, peer)
+		s.plan.PeerStoreDown(now, peer)
 	case reply.Status == statusStale:
-		s.plan.Unfit(now, peer)
+		s.plan.PeerStale(now, peer)
 	default:
-		s.plan.Took(now, peer)
+		s.plan.PeerFresh(now, peer)
 	}
-	if reply.Succession != nil && !s.o.Roster.Leads() {
-		s.o.Roster.Told(*reply.Succession)
+	if reply.Succession != nil && !s.o.Roster.IsReader() {
+		s.o.Roster.SetSuccession(*reply.Succession)
 		s.successionVersion = reply.Version
 	}
 }
@@ -303,14 +303,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call := readRequest{
-		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Pace.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
+		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Timing.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
 		KnownVersion: s.successionVersion, Accrued: s.o.Time.handOver(s.o.Now(), step.Peer),
 	}
 	if q.feed == fleet.FeedUpstreams {
 		cursors := s.cursors[step.Peer.Address]
-		call.Samples = toWireSamples(s.o.Samples.Take())
+		call.Samples = toWireSamples(s.o.Samples.TakeForReader())
 		call.SamplesUpTo, call.QuarantineUpTo = cursors.samples, cursors.quarantine
-		call.Limits = s.o.Limits.News(q.whole)
+		call.Limits = s.o.Limits.Changes(q.whole)
 	}
 	return call
 }
@@ -322,12 +322,12 @@
 		return
 	}
 	s.setCursors(address, newsCursors{samples: reply.SamplesUpTo, quarantine: reply.QuarantineUpTo})
-	s.o.Limits.Told(reply.Limits)
+	s.o.Limits.Update(reply.Limits)
 	if len(reply.Quarantine) > 0 {
-		s.o.Quarantine.Take(reply.Quarantine)
+		s.o.Quarantine.ApplyRemote(reply.Quarantine)
 	}
 	if len(reply.Samples) > 0 {
-		s.o.Learned(fromWireSamples(reply.Samples))
+		s.o.OnSamples(fromWireSamples(reply.Samples))
 	}
 }
 
@@ -372,22 +372,22 @@
 	switch {
 	case errors.Is(err, fleet.ErrTrimmed):
 		s.countRead(q.feed, Direct)
-		s.plan.Answered()
+		s.plan.StoreAnswered()
 		return
 	case err != nil:
 		s.countRead(q.feed, Failed)
 		s.storeDown[q.feed] = true
-		s.plan.Failed(now)
-		s.o.Journal.Away()
+		s.plan.StoreFailed(now)
+		s.o.Cache.MarkStoreDown()
 		return
 	}
 	s.countRead(q.feed, Direct)
-	s.plan.Answered()
+	s.plan.StoreAnswered()
 	b.Away, s.storeDown[q.feed] = s.storeDown[q.feed], false
 	if b.Next > q.from {
 		s.lastRecords[q.feed] = now
 	}
-	s.o.Journal.Add(now, q.feed, q.from, *b)
+	s.o.Cache.Add(now, q.feed, q.from, *b)
 }
 
 // gatherDelay returns how long to go on gathering records before the next call to the
@@ -396,9 +396,9 @@
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	gather := s.o.Pace.Gather
-	if s.o.Asked.Lately(now) {
-		gather = s.o.Pace.SharedGather
+	gather := s.o.Timing.Gather
+	if s.o.Followers.Recent(now) {
+		gather = s.o.Timing.SharedGather
 	}
 	return max(0, s.lastRecords[f].Add(gather).Sub(now))
 }
@@ -413,18 +413,18 @@
 	switch {
 	case s.storeDown[q.feed], q.probe:
 		return 0
-	case !s.o.Asked.Lately(s.o.Now()):
+	case !s.o.Followers.Recent(s.o.Now()):
 		return q.wait
 	case q.feed == fleet.FeedConfig:
-		return min(q.wait, s.o.Pace.ConfigHold)
+		return min(q.wait, s.o.Timing.ConfigHold)
 	}
-	return min(q.wait, s.o.Pace.Hold)
+	return min(q.wait, s.o.Timing.Hold)
 }
 
 // countRead reports a read to Options.Counted.
-func (s *Store) countRead(f fleet.Feed, w Way) {
-	if s.o.Counted != nil {
-		s.o.Counted(f, w)
+func (s *Store) countRead(f fleet.Feed, w Outcome) {
+	if s.o.OnRead != nil {
+		s.o.OnRead(f, w)
 	}
 }
 
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -68,25 +68,25 @@
 // testDaemon is a Store with the parts of one daemon and a clock that only the test moves.
 type testDaemon struct {
 	*Store
-	journal *Journal
-	asked   *Asked
+	journal *FeedCache
+	asked   *FollowerActivity
 	source  *fakeFeedStore
 	now     time.Time
 }
 
 var (
-	testPace = PaceOf(minBound)
+	testPace = TimingFor(minBound)
 	testSelf = peer("me", "a", 192)
 )
 
 // newTestDaemon returns a daemon of a large fleet that has received an order.
 func newTestDaemon(s *fakeFeedStore, order ...Peer) *testDaemon {
-	out := &testDaemon{journal: NewJournal(), asked: NewAsked(), source: s, now: time.Now()}
+	out := &testDaemon{journal: NewFeedCache(), asked: NewFollowerActivity(), source: s, now: time.Now()}
 	roster := NewRoster(testSelf, nil)
-	roster.Told(Succession{Order: order, Daemons: 300})
+	roster.SetSuccession(Succession{Order: order, Daemons: 300})
 	out.Store = NewStore(Options{
-		Direct: s, Directory: emptyDirectory{}, Journal: out.journal, Roster: roster, Asked: out.asked, Dial: DialTCP, Pace: testPace,
-		Quarantine: newQuarantine(), Samples: NewSamples(out.now), Learned: func([]estimate.Sample) {}, Self: testSelf, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return out.now },
+		Direct: s, Directory: emptyDirectory{}, Cache: out.journal, Roster: roster, Followers: out.asked, Dial: DialTCP, Timing: testPace,
+		Quarantine: newQuarantine(), Samples: NewSamples(out.now), OnSamples: func([]estimate.Sample) {}, Self: testSelf, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return out.now },
 	})
 	return out
 }
@@ -98,14 +98,14 @@
 }
 
 // serveJournal runs a reader's server with a journal and returns its address.
-func serveJournal(t *testing.T, j *Journal) string {
+func serveJournal(t *testing.T, j *FeedCache) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := ln.Addr().String()
-	s := NewServer(ServerOptions{Journal: j, Roster: NewRoster(peer(address, "a", 800), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Pace: testPace, Logger: discardLogger, Now: time.Now})
+	s := NewServer(ServerOptions{Cache: j, Roster: NewRoster(peer(address, "a", 800), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testPace, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -128,8 +128,8 @@
 
 // newTestJournal returns a journal with a snapshot at offset 1, followed by removals of the
 // given names, both read at the given time.
-func newTestJournal(readAt time.Time, removed ...string) *Journal {
-	j := NewJournal()
+func newTestJournal(readAt time.Time, removed ...string) *FeedCache {
+	j := NewFeedCache()
 	j.Add(readAt, fleet.FeedUpstreams, 0, snapshotOf(1, "a", "b", "z"))
 	if len(removed) > 0 {
 		j.Add(readAt, fleet.FeedUpstreams, 1, removals(uint64(1+len(removed)), removed...))
@@ -170,10 +170,10 @@
 		},
 		"waits for the store": func(t *testing.T) string {
 			j := newTestJournal(time.Now().Add(-testPace.MaxAge))
-			j.Away()
+			j.MarkStoreDown()
 			return serveJournal(t, j)
 		},
-		"not read yet": func(t *testing.T) string { return serveJournal(t, NewJournal()) },
+		"not read yet": func(t *testing.T) string { return serveJournal(t, NewFeedCache()) },
 		"records missing": func(t *testing.T) string {
 			j := newTestJournal(time.Now())
 			j.Add(time.Now(), fleet.FeedUpstreams, 5, removals(6, "z"))
@@ -263,7 +263,7 @@
 // store. A daemon with followers must read the store itself.
 func TestWhoIsAskedReadsItself(t *testing.T) {
 	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, serveJournal(t, newTestJournal(time.Now())))
-	d.asked.Note(d.now)
+	d.asked.RecordCall(d.now)
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
@@ -271,7 +271,7 @@
 		t.Error(diff)
 	}
 	d.now = d.now.Add(followerTimeout)
-	if step := d.step(fleet.FeedUpstreams); step.Do != AskPeer {
+	if step := d.step(fleet.FeedUpstreams); step.Action != AskPeer {
 		t.Error("it still reads the store itself after followerTimeout")
 	}
 }
@@ -286,12 +286,12 @@
 	defer wg.Wait()
 	wg.Go(func() {
 		<-arrived
-		d.asked.Note(d.now)
+		d.asked.RecordCall(d.now)
 	})
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if len(d.o.Roster.SilentOnes(d.now)) != 0 {
+	if len(d.o.Roster.Unreachable(d.now)) != 0 {
 		t.Error("the reader counts as unreachable")
 	}
 }
@@ -307,7 +307,7 @@
 	if _, err := d.readFrom(t, 0); err == nil {
 		t.Fatal("no error from a store that is down")
 	}
-	if !d.journal.Look(d.now, fleet.FeedUpstreams, 0, false).Away {
+	if !d.journal.Get(d.now, fleet.FeedUpstreams, 0, false).StoreDown {
 		t.Error("the journal does not report that the store is unavailable")
 	}
 	s.setDown(false)
@@ -319,7 +319,7 @@
 	if diff := cmp.Diff([]time.Duration{2 * time.Second, 0}, s.calls()); diff != "" {
 		t.Errorf("the first read after a failure waits: %s", diff)
 	}
-	if l := d.journal.Look(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.Away {
+	if l := d.journal.Get(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.StoreDown {
 		t.Errorf("followers are sent %+v", l)
 	}
 	if next, err := d.readFrom(t, 1); err != nil || next.Away {
@@ -343,10 +343,10 @@
 		{testPace.Gather, false, 0},
 	} {
 		d.now = d.lastRecords[fleet.FeedUpstreams].Add(tc.later)
-		d.asked = NewAsked()
-		d.o.Asked = d.asked
+		d.asked = NewFollowerActivity()
+		d.o.Followers = d.asked
 		if tc.asked {
-			d.asked.Note(d.now)
+			d.asked.RecordCall(d.now)
 		}
 		if got := d.gatherDelay(fleet.FeedUpstreams); got != tc.want {
 			t.Errorf("%v after records, with followers %t: pause of %v, want %v", tc.later, tc.asked, got, tc.want)
@@ -358,7 +358,7 @@
 // of a healthy reader never becomes stale.
 func TestPace(t *testing.T) {
 	for _, bound := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 4 * time.Second, 14 * time.Second} {
-		p := PaceOf(bound)
+		p := TimingFor(bound)
 		if p.Hold+p.SharedGather >= p.MaxAge {
 			t.Errorf("%v: data may be %v old, of at most %v", bound, p.Hold+p.SharedGather, p.MaxAge)
 		}
@@ -373,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerOptions{Journal: newTestJournal(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Asked: NewAsked(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Pace: testPace, Logger: discardLogger, Now: time.Now})
+	s := NewServer(ServerOptions{Cache: newTestJournal(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testPace, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
--- a/relay/time.go
+++ b/relay/time.go
@@ -7,14 +7,14 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// TimeKeeper hands the accrual time of a follower over to the reader of its data centre.
+// AccrualSender hands the accrual time of a follower over to the reader of its data centre.
 //
 // A daemon's share of a limit accrues over time. A follower does not add it to its own
 // ledger: with the calls that it makes anyway it sends the reader the span of time for
 // which its share is not accrued yet, and the reader accrues the share in its ledger (see
 // package quota). Followers then borrow from the reader. A TimeKeeper is safe for
 // concurrent use.
-type TimeKeeper struct {
+type AccrualSender struct {
 	quota  *quota.Ledger
 	roster *Roster
 
@@ -34,16 +34,16 @@
 // daemons.
 const maxStamps = 16
 
-// NewTimeKeeper returns a TimeKeeper without stamps.
-func NewTimeKeeper(l *quota.Ledger, r *Roster) *TimeKeeper {
-	return &TimeKeeper{quota: l, roster: r, stamps: map[string]receivedStamp{}}
+// NewAccrualSender returns a TimeKeeper without stamps.
+func NewAccrualSender(l *quota.Ledger, r *Roster) *AccrualSender {
+	return &AccrualSender{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
 
 // handOver returns the accrual time to send with a call to a daemon. It is empty if this
 // daemon is a reader itself, or if the recipient is in another data centre, where the
 // daemons' shares differ.
-func (k *TimeKeeper) handOver(now time.Time, to Peer) quota.Span {
-	if k == nil || to.DataCentre != k.roster.Self().DataCentre || k.roster.Leads() {
+func (k *AccrualSender) handOver(now time.Time, to Peer) quota.Span {
+	if k == nil || to.DataCentre != k.roster.Self().DataCentre || k.roster.IsReader() {
 		return quota.Span{}
 	}
 	k.mu.Lock()
@@ -53,7 +53,7 @@
 		return quota.Span{}
 	}
 	k.recipient = to
-	return k.quota.HandOver(now, s.stamp, s.receivedAt, k.roster.Near(now))
+	return k.quota.HandOver(now, s.stamp, s.receivedAt, k.roster.LocalDaemons(now))
 }
 
 // lastRecipient returns the daemon to which this one handed its accrual time over last.
@@ -62,14 +62,14 @@
 // a successor; if they went on asking the reader for loans, it would have nothing to lend,
 // and all requests of the data centre would be refused for seconds although the limits are
 // not used up.
-func (k *TimeKeeper) lastRecipient() Peer {
+func (k *AccrualSender) lastRecipient() Peer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.recipient
 }
 
 // recordStamp stores the stamp of a response from the daemon at an address.
-func (k *TimeKeeper) recordStamp(now time.Time, address string, stamp quota.Stamp) {
+func (k *AccrualSender) recordStamp(now time.Time, address string, stamp quota.Stamp) {
 	if k == nil {
 		return
 	}
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -34,7 +34,7 @@
 	began   time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	pace    Pace
+	pace    Timing
 }
 
 const (
@@ -51,7 +51,7 @@
 
 // newTestFleet returns n daemons, spread over the data centres and not started yet.
 func newTestFleet(t *testing.T, n int) *testFleet {
-	w := &testFleet{t: t, network: &network{listeners: map[string]*pipeListener{}}, began: time.Now(), pace: PaceOf(testBound)}
+	w := &testFleet{t: t, network: &network{listeners: map[string]*pipeListener{}}, began: time.Now(), pace: TimingFor(testBound)}
 	w.ctx, w.stop = context.WithCancel(t.Context())
 	w.store = newFakeStore(w.began)
 	for i := range n {
@@ -131,23 +131,23 @@
 	d.mu.Lock()
 	d.version, d.members, d.learned, d.started, d.ready = 0, nil, map[string]time.Time{}, time.Now(), time.Time{}
 	d.mu.Unlock()
-	journal, asked := NewJournal(), NewAsked()
+	journal, asked := NewFeedCache(), NewFollowerActivity()
 	d.roster = NewRoster(d.self, nil)
 	d.samples = NewSamples(time.Now())
 	view := storeClient{w.store, d.self.Instance}
 	d.quarantine = quarantine.NewKeeper(quarantine.Options{
-		Log: quarantineLog{view}, Reads: func() bool { return d.feeds.Provides() }, Wait: 4 * time.Second, Kept: time.Minute, Logger: discardLogger, Now: time.Now,
+		Log: quarantineLog{view}, Reads: func() bool { return d.feeds.ReadsForOthers() }, Wait: 4 * time.Second, Kept: time.Minute, Logger: discardLogger, Now: time.Now,
 	})
 	server := NewServer(ServerOptions{
-		Journal: journal, Roster: d.roster, Asked: asked, Samples: d.samples, Quarantine: d.quarantine, Learned: d.receiveSamples, Pace: w.pace, Logger: discardLogger, Now: time.Now,
+		Cache: journal, Roster: d.roster, Followers: asked, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Timing: w.pace, Logger: discardLogger, Now: time.Now,
 	})
 	server.Listen(w.network.listen(d.self.Address))
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return w.network.dial(ctx, d.self.Address, address)
 	}
 	d.feeds = NewStore(Options{
-		Direct: fleet.Bounded{Store: view, Timeout: 800 * time.Millisecond}, Directory: view, Journal: journal, Roster: d.roster, Asked: asked,
-		Dial: dial, Pace: w.pace, Samples: d.samples, Quarantine: d.quarantine, Learned: d.receiveSamples, Self: d.self, Seeds: w.seeds(), Random: rand.New(rand.NewPCG(7, uint64(d.number))), Logger: discardLogger, Now: time.Now,
+		Direct: fleet.Bounded{Store: view, Timeout: 800 * time.Millisecond}, Directory: view, Cache: journal, Roster: d.roster, Followers: asked,
+		Dial: dial, Timing: w.pace, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Self: d.self, Seeds: w.seeds(), Random: rand.New(rand.NewPCG(7, uint64(d.number))), Logger: discardLogger, Now: time.Now,
 	})
 	d.watch = fleet.NewWatcher(fleet.Options{
 		Store: d.feeds, Intervals: fleet.Intervals{Wait: 4 * time.Second, Retry: 250 * time.Millisecond},
@@ -155,7 +155,7 @@
 	})
 	member := roles.NewRunner(roles.Options{
 		Group: fakeGroup{view, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, Quiet: 3 * time.Second, Every: 700 * time.Millisecond,
-		Call: 600 * time.Millisecond, Candidate: d.feeds.Reads, Logger: discardLogger, Now: time.Now,
+		Call: 600 * time.Millisecond, Candidate: d.feeds.ReadsStore, Logger: discardLogger, Now: time.Now,
 	})
 	exchange := NewExchange(ExchangeOptions{
 		Self: d.self, Seeds: w.seeds(), Roster: d.roster, Samples: d.samples, Dial: dial, Logger: discardLogger, Now: time.Now,
@@ -238,7 +238,7 @@
 func (w *testFleet) readers() []*daemon {
 	var out []*daemon
 	for _, d := range w.running() {
-		if d.roster.Leads() {
+		if d.roster.IsReader() {
 			out = append(out, d)
 		}
 	}
--- a/router/attached.go
+++ b/router/attached.go
@@ -71,11 +71,11 @@
 	// other daemons (see package quota).
 	exchange     *relay.Exchange
 	feeds        *relay.Store
-	journal      *relay.Journal
+	journal      *relay.FeedCache
 	roster       *relay.Roster
-	readRequests *relay.Asked
+	readRequests *relay.FollowerActivity
 	samples      *relay.Samples
-	timeKeeper   *relay.TimeKeeper
+	timeKeeper   *relay.AccrualSender
 	// retryBorrower borrows retries from other daemons; nil when the settings have no relay
 	// address.
 	retryBorrower *relay.Borrower
--- a/router/feeds.go
+++ b/router/feeds.go
@@ -59,13 +59,13 @@
 // retries and quota units with other daemons.
 func (a *Attached) provisionRelay(self relay.Peer, ln net.Listener) {
 	s := a.settings.Load()
-	a.journal, a.roster, a.readRequests = relay.NewJournal(), relay.NewRoster(self, s.Relay.DataCentres), relay.NewAsked()
+	a.journal, a.roster, a.readRequests = relay.NewFeedCache(), relay.NewRoster(self, s.Relay.DataCentres), relay.NewFollowerActivity()
 	a.samples = relay.NewSamples(time.Now())
-	a.timeKeeper = relay.NewTimeKeeper(a.teamLimits.ledger, a.roster)
+	a.timeKeeper = relay.NewAccrualSender(a.teamLimits.ledger, a.roster)
 	a.teamLimits.borrower.lenders = relay.NewLoans(relay.LoansOptions{Roster: a.roster, Time: a.timeKeeper, Quota: a.teamLimits.ledger, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now})
 	a.relay = relay.NewServer(relay.ServerOptions{
-		Journal: a.journal, Roster: a.roster, Asked: a.readRequests, Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, Learned: a.learnSamples,
-		Pace: relay.PaceOf(s.Store.Bound()), Lend: a.lendRetries, Quota: a.teamLimits.ledger, LendUnits: a.lendUnits, Logger: a.logger, Now: time.Now,
+		Cache: a.journal, Roster: a.roster, Followers: a.readRequests, Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples,
+		Timing: relay.TimingFor(s.Store.Bound()), Lend: a.lendRetries, Quota: a.teamLimits.ledger, LendUnits: a.lendUnits, Logger: a.logger, Now: time.Now,
 	})
 	a.relay.Listen(ln)
 	a.retryBorrower = relay.NewBorrower(relay.BorrowerOptions{
@@ -81,9 +81,9 @@
 func (a *Attached) relayOptions(self relay.Peer, direct fleet.Store) relay.Options {
 	s := a.settings.Load()
 	return relay.Options{
-		Direct: direct, Directory: a.group, Journal: a.journal, Roster: a.roster, Asked: a.readRequests,
-		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, Learned: a.learnSamples, Time: a.timeKeeper, Dial: relay.DialTCP, Pace: relay.PaceOf(s.Store.Bound()), Self: self, Seeds: s.Relay.Seeds,
-		Random: rand.New(rand.NewPCG(a.seed, rngRelay)), Logger: a.logger, Now: time.Now, Counted: a.countStoreRead,
+		Direct: direct, Directory: a.group, Cache: a.journal, Roster: a.roster, Followers: a.readRequests,
+		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples, Time: a.timeKeeper, Dial: relay.DialTCP, Timing: relay.TimingFor(s.Store.Bound()), Self: self, Seeds: s.Relay.Seeds,
+		Random: rand.New(rand.NewPCG(a.seed, rngRelay)), Logger: a.logger, Now: time.Now, OnRead: a.countStoreRead,
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // countStoreRead counts a read of a feed by how it was served: by the store, by another
 // daemon, or not at all.
-func (a *Attached) countStoreRead(f fleet.Feed, w relay.Way) {
-	result := [...]string{relay.Direct: telemetry.ReadDirect, relay.Through: telemetry.ReadReader, relay.Failed: telemetry.ReadFailed}[w]
+func (a *Attached) countStoreRead(f fleet.Feed, w relay.Outcome) {
+	result := [...]string{relay.Direct: telemetry.ReadDirect, relay.ViaPeer: telemetry.ReadReader, relay.Failed: telemetry.ReadFailed}[w]
 	a.metrics.StoreReading(f.String(), result)
 }
--- a/router/lending.go
+++ b/router/lending.go
@@ -27,7 +27,7 @@
 
 // loanClient requests loans from other daemons. *relay.Loans implements it.
 type loanClient interface {
-	Borrow(ctx context.Context, ask relay.LoanCall) relay.Answer
+	Borrow(ctx context.Context, ask relay.LoanRequest) relay.LoanResult
 }
 
 // borrowState is the state of borrowing for one account.
@@ -36,7 +36,7 @@
 	// refusedAt is when the last loan was refused because no daemon had enough units,
 	// answer is the refusal, and backoff suppresses further loan requests for a while.
 	refusedAt time.Time
-	answer    relay.Answer
+	answer    relay.LoanResult
 	backoff   quota.Backoff
 }
 
@@ -60,12 +60,12 @@
 	// maxBackoff bounds the backoff after a refused loan; 0 stands for the shortest one.
 	maxBackoff time.Duration
 	// call is a template of the call to the lenders, with its Rank and Limits.
-	call relay.LoanCall
+	call relay.LoanRequest
 }
 
 // borrowAndSpend borrows what the account lacks from other daemons and spends it. Requests
 // for one account borrow one at a time.
-func (l *unitBorrower) borrowAndSpend(ctx context.Context, req loanRequest) (ticket quota.Ticket, answer relay.Answer, ok bool) {
+func (l *unitBorrower) borrowAndSpend(ctx context.Context, req loanRequest) (ticket quota.Ticket, answer relay.LoanResult, ok bool) {
 	if l.lenders == nil {
 		return ticket, answer, false
 	}
@@ -129,7 +129,7 @@
 
 // borrow requests a loan of what the account lacks. If no single daemon has enough but all
 // of them together do, it requests whatever each has.
-func (l *unitBorrower) borrow(ctx context.Context, now time.Time, req loanRequest) relay.Answer {
+func (l *unitBorrower) borrow(ctx context.Context, now time.Time, req loanRequest) relay.LoanResult {
 	own := l.ledger.Available(now, req.account, req.terms)
 	call := req.call
 	call.Terms, call.Needs = req.terms, req.units+req.reserve-own
@@ -137,14 +137,14 @@
 	call.SetAccount(req.account)
 	answer := l.lenders.Borrow(ctx, call)
 	if !answer.Lent && own+answer.Left >= req.units+req.reserve {
-		call.Whatever = true
+		call.PartialOK = true
 		answer.Lent = l.lenders.Borrow(ctx, call).Lent
 	}
 	return answer
 }
 
 // recordRefusal starts a backoff after a refused loan. The caller holds st.sem.
-func (l *unitBorrower) recordRefusal(st *borrowState, req loanRequest, answer relay.Answer) {
+func (l *unitBorrower) recordRefusal(st *borrowState, req loanRequest, answer relay.LoanResult) {
 	st.refusedAt, st.answer = time.Now(), answer
 	st.backoff.Start(st.refusedAt, req.units, req.call.Rank, answer.Wait, req.maxBackoff)
 }
--- a/router/lending_test.go
+++ b/router/lending_test.go
@@ -15,14 +15,14 @@
 	units  float64
 }
 
-func (l *fakeLender) Borrow(_ context.Context, ask relay.LoanCall) relay.Answer {
+func (l *fakeLender) Borrow(_ context.Context, ask relay.LoanRequest) relay.LoanResult {
 	if l.units < ask.Needs {
-		return relay.Answer{Left: l.units, Wait: time.Minute}
+		return relay.LoanResult{Left: l.units, Wait: time.Minute}
 	}
 	l.units -= ask.Needs
 	now := time.Now()
 	l.ledger.AddLoan(now, ask.Account(), ask.Terms, now, quota.Loan{Units: ask.Needs})
-	return relay.Answer{Lent: true, Left: l.units}
+	return relay.LoanResult{Lent: true, Left: l.units}
 }
 
 // Guards against a refused loan for a less urgent request that makes an urgent request back off
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -20,4 +20,4 @@
 
 // readsQuarantineLog reports whether this daemon reads the quarantine log itself: it does
 // if it reads the store without a relay, or is the one that reads the store for others.
-func (a *Attached) readsQuarantineLog() bool { return a.feeds == nil || a.feeds.Provides() }
+func (a *Attached) readsQuarantineLog() bool { return a.feeds == nil || a.feeds.ReadsForOthers() }
--- a/router/quota.go
+++ b/router/quota.go
@@ -71,10 +71,10 @@
 		}
 		return 0, true
 	}
-	if share = l.a.roster.Part(now); share == 0 && minDaemons == 1 {
+	if share = l.a.roster.Share(now); share == 0 && minDaemons == 1 {
 		share = 1
 	}
-	return share, l.a.roster.Leads()
+	return share, l.a.roster.IsReader()
 }
 
 // Admit spends units of a team's limit on a request, or refuses it. refund returns the
@@ -87,7 +87,7 @@
 	account, terms := quota.Account{Team: team.Name}, l.terms(team.Limit)
 	l.ledger.RecordDemand(now, account, terms, units)
 	ticket, ok := l.ledger.Spend(now, account, terms, units, 0)
-	answer := relay.Answer{}
+	answer := relay.LoanResult{}
 	if !ok {
 		prefetch := l.ledger.Demand(now, account) * prefetchHorizon.Seconds()
 		ticket, answer, ok = l.borrower.borrowAndSpend(ctx, loanRequest{account: account, terms: terms, units: units, prefetch: prefetch})
@@ -101,7 +101,7 @@
 
 // refuse returns the error for a request over its team's limit. Its Retry-After is the
 // time in which the daemons together accrue the units that are missing.
-func (l *teamLimits) refuse(team fleet.Team, id string, units float64, answer relay.Answer) *errkind.Error {
+func (l *teamLimits) refuse(team fleet.Team, id string, units float64, answer relay.LoanResult) *errkind.Error {
 	now := time.Now()
 	account, terms := quota.Account{Team: team.Name}, l.terms(team.Limit)
 	own := l.ledger.Available(now, account, terms)
@@ -119,7 +119,7 @@
 }
 
 // lend takes units of a team from this daemon's account for a loan to another daemon.
-func (l *teamLimits) lend(call relay.LoanCall) quota.Loan {
+func (l *teamLimits) lend(call relay.LoanRequest) quota.Loan {
 	v := l.a.watcher.View()
 	if v == nil || v.Teams == nil {
 		return quota.Loan{}
@@ -128,5 +128,5 @@
 	if !ok || team.Limit.Rate <= 0 || !(call.Needs > 0) {
 		return quota.Loan{}
 	}
-	return l.ledger.Lend(time.Now(), call.Account(), l.terms(team.Limit), call.Needs, call.Wants, 0, call.Whatever)
+	return l.ledger.Lend(time.Now(), call.Account(), l.terms(team.Limit), call.Needs, call.Wants, 0, call.PartialOK)
 }
--- a/router/retries.go
+++ b/router/retries.go
@@ -56,7 +56,7 @@
 	if c.a.roster == nil {
 		return int(c.joinedDaemons.Load())
 	}
-	if n := c.a.roster.Sharing(now); n > 0 {
+	if n := c.a.roster.ShareCount(now); n > 0 {
 		return n
 	}
 	if c.a.settings.Load().Retries.Daemons == 1 {
--- a/router/roles.go
+++ b/router/roles.go
@@ -54,7 +54,7 @@
 
 // leaseCandidate reports whether this daemon may acquire the lease. Only daemons that
 // read the store themselves may, since they get the most information from the others.
-func (a *Attached) leaseCandidate() bool { return a.feeds == nil || a.feeds.Reads() }
+func (a *Attached) leaseCandidate() bool { return a.feeds == nil || a.feeds.ReadsStore() }
 
 // costsByService holds the learned costs of completions for each service. It is safe for
 // concurrent use.
@@ -125,7 +125,7 @@
 // addSample queues a sample of an engine's performance to be sent to other daemons.
 func (a *Attached) addSample(now time.Time, s estimate.Sample) {
 	if a.samples != nil {
-		a.samples.Saw(now, s)
+		a.samples.AddOwn(now, s)
 	}
 }
 
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -160,14 +160,14 @@
 	fields.Info("upstream rate limit changed")
 }
 
-// News returns the limits to send to other daemons: those that changed recently, or all. It
+// Changes returns the limits to send to other daemons: those that changed recently, or all. It
 // implements relay.Limits.
-func (l *upstreamLimits) News(all bool) []ratelimit.Record {
+func (l *upstreamLimits) Changes(all bool) []ratelimit.Record {
 	return l.book.RecentChanges(time.Now(), all)
 }
 
-// Told applies limits that another daemon sent. It implements relay.Limits.
-func (l *upstreamLimits) Told(list []ratelimit.Record) {
+// Update applies limits that another daemon sent. It implements relay.Limits.
+func (l *upstreamLimits) Update(list []ratelimit.Record) {
 	for _, r := range list {
 		if r.Valid() {
 			l.applyReport(r.Observation(time.Now()))
@@ -286,14 +286,14 @@
 
 // lend takes units of an upstream's limit from this daemon's account for a loan to another
 // daemon.
-func (l *upstreamLimits) lend(call relay.LoanCall) quota.Loan {
+func (l *upstreamLimits) lend(call relay.LoanRequest) quota.Loan {
 	u := ratelimit.Upstream{Name: call.Upstream, Incarnation: call.Life}
 	_, pool := l.o.Lookup(u.Name)
-	return l.gate.Lend(time.Now(), u, ratelimit.Request{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.Whatever)
+	return l.gate.Lend(time.Now(), u, ratelimit.Request{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.PartialOK)
 }
 
 // lendUnits lends another daemon units of an upstream's limit or of a team's.
-func (a *Attached) lendUnits(call relay.LoanCall) quota.Loan {
+func (a *Attached) lendUnits(call relay.LoanRequest) quota.Loan {
 	if call.Upstream != "" {
 		return a.upstreamLimits.lend(call)
 	}
