--- a/fleet/patience.go
+++ b/fleet/patience.go
@@ -27,10 +27,10 @@
 	minRequests = 12
 )
 
-// Patience detects client retries after a refusal from the deadlines of requests. All
+// RetryDetector detects client retries after a refusal from the deadlines of requests. All
 // clients of a route send the same deadline with a first attempt, and the remaining
 // time with a retry. Patience reads no clock and is safe for concurrent use.
-type Patience struct {
+type RetryDetector struct {
 	mu      sync.Mutex
 	byRoute map[string]*deadlineStats
 }
@@ -47,12 +47,12 @@
 	requests          int
 }
 
-// NewPatience returns a detector without statistics.
-func NewPatience() *Patience { return &Patience{byRoute: map[string]*deadlineStats{}} }
+// NewRetryDetector returns a detector without statistics.
+func NewRetryDetector() *RetryDetector { return &RetryDetector{byRoute: map[string]*deadlineStats{}} }
 
-// Waited records the deadline of a request and returns how long its client has already
+// RecordDeadline records the deadline of a request and returns how long its client has already
 // waited since its first attempt; 0 for a first attempt.
-func (p *Patience) Waited(now time.Time, route string, deadline time.Duration) time.Duration {
+func (p *RetryDetector) RecordDeadline(now time.Time, route string, deadline time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.byRoute[route]
--- a/fleet/patience_test.go
+++ b/fleet/patience_test.go
@@ -9,11 +9,11 @@
 // late, while engines are idle. This happened where clients choose their deadlines
 // freely: every deadline below the longest one was taken for a retry.
 func TestDeadlinesThatDifferTellNothing(t *testing.T) {
-	p := NewPatience()
+	p := NewRetryDetector()
 	taken := 0
 	for i := range 400 {
 		deadline := 11*time.Second + time.Duration(i*7919%3000)*time.Millisecond
-		if p.Waited(at(i), "drafts", deadline) > 0 && i < 400 {
+		if p.RecordDeadline(at(i), "drafts", deadline) > 0 && i < 400 {
 			taken++
 		}
 	}
@@ -23,10 +23,10 @@
 }
 
 func TestWaited(t *testing.T) {
-	p := NewPatience()
+	p := NewRetryDetector()
 	for range minRequests {
-		p.Waited(at(0), "drafts", 13*time.Second)
-		p.Waited(at(0), "look-ups", 500*time.Millisecond)
+		p.RecordDeadline(at(0), "drafts", 13*time.Second)
+		p.RecordDeadline(at(0), "look-ups", 500*time.Millisecond)
 	}
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, step := range []struct {
@@ -44,7 +44,7 @@
 		{31000, "drafts", 9000, 5000},  // compared with the previous window
 		{62000, "drafts", 9000, 0},     // the windows with longer deadlines are over
 	} {
-		if got := p.Waited(at(step.at), step.route, ms(step.deadline)); got != ms(step.want) {
+		if got := p.RecordDeadline(at(step.at), step.route, ms(step.deadline)); got != ms(step.want) {
 			t.Errorf("at %d ms, %s, deadline %d ms: waited %v, want %d ms", step.at, step.route, step.deadline, got, step.want)
 		}
 	}
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -29,22 +29,22 @@
 type View struct {
 	// Config is the current configuration; nil until the first one has been read.
 	Config *Config
-	Routes *Table
-	Teams  *Roll
+	Routes *RouteTable
+	Teams  *TeamTable
 	// Bundle describes services and upstreams for package board. Its number increases
 	// with every view.
 	Bundle *bundle.Version
-	// Members are the registered upstreams by name, including those whose registration
+	// Registrations are the registered upstreams by name, including those whose registration
 	// has expired while its grace period lasts.
-	Members map[string]Registration
+	Registrations map[string]Registration
 }
 
 // Registry holds the current configuration and the registered upstreams. It is not
 // safe for concurrent use.
 type Registry struct {
 	config     *Config
-	routes     *Table
-	teams      *Roll
+	routes     *RouteTable
+	teams      *TeamTable
 	members    map[string]*member
 	viewNumber uint64
 	changed    bool
@@ -73,11 +73,11 @@
 	if c == nil || r.config != nil && c.Version <= r.config.Version {
 		return false, nil
 	}
-	roll, err := NewRoll(c.Teams)
+	roll, err := NewTeamTable(c.Teams)
 	if err != nil {
 		return false, err
 	}
-	r.config, r.routes, r.teams, r.changed = c, NewTable(c.Routes), roll, true
+	r.config, r.routes, r.teams, r.changed = c, NewRouteTable(c.Routes), roll, true
 	return true, nil
 }
 
@@ -101,7 +101,7 @@
 	r.changedUpstreams[name] = true
 }
 
-// Drop handles registrations that have disappeared from the store. afterOutage means
+// HandleMissing handles registrations that have disappeared from the store. afterOutage means
 // that the store was unreachable before they were found missing.
 //
 // Upstreams cannot renew their leases while the store is down. If every registration
@@ -111,7 +111,7 @@
 // upstreams stay in use for reregistrationGrace. All other registrations that disappear
 // were withdrawn: their upstreams get no new requests. An upstream that was draining is
 // removed in either case.
-func (r *Registry) Drop(now time.Time, names []string, afterOutage bool) {
+func (r *Registry) HandleMissing(now time.Time, names []string, afterOutage bool) {
 	removedByService := map[string]int{}
 	for _, name := range names {
 		if m := r.members[name]; m != nil {
@@ -160,7 +160,7 @@
 			missing = append(missing, name)
 		}
 	}
-	r.Drop(now, missing, afterOutage)
+	r.HandleMissing(now, missing, afterOutage)
 }
 
 // Expire removes expired upstreams that did not register again within
@@ -202,9 +202,9 @@
 
 // fullView builds a view from the complete state of the registry.
 func (r *Registry) fullView() View {
-	v := View{Config: r.config, Routes: r.routes, Teams: r.teams, Members: make(map[string]Registration, len(r.members))}
+	v := View{Config: r.config, Routes: r.routes, Teams: r.teams, Registrations: make(map[string]Registration, len(r.members))}
 	for name, m := range r.members {
-		v.Members[name] = m.Registration
+		v.Registrations[name] = m.Registration
 	}
 	v.Bundle = &bundle.Version{Bundle: r.buildBundle(), Number: r.viewNumber}
 	return v
@@ -213,13 +213,13 @@
 // incrementalView builds a view from the last one and the upstreams changed since.
 func (r *Registry) incrementalView() View {
 	v, content := r.lastView, *r.lastView.Bundle.Bundle
-	v.Members, content.Upstreams = maps.Clone(v.Members), maps.Clone(content.Upstreams)
+	v.Registrations, content.Upstreams = maps.Clone(v.Registrations), maps.Clone(content.Upstreams)
 	for name := range r.changedUpstreams {
 		if m := r.members[name]; m != nil {
-			v.Members[name], content.Upstreams[name] = m.Registration, r.bundleUpstream(m)
+			v.Registrations[name], content.Upstreams[name] = m.Registration, r.bundleUpstream(m)
 			continue
 		}
-		delete(v.Members, name)
+		delete(v.Registrations, name)
 		delete(content.Upstreams, name)
 	}
 	v.Bundle = &bundle.Version{
--- a/fleet/registry_test.go
+++ b/fleet/registry_test.go
@@ -85,7 +85,7 @@
 	draining := appRegistration("a")
 	draining.Draining = true
 	r.Put(draining)
-	r.Drop(at(0), []string{"b"}, false)
+	r.HandleMissing(at(0), []string{"b"}, false)
 	want := map[string]bool{"c": true, "d": true}
 	if diff := cmp.Diff(want, servingUpstreams(t, r)); diff != "" {
 		t.Error(diff)
@@ -117,7 +117,7 @@
 func TestWithdrawalAfterTheReturnHasNoGrace(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"))
 	r.Replace(at(0), []Registration{appRegistration("a"), appRegistration("b"), appRegistration("c")}, true)
-	r.Drop(at(1000), []string{"b"}, false)
+	r.HandleMissing(at(1000), []string{"b"}, false)
 	if servingUpstreams(t, r)["b"] {
 		t.Error("b still gets new requests")
 	}
@@ -128,7 +128,7 @@
 // of most of a service must not be handled like upstreams that leave one by one.
 func TestMassLossIsALapse(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"), appRegistration("d"))
-	r.Drop(at(0), []string{"a", "b", "c"}, false)
+	r.HandleMissing(at(0), []string{"a", "b", "c"}, false)
 	if got := servingUpstreams(t, r); len(got) != 4 {
 		t.Errorf("serving %v, want 4 upstreams", got)
 	}
@@ -185,7 +185,7 @@
 		name := fmt.Sprintf("u%d", rng.IntN(12))
 		switch rng.IntN(5) {
 		case 0:
-			r.Drop(now, []string{name}, rng.IntN(2) == 0)
+			r.HandleMissing(now, []string{name}, rng.IntN(2) == 0)
 		case 1:
 			r.Expire(now)
 		case 2:
@@ -199,7 +199,7 @@
 			continue
 		}
 		want := r.fullView()
-		if d := cmp.Diff(want.Members, v.Members); d != "" {
+		if d := cmp.Diff(want.Registrations, v.Registrations); d != "" {
 			t.Fatalf("step %d: %s", i, d)
 		}
 		if d := cmp.Diff(want.Bundle.Bundle, v.Bundle.Bundle); d != "" {
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Table looks up routes by host and path. It is immutable.
-type Table struct {
+// RouteTable looks up routes by host and path. It is immutable.
+type RouteTable struct {
 	byHost map[string][]Route
 }
 
-// NewTable returns a table of the given routes.
-func NewTable(routes []Route) *Table {
-	t := &Table{byHost: map[string][]Route{}}
+// NewRouteTable returns a table of the given routes.
+func NewRouteTable(routes []Route) *RouteTable {
+	t := &RouteTable{byHost: map[string][]Route{}}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
@@ -25,7 +25,7 @@
 
 // Match returns the route of a host with the longest prefix of the path. The port of
 // the host, if any, is ignored.
-func (t *Table) Match(host, path string) (Route, bool) {
+func (t *RouteTable) Match(host, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -35,10 +35,10 @@
 	return Route{}, false
 }
 
-// Pick selects the service for one request by weight; draw is a random number, uniform
+// SelectService selects the service for one request by weight; draw is a random number, uniform
 // in [0, 1). Services without a positive weight get no requests. If no service has a
 // positive weight, the first one gets them all.
-func (r Route) Pick(draw float64) string {
+func (r Route) SelectService(draw float64) string {
 	if len(r.Targets) == 0 {
 		return ""
 	}
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestMatch(t *testing.T) {
-	table := NewTable([]Route{
+	table := NewRouteTable([]Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -35,7 +35,7 @@
 		{Route{Targets: []Target{{"only", 0}}}, 0.5, "only"},
 		{Route{}, 0.5, ""},
 	} {
-		if got := tc.route.Pick(tc.draw); got != tc.want {
+		if got := tc.route.SelectService(tc.draw); got != tc.want {
 			t.Errorf("draw %v of %v: %q, want %q", tc.draw, tc.route.Targets, got, tc.want)
 		}
 	}
--- a/fleet/teams.go
+++ b/fleet/teams.go
@@ -13,18 +13,18 @@
 // sums of such numbers are exact in float64.
 const maxUnits = 1e15
 
-// Roll looks up the teams of a configuration by key and by name. It is immutable.
-type Roll struct {
+// TeamTable looks up the teams of a configuration by key and by name. It is immutable.
+type TeamTable struct {
 	index  *teams.Index
 	byName map[string]Team
 }
 
-// NewRoll builds the lookup of the given teams. It returns an error if they are invalid.
+// NewTeamTable builds the lookup of the given teams. It returns an error if they are invalid.
 //
 // Without the checks, a key that two teams share would identify one of them at random,
 // and a negative or NaN limit would refuse all requests of a team, or none.
-func NewRoll(list []Team) (*Roll, error) {
-	r := &Roll{byName: make(map[string]Team, len(list))}
+func NewTeamTable(list []Team) (*TeamTable, error) {
+	r := &TeamTable{byName: make(map[string]Team, len(list))}
 	keys := make(map[string][]teams.Digest, len(list))
 	for _, t := range list {
 		if _, duplicate := r.byName[t.Name]; t.Name == "" || duplicate {
@@ -43,13 +43,13 @@
 }
 
 // Index returns the lookup of teams by key.
-func (r *Roll) Index() *teams.Index { return r.index }
+func (r *TeamTable) Index() *teams.Index { return r.index }
 
 // Team returns the team of the given name.
-func (r *Roll) Team(name string) (Team, bool) {
+func (r *TeamTable) Team(name string) (Team, bool) {
 	t, ok := r.byName[name]
 	return t, ok
 }
 
 // Empty reports whether the configuration has no teams, so that requests need no key.
-func (r *Roll) Empty() bool { return len(r.byName) == 0 }
+func (r *TeamTable) Empty() bool { return len(r.byName) == 0 }
--- a/fleet/watcher.go
+++ b/fleet/watcher.go
@@ -56,9 +56,9 @@
 
 // Store reads the feeds. Implementations are safe for concurrent use.
 type Store interface {
-	// Newest returns a snapshot, with the newest record of every key, and the offset
+	// Snapshot returns a snapshot, with the newest record of every key, and the offset
 	// after it.
-	Newest(ctx context.Context, f Feed) (Batch, error)
+	Snapshot(ctx context.Context, f Feed) (Batch, error)
 	// Read returns the records from an offset on, or a snapshot instead (Batch.Whole). It
 	// waits up to wait for the first record. It returns ErrTrimmed if the store no longer
 	// keeps the record at the offset.
@@ -67,28 +67,28 @@
 
 // Intervals holds the timing of calls to the store.
 type Intervals struct {
-	// Wait is how long the store may hold a read open until there is a new record (long
+	// PollWait is how long the store may hold a read open until there is a new record (long
 	// polling). It also bounds how long a dead connection goes unnoticed.
-	Wait time.Duration
+	PollWait time.Duration
 	// Retry is the delay after a failed call.
 	Retry time.Duration
 }
 
-// Bounded is a Store with a timeout on each call. A Read may also take its wait.
-type Bounded struct {
+// TimeoutStore is a Store with a timeout on each call. A Read may also take its wait.
+type TimeoutStore struct {
 	Store   Store
 	Timeout time.Duration
 }
 
-// Newest implements Store.
-func (b Bounded) Newest(ctx context.Context, f Feed) (Batch, error) {
+// Snapshot implements Store.
+func (b TimeoutStore) Snapshot(ctx context.Context, f Feed) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.Timeout)
 	defer cancel()
-	return b.Store.Newest(ctx, f)
+	return b.Store.Snapshot(ctx, f)
 }
 
 // Read implements Store.
-func (b Bounded) Read(ctx context.Context, f Feed, from uint64, wait time.Duration) (Batch, error) {
+func (b TimeoutStore) Read(ctx context.Context, f Feed, from uint64, wait time.Duration) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.Timeout+wait)
 	defer cancel()
 	return b.Store.Read(ctx, f, from, wait)
@@ -98,8 +98,8 @@
 type Options struct {
 	Store     Store
 	Intervals Intervals
-	// Apply is called with each new view, in order and never concurrently.
-	Apply  func(now time.Time, v View)
+	// OnView is called with each new view, in order and never concurrently.
+	OnView func(now time.Time, v View)
 	Logger log.Interface
 	Now    func() time.Time
 }
@@ -192,7 +192,7 @@
 }
 
 func (w *Watcher) readFeed(ctx context.Context, f Feed, from uint64, snapshot bool) (Batch, error) {
-	wait := w.options.Intervals.Wait
+	wait := w.options.Intervals.PollWait
 	if w.isFailing(f) {
 		// Registrations that the first read after an outage reports as removed count as
 		// expired. A read that waits could also report registrations that were withdrawn
@@ -200,7 +200,7 @@
 		wait = 0
 	}
 	if snapshot {
-		return w.options.Store.Newest(ctx, f)
+		return w.options.Store.Snapshot(ctx, f)
 	}
 	return w.options.Store.Read(ctx, f, from, wait)
 }
@@ -269,7 +269,7 @@
 			removed[c.Gone] = true
 		}
 	}
-	w.registry.Drop(now, slices.Sorted(maps.Keys(removed)), afterOutage)
+	w.registry.HandleMissing(now, slices.Sorted(maps.Keys(removed)), afterOutage)
 }
 
 // publish stores the new view, if there is one, and passes it to Apply. The caller holds
@@ -280,8 +280,8 @@
 		return
 	}
 	w.view.Store(&v)
-	w.options.Apply(now, v)
-	w.options.Logger.WithFields(log.Fields{"view": v.Bundle.Number, "upstreams": len(v.Members)}).Info("view updated")
+	w.options.OnView(now, v)
+	w.options.Logger.WithFields(log.Fields{"view": v.Bundle.Number, "upstreams": len(v.Registrations)}).Info("view updated")
 }
 
 func (w *Watcher) recordFailure(f Feed, err error) {
--- a/relay/store.go
+++ b/relay/store.go
@@ -143,8 +143,8 @@
 	return s.readsStore && (s.plan.ReadsStore(now) || s.o.Followers.Recent(now))
 }
 
-// Newest implements fleet.Store.
-func (s *Store) Newest(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
+// Snapshot implements fleet.Store.
+func (s *Store) Snapshot(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
 	return s.read(ctx, query{feed: f, whole: true})
 }
 
@@ -350,7 +350,7 @@
 	var b fleet.Batch
 	var err error
 	if q.whole {
-		b, err = s.o.Direct.Newest(ctx, q.feed)
+		b, err = s.o.Direct.Snapshot(ctx, q.feed)
 		b.Whole = true
 	} else {
 		b, err = s.o.Direct.Read(ctx, q.feed, q.from, s.storeWait(q))
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -44,7 +44,9 @@
 	return append([]time.Duration{}, s.waits...)
 }
 
-func (s *fakeFeedStore) Newest(context.Context, fleet.Feed) (fleet.Batch, error) { return s.read(0, 0) }
+func (s *fakeFeedStore) Snapshot(context.Context, fleet.Feed) (fleet.Batch, error) {
+	return s.read(0, 0)
+}
 
 func (s *fakeFeedStore) Read(_ context.Context, _ fleet.Feed, from uint64, wait time.Duration) (fleet.Batch, error) {
 	return s.read(from, wait)
@@ -147,7 +149,7 @@
 		t.Error(diff)
 	}
 	t.Cleanup(d.clients[fleet.FeedUpstreams].close)
-	all, err := d.Newest(t.Context(), fleet.FeedUpstreams)
+	all, err := d.Snapshot(t.Context(), fleet.FeedUpstreams)
 	if err != nil || !all.Whole || all.Next != 3 {
 		t.Errorf("snapshot: %+v, %v", all, err)
 	}
--- a/relay/world_store_test.go
+++ b/relay/world_store_test.go
@@ -134,7 +134,7 @@
 	instance string
 }
 
-func (v storeClient) Newest(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
+func (v storeClient) Snapshot(ctx context.Context, f fleet.Feed) (fleet.Batch, error) {
 	v.store.mu.Lock()
 	pages := 1 + len(v.store.feeds[f])/pageSize
 	v.store.mu.Unlock()
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -146,12 +146,12 @@
 		return w.network.dial(ctx, d.self.Address, address)
 	}
 	d.feeds = NewStore(Options{
-		Direct: fleet.Bounded{Store: view, Timeout: 800 * time.Millisecond}, Directory: view, Cache: journal, Roster: d.roster, Followers: asked,
+		Direct: fleet.TimeoutStore{Store: view, Timeout: 800 * time.Millisecond}, Directory: view, Cache: journal, Roster: d.roster, Followers: asked,
 		Dial: dial, Timing: w.pace, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Self: d.self, Seeds: w.seeds(), Random: rand.New(rand.NewPCG(7, uint64(d.number))), Logger: discardLogger, Now: time.Now,
 	})
 	d.watch = fleet.NewWatcher(fleet.Options{
-		Store: d.feeds, Intervals: fleet.Intervals{Wait: 4 * time.Second, Retry: 250 * time.Millisecond},
-		Apply: d.apply, Logger: discardLogger, Now: time.Now,
+		Store: d.feeds, Intervals: fleet.Intervals{PollWait: 4 * time.Second, Retry: 250 * time.Millisecond},
+		OnView: d.apply, Logger: discardLogger, Now: time.Now,
 	})
 	member := roles.NewRunner(roles.Options{
 		Group: fakeGroup{view, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, Quiet: 3 * time.Second, Every: 700 * time.Millisecond,
@@ -197,21 +197,21 @@
 		d.version = v.Config.Version
 		d.recordOnce(now, fmt.Sprintf("version %d", d.version))
 	}
-	for name, m := range v.Members {
+	for name, m := range v.Registrations {
 		if m.Draining {
 			d.recordOnce(now, "leaves "+name)
 		}
 	}
 	for name := range d.members {
-		if _, ok := v.Members[name]; !ok {
+		if _, ok := v.Registrations[name]; !ok {
 			d.recordOnce(now, "gone "+name)
 		}
 	}
 	d.members = map[string]bool{}
-	for name := range v.Members {
+	for name := range v.Registrations {
 		d.members[name] = true
 	}
-	if d.ready.IsZero() && v.Config != nil && len(v.Members) > 0 {
+	if d.ready.IsZero() && v.Config != nil && len(v.Registrations) > 0 {
 		d.ready = now
 	}
 }
--- a/roles/runner.go
+++ b/roles/runner.go
@@ -211,7 +211,7 @@
 
 func engineMembers(v *fleet.View, service string) []Member {
 	var out []Member
-	for _, m := range v.Members {
+	for _, m := range v.Registrations {
 		if m.Service == service && !m.Draining && m.Role != fleet.RolePlain {
 			out = append(out, Member{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre, Role: m.Role, Born: m.Born})
 		}
--- a/roles/runner_test.go
+++ b/roles/runner_test.go
@@ -43,11 +43,11 @@
 // newTestRunner returns a runner that may send orders, and sets now to that time.
 func newTestRunner(e *fakeEngines, now *time.Time) *Runner {
 	v := &fleet.View{
-		Config:  &fleet.Config{Services: map[string]fleet.Service{"llm": {Engine: &fleet.Engine{Slots: 12, MemoryTokens: 30000, RoleSwitch: switchTime}}, "app": {}}},
-		Members: map[string]fleet.Registration{},
+		Config:        &fleet.Config{Services: map[string]fleet.Service{"llm": {Engine: &fleet.Engine{Slots: 12, MemoryTokens: 30000, RoleSwitch: switchTime}}, "app": {}}},
+		Registrations: map[string]fleet.Registration{},
 	}
 	for _, m := range newEngines(5, 14) {
-		v.Members[m.Name] = fleet.Registration{Name: m.Name, Service: "llm", DataCentre: m.DataCentre, Role: m.Role}
+		v.Registrations[m.Name] = fleet.Registration{Name: m.Name, Service: "llm", DataCentre: m.DataCentre, Role: m.Role}
 	}
 	work := NewWork()
 	r := NewRunner(Options{
--- a/router/attached.go
+++ b/router/attached.go
@@ -51,7 +51,7 @@
 	// watcher reads the configuration and the registrations of upstreams from the store.
 	watcher *fleet.Watcher
 	// callerDeadlines estimates how long callers that retry after a refusal have waited.
-	callerDeadlines *fleet.Patience
+	callerDeadlines *fleet.RetryDetector
 	// costs holds the learned costs of completions.
 	costs *costsByService
 	// finishedSamples and prefillSamples limit the rate at which samples of other daemons
@@ -136,7 +136,7 @@
 func (a *Attached) provisionState() (err error) {
 	a.holder = board.NewHolder(board.New(board.Config{EjectUnanswered: true, EjectMax: maxEjection, DataCentre: a.settings.Load().Instance.DataCentre}))
 	a.inflight = board.NewInflight()
-	a.callerDeadlines = fleet.NewPatience()
+	a.callerDeadlines = fleet.NewRetryDetector()
 	a.costs = newCostsByService()
 	a.daemonCounter = &daemonCounter{a: a, startedAt: time.Now()}
 	a.finishedSamples, a.prefillSamples = newSampleLimiter(), newSampleLimiter()
@@ -276,7 +276,7 @@
 // callerWaited estimates how long a caller has already waited for an answer on a route.
 // Callers that retry after a refusal state a deadline that is shorter by this time.
 func (a *Attached) callerWaited(route string, deadline time.Duration) time.Duration {
-	return a.callerDeadlines.Waited(time.Now(), route, deadline)
+	return a.callerDeadlines.RecordDeadline(time.Now(), route, deadline)
 }
 
 // readinessHandler answers the readiness checks of the platform's load balancer.
--- a/router/feeds.go
+++ b/router/feeds.go
@@ -25,7 +25,7 @@
 		Log: platform.NewQuarantine(a.store), Reads: a.readsQuarantineLog, Wait: wait, Kept: s.Store.Keep,
 	}, a.metrics.Instruments, a.logger)
 	self := relay.Peer{Instance: s.Instance.Name, DataCentre: s.Instance.DataCentre, Weight: s.Limits.Weight()}
-	var feeds fleet.Store = fleet.Bounded{Store: a.store, Timeout: s.Store.Timeout}
+	var feeds fleet.Store = fleet.TimeoutStore{Store: a.store, Timeout: s.Store.Timeout}
 	if s.Relay.Listen != "" {
 		ln, err := net.Listen("tcp", s.Relay.Listen)
 		if err != nil {
@@ -45,10 +45,10 @@
 	a.watcher = fleet.NewWatcher(fleet.Options{
 		Store: feeds,
 		Intervals: fleet.Intervals{
-			Wait:  wait,
-			Retry: s.Store.Retry,
+			PollWait: wait,
+			Retry:    s.Store.Retry,
 		},
-		Apply:  a.applyView,
+		OnView: a.applyView,
 		Logger: a.logger,
 		Now:    time.Now,
 	})
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -106,10 +106,10 @@
 	waittest.Until(f.t, "the views of all daemons are up to date", func() bool {
 		for _, d := range f.daemons {
 			v := d.watcher.View()
-			if v == nil || v.Config == nil || len(v.Members) != crashUpstreams {
+			if v == nil || v.Config == nil || len(v.Registrations) != crashUpstreams {
 				return false
 			}
-			for _, m := range v.Members {
+			for _, m := range v.Registrations {
 				if !f.site.Lives(m.Name) {
 					return false
 				}
--- a/router/roles.go
+++ b/router/roles.go
@@ -104,7 +104,7 @@
 	if v == nil || p.AheadTokens != 0 || tokens <= 0 {
 		return
 	}
-	service := v.Members[upstream].Service
+	service := v.Registrations[upstream].Service
 	o.a.costs.get(service).Prefilled(now, tokens, p.Took)
 	o.a.addSample(now, estimate.Sample{Model: service, ReadPerToken: p.Took / time.Duration(tokens)})
 }
