--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	crashLog := platform.NewQuarantine(platform.NewStore(c.Store, env.HTTP, logger))
+	crashLog := platform.NewQuarantineLog(platform.NewStore(c.Store, env.HTTP, logger))
 	now := env.Clock()
 	if c.Lift == "" {
 		return c.list(env, crashLog, now)
--- a/internal/ctl/quarantine_test.go
+++ b/internal/ctl/quarantine_test.go
@@ -39,7 +39,7 @@
 		}
 		return out.String()
 	}
-	shared := platform.NewQuarantine(platform.NewStore(s.StoreAddress(), &http.Client{}, &log.Logger{Handler: discard.New()}))
+	shared := platform.NewQuarantineLog(platform.NewStore(s.StoreAddress(), &http.Client{}, &log.Logger{Handler: discard.New()}))
 	if err := shared.Append(context.Background(), list); err != nil {
 		t.Fatal(err)
 	}
--- a/router/attached.go
+++ b/router/attached.go
@@ -252,8 +252,8 @@
 // provisionListeners opens the listeners for callers, readiness checks and metrics.
 func (a *Attached) provisionListeners() error {
 	s := a.settings.Load()
-	front := platform.NewFront(platform.FrontOptions{
-		Runner: a.runner, View: a.watcher.View, Quota: a.teamLimits, Draining: a.Draining, Waited: a.callerWaited, Outcomes: a.metrics.Instruments,
+	front := platform.NewCallerHandler(platform.CallerHandlerOptions{
+		Runner: a.runner, View: a.watcher.View, Quota: a.teamLimits, Draining: a.Draining, RecordDeadline: a.callerWaited, Outcomes: a.metrics.Instruments,
 		BodyTimeout: s.Callers.BodyTimeout, WriteTimeout: s.Callers.WriteTimeout, Logger: a.logger,
 	})
 	const reservedDescriptors = 264 // file descriptors for files, the store and upstreams
