--- a/board/entry.go
+++ b/board/entry.go
@@ -113,12 +113,12 @@
 		Queued:             e.queued,
 		QueuedTokens:       e.queuedTokens,
 		Step:               step,
-		StepSeen:           seen,
+		StepMeasured:       seen,
 		PrefillPerToken:    e.prefillEstimate(now),
 		LinkBytesPerSecond: e.pool.LinkBytesPerSecond,
 		LinkFreeAt:         e.linkFreeAt,
 		LoadAt:             e.loadAt,
-		NotBefore:          e.health.ejectedUntil,
+		EjectedUntil:       e.health.ejectedUntil,
 		Weight:             weight,
 	}
 	return e.replica
--- a/board/learned_test.go
+++ b/board/learned_test.go
@@ -20,7 +20,7 @@
 	b.SetVersion(t0, v)
 	step := func(name string) (time.Duration, bool) {
 		r := findReplica(b.Snapshot(after(time.Second)), name)
-		return r.Step, r.StepSeen
+		return r.Step, r.StepMeasured
 	}
 	if got, seen := step("a"); got != 0 || seen {
 		t.Errorf("step before any answer: %v, seen %v", got, seen)
@@ -42,7 +42,7 @@
 	if a, _ := step("a"); a > 12*ms {
 		t.Errorf("step of a with one slow engine in the pool: %v", a)
 	}
-	if r := findReplica(b.Snapshot(after(time.Minute)), "a"); r.StepSeen {
+	if r := findReplica(b.Snapshot(after(time.Minute)), "a"); r.StepMeasured {
 		t.Error("an expired estimate still counts as measured")
 	}
 }
--- a/board/rules_test.go
+++ b/board/rules_test.go
@@ -214,7 +214,7 @@
 	if got := ejectionTime(99, Config{}.withDefaults()); got != 30*time.Second {
 		t.Errorf("the 99th ejection lasts %v, want 30s", got)
 	}
-	if got := b.Snapshot(after(12 * time.Second)).Pool("d").Returns(); !got.IsZero() {
+	if got := b.Snapshot(after(12 * time.Second)).Pool("d").EarliestEjectionEnd(); !got.IsZero() {
 		t.Errorf("ejection ends at %v, want none", got)
 	}
 }
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -129,8 +129,8 @@
 	return prediction{
 		firstToken:         ready + step,
 		step:               step,
-		firstTokenMeasured: prefillEngine.PrefillPerToken > 0 && (decode.StepSeen || step < ready),
-		stepMeasured:       decode.StepSeen,
+		firstTokenMeasured: prefillEngine.PrefillPerToken > 0 && (decode.StepMeasured || step < ready),
+		stepMeasured:       decode.StepMeasured,
 	}
 }
 
--- a/policy/decode.go
+++ b/policy/decode.go
@@ -118,7 +118,7 @@
 		return true
 	}
 	_, held := d.inflight.Upstream(r.Name, time.Time{})
-	return held+d.query.HoldTokens <= r.MemoryTokens
+	return held+d.query.MemoryTokens <= r.MemoryTokens
 }
 
 // costDecode scores r by its predicted time between tokens, slot utilization, data centre
--- a/policy/memory.go
+++ b/policy/memory.go
@@ -35,17 +35,17 @@
 	meanRequestWeight = 0.65
 )
 
-// Usual is the mean request of a model: the tokens of its prompt and of its expected answer.
+// MeanRequest is the mean request of a model: the tokens of its prompt and of its expected answer.
 // Both are zero until they have been learned.
-type Usual struct{ Prompt, Likely float64 }
+type MeanRequest struct{ PromptTokens, AnswerTokens float64 }
 
 // Reservation returns, in tokens, the memory to reserve for a request with the given prompt
 // and expected answer, and the headroom: how much more must be free on the engine.
-func Reservation(prompt, expectedAnswer int, mean Usual) (reserve, headroom int) {
+func Reservation(prompt, expectedAnswer int, mean MeanRequest) (reserve, headroom int) {
 	reserve = prompt + int(reservedAnswerShare*float64(expectedAnswer))
 	required := float64(prompt) + requiredAnswerShare*float64(expectedAnswer)
-	if mean.Prompt > 0 && mean.Likely > 0 {
-		required += meanRequestWeight * (mean.Prompt + requiredAnswerShare*mean.Likely - required)
+	if mean.PromptTokens > 0 && mean.AnswerTokens > 0 {
+		required += meanRequestWeight * (mean.PromptTokens + requiredAnswerShare*mean.AnswerTokens - required)
 	}
 	return reserve, max(0, int(required)-reserve)
 }
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -30,7 +30,9 @@
 }
 
 // meanRequest returns the mean request that a daemon learns.
-func (d deployment) meanRequest() Usual { return Usual{Prompt: d.prompt, Likely: d.answer} }
+func (d deployment) meanRequest() MeanRequest {
+	return MeanRequest{PromptTokens: d.prompt, AnswerTokens: d.answer}
+}
 
 // drawDeployment returns a random deployment that the constants were not tuned for. Its load
 // exceeds its capacity during bursts.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -65,7 +65,7 @@
 			f.replicas = append(f.replicas, Replica{
 				Name: fmt.Sprintf("%s%d", pool, i), DataCentre: fmt.Sprintf("dc%d", i%3), Pool: pool,
 				Slots: 20, LoadAt: t0, Weight: 1, LinkBytesPerSecond: 100_000_000,
-				Step: DefaultStep, StepSeen: true, PrefillPerToken: DefaultPrefillPerToken,
+				Step: DefaultStep, StepMeasured: true, PrefillPerToken: DefaultPrefillPerToken,
 			})
 		}
 	}
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -45,8 +45,8 @@
 		p.byDC[name] = g
 	}
 	for _, r := range replicas {
-		if r.NotBefore.After(at) {
-			p.noteEjectionEnd(r.NotBefore)
+		if r.EjectedUntil.After(at) {
+			p.noteEjectionEnd(r.EjectedUntil)
 			continue
 		}
 		p.add(r)
@@ -107,9 +107,9 @@
 	return p.all.replicas
 }
 
-// Returns is the earliest time at which an ejected replica may take work again; zero when
+// EarliestEjectionEnd is the earliest time at which an ejected replica may take work again; zero when
 // none is ejected.
-func (p *Pool) Returns() time.Time { return p.ejectionEnd }
+func (p *Pool) EarliestEjectionEnd() time.Time { return p.ejectionEnd }
 
 // meanStep returns the mean of the members' predicted times between tokens.
 func (p *Pool) meanStep() time.Duration {
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -26,7 +26,7 @@
 		f.inflight.requests[r.Name] = rapid.IntRange(0, 2).Draw(t, "own")
 		r.QueuedTokens = rapid.IntRange(0, 9000).Draw(t, "queued")
 		if rapid.IntRange(0, 3).Draw(t, "ejected") == 0 {
-			r.NotBefore = t0.Add(time.Duration(rapid.IntRange(-500, 500).Draw(t, "until")) * time.Millisecond)
+			r.EjectedUntil = t0.Add(time.Duration(rapid.IntRange(-500, 500).Draw(t, "until")) * time.Millisecond)
 		}
 	}
 	f.bundle.Policy.UrgentHeadroom = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "headroom")
@@ -46,8 +46,8 @@
 	if slices.Contains(q.Exclude, r.Name) {
 		t.Fatalf("%s is excluded", r.Name)
 	}
-	if r.NotBefore.After(q.Now) {
-		t.Fatalf("%s is ejected until %v", r.Name, r.NotBefore)
+	if r.EjectedUntil.After(q.Now) {
+		t.Fatalf("%s is ejected until %v", r.Name, r.EjectedUntil)
 	}
 }
 
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -26,13 +26,13 @@
 // pickDecodeInTurn picks a decode engine. It refuses the request as overloaded instead when
 // others wait ahead of it, too many engines refused it in a row, or it has waited too long.
 func (d *decision) pickDecodeInTurn(p *Pool) (decodeChoice, *errkind.Error) {
-	if d.features.queue && d.query.MayWait && d.query.Ahead > 0 && p.Len() > 0 {
+	if d.features.queue && d.query.MayWait && d.query.QueuedAhead > 0 && p.Len() > 0 {
 		return decodeChoice{}, d.refuseOverloaded(p)
 	}
-	if d.query.MayWait && d.query.Streak >= min(maxConsecutiveRefusals, max(p.Len(), 1)) {
+	if d.query.MayWait && d.query.RefusalStreak >= min(maxConsecutiveRefusals, max(p.Len(), 1)) {
 		return decodeChoice{}, d.refuseOverloaded(p)
 	}
-	if limit := d.maxQueueWait(); limit > 0 && d.query.Streak > 0 && d.sinceAccepted() >= limit {
+	if limit := d.maxQueueWait(); limit > 0 && d.query.RefusalStreak > 0 && d.sinceAccepted() >= limit {
 		return decodeChoice{}, d.refuseOverloaded(p)
 	}
 	return d.pickDecode(p)
@@ -43,7 +43,7 @@
 // slot is free within milliseconds. A request that waited past its target would take a slot
 // for an answer that is of no use to its caller any more.
 func (d *decision) planWait(decodePool, prefillPool *Pool) (Plan, bool) {
-	if !d.features.queue || !d.query.MayWait || d.query.Ahead >= maxQueueLength {
+	if !d.features.queue || !d.query.MayWait || d.query.QueuedAhead >= maxQueueLength {
 		return Plan{}, false
 	}
 	limit := d.maxQueueWait()
@@ -58,7 +58,7 @@
 		return Plan{}, false
 	}
 	predicted.firstToken += d.estimateQueueWait(decodePool)
-	mayBeLate := d.query.Returned && limit > 0
+	mayBeLate := d.query.Retried && limit > 0
 	if !mayBeLate && d.missesTarget(predicted) || d.checkDeadline(predicted) != nil {
 		return Plan{}, false
 	}
@@ -90,7 +90,7 @@
 // is worth something to the caller, a second refusal nothing.
 func (d *decision) maxQueueWait() time.Duration {
 	share := d.snapshot.Bundle.Policy.QueueShare
-	if share > 0 && d.query.Returned {
+	if share > 0 && d.query.Retried {
 		return maxReturnedWait
 	}
 	return time.Duration(share * float64(d.target.FirstToken()))
@@ -107,12 +107,12 @@
 func (d *decision) recheckInterval(firstToken time.Duration) time.Duration {
 	wait := headRecheckInterval
 	switch {
-	case d.query.Ahead > 0 || d.query.Returned && d.query.Streak > 0:
+	case d.query.QueuedAhead > 0 || d.query.Retried && d.query.RefusalStreak > 0:
 		wait = queuedRecheckInterval
-	case d.query.Streak > 0:
+	case d.query.RefusalStreak > 0:
 		wait = refusedRecheckInterval
 	}
-	if target := d.target.FirstToken(); target > 0 && !d.query.Returned {
+	if target := d.target.FirstToken(); target > 0 && !d.query.Retried {
 		wait = min(wait, d.strictTarget(target)-d.sinceAccepted()-firstToken)
 	}
 	return max(wait, time.Millisecond)
@@ -156,7 +156,7 @@
 	if held < minHeldForEstimate {
 		held = max(p.slots, 1)
 	}
-	return d.answerTime(p.meanStep()) * time.Duration(1+d.query.Ahead) / time.Duration(held)
+	return d.answerTime(p.meanStep()) * time.Duration(1+d.query.QueuedAhead) / time.Duration(held)
 }
 
 // sinceAccepted returns the time since the request was accepted; 0 when that is not set.
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -21,7 +21,7 @@
 func TestWaitEndsWithTheTarget(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	fillPoolAndAllowWait(f, &q)
-	q.Ahead = 1
+	q.QueuedAhead = 1
 	p, err := f.plan(NameReserve, q, 1)
 	if err != nil || p.Wait != queuedRecheckInterval {
 		t.Fatalf("with the whole target left: wait %s, error %v", p.Wait, err)
@@ -64,7 +64,7 @@
 	if err.RetryAfter <= 0 || err.RetryAfter > target/2 {
 		t.Errorf("retry delay is %s, over half of the target of %s", err.RetryAfter, target)
 	}
-	q.Returned = true
+	q.Retried = true
 	if p, err = f.plan(NameReserve, q, 1); err != nil || p.Wait <= 0 {
 		t.Errorf("returning caller: wait %s, error %v", p.Wait, err)
 	}
@@ -80,7 +80,7 @@
 func TestRefusedReservationsEndWithTheLimit(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.bundle.Policy.QueueShare = 0.125
-	q.MayWait, q.Streak = true, 2
+	q.MayWait, q.RefusalStreak = true, 2
 	if _, err := f.plan(NameReserve, q, 1); err != nil {
 		t.Fatalf("within the limit: %v", err)
 	}
@@ -95,7 +95,7 @@
 func TestDecodeNeedsMemory(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.updatePool("d", func(r *Replica) { r.MemoryTokens = 10_000 })
-	q.HoldTokens = 4000
+	q.MemoryTokens = 4000
 	f.inflight.tokens = map[string]int{"d0": 7000, "d1": 7000, "d2": 5000}
 	for seed := range uint64(20) {
 		p, err := f.plan(NameReserve, q, seed)
@@ -114,7 +114,7 @@
 // plan needed a prefill engine.
 func TestDecodeEngineReadsWhereNoPrefillIs(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
-	f.updatePool("p", func(r *Replica) { r.NotBefore = t0.Add(time.Hour) })
+	f.updatePool("p", func(r *Replica) { r.EjectedUntil = t0.Add(time.Hour) })
 	if _, err := f.plan(NameReserve, q, 1); err == nil {
 		t.Fatal("planned without a prefill engine although decode engines cannot prefill")
 	}
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -81,7 +81,7 @@
 	}
 	return Plan{
 		Decode: *decode.replica, FirstToken: first, BetweenTokens: decode.step, SkipPrefill: true,
-		Priority: d.target.Priority, Candidates: d.considered, ViewAge: loadAge(decode.replica, d.query.Now), Reason: reasonPrefillOnDecode,
+		Priority: d.target.Priority, Candidates: d.considered, LoadAge: loadAge(decode.replica, d.query.Now), Reason: reasonPrefillOnDecode,
 	}, nil
 }
 
@@ -98,7 +98,7 @@
 	return Plan{
 		Decode: *c.replica, BetweenTokens: c.step, FirstToken: c.step,
 		SkipReserve: true, SkipPrefill: true,
-		Priority: d.target.Priority, Candidates: d.considered, ViewAge: loadAge(c.replica, d.query.Now), Reason: reasonSingleEngine,
+		Priority: d.target.Priority, Candidates: d.considered, LoadAge: loadAge(c.replica, d.query.Now), Reason: reasonSingleEngine,
 	}, nil
 }
 
@@ -141,12 +141,12 @@
 		BetweenTokens: decode.step,
 		Transfer:      prefill.transfer,
 		TransferAt:    d.query.Now.Add(prefill.transferStart),
-		AheadTokens:   prefill.tokensAhead,
+		TokensAhead:   prefill.tokensAhead,
 		PauseDraft:    decode.pauseDraft,
 		Priority:      d.target.Priority,
 		PrefillFirst:  !d.features.decodeFirst,
 		Candidates:    d.considered,
-		ViewAge:       loadAge(decode.replica, d.query.Now),
+		LoadAge:       loadAge(decode.replica, d.query.Now),
 		Reason:        d.reason(decode, prefill),
 	}
 }
--- a/policy/reserve_test.go
+++ b/policy/reserve_test.go
@@ -80,7 +80,7 @@
 				c := f.bundle.Classes[bundle.Urgent]
 				c.BetweenTokensMillis = 19 // under DefaultStep
 				f.bundle.Classes[bundle.Urgent] = c
-				f.updatePool("d", func(r *Replica) { r.Step, r.StepSeen = 0, false })
+				f.updatePool("d", func(r *Replica) { r.Step, r.StepMeasured = 0, false })
 			}},
 		{rule: "the emptier decode engine", class: bundle.Draft, decode: "d1",
 			setup: func(f *testFleet, _ *Query) { f.moveToOneDataCentre(); f.fillDecode(10); f.replica("d1").Active = 3 }},
@@ -105,7 +105,7 @@
 		{rule: "urgent takes the headroom", class: bundle.Urgent, reason: "headroom", decode: "d0",
 			setup: func(f *testFleet, _ *Query) { f.fillDecode(18) }},
 		{rule: "ablation: no headroom", class: bundle.Draft, decode: "d0",
-			setup: func(f *testFleet, _ *Query) { f.fillDecode(18); f.bundle.Policy.Disable = []string{PartHeadroom} }},
+			setup: func(f *testFleet, _ *Query) { f.fillDecode(18); f.bundle.Policy.Disable = []string{FeatureHeadroom} }},
 		{rule: "urgent pauses a draft of our own", class: bundle.Urgent, reason: "pause-draft", decode: "d1",
 			setup: func(f *testFleet, _ *Query) { f.fillDecode(20); f.inflight.pausable = map[string]int{"d1": 1} }},
 		{rule: "a draft pauses nothing", class: bundle.Draft, kind: errkind.Overloaded,
@@ -113,7 +113,10 @@
 		{rule: "full is refused", class: bundle.Urgent, kind: errkind.Overloaded,
 			setup: func(f *testFleet, _ *Query) { f.fillDecode(20) }},
 		{rule: "ablation: full is asked all the same", class: bundle.Urgent, reason: "over-slots",
-			setup: func(f *testFleet, _ *Query) { f.fillDecode(20); f.bundle.Policy.Disable = []string{PartEarlyRefusal} }},
+			setup: func(f *testFleet, _ *Query) {
+				f.fillDecode(20)
+				f.bundle.Policy.Disable = []string{FeatureEarlyRefusal}
+			}},
 		{rule: "the shorter prefill queue", class: bundle.Draft, prefill: "p1",
 			setup: func(f *testFleet, _ *Query) {
 				f.moveToOneDataCentre()
@@ -156,12 +159,12 @@
 				f.prefix = fakePrefixIndex{"p1": 300}
 			}},
 		{rule: "ablation: prefill first", class: bundle.Draft,
-			setup: func(f *testFleet, _ *Query) { f.bundle.Policy.Disable = []string{PartDecodeFirst} }},
+			setup: func(f *testFleet, _ *Query) { f.bundle.Policy.Disable = []string{FeatureDecodeFirst} }},
 		{rule: "ablation: no prefix", class: bundle.Draft, prefill: "p0", reason: "least-cost",
 			setup: func(f *testFleet, q *Query) {
 				q.PromptTokens, q.Prefix = 6400, make([]uint64, 400)
 				f.prefix = fakePrefixIndex{"p0": 400}
-				f.bundle.Policy.Disable = []string{PartPrefix}
+				f.bundle.Policy.Disable = []string{FeaturePrefix}
 			}},
 		{rule: "a booked link is waited for", class: bundle.Draft, prefill: "p2",
 			setup: func(f *testFleet, _ *Query) {
@@ -188,7 +191,7 @@
 		{rule: "ablation: first token too late, admitted", class: bundle.Urgent,
 			setup: func(f *testFleet, q *Query) {
 				q.PromptTokens = 12_000
-				f.bundle.Policy.Disable = []string{PartEarlyRefusal}
+				f.bundle.Policy.Disable = []string{FeatureEarlyRefusal}
 			}},
 		{rule: "urgent goes ahead of the queue", class: bundle.Urgent,
 			setup: func(f *testFleet, _ *Query) { f.updatePool("p", func(r *Replica) { r.QueuedTokens = 20_000 }) }},
@@ -225,7 +228,7 @@
 				f.inflight.pausable = map[string]int{"d0": 1}
 			}},
 		{rule: "full is refused at once when the turn comes too late", class: bundle.Draft, kind: errkind.Overloaded,
-			setup: func(f *testFleet, q *Query) { fillPoolAndAllowWait(f, q); q.Ahead = 40 }},
+			setup: func(f *testFleet, q *Query) { fillPoolAndAllowWait(f, q); q.QueuedAhead = 40 }},
 		{rule: "the longer the fewer may wait", class: bundle.Draft, kind: errkind.Overloaded,
 			setup: func(f *testFleet, q *Query) {
 				fillPoolAndAllowWait(f, q)
@@ -249,24 +252,24 @@
 				f.updatePool("d", func(r *Replica) { r.Step = 110 * time.Millisecond })
 			}},
 		{rule: "who waited longer comes first", class: bundle.Draft, reason: "queue",
-			setup: func(f *testFleet, q *Query) { fillPoolAndAllowWait(f, q); f.fillDecode(2); q.Ahead = 1 }},
+			setup: func(f *testFleet, q *Query) { fillPoolAndAllowWait(f, q); f.fillDecode(2); q.QueuedAhead = 1 }},
 		{rule: "the queue is bounded", class: bundle.Draft, kind: errkind.Overloaded,
 			setup: func(f *testFleet, q *Query) {
 				fillPoolAndAllowWait(f, q)
 				f.inflight.teams = map[string]int{"a": 5000}
-				q.Ahead = 64
+				q.QueuedAhead = 64
 			}},
 		{rule: "a team over its share does not wait", class: bundle.Draft, kind: errkind.TeamLimit,
 			setup: func(f *testFleet, q *Query) { overFairShare(f, q); q.MayWait = true }},
 		{rule: "nobody waits for a pool without members", class: bundle.Draft, kind: errkind.NoUpstream,
 			setup: func(f *testFleet, q *Query) {
 				fillPoolAndAllowWait(f, q)
-				f.updatePool("d", func(r *Replica) { r.NotBefore = t0.Add(time.Second) })
+				f.updatePool("d", func(r *Replica) { r.EjectedUntil = t0.Add(time.Second) })
 			}},
 		{rule: "ablation: no queue", class: bundle.Draft, kind: errkind.Overloaded,
 			setup: func(f *testFleet, q *Query) {
 				fillPoolAndAllowWait(f, q)
-				f.bundle.Policy.Disable = []string{PartQueue}
+				f.bundle.Policy.Disable = []string{FeatureQueue}
 			}},
 		{rule: "excluded are not asked again", class: bundle.Draft, decode: "d1", prefill: "p1",
 			setup: func(_ *testFleet, q *Query) { q.Exclude = []string{"d0", "d2", "p0", "p2"} }},
@@ -274,7 +277,7 @@
 			setup: func(_ *testFleet, q *Query) { q.Exclude = []string{"p0", "p1", "p2"} }},
 		{rule: "all ejected", class: bundle.Draft, kind: errkind.NoUpstream,
 			setup: func(f *testFleet, _ *Query) {
-				f.updatePool("d", func(r *Replica) { r.NotBefore = t0.Add(time.Second) })
+				f.updatePool("d", func(r *Replica) { r.EjectedUntil = t0.Add(time.Second) })
 			}},
 		{rule: "unknown model", class: bundle.Draft, kind: errkind.UnknownModel,
 			setup: func(_ *testFleet, q *Query) { q.Model = "other" }},
@@ -299,7 +302,7 @@
 				if (p.Wait > 0) != (p.Reason == "queue") {
 					t.Fatalf("wait is %s with reason %s", p.Wait, p.Reason)
 				}
-				if p.Wait == 0 && err == nil && p.PrefillFirst != slices.Contains(f.bundle.Policy.Disable, PartDecodeFirst) {
+				if p.Wait == 0 && err == nil && p.PrefillFirst != slices.Contains(f.bundle.Policy.Disable, FeatureDecodeFirst) {
 					t.Fatalf("PrefillFirst is %v", p.PrefillFirst)
 				}
 			}
@@ -373,9 +376,9 @@
 	// rate take 400 ms, and the step grows by the ratio of 1.33 to 1.30.
 	busy := 40 * time.Millisecond
 	step := time.Duration(float64(busy) / 1.3 * 1.33)
-	want := Plan{AheadTokens: 1600, Transfer: 400 * time.Millisecond, TransferAt: t0.Add(250 * time.Millisecond),
+	want := Plan{TokensAhead: 1600, Transfer: 400 * time.Millisecond, TransferAt: t0.Add(250 * time.Millisecond),
 		BetweenTokens: step, FirstToken: 654*time.Millisecond + step, Priority: 1}
-	got := Plan{AheadTokens: p.AheadTokens, Transfer: p.Transfer, TransferAt: p.TransferAt,
+	got := Plan{TokensAhead: p.TokensAhead, Transfer: p.Transfer, TransferAt: p.TransferAt,
 		BetweenTokens: p.BetweenTokens.Round(time.Microsecond), FirstToken: p.FirstToken.Round(time.Microsecond), Priority: p.Priority}
 	want.BetweenTokens, want.FirstToken = want.BetweenTokens.Round(time.Microsecond), want.FirstToken.Round(time.Microsecond)
 	if d := cmp.Diff(want, got); d != "" {
@@ -422,7 +425,7 @@
 	full := func(f *testFleet, q *Query) { f.fillDecode(20); q.MaxTokens, q.AnswerTokens = 8000, 4000 }
 	slowPrefill := func(f *testFleet, q *Query) { q.PromptTokens = 90_000 }
 	ejected := func(f *testFleet, _ *Query) {
-		f.updatePool("d", func(r *Replica) { r.NotBefore = t0.Add(9 * time.Second) })
+		f.updatePool("d", func(r *Replica) { r.EjectedUntil = t0.Add(9 * time.Second) })
 	}
 	// A slot is freed every 4,000 tokens * 38 ms / 60 slots = 2.5 s. The headroom is six slots.
 	for _, c := range []struct {
--- a/policy/service.go
+++ b/policy/service.go
@@ -90,7 +90,7 @@
 	return ServicePlan{
 		Replica:    *r,
 		Candidates: d.considered,
-		ViewAge:    loadAge(r, d.query.Now),
+		LoadAge:    loadAge(r, d.query.Now),
 		Reason:     reason,
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -16,11 +16,11 @@
 
 // The features of the reserve policy that PolicyConfig.Disable can switch off.
 const (
-	PartDecodeFirst  = "decode-first"
-	PartHeadroom     = "headroom"
-	PartPrefix       = "prefix"
-	PartEarlyRefusal = "early-refusal"
-	PartQueue        = "queue"
+	FeatureDecodeFirst  = "decode-first"
+	FeatureHeadroom     = "headroom"
+	FeaturePrefix       = "prefix"
+	FeatureEarlyRefusal = "early-refusal"
+	FeatureQueue        = "queue"
 )
 
 // Snapshot is the immutable input that decisions share: the bundle and the replicas' state.
@@ -68,11 +68,11 @@
 		pools:      pools,
 		meanWeight: meanWeight,
 		features: features{
-			decodeFirst:  !slices.Contains(off, PartDecodeFirst),
-			headroom:     !slices.Contains(off, PartHeadroom),
-			prefix:       !slices.Contains(off, PartPrefix),
-			earlyRefusal: !slices.Contains(off, PartEarlyRefusal),
-			queue:        !slices.Contains(off, PartQueue),
+			decodeFirst:  !slices.Contains(off, FeatureDecodeFirst),
+			headroom:     !slices.Contains(off, FeatureHeadroom),
+			prefix:       !slices.Contains(off, FeaturePrefix),
+			earlyRefusal: !slices.Contains(off, FeatureEarlyRefusal),
+			queue:        !slices.Contains(off, FeatureQueue),
 		},
 	}
 }
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -60,8 +60,8 @@
 // outcomeCounts counts the outcomes of the calls that ended in one slot of the window.
 type outcomeCounts struct{ completed, abandoned int }
 
-// Ended records the outcome of a call; abandoned is set if it was given up at its timeout.
-func (t *Throttle) Ended(now time.Time, abandoned bool) {
+// RecordOutcome records the outcome of a call; abandoned is set if it was given up at its timeout.
+func (t *Throttle) RecordOutcome(now time.Time, abandoned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expireSlots(now)
--- a/policy/throttle_test.go
+++ b/policy/throttle_test.go
@@ -89,7 +89,7 @@
 			}
 		}
 		for len(pending) > 0 && !pending[0].at.After(now) {
-			throttle.Ended(now, pending[0].abandoned)
+			throttle.RecordOutcome(now, pending[0].abandoned)
 			pending = pending[1:]
 		}
 		for arrivals := load * capacity * step.Seconds(); arrivals > 0; arrivals-- {
@@ -125,7 +125,7 @@
 	var throttle Throttle
 	for i := range 1000 {
 		now := t0.Add(time.Duration(i) * 20 * time.Millisecond)
-		throttle.Ended(now, i%8 == 0)
+		throttle.RecordOutcome(now, i%8 == 0)
 		if !throttle.Admit(now, 0.999) {
 			t.Fatalf("throttled after %d calls", i)
 		}
@@ -139,7 +139,7 @@
 	now := t0
 	for range 400 {
 		now = now.Add(25 * time.Millisecond)
-		throttle.Ended(now, true)
+		throttle.RecordOutcome(now, true)
 	}
 	if throttle.Share() > 0.2 {
 		t.Fatalf("share is %.2f in an overload", throttle.Share())
@@ -155,7 +155,7 @@
 func TestThrottleSaysNothingByFewCalls(t *testing.T) {
 	var throttle Throttle
 	for i := range minOutcomes - 1 {
-		throttle.Ended(t0.Add(time.Duration(i)*time.Millisecond), true)
+		throttle.RecordOutcome(t0.Add(time.Duration(i)*time.Millisecond), true)
 	}
 	if throttle.Share() < 1 {
 		t.Errorf("share is %.2f after too few outcomes", throttle.Share())
--- a/policy/types.go
+++ b/policy/types.go
@@ -36,8 +36,8 @@
 	QueuedTokens int
 	// Step is the time between tokens. StepSeen is set when it was reported or measured;
 	// otherwise it is a default, which must not cause a refusal.
-	Step     time.Duration
-	StepSeen bool
+	Step         time.Duration
+	StepMeasured bool
 	// PrefillPerToken is the learned prefill time of one uncached prompt token; 0 while it
 	// has not been learned.
 	PrefillPerToken time.Duration
@@ -47,8 +47,8 @@
 	LinkFreeAt time.Time
 	// LoadAt is the time of the last reported load; zero when none was received.
 	LoadAt time.Time
-	// NotBefore is the end of the ejection after failures; zero when not ejected.
-	NotBefore time.Time
+	// EjectedUntil is the end of the ejection after failures; zero when not ejected.
+	EjectedUntil time.Time
 	// Weight is 1 for a healthy replica and less while it is ramped up after an ejection.
 	Weight float64
 }
@@ -65,9 +65,9 @@
 	// AnswerTokens is the expected length of the answer, learned from other requests. It is
 	// 0 while that has not been learned; then only MaxTokens bounds the answer.
 	AnswerTokens int
-	// HoldTokens is the memory, in tokens, that the request is expected to need on its decode
+	// MemoryTokens is the memory, in tokens, that the request is expected to need on its decode
 	// engine.
-	HoldTokens int
+	MemoryTokens int
 	// Prefix holds the chained block hashes of the prompt.
 	Prefix []uint64
 	// Now is the time of the decision, and Deadline the time by which the whole answer is due.
@@ -78,13 +78,13 @@
 	Accepted time.Time
 	// MayWait is set when the caller of Plan can hold the request until a slot is free. Ahead
 	// is the number of requests waiting for the same pool ahead of it.
-	MayWait bool
-	Ahead   int
-	// Returned is set when the client retries after a refusal, or the daemon after a failed
+	MayWait     bool
+	QueuedAhead int
+	// Retried is set when the client retries after a refusal, or the daemon after a failed
 	// attempt. Streak is the number of reservations that engines have refused since the
 	// request last waited.
-	Returned bool
-	Streak   int
+	Retried       bool
+	RefusalStreak int
 	// Attempt counts from 1. Exclude lists the upstreams on which this request has failed.
 	Attempt int
 	Exclude []string
@@ -109,9 +109,9 @@
 	Prefill Replica
 	// CachedTokens is the expected number of prompt tokens cached on the prefill engine.
 	CachedTokens int
-	// AheadTokens is the expected number of prompt tokens that the prefill engine processes
+	// TokensAhead is the expected number of prompt tokens that the prefill engine processes
 	// before this prompt. The caller passes it on in board.Observation.
-	AheadTokens int
+	TokensAhead int
 	// FirstToken and BetweenTokens are the predicted latencies.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
@@ -137,8 +137,8 @@
 	PrefillFirst bool
 	// Candidates is the number of replicas looked at.
 	Candidates int
-	// ViewAge is the age of the chosen decode replica's reported load.
-	ViewAge time.Duration
+	// LoadAge is the age of the chosen decode replica's reported load.
+	LoadAge time.Duration
 	// Reason is a short identifier of why these engines were chosen, for logs and metrics.
 	Reason string
 }
@@ -147,7 +147,7 @@
 type ServicePlan struct {
 	Replica    Replica
 	Candidates int
-	ViewAge    time.Duration
+	LoadAge    time.Duration
 	Reason     string
 }
 
--- a/policy/unprepared_test.go
+++ b/policy/unprepared_test.go
@@ -93,13 +93,13 @@
 			r := e.drawFeasibleRequest(rng, first, deadline)
 			expected := max(1, int(float64(r.answer)*e.lengthBias))
 			q := query(bundle.Draft)
-			q.PromptTokens, q.MaxTokens, q.HoldTokens = r.prompt, 10*expected, r.prompt
+			q.PromptTokens, q.MaxTokens, q.MemoryTokens = r.prompt, 10*expected, r.prompt
 			q.AnswerTokens, q.Deadline, q.MayWait = 0, q.Now.Add(deadline), true
 			if mean, ok := answers.Mean(expected); ok {
 				q.AnswerTokens = int(mean)
 			}
 			if v, ok := step.Value(t0); ok {
-				f.updatePool("d", func(r *Replica) { r.Step, r.StepSeen = time.Duration(v), true })
+				f.updatePool("d", func(r *Replica) { r.Step, r.StepMeasured = time.Duration(v), true })
 			}
 			if v, ok := prefill.Value(t0); ok {
 				f.updatePool("p", func(r *Replica) { r.PrefillPerToken = time.Duration(v) })
--- a/request/call.go
+++ b/request/call.go
@@ -348,7 +348,7 @@
 	k.r.logDecision(Decision{
 		Request: k.c.ID, Team: cmp.Or(k.c.Team, k.c.CallerTeam), Class: k.c.Class, Attempt: k.attempt, Step: step,
 		Candidates: p.Candidates, Limited: k.limitedCount, Upstream: p.Replica.Name, Reason: reason,
-		Bundle: k.bundleNumber, ViewAge: p.ViewAge,
+		Bundle: k.bundleNumber, ViewAge: p.LoadAge,
 	})
 }
 
--- a/request/learned.go
+++ b/request/learned.go
@@ -39,7 +39,7 @@
 // RecordPrefill records the end of a prefill, of this daemon or of another one that reported
 // it. lost is set if the prefill was given up at its timeout.
 func (r *Runner) RecordPrefill(now time.Time, model string, lost bool) {
-	r.throttles.forModel(model).Ended(now, lost)
+	r.throttles.forModel(model).RecordOutcome(now, lost)
 }
 
 // throttlesByModel holds the admission throttle for the prefill engines of each model. It is
@@ -90,17 +90,17 @@
 }
 
 // mean returns the mean request size of a model; zero while nothing is known.
-func (s *sizesByModel) mean(now time.Time, model string) policy.Usual {
+func (s *sizesByModel) mean(now time.Time, model string) policy.MeanRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	got := s.byModel[model]
 	if got == nil {
-		return policy.Usual{}
+		return policy.MeanRequest{}
 	}
 	prompt, known := got.promptTokens.Value(now)
 	likely, _ := got.answerTokens.Value(now)
 	if !known {
-		return policy.Usual{}
+		return policy.MeanRequest{}
 	}
-	return policy.Usual{Prompt: prompt, Likely: likely}
+	return policy.MeanRequest{PromptTokens: prompt, AnswerTokens: likely}
 }
--- a/request/planning.go
+++ b/request/planning.go
@@ -34,7 +34,7 @@
 	if err == nil {
 		err = d.checkThrottle(now, plan)
 	}
-	d.aheadTokens = plan.AheadTokens
+	d.aheadTokens = plan.TokensAhead
 	d.decodeTarget = Target{Name: plan.Decode.Name, Address: plan.Decode.Address}
 	d.r.updateEntry(func() {
 		d.entry.Attempt = a.Attempt
@@ -96,27 +96,27 @@
 
 func (d *driver) planQuery(now time.Time, a Action, pool string) policy.Query {
 	return policy.Query{
-		RequestID:    d.c.ID,
-		Team:         d.c.Team,
-		Class:        d.c.Class,
-		Model:        d.c.Model,
-		Adapter:      d.c.Adapter,
-		PromptTokens: d.promptTokens(),
-		MaxTokens:    d.c.MaxTokens,
-		HoldTokens:   d.holdTokens(),
-		AnswerTokens: d.answerTokens(),
-		Prefix:       d.prefix,
-		Now:          now,
-		Deadline:     d.c.Deadline,
-		Attempt:      a.Tries,
-		Exclude:      a.Exclude,
-		DataCentre:   d.r.o.DataCentre,
-		Priority:     d.c.Priority,
-		Accepted:     d.waitingSince(now, a),
-		Returned:     d.c.PreviousWait > 0 || a.Tries > 1,
-		Streak:       a.RefusalStreak,
-		MayWait:      true,
-		Ahead:        d.r.waiters.ahead(d.waiter, pool, d.rank()),
+		RequestID:     d.c.ID,
+		Team:          d.c.Team,
+		Class:         d.c.Class,
+		Model:         d.c.Model,
+		Adapter:       d.c.Adapter,
+		PromptTokens:  d.promptTokens(),
+		MaxTokens:     d.c.MaxTokens,
+		MemoryTokens:  d.holdTokens(),
+		AnswerTokens:  d.answerTokens(),
+		Prefix:        d.prefix,
+		Now:           now,
+		Deadline:      d.c.Deadline,
+		Attempt:       a.Tries,
+		Exclude:       a.Exclude,
+		DataCentre:    d.r.o.DataCentre,
+		Priority:      d.c.Priority,
+		Accepted:      d.waitingSince(now, a),
+		Retried:       d.c.PreviousWait > 0 || a.Tries > 1,
+		RefusalStreak: a.RefusalStreak,
+		MayWait:       true,
+		QueuedAhead:   d.r.waiters.ahead(d.waiter, pool, d.rank()),
 	}
 }
 
@@ -208,6 +208,6 @@
 	d.r.logDecision(Decision{
 		Request: d.c.ID, Team: d.c.Team, Class: d.c.Class, Attempt: a.Attempt, Step: "plan",
 		Candidates: p.Candidates, Limited: d.limitedCount, Upstream: p.Decode.Name, Prefill: p.Prefill.Name, Reason: p.Reason,
-		Bundle: d.bundleNumber, ViewAge: p.ViewAge, FirstToken: p.FirstToken,
+		Bundle: d.bundleNumber, ViewAge: p.LoadAge, FirstToken: p.FirstToken,
 	})
 }
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -22,7 +22,7 @@
 }
 
 func (o oneAtATime) Plan(s *policy.Snapshot, in policy.Inflight, q policy.Query, rng *rand.Rand) (policy.Plan, *errkind.Error) {
-	if n, _ := in.Upstream("d0", time.Time{}); n > 0 || q.Ahead > 0 {
+	if n, _ := in.Upstream("d0", time.Time{}); n > 0 || q.QueuedAhead > 0 {
 		o.waits <- q.RequestID
 		return policy.Plan{Wait: maxWait, Reason: "queue"}, nil
 	}
