--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -51,21 +51,21 @@
 	w := tabwriter.NewWriter(env.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DIGEST\tENDS\tLAST\tLAST UPSTREAM\tREFUSED")
 	for _, h := range requests {
-		last := h.Ends[len(h.Ends)-1]
-		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\t%t\n", h.Digest, len(h.Ends), now.Sub(last.At).Round(time.Second), last.Upstream, h.Refused)
+		last := h.Crashes[len(h.Crashes)-1]
+		fmt.Fprintf(w, "%s\t%d\t%s ago\t%s\t%t\n", h.Digest, len(h.Crashes), now.Sub(last.At).Round(time.Second), last.Upstream, h.Refused)
 	}
 	return errors.WithStack(w.Flush())
 }
 
 // readCrashes reads the whole quarantine log and returns the requests with their crashes.
-func readCrashes(ctx context.Context, crashLog quarantine.Log, now time.Time) ([]quarantine.Held, error) {
+func readCrashes(ctx context.Context, crashLog quarantine.Log, now time.Time) ([]quarantine.RequestCrashes, error) {
 	l := quarantine.NewLedger()
 	for next := uint64(0); ; {
 		list, after, err := crashLog.Read(ctx, next, 0)
 		if err != nil {
 			return nil, errors.Wrap(err, "read the quarantine log")
 		}
-		l.Note(list)
+		l.Apply(list)
 		if after == next || len(list) == 0 {
 			return l.List(now), nil
 		}
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -248,7 +248,7 @@
 		}
 	}
 	for _, d := range f.daemons {
-		for _, e := range d.ledger.Ends(digest) {
+		for _, e := range d.ledger.Crashes(digest) {
 			reported[e.Upstream] = true
 		}
 	}
@@ -353,7 +353,7 @@
 // complete records the completion of a run on its daemon, and schedules the next request of a
 // caller that polls.
 func (f *modelFleet) complete(run modelRun) {
-	if d := run.daemon; f.isRunning(d) && !f.parts.noClearing && d.ledger.Ran(run.digest, f.now) {
+	if d := run.daemon; f.isRunning(d) && !f.parts.noClearing && d.ledger.RecordCompletion(run.digest, f.now) {
 		d.pending = append(d.pending, completionRecord(run.digest, f.now))
 	}
 	if run.polls {
@@ -369,8 +369,8 @@
 		}
 		// A frozen daemon detects the crash at once, but reports it only when it runs again.
 		if d := run.daemon; !f.now.Before(d.upAt) && d.upAt.Before(run.began) {
-			e := End{Upstream: r.name, At: f.now, Answering: !f.now.Before(run.responseAt) && !f.parts.noResponseState, Ran: f.now.Sub(run.began)}
-			d.ledger.Ended(run.digest, e)
+			e := Crash{Upstream: r.name, At: f.now, Answering: !f.now.Before(run.responseAt) && !f.parts.noResponseState, Ran: f.now.Sub(run.began)}
+			d.ledger.RecordCrash(run.digest, e)
 			d.pending = append(d.pending, crashRecord(run.digest, e))
 		}
 		f.scheduleRetry(modelCall{digest: run.digest, fatal: run.fatal, retries: run.retries, polls: run.polls})
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -15,8 +15,8 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Broken describes a run whose connection was lost before the end of the response.
-type Broken struct {
+// LostRun describes a run whose connection was lost before the end of the response.
+type LostRun struct {
 	// Request is the id of the attempt, which logs show as request.
 	Request string
 	Digest  Digest
@@ -30,21 +30,21 @@
 	Ran time.Duration
 }
 
-// Sign is the result of probing an upstream after a run on it lost its connection.
-type Sign uint8
+// ProbeResult is the result of probing an upstream after a run on it lost its connection.
+type ProbeResult uint8
 
 // Results of a probe.
 const (
 	// Unsure: the probe got no answer, as during a network partition.
-	Unsure Sign = iota
+	ProbeTimedOut ProbeResult = iota
 	// Lives: the upstream accepts connections, so only the connection of the run was lost.
-	Lives
+	UpstreamAlive
 	// Ended: the host refuses connections, so the upstream's process has terminated.
-	Ended
+	UpstreamCrashed
 )
 
 // String returns the value used in logs and metrics.
-func (s Sign) String() string { return [...]string{"unsure", "lives", "ended"}[s] }
+func (s ProbeResult) String() string { return [...]string{"unsure", "lives", "ended"}[s] }
 
 // Dialer probes an upstream: it opens a connection and closes it again.
 type Dialer func(ctx context.Context, address string) error
@@ -65,20 +65,20 @@
 	// Log is the quarantine log shared by all daemons. If nil, the Keeper uses only the crashes
 	// that it detects itself.
 	Log Log
-	// Reads reports whether this daemon is a reader, which reads the log itself. Otherwise it is
+	// IsReader reports whether this daemon is a reader, which reads the log itself. Otherwise it is
 	// a follower: it receives the records from another daemon, and passes them to Take. Nil means
 	// that it is always a reader.
-	Reads func() bool
+	IsReader func() bool
 	// Wait is how long a read of the log blocks while there is no new record, and Kept is the
 	// retention time of the log.
-	Wait, Kept time.Duration
+	Wait, Retention time.Duration
 	// Seen, if not nil, is called with the result of each probe.
-	Seen func(s Sign)
+	OnProbe func(s ProbeResult)
 	// Changed, if not nil, is called with the number of requests that have recorded crashes
 	// whenever that number changes.
-	Changed func(requests int)
-	Logger  log.Interface
-	Now     func() time.Time
+	OnCountChanged func(requests int)
+	Logger         log.Interface
+	Now            func() time.Time
 }
 
 const (
@@ -112,7 +112,7 @@
 	pendingReady chan struct{}
 
 	mu       sync.Mutex // guards the fields below
-	lostRuns map[string][]Broken
+	lostRuns map[string][]LostRun
 	ledger   *Ledger
 	// pending are the records to append to the log, oldest first.
 	pending []Record
@@ -124,7 +124,7 @@
 func NewKeeper(o Options) *Keeper {
 	return &Keeper{
 		o: o, probes: make(chan string, maxQueuedProbes), pendingReady: make(chan struct{}, 1),
-		lostRuns: map[string][]Broken{}, ledger: NewLedger(), recent: newRecentRecords(o.Now()), renewal: newRenewal(o.Kept),
+		lostRuns: map[string][]LostRun{}, ledger: NewLedger(), recent: newRecentRecords(o.Now()), renewal: newRenewal(o.Retention),
 	}
 }
 
@@ -153,7 +153,7 @@
 func (k *Keeper) forget(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.ledger.Forget(now)
+	k.ledger.RemoveExpired(now)
 	k.renewal.forget(k.ledger)
 	k.updateCount()
 }
@@ -166,7 +166,7 @@
 	d := digest()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ledger.Ran(d, now) {
+	if k.ledger.RecordCompletion(d, now) {
 		k.enqueue(completionRecord(d, now))
 		k.updateCount()
 		k.o.Logger.WithField("digest", d.String()).Info("request completed: its crashes no longer count")
@@ -188,14 +188,14 @@
 // updateCount updates the number of requests with recorded crashes; k.mu must be held.
 func (k *Keeper) updateCount() {
 	n := k.ledger.Count()
-	if k.requestsWithCrashes.Swap(int64(n)) != int64(n) && k.o.Changed != nil {
-		k.o.Changed(n)
+	if k.requestsWithCrashes.Swap(int64(n)) != int64(n) && k.o.OnCountChanged != nil {
+		k.o.OnCountChanged(n)
 	}
 }
 
 // ReportLostRun records a run that lost its connection, and queues a probe of its upstream. It does
 // not block.
-func (k *Keeper) ReportLostRun(b Broken) {
+func (k *Keeper) ReportLostRun(b LostRun) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	waiting := k.lostRuns[b.Address]
@@ -227,25 +227,25 @@
 
 // probe dials an upstream. The lost connection of a run does not prove a crash, since replicas
 // reset single connections and networks drop them; a refused connection does.
-func (k *Keeper) probe(ctx context.Context, address string) Sign {
+func (k *Keeper) probe(ctx context.Context, address string) ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	err := k.o.Dial(ctx, address)
 	switch {
 	case err == nil:
-		return Lives
+		return UpstreamAlive
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Ended
+		return UpstreamCrashed
 	default:
-		return Unsure
+		return ProbeTimedOut
 	}
 }
 
 // finishProbe logs the lost runs of a probed upstream, and records a crash for each of their
 // requests if the upstream has crashed.
-func (k *Keeper) finishProbe(address string, s Sign) {
-	if k.o.Seen != nil {
-		k.o.Seen(s)
+func (k *Keeper) finishProbe(address string, s ProbeResult) {
+	if k.o.OnProbe != nil {
+		k.o.OnProbe(s)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -256,8 +256,8 @@
 			"request": b.Request, "digest": b.Digest.String(), "upstream": b.Upstream, "step": b.Step,
 			"answering": b.Answering, "ran_ms": b.Ran.Milliseconds(), "sign": s.String(), "runs": len(runs),
 		}).Info("run broke off")
-		if s == Ended {
-			e := End{Upstream: b.Upstream, At: k.o.Now().Truncate(time.Millisecond), Answering: b.Answering, Ran: b.Ran.Truncate(time.Millisecond)}
+		if s == UpstreamCrashed {
+			e := Crash{Upstream: b.Upstream, At: k.o.Now().Truncate(time.Millisecond), Answering: b.Answering, Ran: b.Ran.Truncate(time.Millisecond)}
 			k.recordCrash(b.Digest, e)
 		}
 	}
@@ -266,8 +266,8 @@
 
 // recordCrash records a crash that this daemon detected, and passes it on to the log and to the
 // followers. The followers receive it even while the log accepts no appends.
-func (k *Keeper) recordCrash(d Digest, e End) {
-	if !k.ledger.Ended(d, e) {
+func (k *Keeper) recordCrash(d Digest, e Crash) {
+	if !k.ledger.RecordCrash(d, e) {
 		return
 	}
 	r := crashRecord(d, e)
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -28,16 +28,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != Lives {
+	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != UpstreamAlive {
 		t.Errorf("probe of a listening port: %v", got)
 	}
 	ln.Close()
-	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != Ended {
+	if got := newTestKeeper(DialTCP, nil).probe(t.Context(), ln.Addr().String()); got != UpstreamCrashed {
 		t.Errorf("probe of a closed port: %v", got)
 	}
 	for _, err := range []error{context.DeadlineExceeded, syscall.ECONNRESET, syscall.EHOSTUNREACH} {
 		dial := func(context.Context, string) error { return errors.WithStack(err) }
-		if got := newTestKeeper(dial, nil).probe(t.Context(), "x"); got != Unsure {
+		if got := newTestKeeper(dial, nil).probe(t.Context(), "x"); got != ProbeTimedOut {
 			t.Errorf("probe that fails with %v: %v", err, got)
 		}
 	}
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	for i := range n {
-		k := NewKeeper(Options{Dial: refused, Log: l, Wait: time.Second, Kept: testRetention, Logger: &log.Logger{Handler: discard.New()}, Now: time.Now})
+		k := NewKeeper(Options{Dial: refused, Log: l, Wait: time.Second, Retention: testRetention, Logger: &log.Logger{Handler: discard.New()}, Now: time.Now})
 		k.renewal.maxAge = testRetention/2 + time.Duration(i)*testRetention/16 // fixed, where newRenewal draws it at random
 		out = append(out, k)
 		wg.Go(func() { _ = k.Run(ctx) }) // returns when stop cancels ctx
@@ -149,7 +149,7 @@
 		shared.failAppends = 4
 		keepers := shared.start(t, 4)
 		for i, k := range keepers[:3] {
-			k.ReportLostRun(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
+			k.ReportLostRun(LostRun{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
 			time.Sleep(time.Second)
 		}
 		time.Sleep(10 * time.Second)
@@ -324,7 +324,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- k.Run(ctx) }()
-	for _, b := range []Broken{{Request: "a", Address: "x"}, {Request: "b", Address: "x"}, {Request: "c", Address: "y"}, {Request: "d", Address: "x"}} {
+	for _, b := range []LostRun{{Request: "a", Address: "x"}, {Request: "b", Address: "x"}, {Request: "c", Address: "y"}, {Request: "d", Address: "x"}} {
 		k.ReportLostRun(b)
 	}
 	close(unblock)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// End is the crash of an upstream while it ran a request.
-type End struct {
+// Crash is the crash of an upstream while it ran a request.
+type Crash struct {
 	Upstream string
 	// At is the wall-clock time of the daemon that detected the crash.
 	At time.Time
@@ -52,7 +52,7 @@
 
 // entry holds the recorded events of one request.
 type entry struct {
-	crashes []End // since the last completion, oldest first
+	crashes []Crash // since the last completion, oldest first
 	// completed is the time of the last known completion.
 	completed time.Time
 	// cleared is set if the request was quarantined before its last completion.
@@ -80,10 +80,10 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[Digest]*entry{}} }
 
-// Ended records a crash, and reports whether it was new. Repeated reports of a crash are merged.
+// RecordCrash records a crash, and reports whether it was new. Repeated reports of a crash are merged.
 // A crash older than all those kept for its request does not count as new: it would be dropped
 // at once, and two daemons that pass on new records to each other would never stop.
-func (l *Ledger) Ended(d Digest, e End) bool {
+func (l *Ledger) RecordCrash(d Digest, e Crash) bool {
 	n := l.entry(d)
 	if !e.At.After(n.completed) {
 		return false
@@ -100,7 +100,7 @@
 	}
 	l.dirty = true
 	n.crashes = append(n.crashes, e)
-	slices.SortStableFunc(n.crashes, func(a, b End) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(n.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
 	n.crashes = n.crashes[max(0, len(n.crashes)-maxCrashes):]
 	return true
 }
@@ -116,8 +116,8 @@
 	return n
 }
 
-// Ran records that a request completed, and reports whether that removed any of its crashes.
-func (l *Ledger) Ran(d Digest, at time.Time) bool {
+// RecordCompletion records that a request completed, and reports whether that removed any of its crashes.
+func (l *Ledger) RecordCompletion(d Digest, at time.Time) bool {
 	n := l.entries[d]
 	if n == nil || !at.After(n.completed) {
 		return false
@@ -129,15 +129,15 @@
 	n.completed = at
 	l.dirty = true
 	before := len(n.crashes)
-	n.crashes = slices.DeleteFunc(n.crashes, func(e End) bool { return !e.At.After(at) })
+	n.crashes = slices.DeleteFunc(n.crashes, func(e Crash) bool { return !e.At.After(at) })
 	return len(n.crashes) < before
 }
 
 // Known reports whether the ledger has an entry for a request.
 func (l *Ledger) Known(d Digest) bool { return l.entries[d] != nil }
 
-// Ends returns the crashes recorded for a request since its last completion.
-func (l *Ledger) Ends(d Digest) []End {
+// Crashes returns the crashes recorded for a request since its last completion.
+func (l *Ledger) Crashes(d Digest) []Crash {
 	n := l.entries[d]
 	if n == nil {
 		return nil
@@ -145,10 +145,10 @@
 	return slices.Clone(n.crashes)
 }
 
-// Lasting returns the requests whose records must survive a restart of all daemons: those that
+// RenewalCandidates returns the requests whose records must survive a restart of all daemons: those that
 // are quarantined, and those that a completion released from quarantine. It returns at most limit
 // of them, the most recent first.
-func (l *Ledger) Lasting(limit int) []Digest {
+func (l *Ledger) RenewalCandidates(limit int) []Digest {
 	l.evaluate()
 	var out []Digest
 	for d, n := range l.entries {
@@ -227,7 +227,7 @@
 
 // attribution is a crash attributed to a quarantined request, and that request's total weight.
 type attribution struct {
-	End
+	Crash
 	totalWeight int
 }
 
@@ -250,7 +250,7 @@
 // quarantined request. That request's run must have been much shorter, and its total weight at
 // least as high. Without the second condition a call of a few milliseconds that happened to run
 // during the crashes would exonerate the request that causes them for a long time.
-func (x attributions) covers(e End, totalWeight int) bool {
+func (x attributions) covers(e Crash, totalWeight int) bool {
 	return slices.ContainsFunc(x[e.Upstream], func(o attribution) bool {
 		return e.At.Sub(o.At).Abs() < sameCrashWindow && minDurationRatio*o.Ran <= e.Ran && o.totalWeight >= totalWeight
 	})
@@ -258,16 +258,16 @@
 
 // weightNotAttributed returns the weight of the crashes not attributed to other requests.
 func (s suspect) weightNotAttributed(attributed attributions) int {
-	return s.sumWeights(func(e End) bool { return !attributed.covers(e, s.totalWeight) })
+	return s.sumWeights(func(e Crash) bool { return !attributed.covers(e, s.totalWeight) })
 }
 
 // crashWeight returns the weight of all crashes of the request.
 func (n *entry) crashWeight() int {
-	return n.sumWeights(func(End) bool { return true })
+	return n.sumWeights(func(Crash) bool { return true })
 }
 
 // sumWeights returns the weight of the crashes for which counts returns true.
-func (n *entry) sumWeights(counts func(e End) bool) (sum int) {
+func (n *entry) sumWeights(counts func(e Crash) bool) (sum int) {
 	answering := duringResponseWeight
 	if n.similarDurations() {
 		answering = beforeResponseWeight
@@ -313,8 +313,8 @@
 	return at
 }
 
-// Forget removes the entries that were not updated for entryTTL.
-func (l *Ledger) Forget(now time.Time) {
+// RemoveExpired removes the entries that were not updated for entryTTL.
+func (l *Ledger) RemoveExpired(now time.Time) {
 	for d, n := range l.entries {
 		if now.Sub(n.lastUpdate()) >= entryTTL {
 			delete(l.entries, d)
@@ -349,25 +349,25 @@
 	l.dirty = true
 }
 
-// Held is a request with recorded crashes.
-type Held struct {
+// RequestCrashes is a request with recorded crashes.
+type RequestCrashes struct {
 	Digest  Digest
-	Ends    []End
+	Crashes []Crash
 	Refused bool
 }
 
 // List returns the requests with recorded crashes, the most recent crash first.
-func (l *Ledger) List(now time.Time) []Held {
-	var out []Held
+func (l *Ledger) List(now time.Time) []RequestCrashes {
+	var out []RequestCrashes
 	for d, n := range l.entries {
 		if len(n.crashes) == 0 {
 			continue
 		}
 		_, refused := l.Refuses(now, d)
-		out = append(out, Held{Digest: d, Ends: slices.Clone(n.crashes), Refused: refused})
+		out = append(out, RequestCrashes{Digest: d, Crashes: slices.Clone(n.crashes), Refused: refused})
 	}
-	slices.SortFunc(out, func(a, b Held) int {
-		return cmp.Or(b.Ends[len(b.Ends)-1].At.Compare(a.Ends[len(a.Ends)-1].At), slices.Compare(a.Digest[:], b.Digest[:]))
+	slices.SortFunc(out, func(a, b RequestCrashes) int {
+		return cmp.Or(b.Crashes[len(b.Crashes)-1].At.Compare(a.Crashes[len(a.Crashes)-1].At), slices.Compare(a.Digest[:], b.Digest[:]))
 	})
 	return out
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -30,10 +30,10 @@
 	l := NewLedger()
 	for _, n := range list {
 		if n.upstream == "" {
-			l.Ran(fatal, at(n.after))
+			l.RecordCompletion(fatal, at(n.after))
 			continue
 		}
-		l.Ended(fatal, End{Upstream: n.upstream, At: at(n.after), Answering: n.answering, Ran: n.duration})
+		l.RecordCrash(fatal, Crash{Upstream: n.upstream, At: at(n.after), Answering: n.answering, Ran: n.duration})
 	}
 	return l
 }
@@ -114,13 +114,13 @@
 func TestLedgerIsBounded(t *testing.T) {
 	l := ledgerOf([]ledgerEvent{{0, "a", false, 0}, {1, "b", false, 0}, {2, "c", false, 0}})
 	for i := range maxEntries + 200 {
-		l.Ended(DigestOf(fmt.Sprint(i)), End{Upstream: "x", At: at(time.Minute)})
+		l.RecordCrash(DigestOf(fmt.Sprint(i)), Crash{Upstream: "x", At: at(time.Minute)})
 	}
 	if n := len(l.entries); n > maxEntries {
 		t.Errorf("%d entries", n)
 	}
 	for i := range 4 * maxCrashes {
-		l.Ended(fatal, End{Upstream: fmt.Sprint(i), At: at(time.Hour + time.Duration(i)*time.Second)})
+		l.RecordCrash(fatal, Crash{Upstream: fmt.Sprint(i), At: at(time.Hour + time.Duration(i)*time.Second)})
 	}
 	if n := len(l.entries[fatal].crashes); n > maxCrashes {
 		t.Errorf("%d crashes kept for a request", n)
@@ -128,7 +128,7 @@
 	if _, refused := l.Refuses(at(2*time.Hour), fatal); !refused {
 		t.Error("the quarantined request was evicted")
 	}
-	l.Forget(at(2 * entryTTL))
+	l.RemoveExpired(at(2 * entryTTL))
 	if len(l.entries) > 0 {
 		t.Errorf("%d entries never expire", len(l.entries))
 	}
@@ -156,12 +156,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l := NewLedger()
 			for i := range max(tc.ends, tc.met) {
-				e := End{Upstream: fmt.Sprint("u", i), At: at(time.Duration(i) * 2 * time.Second), Ran: shortRun}
+				e := Crash{Upstream: fmt.Sprint("u", i), At: at(time.Duration(i) * 2 * time.Second), Ran: shortRun}
 				if i < tc.ends {
-					l.Ended(fatal, e)
+					l.RecordCrash(fatal, e)
 				}
 				if e.Ran = tc.ran; i < tc.met {
-					l.Ended(other, e)
+					l.RecordCrash(other, e)
 				}
 			}
 			_, gotFatal := l.Refuses(at(time.Minute), fatal)
@@ -190,7 +190,7 @@
 	const runs = 600
 	k := newTestKeeper(nil, discard.New())
 	for i := range maxEntries {
-		k.ledger.Ended(DigestOf("before", fmt.Sprint(i)), End{Upstream: "x", At: at(-time.Minute), Answering: true})
+		k.ledger.RecordCrash(DigestOf("before", fmt.Sprint(i)), Crash{Upstream: "x", At: at(-time.Minute), Answering: true})
 	}
 	n := 0
 	for b.Loop() {
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -77,8 +77,8 @@
 	held := k.ledger.List(k.o.Now())
 	for _, refused := range []bool{true, false} {
 		for _, h := range held {
-			for i := 0; h.Refused == refused && i < len(h.Ends) && len(list) < maxBatch; i++ {
-				list = append(list, crashRecord(h.Digest, h.Ends[i]))
+			for i := 0; h.Refused == refused && i < len(h.Crashes) && len(list) < maxBatch; i++ {
+				list = append(list, crashRecord(h.Digest, h.Crashes[i]))
 			}
 		}
 	}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -30,7 +30,7 @@
 func (r Record) at() time.Time { return time.UnixMilli(r.Millis) }
 
 // crashRecord returns the record of a crash.
-func crashRecord(d Digest, e End) Record {
+func crashRecord(d Digest, e Crash) Record {
 	return Record{Digest: d, Upstream: e.Upstream, Millis: e.At.UnixMilli(), Answering: e.Answering, RanMillis: e.Ran.Milliseconds()}
 }
 
@@ -69,9 +69,9 @@
 func (l *Ledger) apply(r Record) bool {
 	if r.Upstream == "" {
 		l.entry(r.Digest)
-		return l.Ran(r.Digest, r.at())
+		return l.RecordCompletion(r.Digest, r.at())
 	}
-	return l.Ended(r.Digest, End{Upstream: r.Upstream, At: r.at(), Answering: r.Answering, Ran: time.Duration(r.RanMillis) * time.Millisecond})
+	return l.RecordCrash(r.Digest, Crash{Upstream: r.Upstream, At: r.at(), Answering: r.Answering, Ran: time.Duration(r.RanMillis) * time.Millisecond})
 }
 
 // recordsOf returns the records from which another daemon can restore the entry of a request.
@@ -93,8 +93,8 @@
 // crashes up to that time no longer count.
 func Lift(d Digest, at time.Time) Record { return completionRecord(d, at) }
 
-// Note applies records; their order does not matter.
-func (l *Ledger) Note(list []Record) {
+// Apply applies records; their order does not matter.
+func (l *Ledger) Apply(list []Record) {
 	for _, r := range list {
 		l.apply(r)
 	}
--- a/quarantine/renewal.go
+++ b/quarantine/renewal.go
@@ -40,7 +40,7 @@
 
 // due returns the records to append now, and marks them as appended.
 func (n *renewal) due(now time.Time, l *Ledger) (list []Record) {
-	for _, d := range l.Lasting(maxRenewedRequests) {
+	for _, d := range l.RenewalCandidates(maxRenewedRequests) {
 		if now.Sub(n.appendedAt[d]) >= n.maxAge {
 			n.appendedAt[d] = now
 			list = append(list, l.recordsOf(d)...)
--- a/quarantine/renewal_test.go
+++ b/quarantine/renewal_test.go
@@ -10,7 +10,7 @@
 // crashThree reports three crashes under the fatal request, a second apart.
 func crashThree(k *Keeper) {
 	for i := range 3 {
-		k.ReportLostRun(Broken{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
+		k.ReportLostRun(LostRun{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
 		time.Sleep(time.Second)
 	}
 }
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -62,7 +62,7 @@
 }
 
 // readsLog reports whether this daemon is a reader; see Options.Reads.
-func (k *Keeper) readsLog() bool { return k.o.Reads == nil || k.o.Reads() }
+func (k *Keeper) readsLog() bool { return k.o.IsReader == nil || k.o.IsReader() }
 
 // ApplyRemote applies records received from another daemon. It does not block.
 //
@@ -99,7 +99,7 @@
 // logRemote logs a record from another daemon. The first crash of a request is not logged: when a
 // rack fails, each daemon receives hundreds of them.
 func (k *Keeper) logRemote(now time.Time, r Record) {
-	if len(k.ledger.Ends(r.Digest)) < 2 {
+	if len(k.ledger.Crashes(r.Digest)) < 2 {
 		return
 	}
 	ends, refused := k.ledger.Refuses(now, r.Digest)
@@ -188,7 +188,7 @@
 // readLoop reads the log while this daemon is a reader.
 func (k *Keeper) readLoop(ctx context.Context) {
 	next, pause, checks := uint64(0), minRetryDelay, 0
-	age := k.o.Kept / 2 // estimated age of the records of the first read
+	age := k.o.Retention / 2 // estimated age of the records of the first read
 	for ctx.Err() == nil {
 		if checks++; !k.readsLog() {
 			checks = 0
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -136,7 +136,7 @@
 	d.samples = NewSamples(time.Now())
 	view := storeClient{w.store, d.self.Instance}
 	d.quarantine = quarantine.NewKeeper(quarantine.Options{
-		Log: quarantineLog{view}, Reads: func() bool { return d.feeds.ReadsForOthers() }, Wait: 4 * time.Second, Kept: time.Minute, Logger: discardLogger, Now: time.Now,
+		Log: quarantineLog{view}, IsReader: func() bool { return d.feeds.ReadsForOthers() }, Wait: 4 * time.Second, Retention: time.Minute, Logger: discardLogger, Now: time.Now,
 	})
 	server := NewServer(ServerOptions{
 		Cache: journal, Roster: d.roster, Followers: asked, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Timing: w.pace, Logger: discardLogger, Now: time.Now,
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -18,7 +18,7 @@
 // safe for concurrent use and do not block; they call digest only if they need it.
 type Quarantine interface {
 	// ReportLostRun records a run that failed in a way that a crash of its upstream would explain.
-	ReportLostRun(b quarantine.Broken)
+	ReportLostRun(b quarantine.LostRun)
 	// RecordCompletion records that a request ran to completion.
 	RecordCompletion(now time.Time, digest func() quarantine.Digest)
 	// Refuses reports whether the request must not be sent, and how many upstreams crashed
@@ -28,7 +28,7 @@
 
 type noQuarantine struct{}
 
-func (noQuarantine) ReportLostRun(quarantine.Broken) {}
+func (noQuarantine) ReportLostRun(quarantine.LostRun) {}
 
 func (noQuarantine) RecordCompletion(time.Time, func() quarantine.Digest) {}
 
@@ -91,14 +91,14 @@
 // reportBroken reports a call that failed after it was sent at the given time. answering is
 // set if a part of the answer was received.
 func (d *driver) reportBroken(a Action, sent time.Time, answering bool) {
-	d.r.o.Quarantine.ReportLostRun(quarantine.Broken{
+	d.r.o.Quarantine.ReportLostRun(quarantine.LostRun{
 		Request: d.c.ID, Digest: d.digest(), Upstream: a.Target.Name, Address: a.Target.Address, Step: a.Step.String(),
 		Answering: answering, Ran: d.r.o.Now().Sub(sent),
 	})
 }
 
 func (k *serviceCall) reportBroken(rep policy.Replica, sent time.Time) {
-	k.r.o.Quarantine.ReportLostRun(quarantine.Broken{
+	k.r.o.Quarantine.ReportLostRun(quarantine.LostRun{
 		Request: k.c.ID, Digest: k.digest(), Upstream: rep.Name, Address: rep.Address, Step: StepCall.String(),
 		Ran: k.r.o.Now().Sub(sent),
 	})
--- a/router/provision.go
+++ b/router/provision.go
@@ -189,7 +189,7 @@
 func (r *Router) provisionRequests(Options) error {
 	r.quarantine = newQuarantineKeeper(quarantine.Options{
 		Log:  quarantineLog{infra.NewLog(r.settings.Platform.LogURL, r.platformClient()), r.logger},
-		Wait: quarantineLongPoll, Kept: r.settings.Claims.LogRetention,
+		Wait: quarantineLongPoll, Retention: r.settings.Claims.LogRetention,
 	}, r.metrics.Instruments, r.logger)
 	r.runner = request.NewRunner(request.Options{
 		Owner:       engineapi.Owner{Instance: r.self.Instance, Incarnation: r.self.Incarnation},
--- a/router/quarantine_own_test.go
+++ b/router/quarantine_own_test.go
@@ -52,7 +52,7 @@
 	second, stopSecond := start("second")
 	third, stopThird := start("third")
 	for i, r := range []*Router{first, second, second} {
-		r.quarantine.ReportLostRun(quarantine.Broken{Digest: fatal(), Upstream: fmt.Sprint("u", i), Address: closedAddress(t)})
+		r.quarantine.ReportLostRun(quarantine.LostRun{Digest: fatal(), Upstream: fmt.Sprint("u", i), Address: closedAddress(t)})
 	}
 	waittest.Until(t, "a daemon that saw no crash refuses", refuses(third))
 	for _, stop := range []func(){stopFirst, stopSecond, stopThird} {
