--- a/board/bench_test.go
+++ b/board/bench_test.go
@@ -37,7 +37,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := after(time.Duration(i+1) * time.Millisecond)
-				board.Report(now, names[i%n], load(1, uint64(i+1), i%20), 0)
+				board.ApplyReport(now, names[i%n], load(1, uint64(i+1), i%20), 0)
 				board.Snapshot(now)
 			}
 		})
@@ -57,7 +57,7 @@
 					rows[j] = wire.BoardRow{BundleNumber: 1, Index: uint16(j), Active: uint8((i + j) % 20)}
 				}
 				now := after(time.Duration(i+1) * time.Millisecond)
-				board.Apply(now, rows)
+				board.ApplyRows(now, rows)
 				board.Snapshot(now)
 			}
 		})
@@ -119,7 +119,7 @@
 func BenchmarkTell(b *testing.B) {
 	board, names := benchBoard(12000)
 	for i, name := range names {
-		board.Report(t0, name, load(1, 1, i%20), 0)
+		board.ApplyReport(t0, name, load(1, 1, i%20), 0)
 	}
 	b.Run("rows", func(b *testing.B) {
 		for b.Loop() {
--- a/board/board.go
+++ b/board/board.go
@@ -164,10 +164,10 @@
 	b.availabilityChanged = b.availabilityChanged || availability
 }
 
-// Report applies a load report that came from the upstream itself, either with an
+// ApplyReport applies a load report that came from the upstream itself, either with an
 // answer or because this daemon polls it as its steward. age is the time since the
 // report was made. A report that is not newer than the current one is ignored.
-func (b *Board) Report(now time.Time, upstream string, l engineapi.Load, age time.Duration) {
+func (b *Board) ApplyReport(now time.Time, upstream string, l engineapi.Load, age time.Duration) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
@@ -180,7 +180,7 @@
 		b.resetAfterRestart(now, e)
 	}
 	if l.Leaving {
-		b.Leaving(now, upstream, FromUpstream)
+		b.MarkLeaving(now, upstream, FromUpstream)
 	}
 	at := now.Add(-max(0, age) - b.cfg.ReportLag)
 	if e.reported && !restarted && !e.newer(l, at) {
@@ -202,29 +202,29 @@
 	b.prefix.reset(e.name)
 }
 
-// Failed records a failed call to an upstream. Only failures that are not caused by the
+// RecordFailure records a failed call to an upstream. Only failures that are not caused by the
 // request count: a refused or broken connection, a timeout, an internal error.
-func (b *Board) Failed(now time.Time, upstream string) {
+func (b *Board) RecordFailure(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil && e.health.recordFailure(now, b.cfg) {
 		b.markChanged(e, true)
 	}
 }
 
-// Succeeded records a successful call to an upstream.
-func (b *Board) Succeeded(now time.Time, upstream string) {
+// RecordSuccess records a successful call to an upstream.
+func (b *Board) RecordSuccess(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil {
 		b.markAnswered(now, e)
 		e.health.recordSuccess(now, b.cfg)
 	}
 }
 
-// Observation is the result of one prefill call.
-type Observation struct {
+// PrefillResult is the result of one prefill call.
+type PrefillResult struct {
 	// PrefillTokens is the number of prompt tokens computed, excluding cached ones.
 	PrefillTokens int
-	// AheadTokens is the plan's AheadTokens: the prompt tokens of other requests that
+	// TokensAhead is the plan's AheadTokens: the prompt tokens of other requests that
 	// the engine computed first while the call waited.
-	AheadTokens int
+	TokensAhead int
 	// PrefillTime is the duration of the prefill call, including time in the engine's
 	// queue.
 	PrefillTime time.Duration
@@ -235,11 +235,11 @@
 	CachedTokens int
 }
 
-// Observed records a finished prefill: it updates the estimate of the engine's speed
+// RecordPrefill records a finished prefill: it updates the estimate of the engine's speed
 // and adds the prompt's blocks to the engine's prefix set. For most daemons the latter
 // is the only source for the prefix set, because cache events are sent only to the
 // engine's steward.
-func (b *Board) Observed(now time.Time, upstream string, o Observation) {
+func (b *Board) RecordPrefill(now time.Time, upstream string, o PrefillResult) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
@@ -251,7 +251,7 @@
 	if e.updatePrefill(now, o) {
 		b.markChanged(e, false)
 	}
-	if o.AheadTokens == 0 && o.PrefillTokens >= minPrefillSample {
+	if o.TokensAhead == 0 && o.PrefillTokens >= minPrefillSample {
 		b.updateEstimates(now, e, func(l *modelEstimates) { l.prefill.Add(now, o.PrefillTime/time.Duration(o.PrefillTokens)) })
 	}
 	b.markAnswered(now, e)
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -79,12 +79,12 @@
 	}
 	b := newBoard("a")
 	for _, s := range steps {
-		b.Report(after(s.at), "a", s.l, s.age)
+		b.ApplyReport(after(s.at), "a", s.l, s.age)
 		if got := findReplica(b.Snapshot(after(s.at)), "a").Active; got != s.want {
 			t.Errorf("%s: active %d, want %d", s.name, got, s.want)
 		}
 	}
-	if got := b.Upstreams(after(6 * time.Second))[0]; got.LoadSource != LoadFromUpstream || got.LoadAge.Round(time.Millisecond) != time.Second || got.Health != HealthReturning {
+	if got := b.Statuses(after(6 * time.Second))[0]; got.LoadSource != LoadFromUpstream || got.LoadAge.Round(time.Millisecond) != time.Second || got.Health != HealthSlowStart {
 		t.Errorf("%+v", got)
 	}
 	if got := findReplica(b.Snapshot(after(time.Minute)), "a").LoadAt; got.Sub(after(5*time.Second)).Abs() > time.Millisecond {
@@ -109,7 +109,7 @@
 	b := New(Config{})
 	b.SetVersion(t0, version(1, 1000))
 	for range 3 {
-		b.Failed(t0, "d0")
+		b.RecordFailure(t0, "d0")
 	}
 	b.SetVersion(t0, version(2, 1000))
 	if n := b.Snapshot(t0).Pool("d").Len(); n != 0 {
--- a/board/change_test.go
+++ b/board/change_test.go
@@ -58,11 +58,11 @@
 			full.SetVersion(now, &whole)
 			for name := range v.Bundle.Upstreams { // both boards must keep the load
 				if rng.IntN(4) == 0 {
-					incremental.Report(now, name, load(1, uint64(i+1), i), 0)
-					full.Report(now, name, load(1, uint64(i+1), i), 0)
+					incremental.ApplyReport(now, name, load(1, uint64(i+1), i), 0)
+					full.ApplyReport(now, name, load(1, uint64(i+1), i), 0)
 				}
 			}
-			if d := cmp.Diff(full.Upstreams(now), incremental.Upstreams(now)); d != "" {
+			if d := cmp.Diff(full.Statuses(now), incremental.Statuses(now)); d != "" {
 				t.Fatalf("seed %d, version %d: %s", seed, v.Number, d)
 			}
 			a, b := full.Snapshot(now), incremental.Snapshot(now)
--- a/board/config.go
+++ b/board/config.go
@@ -30,9 +30,9 @@
 	// DataCentre is the daemon's own data centre. It is never considered unreachable as
 	// a whole.
 	DataCentre string
-	// SlowReturn is the duration of the slow start: the time in which an upstream's
+	// SlowStart is the duration of the slow start: the time in which an upstream's
 	// weight grows back to 1 after an ejection or a restart. Default 5 s.
-	SlowReturn time.Duration
+	SlowStart time.Duration
 	// ReportLag is added to the age of every load report from an upstream, because
 	// engines report with a delay that they do not state. Default 100 ms.
 	ReportLag time.Duration
@@ -43,9 +43,9 @@
 	// When it is reached, the least recently updated set is dropped. Default 1024,
 	// which takes 32 MiB.
 	PrefixSets int
-	// PeerNoticeLife is how long a peer's notice that an upstream is leaving remains
+	// PeerNoticeLifetime is how long a peer's notice that an upstream is leaving remains
 	// valid after the peer last repeated it. Default 60 s.
-	PeerNoticeLife time.Duration
+	PeerNoticeLifetime time.Duration
 	// RestartSlack is the least time between an upstream's own notice that it is
 	// leaving and a later report of its steward that shows it serving, for the report
 	// to prove a restart. It must exceed the delay of load reports. Default 5 s.
@@ -56,11 +56,11 @@
 	setDefault(&c.FailureThreshold, 3)
 	setDefault(&c.EjectBase, 500*time.Millisecond)
 	setDefault(&c.EjectMax, 30*time.Second)
-	setDefault(&c.SlowReturn, 5*time.Second)
+	setDefault(&c.SlowStart, 5*time.Second)
 	setDefault(&c.ReportLag, 100*time.Millisecond)
 	setDefault(&c.PrefixBlocks, 4096)
 	setDefault(&c.PrefixSets, 1024)
-	setDefault(&c.PeerNoticeLife, time.Minute)
+	setDefault(&c.PeerNoticeLifetime, time.Minute)
 	setDefault(&c.RestartSlack, 5*time.Second)
 	return c
 }
--- a/board/entry.go
+++ b/board/entry.go
@@ -152,11 +152,11 @@
 
 // updatePrefill updates the estimate of the prefill time per token. It returns false if
 // the observation is too small to be used.
-func (e *entry) updatePrefill(now time.Time, o Observation) bool {
+func (e *entry) updatePrefill(now time.Time, o PrefillResult) bool {
 	if o.PrefillTokens < minPrefillSample || o.PrefillTime <= 0 {
 		return false
 	}
-	sample := o.PrefillTime / time.Duration(o.PrefillTokens+max(0, o.AheadTokens))
+	sample := o.PrefillTime / time.Duration(o.PrefillTokens+max(0, o.TokensAhead))
 	if due(e.prefillExpiry(), now) {
 		e.prefillPerToken = 0
 	}
--- a/board/handoff.go
+++ b/board/handoff.go
@@ -7,7 +7,7 @@
 // may be at fault.
 const minFailedPartners = 2
 
-// HandedOff records the result of a handoff, in which a decode engine takes over the
+// RecordHandoff records the result of a handoff, in which a decode engine takes over the
 // result of a prefill. from and to name the prefill and the decode engine; accepted
 // says whether the decode engine accepted the result, for which it had granted a
 // reservation. Either engine may be at fault for a refusal: the results of the prefill
@@ -18,7 +18,7 @@
 // seconds until it registers with the new role, it still grants reservations but
 // refuses the handoffs, and all daemons prefer it because it is empty. Without the
 // ejection, 40 of 600 prompts were prefilled in vain.
-func (b *Board) HandedOff(now time.Time, from, to string, accepted bool) {
+func (b *Board) RecordHandoff(now time.Time, from, to string, accepted bool) {
 	prefill, decode := b.entries[from], b.entries[to]
 	if prefill == nil || decode == nil {
 		return
--- a/board/handoff_test.go
+++ b/board/handoff_test.go
@@ -49,7 +49,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newHandoffBoard()
 			for _, h := range c.handoffs {
-				b.HandedOff(t0, h.from, h.to, h.taken)
+				b.RecordHandoff(t0, h.from, h.to, h.taken)
 			}
 			s := b.Snapshot(t0)
 			listed := map[string]bool{}
--- a/board/health.go
+++ b/board/health.go
@@ -77,7 +77,7 @@
 // ramping reports whether the slow start has not ended yet. It includes one more
 // weightInterval so that a snapshot gets the full weight.
 func (h *health) ramping(now time.Time, cfg Config) bool {
-	return !h.rampStart.IsZero() && now.Before(h.rampStart.Add(cfg.SlowReturn+weightInterval))
+	return !h.rampStart.IsZero() && now.Before(h.rampStart.Add(cfg.SlowStart+weightInterval))
 }
 
 // weight returns the upstream's weight, which grows linearly from initialWeight to 1
@@ -86,7 +86,7 @@
 	if h.rampStart.IsZero() {
 		return 1
 	}
-	part := float64(now.Sub(h.rampStart)) / float64(cfg.SlowReturn)
+	part := float64(now.Sub(h.rampStart)) / float64(cfg.SlowStart)
 	return min(1, max(0, part)*(1-initialWeight)+initialWeight)
 }
 
--- a/board/inflight.go
+++ b/board/inflight.go
@@ -169,9 +169,9 @@
 	maxPromptBackoff = 2 * time.Second
 )
 
-// MarkShut records that a prefill engine refused a prompt. Further refusals during the
+// MarkPromptRefused records that a prefill engine refused a prompt. Further refusals during the
 // backoff are of prompts that were sent before it, and are ignored.
-func (f *Inflight) MarkShut(upstream string) {
+func (f *Inflight) MarkPromptRefused(upstream string) {
 	u := f.upstream(upstream)
 	now := f.clock()
 	u.mu.Lock()
@@ -183,8 +183,8 @@
 	u.fullUntil = now.Add(u.promptBackoff)
 }
 
-// MarkOpen records that a prefill engine accepted a prompt, and ends the backoff.
-func (f *Inflight) MarkOpen(upstream string) {
+// MarkPromptAccepted records that a prefill engine accepted a prompt, and ends the backoff.
+func (f *Inflight) MarkPromptAccepted(upstream string) {
 	u := f.upstream(upstream)
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/board/inflight_test.go
+++ b/board/inflight_test.go
@@ -150,7 +150,7 @@
 	h := NewHolderClock(newBoard("ab"), clock.clock)
 	last := h.Snapshot()
 	seq := uint64(0)
-	report := func() { seq++; h.Update(func(b *Board) { b.Report(clock.now, "a", load(1, seq, 1), 0) }) }
+	report := func() { seq++; h.Update(func(b *Board) { b.ApplyReport(clock.now, "a", load(1, seq, 1), 0) }) }
 	steps := []struct {
 		name string
 		pass time.Duration
@@ -161,12 +161,12 @@
 		{"a load later than buildInterval after a build", 0, report, true},
 		{"a load just after a build", time.Millisecond, report, false},
 		{"buildInterval after that build", 5 * time.Millisecond, func() {}, true},
-		{"an event that changes nothing", 10 * time.Millisecond, func() { h.Update(func(b *Board) { b.Succeeded(clock.now, "a") }) }, false},
-		{"a notice just after a build", 0, func() { h.Update(func(b *Board) { b.Leaving(clock.now, "b", FromUpstream) }) }, true},
+		{"an event that changes nothing", 10 * time.Millisecond, func() { h.Update(func(b *Board) { b.RecordSuccess(clock.now, "a") }) }, false},
+		{"a notice just after a build", 0, func() { h.Update(func(b *Board) { b.MarkLeaving(clock.now, "b", FromUpstream) }) }, true},
 		{"an ejection just after a build", 0, func() {
 			h.Update(func(b *Board) {
 				for range 3 {
-					b.Failed(clock.now, "a")
+					b.RecordFailure(clock.now, "a")
 				}
 			})
 		}, true},
@@ -192,10 +192,10 @@
 // existing snapshot.
 func TestSnapshotsDoNotChange(t *testing.T) {
 	b := newBoard("ab")
-	b.Report(t0, "a", load(1, 1, 3), 0)
+	b.ApplyReport(t0, "a", load(1, 1, 3), 0)
 	s := b.Snapshot(t0)
-	b.Report(after(time.Second), "a", load(1, 2, 9), 0)
-	b.Leaving(after(time.Second), "b", FromUpstream)
+	b.ApplyReport(after(time.Second), "a", load(1, 2, 9), 0)
+	b.MarkLeaving(after(time.Second), "b", FromUpstream)
 	b.Snapshot(after(time.Second))
 	b.SetVersion(after(time.Second), version(2, "a", nil))
 	b.Snapshot(after(time.Second))
@@ -231,16 +231,16 @@
 	for ; now.Before(after(6 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if !f.Full("turning", now) {
 			sent++
-			f.MarkShut("turning")
-			f.MarkShut("turning") // sent at the same time, must not count again
+			f.MarkPromptRefused("turning")
+			f.MarkPromptRefused("turning") // sent at the same time, must not count again
 		}
 	}
 	if sent > 8 {
 		t.Errorf("%d refused prompts sent in 6 s, want at most 8", sent)
 	}
 	now = now.Add(maxPromptBackoff)
-	f.MarkOpen("turning")
-	f.MarkShut("turning")
+	f.MarkPromptAccepted("turning")
+	f.MarkPromptRefused("turning")
 	if !f.Full("turning", now) || f.Full("turning", now.Add(minPromptBackoff)) {
 		t.Error("the backoff after an accepted prompt does not start at the minimum")
 	}
--- a/board/learned.go
+++ b/board/learned.go
@@ -67,9 +67,9 @@
 	return out
 }
 
-// Paced records the mean time between the output tokens of an answer that an upstream
+// RecordTokenInterval records the mean time between the output tokens of an answer that an upstream
 // has streamed.
-func (b *Board) Paced(now time.Time, upstream string, perToken time.Duration) {
+func (b *Board) RecordTokenInterval(now time.Time, upstream string, perToken time.Duration) {
 	e := b.entries[upstream]
 	if e == nil || perToken <= 0 {
 		return
@@ -79,10 +79,10 @@
 	b.updateEstimates(now, e, func(l *modelEstimates) { l.step.Add(now, float64(perToken)) })
 }
 
-// Shown records a sample that another daemon measured on an engine of a model: the mean
+// AddRemoteSample records a sample that another daemon measured on an engine of a model: the mean
 // time between output tokens, and the prefill time per prompt token. Either is 0 if it
 // was not measured.
-func (b *Board) Shown(now time.Time, model string, perToken, prefillPerToken time.Duration) {
+func (b *Board) AddRemoteSample(now time.Time, model string, perToken, prefillPerToken time.Duration) {
 	if b.version == nil {
 		return
 	}
--- a/board/learned_test.go
+++ b/board/learned_test.go
@@ -26,15 +26,15 @@
 		t.Errorf("step before any answer: %v, seen %v", got, seen)
 	}
 	for range 20 {
-		b.Paced(t0, "a", 10*ms)
-		b.Paced(t0, "b", 11*ms)
+		b.RecordTokenInterval(t0, "a", 10*ms)
+		b.RecordTokenInterval(t0, "b", 11*ms)
 	}
 	a, seen := step("a")
 	if c, _ := step("c"); c < a*95/100 || c > a*105/100 || !seen || a < 10*ms || a > 11*ms {
 		t.Errorf("step of a: %v; of c, which has no samples: %v; seen %v", a, c, seen)
 	}
 	for range 4 {
-		b.Paced(t0, "c", 30*ms)
+		b.RecordTokenInterval(t0, "c", 30*ms)
 	}
 	if c, _ := step("c"); c < 29*ms || c > 31*ms {
 		t.Errorf("step of c, which is three times as slow: %v", c)
@@ -56,15 +56,15 @@
 	v.Bundle.Models = map[string]bundle.Model{"m": {DecodePool: "d"}}
 	b.SetVersion(t0, v)
 	for range 10 {
-		b.Paced(t0, "a", 10*time.Millisecond)
+		b.RecordTokenInterval(t0, "a", 10*time.Millisecond)
 	}
 	before := findReplica(b.Snapshot(t0), "b")
-	b.Paced(t0, "a", 10*time.Millisecond+100*time.Microsecond)
+	b.RecordTokenInterval(t0, "a", 10*time.Millisecond+100*time.Microsecond)
 	if findReplica(b.Snapshot(t0), "b") != before {
 		t.Error("the replica of b was rebuilt after an insignificant change")
 	}
 	for range 60 {
-		b.Paced(t0, "a", 14*time.Millisecond)
+		b.RecordTokenInterval(t0, "a", 14*time.Millisecond)
 	}
 	if got := findReplica(b.Snapshot(t0), "b").Step; got < 13*time.Millisecond {
 		t.Errorf("the step of b is still %v", got)
--- a/board/leaving.go
+++ b/board/leaving.go
@@ -62,7 +62,7 @@
 	if n[FromPeer].IsZero() {
 		return time.Time{}
 	}
-	return n[FromPeer].Add(cfg.PeerNoticeLife)
+	return n[FromPeer].Add(cfg.PeerNoticeLifetime)
 }
 
 // expireNotices drops the peers' notice if it was not repeated in time. A peer may have
@@ -74,9 +74,9 @@
 	}
 }
 
-// Leaving records a notice that an upstream is leaving. Snapshots no longer list it
+// MarkLeaving records a notice that an upstream is leaving. Snapshots no longer list it
 // from then on.
-func (b *Board) Leaving(now time.Time, upstream string, source LeavingSource) {
+func (b *Board) MarkLeaving(now time.Time, upstream string, source LeavingSource) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
--- a/board/peernotices.go
+++ b/board/peernotices.go
@@ -16,7 +16,7 @@
 	names []string
 }
 
-// HeardPeer processes the notices in one heartbeat of a peer; names is its complete
+// ApplyPeerNotices processes the notices in one heartbeat of a peer; names is its complete
 // list of leaving upstreams. An upstream that the same incarnation of the peer listed
 // before and omits now is no longer leaving, unless another peer still lists it.
 //
@@ -26,12 +26,12 @@
 // no-upstream errors while the upstreams are serving. A peer that sends no heartbeats
 // withdraws nothing: its notice must outlive it, because it may have been the only
 // daemon to receive it.
-func (b *Board) HeardPeer(now time.Time, peer wire.NodeID, names []string) {
+func (b *Board) ApplyPeerNotices(now time.Time, peer wire.NodeID, names []string) {
 	for _, name := range names {
-		b.Leaving(now, name, FromPeer)
+		b.MarkLeaving(now, name, FromPeer)
 	}
 	previous := b.peers[peer].names
-	b.peers.set(now, peer, names, b.cfg.PeerNoticeLife)
+	b.peers.set(now, peer, names, b.cfg.PeerNoticeLifetime)
 	for _, name := range previous {
 		if e := b.entries[name]; e != nil && !b.peers.contains(name) {
 			e.notices[FromPeer] = time.Time{}
--- a/board/property_test.go
+++ b/board/property_test.go
@@ -57,18 +57,18 @@
 			case 1:
 				u.notice = true
 				source := LeavingSource(rapid.IntRange(0, sourceCount-1).Draw(t, "source"))
-				h.Update(func(b *Board) { b.Leaving(t0, name, source) })
+				h.Update(func(b *Board) { b.MarkLeaving(t0, name, source) })
 			case 2:
 				u.failures++
-				h.Update(func(b *Board) { b.Failed(t0, name) })
+				h.Update(func(b *Board) { b.RecordFailure(t0, name) })
 			case 3:
 				if u.failures < 3 {
 					u.failures = 0
 				}
-				h.Update(func(b *Board) { b.Succeeded(t0, name) })
+				h.Update(func(b *Board) { b.RecordSuccess(t0, name) })
 			case 4:
 				seq++
-				h.Update(func(b *Board) { b.Report(t0, name, load(u.life, seq, 0), 0) })
+				h.Update(func(b *Board) { b.ApplyReport(t0, name, load(u.life, seq, 0), 0) })
 			}
 			checkPicks(t, h, f, exclusions)
 		}
--- a/board/rows.go
+++ b/board/rows.go
@@ -56,12 +56,12 @@
 	return uint16(min(max(d.Milliseconds(), 0), 1<<16-1))
 }
 
-// Apply applies rows received from a peer. A load's age is the age in its row plus the
+// ApplyRows applies rows received from a peer. A load's age is the age in its row plus the
 // time since the row arrived; the network delay, about a millisecond, is unknown and
 // ignored. For each upstream the newest load wins. Rows of a bundle version with a
 // different list of upstreams are dropped, because their indexes refer to other
 // upstreams.
-func (b *Board) Apply(now time.Time, rows []wire.BoardRow) {
+func (b *Board) ApplyRows(now time.Time, rows []wire.BoardRow) {
 	if b.version == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 func (b *Board) applyRow(now time.Time, e *entry, row *wire.BoardRow) {
 	at := now.Add(-time.Duration(row.AgeMS) * time.Millisecond)
 	if row.Leaving {
-		b.Leaving(now, e.name, FromPeer)
+		b.MarkLeaving(now, e.name, FromPeer)
 	} else {
 		b.clearAfterRestart(e, at)
 	}
--- a/board/rules_test.go
+++ b/board/rules_test.go
@@ -18,7 +18,7 @@
 // Each starts with upstreams a and b serving in version 1 and checks which of them
 // snapshots list afterwards.
 func TestLeaving(t *testing.T) {
-	notice := func(s LeavingSource) func(*Board) { return func(b *Board) { b.Leaving(t0, "a", s) } }
+	notice := func(s LeavingSource) func(*Board) { return func(b *Board) { b.MarkLeaving(t0, "a", s) } }
 	setVersion := func(n uint64, edit func(map[string]bundle.Upstream)) func(*Board) {
 		return func(b *Board) { b.SetVersion(after(time.Second), version(n, "ab", edit)) }
 	}
@@ -30,11 +30,11 @@
 		}
 	}
 	report := func(l engineapi.Load) func(*Board) {
-		return func(b *Board) { b.Report(after(time.Second), "a", l, 0) }
+		return func(b *Board) { b.ApplyReport(after(time.Second), "a", l, 0) }
 	}
 	row := func(at time.Duration, leaving bool) func(*Board) {
 		return func(b *Board) {
-			b.Apply(after(at), []wire.BoardRow{{BundleNumber: 1, Index: 0, Leaving: leaving, AgeMS: 100}})
+			b.ApplyRows(after(at), []wire.BoardRow{{BundleNumber: 1, Index: 0, Leaving: leaving, AgeMS: 100}})
 		}
 	}
 	leavingLoad := engineapi.Load{Incarnation: 1, Seq: 2, Leaving: true}
@@ -75,7 +75,7 @@
 			if d := cmp.Diff(r.notices, b.LeavingNotices()); d != "" {
 				t.Error(d)
 			}
-			if got := b.Upstreams(after(10 * time.Second))[0]; got.Leaving != (r.want == "b") && got.Spec.State != bundle.StateJoining {
+			if got := b.Statuses(after(10 * time.Second))[0]; got.Leaving != (r.want == "b") && got.Spec.State != bundle.StateJoining {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -88,8 +88,8 @@
 // not learn of the restart, and the peer's notice must expire.
 func TestPeersNoticeLapses(t *testing.T) {
 	b := newBoard("ab")
-	b.Leaving(t0, "a", FromPeer)
-	b.Leaving(after(30*time.Second), "a", FromPeer)
+	b.MarkLeaving(t0, "a", FromPeer)
+	b.MarkLeaving(after(30*time.Second), "a", FromPeer)
 	got := []string{offered(b, after(89*time.Second)), offered(b, after(90*time.Second))}
 	if d := cmp.Diff([]string{"b", "ab"}, got); d != "" {
 		t.Error(d)
@@ -120,7 +120,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBoard("ab")
 			for i, h := range tc.heartbeats {
-				b.HeardPeer(after(time.Duration(i)*time.Second), h.peer, h.names)
+				b.ApplyPeerNotices(after(time.Duration(i)*time.Second), h.peer, h.names)
 			}
 			if got := offered(b, after(10*time.Second)); got != tc.want {
 				t.Errorf("listed %q, want %q", got, tc.want)
@@ -132,7 +132,7 @@
 func TestSetVersionKeepsWhatStays(t *testing.T) {
 	b := newBoard("abc")
 	for _, name := range []string{"a", "b", "c"} {
-		b.Report(t0, name, load(1, 1, 7), 0)
+		b.ApplyReport(t0, name, load(1, 1, 7), 0)
 	}
 	b.SetVersion(after(time.Second), version(2, "acd", func(ups map[string]bundle.Upstream) {
 		u := ups["c"]
@@ -175,7 +175,7 @@
 	b := newBoard("a")
 	fail := func(at time.Duration, n int) {
 		for range n {
-			b.Failed(after(at), "a")
+			b.RecordFailure(after(at), "a")
 		}
 	}
 	weight := func(at time.Duration) float64 {
@@ -192,14 +192,14 @@
 		want float64
 	}{
 		{"two failures", func() { fail(0, 2) }, 0, 1},
-		{"a success between", func() { b.Succeeded(t0, "a"); fail(0, 2) }, 0, 1},
+		{"a success between", func() { b.RecordSuccess(t0, "a"); fail(0, 2) }, 0, 1},
 		{"three in a row", func() { fail(0, 1) }, 0, 0},
 		{"failures during the ejection", func() { fail(100*ms, 9) }, 499 * ms, 0},
 		{"slow start", nil, 500 * ms, 0.1},
-		{"a success does not end the slow start", func() { b.Succeeded(after(time.Second), "a") }, 3000 * ms, 0.55},
+		{"a success does not end the slow start", func() { b.RecordSuccess(after(time.Second), "a") }, 3000 * ms, 0.55},
 		{"one failure ejects for twice as long", func() { fail(3000*ms, 1) }, 3999 * ms, 0},
 		{"second slow start", nil, 4000 * ms, 0.1},
-		{"a success after the slow start", func() { b.Succeeded(after(10*time.Second), "a") }, 10 * time.Second, 1},
+		{"a success after the slow start", func() { b.RecordSuccess(after(10*time.Second), "a") }, 10 * time.Second, 1},
 		{"two failures do not eject", func() { fail(11*time.Second, 2) }, 11 * time.Second, 1},
 		{"the first ejection is short again", func() { fail(11*time.Second, 1) }, 11500 * ms, 0.1},
 	}
@@ -221,30 +221,30 @@
 
 func TestRowsCarryLoadsWithTheirAge(t *testing.T) {
 	sender, receiver := newBoard("abc"), newBoard("abc")
-	sender.Report(t0, "b", engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 300, Queued: 2, QueuedTokens: 700, StepMS: 41, LinkBusyMS: 500}, 200*time.Millisecond)
-	sender.Report(after(-9*time.Second), "c", load(1, 1, 5), 0)
+	sender.ApplyReport(t0, "b", engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 300, Queued: 2, QueuedTokens: 700, StepMS: 41, LinkBusyMS: 500}, 200*time.Millisecond)
+	sender.ApplyReport(after(-9*time.Second), "c", load(1, 1, 5), 0)
 	rows := sender.Rows(after(300*time.Millisecond), []string{"a", "b", "c"})
 	want := []wire.BoardRow{{BundleNumber: 1, Index: 1, Active: 255, Queued: 2, StepMS: 41, LinkBusyMS: 0, QueuedKTok: 3, AgeMS: 500}}
 	if d := cmp.Diff(want, rows); d != "" {
 		t.Fatal(d)
 	}
-	receiver.Report(after(-time.Second), "b", load(1, 1, 9), 0)
-	receiver.Apply(after(time.Second), rows)
+	receiver.ApplyReport(after(-time.Second), "b", load(1, 1, 9), 0)
+	receiver.ApplyRows(after(time.Second), rows)
 	r := findReplica(receiver.Snapshot(after(time.Second)), "b")
 	if r.Active != 255 || r.QueuedTokens != 768 || !r.LoadAt.Equal(after(500*time.Millisecond)) {
 		t.Errorf("%+v", r)
 	}
 	rows[0].AgeMS, rows[0].Active = 900, 1
-	receiver.Apply(after(time.Second), rows)
+	receiver.ApplyRows(after(time.Second), rows)
 	for _, other := range []wire.BoardRow{{BundleNumber: 0, Index: 1, Active: 2}, {BundleNumber: 2, Index: 1, Active: 3}, {BundleNumber: 1, Index: 3}} {
-		receiver.Apply(after(2*time.Second), []wire.BoardRow{other})
+		receiver.ApplyRows(after(2*time.Second), []wire.BoardRow{other})
 	}
 	receiver.SetVersion(t0, version(2, "abc", func(ups map[string]bundle.Upstream) {
 		u := ups["c"]
 		u.State = bundle.StateLeaving
 		ups["c"] = u
 	})) // the same names, so the indexes of version 1 remain valid
-	receiver.Apply(after(3*time.Second), []wire.BoardRow{{BundleNumber: 1, Index: 0, Active: 4}})
+	receiver.ApplyRows(after(3*time.Second), []wire.BoardRow{{BundleNumber: 1, Index: 0, Active: 4}})
 	s := receiver.Snapshot(after(3 * time.Second))
 	if got := []int{findReplica(s, "a").Active, findReplica(s, "b").Active}; !cmp.Equal(got, []int{4, 255}) {
 		t.Errorf("active %v", got)
@@ -254,7 +254,7 @@
 func TestPrefillSpeedIsLearnedAndLapses(t *testing.T) {
 	b := newBoard("a")
 	observe := func(at time.Duration, tokens, ahead int, took time.Duration) {
-		b.Observed(after(at), "a", Observation{PrefillTokens: tokens, AheadTokens: ahead, PrefillTime: took})
+		b.RecordPrefill(after(at), "a", PrefillResult{PrefillTokens: tokens, TokensAhead: ahead, PrefillTime: took})
 	}
 	speed := func(at time.Duration) time.Duration { return findReplica(b.Snapshot(after(at)), "a").PrefillPerToken }
 	observe(0, 10, 0, time.Second) // below minPrefillSample
@@ -339,9 +339,9 @@
 		{"one event of 32 lost", func() { b.CacheEvents(t0, "a", store(1, 932, 1)) }, 32},
 		{"four lost", func() { b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 1, Next: 968}) }, 16},
 		{"a prompt was cached as recorded", func() {
-			b.Observed(t0, "a", Observation{Prefix: prefix[:20], CachedTokens: 20 * engineapi.BlockTokens})
+			b.RecordPrefill(t0, "a", PrefillResult{Prefix: prefix[:20], CachedTokens: 20 * engineapi.BlockTokens})
 		}, 16},
-		{"a prompt was not cached", func() { b.Observed(t0, "a", Observation{Prefix: prefix[:20]}) }, 20},
+		{"a prompt was not cached", func() { b.RecordPrefill(t0, "a", PrefillResult{Prefix: prefix[:20]}) }, 20},
 		{"the engine restarted", func() { b.CacheEvents(t0, "a", engineapi.EventsReply{Incarnation: 2, Next: 9}) }, 0},
 	}
 	for _, s := range steps {
@@ -366,7 +366,7 @@
 	b := newBoard("abcdefgh")
 	b.cfg.PrefixSets = 3
 	for _, name := range []string{"a", "b", "c", "a", "d", "e", "a", "f"} {
-		b.Observed(t0, name, Observation{Prefix: []uint64{1}})
+		b.RecordPrefill(t0, name, PrefillResult{Prefix: []uint64{1}})
 	}
 	kept := ""
 	index := b.Snapshot(t0).Prefix
@@ -392,39 +392,39 @@
 		do   func(*Board)
 		want string
 	}{
-		{"setting off", Config{}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "abcd"},
-		{"one unanswered", Config{EjectUnanswered: true}, func(b *Board) { b.Unanswered(after(0), "a", false) }, "bcd"},
+		{"setting off", Config{}, func(b *Board) { b.RecordUnanswered(after(0), "a", false) }, "abcd"},
+		{"one unanswered", Config{EjectUnanswered: true}, func(b *Board) { b.RecordUnanswered(after(0), "a", false) }, "bcd"},
 		{"two of a data centre: all of it is ejected", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Unanswered(after(0), "a", false)
-			b.Unanswered(after(0), "b", false)
+			b.RecordUnanswered(after(0), "a", false)
+			b.RecordUnanswered(after(0), "b", false)
 		}, "d"},
 		{"two in the daemon's own data centre", Config{EjectUnanswered: true, DataCentre: "far"}, func(b *Board) {
-			b.Unanswered(after(0), "a", false)
-			b.Unanswered(after(0), "b", false)
+			b.RecordUnanswered(after(0), "a", false)
+			b.RecordUnanswered(after(0), "b", false)
 		}, "cd"},
 		{"two whose hosts refuse the connection", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Unanswered(after(0), "a", true)
-			b.Unanswered(after(0), "b", true)
+			b.RecordUnanswered(after(0), "a", true)
+			b.RecordUnanswered(after(0), "b", true)
 		}, "cd"},
 		{"two while a third answers", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Unanswered(after(0), "a", false)
-			b.Succeeded(after(100*time.Millisecond), "c")
-			b.Unanswered(after(200*time.Millisecond), "b", false)
+			b.RecordUnanswered(after(0), "a", false)
+			b.RecordSuccess(after(100*time.Millisecond), "c")
+			b.RecordUnanswered(after(200*time.Millisecond), "b", false)
 		}, "cd"},
 		{"two after the last answer of a third", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Succeeded(after(0), "c")
-			b.Unanswered(after(100*time.Millisecond), "a", false)
-			b.Unanswered(after(200*time.Millisecond), "b", false)
+			b.RecordSuccess(after(0), "c")
+			b.RecordUnanswered(after(100*time.Millisecond), "a", false)
+			b.RecordUnanswered(after(200*time.Millisecond), "b", false)
 		}, "d"},
 		{"an answer ends the ejection of the others", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Unanswered(after(0), "a", false)
-			b.Unanswered(after(0), "b", false)
-			b.Answered(after(0), "a")
+			b.RecordUnanswered(after(0), "a", false)
+			b.RecordUnanswered(after(0), "b", false)
+			b.RecordAnswered(after(0), "a")
 		}, "cd"},
 		{"one that has answered since does not count", Config{EjectUnanswered: true}, func(b *Board) {
-			b.Unanswered(after(0), "a", false)
-			b.Answered(after(0), "a")
-			b.Unanswered(after(0), "b", false)
+			b.RecordUnanswered(after(0), "a", false)
+			b.RecordAnswered(after(0), "a")
+			b.RecordUnanswered(after(0), "b", false)
 		}, "cd"},
 	} {
 		b := New(tc.cfg)
--- a/board/silence.go
+++ b/board/silence.go
@@ -18,7 +18,7 @@
 	unansweredWindow = 2 * time.Second
 )
 
-// Unanswered records that an upstream did not answer a call that needs an immediate
+// RecordUnanswered records that an upstream did not answer a call that needs an immediate
 // answer: a connection could not be opened, or a reservation got no reply. With
 // Config.EjectUnanswered, a single such failure ejects the upstream. hostReached says
 // that the upstream's host refused the connection, which shows that the host is
@@ -28,7 +28,7 @@
 // its upstreams one after the other and waits for a timeout each time. All requests are
 // then late for seconds although the upstreams of the daemon's own data centre are
 // idle.
-func (b *Board) Unanswered(now time.Time, upstream string, hostReached bool) {
+func (b *Board) RecordUnanswered(now time.Time, upstream string, hostReached bool) {
 	e := b.entries[upstream]
 	if e == nil {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// Answered records that an upstream has answered, if only with a refusal.
-func (b *Board) Answered(now time.Time, upstream string) {
+// RecordAnswered records that an upstream has answered, if only with a refusal.
+func (b *Board) RecordAnswered(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil {
 		b.markAnswered(now, e)
 	}
--- a/board/status.go
+++ b/board/status.go
@@ -13,7 +13,7 @@
 const (
 	HealthOK        HealthState = "ok"
 	HealthEjected   HealthState = "ejected"
-	HealthReturning HealthState = "returning"
+	HealthSlowStart HealthState = "returning"
 )
 
 // LoadSource is the origin of the last load of an upstream.
@@ -44,9 +44,9 @@
 	LoadSource            LoadSource
 }
 
-// Upstreams returns the status of every upstream of the bundle in force, sorted by
+// Statuses returns the status of every upstream of the bundle in force, sorted by
 // name.
-func (b *Board) Upstreams(now time.Time) []Status {
+func (b *Board) Statuses(now time.Time) []Status {
 	out := make([]Status, 0, len(b.names))
 	for _, name := range b.names {
 		out = append(out, b.entries[name].status(now, b.cfg))
@@ -81,7 +81,7 @@
 	case now.Before(h.ejectedUntil):
 		return HealthEjected
 	case h.weight(now, cfg) < 1:
-		return HealthReturning
+		return HealthSlowStart
 	}
 	return HealthOK
 }
--- a/internal/experiment/state_test.go
+++ b/internal/experiment/state_test.go
@@ -74,11 +74,11 @@
 	v := &bundle.Version{Number: 1, Bundle: designBundle()}
 	b.SetVersion(now, v)
 	for name, u := range v.Bundle.Upstreams {
-		b.Report(now, name, engineapi.Load{}, 0)
+		b.ApplyReport(now, name, engineapi.Load{}, 0)
 		var dc int
 		_, _ = fmt.Sscanf(u.DataCentre, "dc-%d", &dc)
 		if u.Pool[0] == 'p' && dc < centres {
-			b.Observed(now, name, board.Observation{Prefix: []uint64{1}})
+			b.RecordPrefill(now, name, board.PrefillResult{Prefix: []uint64{1}})
 		}
 	}
 	return []any{b, b.Snapshot(now)}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -39,8 +39,8 @@
 	b.SetVersion(start, v)
 	for i := range n {
 		name := fmt.Sprintf("u%04d", i)
-		b.Report(start, name, engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 15 + i%6, StepMS: 40}, 0)
-		b.Observed(start, name, board.Observation{Prefix: benchPrefix()[:i%125], CachedTokens: 0})
+		b.ApplyReport(start, name, engineapi.Load{Incarnation: 1, Seq: 1, Slots: 20, Active: 15 + i%6, StepMS: 40}, 0)
+		b.RecordPrefill(start, name, board.PrefillResult{Prefix: benchPrefix()[:i%125], CachedTokens: 0})
 		in.Begin(name, 100)
 	}
 	return b.Snapshot(start), in
--- a/request/observe_test.go
+++ b/request/observe_test.go
@@ -24,15 +24,15 @@
 }
 
 func (o boardObserver) Report(now time.Time, name string, l engineapi.Load) {
-	o.h.Update(func(b *board.Board) { b.Report(now, name, l, 0) })
+	o.h.Update(func(b *board.Board) { b.ApplyReport(now, name, l, 0) })
 }
 
 func (o boardObserver) Failed(now time.Time, name string) {
-	o.h.Update(func(b *board.Board) { b.Failed(now, name) })
+	o.h.Update(func(b *board.Board) { b.RecordFailure(now, name) })
 }
 
 func (o boardObserver) Leaving(now time.Time, name string) {
-	o.h.Update(func(b *board.Board) { b.Leaving(now, name, board.FromUpstream) })
+	o.h.Update(func(b *board.Board) { b.MarkLeaving(now, name, board.FromUpstream) })
 }
 
 // Guards against a replaced upstream that never gets work again: after its new process was
--- a/router/admin.go
+++ b/router/admin.go
@@ -73,7 +73,7 @@
 	}
 	var statuses []board.Status
 	now := time.Now()
-	r.holder.Update(func(b *board.Board) { statuses = b.Upstreams(now) })
+	r.holder.Update(func(b *board.Board) { statuses = b.Statuses(now) })
 	view := r.peers.View()
 	for _, s := range statuses {
 		out.Upstreams = append(out.Upstreams, upstreamStatus(view, s))
--- a/router/instances.go
+++ b/router/instances.go
@@ -108,7 +108,7 @@
 	}
 	w.router.holder.Update(func(b *board.Board) {
 		for _, name := range leaving {
-			b.Leaving(now, name, board.FromInstances)
+			b.MarkLeaving(now, name, board.FromInstances)
 		}
 	})
 }
--- a/router/observe.go
+++ b/router/observe.go
@@ -20,43 +20,43 @@
 }
 
 func (o observer) Report(now time.Time, upstream string, l engineapi.Load) {
-	o.holder.Update(func(b *board.Board) { b.Report(now, upstream, l, 0) })
+	o.holder.Update(func(b *board.Board) { b.ApplyReport(now, upstream, l, 0) })
 }
 
 func (o observer) Prefilled(now time.Time, upstream string, p request.PrefillObservation) {
 	o.holder.Update(func(b *board.Board) {
-		b.Observed(now, upstream, board.Observation{
+		b.RecordPrefill(now, upstream, board.PrefillResult{
 			PrefillTokens: p.PromptTokens - p.CachedTokens,
-			AheadTokens:   p.AheadTokens,
+			TokensAhead:   p.AheadTokens,
 			PrefillTime:   p.Took,
 			Prefix:        p.Prefix,
 			CachedTokens:  p.CachedTokens,
 		})
 	})
-	o.inflight.MarkOpen(upstream)
+	o.inflight.MarkPromptAccepted(upstream)
 }
 
 func (o observer) Failed(now time.Time, upstream string) {
-	o.holder.Update(func(b *board.Board) { b.Failed(now, upstream) })
+	o.holder.Update(func(b *board.Board) { b.RecordFailure(now, upstream) })
 }
 
 func (o observer) Answered(now time.Time, upstream string) {
-	o.holder.Update(func(b *board.Board) { b.Answered(now, upstream) })
+	o.holder.Update(func(b *board.Board) { b.RecordAnswered(now, upstream) })
 }
 
 // Unanswered notes that an upstream did not answer in time. reached is true if its host
 // refused the connection, so that the network path works.
 func (o observer) Unanswered(now time.Time, upstream string, reached bool) {
-	o.holder.Update(func(b *board.Board) { b.Unanswered(now, upstream, reached) })
+	o.holder.Update(func(b *board.Board) { b.RecordUnanswered(now, upstream, reached) })
 }
 
 func (o observer) Succeeded(now time.Time, upstream string) {
-	o.holder.Update(func(b *board.Board) { b.Succeeded(now, upstream) })
+	o.holder.Update(func(b *board.Board) { b.RecordSuccess(now, upstream) })
 }
 
 func (o observer) Finished(now time.Time, f request.FinishObservation) {
 	if f.PerToken > 0 {
-		o.holder.Update(func(b *board.Board) { b.Paced(now, f.Upstream, f.PerToken) })
+		o.holder.Update(func(b *board.Board) { b.RecordTokenInterval(now, f.Upstream, f.PerToken) })
 	}
 }
 
@@ -65,17 +65,17 @@
 
 // HandedOff notes whether a decode engine accepted the result of a prefill engine.
 func (o observer) HandedOff(now time.Time, prefill, decode string, taken bool) {
-	o.holder.Update(func(b *board.Board) { b.HandedOff(now, prefill, decode, taken) })
+	o.holder.Update(func(b *board.Board) { b.RecordHandoff(now, prefill, decode, taken) })
 }
 
 // Full notes that an upstream refused a reservation for lack of room.
 func (o observer) Full(_ time.Time, upstream string) { o.inflight.MarkFull(upstream) }
 
 // PromptRefused notes that a prefill engine refused a prompt.
-func (o observer) PromptRefused(_ time.Time, upstream string) { o.inflight.MarkShut(upstream) }
+func (o observer) PromptRefused(_ time.Time, upstream string) { o.inflight.MarkPromptRefused(upstream) }
 
 func (o observer) Leaving(now time.Time, upstream string) {
-	o.holder.Update(func(b *board.Board) { b.Leaving(now, upstream, board.FromUpstream) })
+	o.holder.Update(func(b *board.Board) { b.MarkLeaving(now, upstream, board.FromUpstream) })
 }
 
 // requestMetrics records the metrics of the request runner.
@@ -138,7 +138,7 @@
 		SweepCancels: swept.Cancels,
 	}
 	now := time.Now()
-	r.holder.Update(func(b *board.Board) { out.ViewAge = oldestLoad(b.Upstreams(now)) })
+	r.holder.Update(func(b *board.Board) { out.ViewAge = oldestLoad(b.Statuses(now)) })
 	return out
 }
 
--- a/router/peers.go
+++ b/router/peers.go
@@ -38,7 +38,7 @@
 func (r *Router) onHeartbeat(hb wire.Heartbeat) {
 	r.watcher.Notice(hb.Node, hb.BundleNumber, hb.BundleDigest)
 	now := time.Now()
-	r.holder.Update(func(b *board.Board) { b.HeardPeer(now, hb.Node, hb.Leaving) })
+	r.holder.Update(func(b *board.Board) { b.ApplyPeerNotices(now, hb.Node, hb.Leaving) })
 }
 
 // fetchBundle gets bundle records from a peer.
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	r.holder.Update(func(b *board.Board) { b.Apply(now, rows.Rows) })
+	r.holder.Update(func(b *board.Board) { b.ApplyRows(now, rows.Rows) })
 	return nil, nil
 }
 
--- a/router/roles.go
+++ b/router/roles.go
@@ -164,7 +164,7 @@
 	}
 	a.holder.Update(func(b *board.Board) {
 		for _, s := range list {
-			b.Shown(now, s.Model, s.PerToken, s.ReadPerToken)
+			b.AddRemoteSample(now, s.Model, s.PerToken, s.ReadPerToken)
 		}
 	})
 }
--- a/steward/visit.go
+++ b/steward/visit.go
@@ -48,9 +48,9 @@
 	rd.opts.Board.Update(func(b *board.Board) {
 		switch {
 		case err == nil:
-			b.Report(now, upstream, load, 0)
+			b.ApplyReport(now, upstream, load, 0)
 		case !responded(err):
-			b.Failed(now, upstream)
+			b.RecordFailure(now, upstream)
 		}
 	})
 	if err != nil {
