--- a/board/board.go
+++ b/board/board.go
@@ -120,7 +120,7 @@
 // empty entry, because its earlier load, health and cache say nothing about it.
 func (b *Board) entryFor(now time.Time, name string, up bundle.Upstream, v *bundle.Version) *entry {
 	e := b.entries[name]
-	if e == nil || e.spec.Address != up.Address || e.spec.Life != up.Life {
+	if e == nil || e.spec.Address != up.Address || e.spec.Incarnation != up.Incarnation {
 		e = &entry{name: name, spec: up}
 		b.prefix.reset(name)
 	}
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -102,7 +102,7 @@
 			Models: map[string]bundle.Model{"m": {DecodePool: "d"}},
 			Pools:  map[string]bundle.Pool{"d": {Role: bundle.RoleDecode, Slots: 12}},
 			Upstreams: map[string]bundle.Upstream{
-				"d0": {Pool: "d", Address: "10.0.0.1:80", State: bundle.StateServing, Life: life},
+				"d0": {Pool: "d", Address: "10.0.0.1:80", State: bundle.StateServing, Incarnation: life},
 			},
 		}}
 	}
--- a/board/change_test.go
+++ b/board/change_test.go
@@ -88,7 +88,7 @@
 				for i := uint64(2); b.Loop(); i++ {
 					name := names[i%uint64(n)]
 					up := content.Upstreams[name]
-					up.Life = int64(i)
+					up.Incarnation = int64(i)
 					next := content
 					next.Upstreams = maps.Clone(content.Upstreams)
 					next.Upstreams[name] = up
--- a/bundle/chain.go
+++ b/bundle/chain.go
@@ -54,8 +54,8 @@
 // force is kept.
 var ErrConflict = errors.New("another record was adopted for this number")
 
-// ErrOrder is returned when a log record is offered at an offset other than Next.
-var ErrOrder = errors.New("log record offered out of order")
+// ErrOutOfOrder is returned when a log record is offered at an offset other than Next.
+var ErrOutOfOrder = errors.New("log record offered out of order")
 
 // Chain decides which version is in force. The order of the log decides: the
 // first valid record that extends the version in force at its offset wins. A
@@ -102,8 +102,8 @@
 	return &Chain{trust: trust, based: true, startEnd: math.MaxUint64}
 }
 
-// Live sets the end of the log at the first read. Later calls have no effect.
-func (c *Chain) Live(end uint64) {
+// SetStartEnd sets the end of the log at the first read. Later calls have no effect.
+func (c *Chain) SetStartEnd(end uint64) {
 	if c.startEnd == math.MaxUint64 {
 		c.startEnd = end
 	}
@@ -116,18 +116,18 @@
 // checkpoint becomes the base.
 func (c *Chain) Next() uint64 { return c.next }
 
-// Based reports whether the chain can adopt from the log.
-func (c *Chain) Based() bool { return c.based }
+// HasBase reports whether the chain can adopt from the log.
+func (c *Chain) HasBase() bool { return c.based }
 
-// Lost returns why the chain cannot adopt from the log; nil when it can. The
+// NoBaseCause returns why the chain cannot adopt from the log; nil when it can. The
 // error wraps ErrUntrusted when the cause is a record signed with a key that is
 // not trusted.
-func (c *Chain) Lost() error { return c.noBaseCause }
+func (c *Chain) NoBaseCause() error { return c.noBaseCause }
 
-// Doubt returns the offset after the last record whose validity depends on keys
+// UnverifiedEnd returns the offset after the last record whose validity depends on keys
 // that are not trusted, or 0. A daemon that starts now cannot evaluate that
 // record: it needs a checkpoint whose Through is this offset or higher.
-func (c *Chain) Doubt() uint64 { return c.unverifiedEnd }
+func (c *Chain) UnverifiedEnd() uint64 { return c.unverifiedEnd }
 
 // CaughtUp reports whether the chain has a base and the log as read so far
 // yields the version in force.
@@ -202,7 +202,7 @@
 // Every entry of the log must be offered, including malformed ones.
 func (c *Chain) OfferLog(offset uint64, record []byte) (Verdict, error) {
 	if offset != c.next {
-		return Invalid, errors.Wrapf(ErrOrder, "got %d, want %d", offset, c.next)
+		return Invalid, errors.Wrapf(ErrOutOfOrder, "got %d, want %d", offset, c.next)
 	}
 	c.next++
 	if isCheckpoint(record) {
--- a/bundle/chain_test.go
+++ b/bundle/chain_test.go
@@ -297,7 +297,7 @@
 func TestOfferLogOutOfOrder(t *testing.T) {
 	g := snapshot(nil, "g")
 	c := NewChain(trusted)
-	if v, err := c.OfferLog(1, g.Raw()); v != Invalid || !errors.Is(err, ErrOrder) {
+	if v, err := c.OfferLog(1, g.Raw()); v != Invalid || !errors.Is(err, ErrOutOfOrder) {
 		t.Error(v, err)
 	}
 	checkInForce(t, c, nil)
--- a/bundle/model.go
+++ b/bundle/model.go
@@ -42,9 +42,9 @@
 	// PrefillPool and DecodePool name the pools that serve the model.
 	PrefillPool string `json:"prefill_pool" yaml:"prefill_pool"`
 	DecodePool  string `json:"decode_pool" yaml:"decode_pool"`
-	// DecodeReads is set if decode engines can prefill a prompt themselves, more
+	// DecodePrefills is set if decode engines can prefill a prompt themselves, more
 	// slowly than a prefill engine.
-	DecodeReads bool `json:"decode_reads,omitempty" yaml:"decode_reads"`
+	DecodePrefills bool `json:"decode_reads,omitempty" yaml:"decode_reads"`
 	// KVBytesPerToken is the size of the KV cache for one prompt token, in bytes.
 	KVBytesPerToken int64 `json:"kv_bytes_per_token" yaml:"kv_bytes_per_token"`
 }
@@ -102,9 +102,9 @@
 	State      UpstreamState `json:"state" yaml:"state"`
 	// ChecksFence is set if the upstream rejects orders with an outdated fencing number.
 	ChecksFence bool `json:"checks_fence,omitempty" yaml:"checks_fence"`
-	// Life distinguishes successive runs of an upstream if the platform reports
+	// Incarnation distinguishes successive runs of an upstream if the platform reports
 	// them. It is not part of an encoded or signed bundle.
-	Life int64 `json:"-" yaml:"-"`
+	Incarnation int64 `json:"-" yaml:"-"`
 }
 
 // Service is a plain service: an HTTP service that runs no model engine.
--- a/bundle/model_test.go
+++ b/bundle/model_test.go
@@ -43,7 +43,7 @@
 		trust = trusted
 	}
 	c := NewChain(trust)
-	c.Live(uint64(length))
+	c.SetStartEnd(uint64(length))
 	return c
 }
 
@@ -158,7 +158,7 @@
 	}
 	c, out := NewChain(trustWithKim), map[uint64]Digest{}
 	// Wrongly signed records must be skipped, as by a daemon that runs all the time.
-	c.Live(0)
+	c.SetStartEnd(0)
 	for i, id := range log {
 		if id == 0 {
 			break
--- a/bundle/property_test.go
+++ b/bundle/property_test.go
@@ -15,7 +15,7 @@
 func TestChainProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &randomHistory{trust: trustWithKim, reference: NewChain(trustWithKim)}
-		w.reference.Live(0)
+		w.reference.SetStartEnd(0)
 		w.chains = []*Chain{w.fresh(), w.fresh(), w.fresh()}
 		w.records = []*Record{snapshot(nil, "g"), byKim(snapshot(nil, "h")), snapshot(nil, "i")}
 		t.Repeat(map[string]func(*rapid.T){
@@ -51,7 +51,7 @@
 // fresh returns the chain of a daemon that starts now.
 func (w *randomHistory) fresh() *Chain {
 	c := NewChain(w.trust)
-	c.Live(uint64(len(w.log.records)))
+	c.SetStartEnd(uint64(len(w.log.records)))
 	return c
 }
 
--- a/bundle/watch/core.go
+++ b/bundle/watch/core.go
@@ -71,7 +71,7 @@
 		return act
 	}
 	c.oldest = reply.First
-	c.chain.Live(reply.Next)
+	c.chain.SetStartEnd(reply.Next)
 	for _, rec := range reply.Records {
 		if rec.Offset != c.chain.Next() {
 			// The chain's next offset was changed by a peer's position or by a checkpoint
@@ -126,7 +126,7 @@
 		c.usePeerPosition(now, bundle.Digest(reply.Digest), reply.Through)
 	}
 	if reply.Number <= c.number() {
-		c.ready.handlePeerResponse(began, c.chain.Based(), c.peerAhead(), c.untrustedRecord())
+		c.ready.handlePeerResponse(began, c.chain.HasBase(), c.peerAhead(), c.untrustedRecord())
 	}
 	return act
 }
@@ -147,7 +147,7 @@
 	if c.chain.InForce() != nil {
 		c.ready.confirmOnTimeout(now, c.peerAhead())
 	}
-	if c.chain.CaughtUp() && !c.ready.readFailed && c.checkpoints.isDue(now, c.oldest, c.chain.Doubt()) {
+	if c.chain.CaughtUp() && !c.ready.readFailed && c.checkpoints.isDue(now, c.oldest, c.chain.UnverifiedEnd()) {
 		if data, ok := c.chain.Checkpoint(); ok {
 			c.checkpoints.appendStarted(now)
 			act.checkpoint = data
@@ -156,7 +156,7 @@
 	act.fetch = c.peers.nextCall(now, fetchNeed{
 		number:  c.number(),
 		urgent:  c.chain.InForce() == nil || c.ready.readFailed,
-		confirm: !c.ready.confirmed || !c.chain.Based(),
+		confirm: !c.ready.confirmed || !c.chain.HasBase(),
 	})
 	return act
 }
@@ -174,7 +174,7 @@
 
 // untrustedRecord reports whether the chain has no base because of a log record that
 // may have been adopted under a key that is no longer trusted.
-func (c *core) untrustedRecord() bool { return errors.Is(c.chain.Lost(), bundle.ErrUntrusted) }
+func (c *core) untrustedRecord() bool { return errors.Is(c.chain.NoBaseCause(), bundle.ErrUntrusted) }
 
 // isReady reports whether there is a version in force and it is confirmed as current.
 func (c *core) isReady() bool { return c.ready.confirmed && c.chain.InForce() != nil }
--- a/bundle/watch/options.go
+++ b/bundle/watch/options.go
@@ -23,8 +23,8 @@
 const (
 	// DefaultStream is the name of the log stream that holds the bundle records.
 	DefaultStream = "bundles"
-	// DefaultCheckpointEvery suits a log that retains records for an hour or longer.
-	DefaultCheckpointEvery = 15 * time.Minute
+	// DefaultCheckpointInterval suits a log that retains records for an hour or longer.
+	DefaultCheckpointInterval = 15 * time.Minute
 	// DefaultPollWait is the maximum time that a read of the log waits for a record.
 	DefaultPollWait = 5 * time.Second
 )
@@ -46,10 +46,10 @@
 	Rand *rand.Rand
 	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
-	// CheckpointEvery is the age of the last checkpoint on the log from which on a
+	// CheckpointInterval is the age of the last checkpoint on the log from which on a
 	// new one is due. It must be well below the log's retention time; 0 means
 	// DefaultCheckpointEvery.
-	CheckpointEvery time.Duration
+	CheckpointInterval time.Duration
 	// PollWait is the maximum time that a read of the log waits for a record; 0
 	// means DefaultPollWait.
 	PollWait time.Duration
@@ -72,8 +72,8 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	if o.CheckpointEvery == 0 {
-		o.CheckpointEvery = DefaultCheckpointEvery
+	if o.CheckpointInterval == 0 {
+		o.CheckpointInterval = DefaultCheckpointInterval
 	}
 	if o.PollWait == 0 {
 		o.PollWait = DefaultPollWait
--- a/bundle/watch/watcher.go
+++ b/bundle/watch/watcher.go
@@ -94,7 +94,7 @@
 	}
 	w := &Watcher{
 		opts:         opts,
-		core:         newCore(opts.Clock(), opts.Trust, opts.CheckpointEvery, opts.Rand),
+		core:         newCore(opts.Clock(), opts.Trust, opts.CheckpointInterval, opts.Rand),
 		heartbeats:   make(chan heartbeat, heartbeatQueueSize),
 		serveLimiter: rate.NewLimiter(serveRate, serveBurst),
 		metrics:      m,
@@ -123,9 +123,9 @@
 	return w.ready.Load() && age <= int64(freezeThreshold)
 }
 
-// Notice queues the version that a peer announces in its heartbeat. It drops the
+// QueueHeartbeat queues the version that a peer announces in its heartbeat. It drops the
 // heartbeat if the queue is full. It never blocks and is safe for concurrent use.
-func (w *Watcher) Notice(from wire.NodeID, number uint64, digest []byte) {
+func (w *Watcher) QueueHeartbeat(from wire.NodeID, number uint64, digest []byte) {
 	select {
 	case w.heartbeats <- heartbeat{from: from, number: number, digest: digest}:
 	default:
--- a/bundle/watch/watcher_test.go
+++ b/bundle/watch/watcher_test.go
@@ -96,7 +96,7 @@
 	for id, w := range f.watchers {
 		for _, other := range f.watchers {
 			if v := w.Current(); v != nil && other != w {
-				other.Notice(id, v.Number, v.Digest[:])
+				other.QueueHeartbeat(id, v.Number, v.Digest[:])
 			}
 		}
 	}
--- a/bundle/withdraw_test.go
+++ b/bundle/withdraw_test.go
@@ -75,8 +75,8 @@
 	c := NewChain(trusted)
 	log.read(c)
 	checkInForce(t, c, nil)
-	if c.CaughtUp() || c.Based() || !errors.Is(c.Lost(), ErrUntrusted) {
-		t.Errorf("records after one that cannot be evaluated were evaluated: %v", c.Lost())
+	if c.CaughtUp() || c.HasBase() || !errors.Is(c.NoBaseCause(), ErrUntrusted) {
+		t.Errorf("records after one that cannot be evaluated were evaluated: %v", c.NoBaseCause())
 	}
 	if _, err := NewChain(trusted).OfferLog(0, log.records[0]); !errors.Is(err, ErrUntrusted) {
 		t.Errorf("error %v, want ErrUntrusted", err)
@@ -107,13 +107,13 @@
 	log := &testLog{}
 	log.add(g.Raw())
 	c := NewChain(trusted)
-	c.Live(1)
+	c.SetStartEnd(1)
 	log.read(c)
 	old := mustOK(c.Checkpoint())
 	log.add(signedByUntrusted(delta(g, "x")).Raw(), old, d.Raw())
 	checkVerdicts(t, log.read(c), Invalid, Confirmed, Adopted)
-	if c.Doubt() != 2 {
-		t.Errorf("Doubt returns %d, want 2", c.Doubt())
+	if c.UnverifiedEnd() != 2 {
+		t.Errorf("Doubt returns %d, want 2", c.UnverifiedEnd())
 	}
 
 	late := NewChain(trusted)
--- a/fleet/content.go
+++ b/fleet/content.go
@@ -63,14 +63,14 @@
 	b.Models[name] = bundle.Model{
 		PrefillPool:     name + prefillSuffix,
 		DecodePool:      name + decodeSuffix,
-		DecodeReads:     true,
+		DecodePrefills:  true,
 		KVBytesPerToken: e.TokenBytes,
 	}
 }
 
 func (r *Registry) bundleUpstream(m *member) bundle.Upstream {
 	up := bundle.Upstream{
-		Pool: m.Service, DataCentre: m.DataCentre, Address: m.Address, State: bundle.StateServing, Life: m.Born,
+		Pool: m.Service, DataCentre: m.DataCentre, Address: m.Address, State: bundle.StateServing, Incarnation: m.Born,
 	}
 	switch m.Role {
 	case RolePrefill:
--- a/internal/ctl/logread.go
+++ b/internal/ctl/logread.go
@@ -88,7 +88,7 @@
 			}
 			continue
 		}
-		r.chain.Live(reply.Next)
+		r.chain.SetStartEnd(reply.Next)
 		for _, rec := range reply.Records {
 			if rec.Offset != r.chain.Next() {
 				break
@@ -120,7 +120,7 @@
 	if err := r.readLog(ctx, nil); err != nil {
 		return nil, err
 	}
-	if err := r.chain.Lost(); err != nil {
+	if err := r.chain.NoBaseCause(); err != nil {
 		return nil, unknownInForceError(err)
 	}
 	return r.chain.InForce(), nil
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -73,7 +73,7 @@
 // predictAfterWait returns the prediction for the attempt, counted from when it gets a slot,
 // or false when no engine can prefill the prompt.
 func (d *decision) predictAfterWait(decodePool, prefillPool *Pool) (prediction, bool) {
-	decode, decodeCanPrefill := decodePool.all.replicas[0], d.snapshot.Bundle.Models[d.query.Model].DecodeReads
+	decode, decodeCanPrefill := decodePool.all.replicas[0], d.snapshot.Bundle.Models[d.query.Model].DecodePrefills
 	step := decodePool.meanStep()
 	prefill, err := d.pickPrefill(prefillPool, decode, 0, decodeCanPrefill)
 	if err == nil {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -119,7 +119,7 @@
 		t.Fatal("planned without a prefill engine although decode engines cannot prefill")
 	}
 	m := f.bundle.Models["m"]
-	m.DecodeReads = true
+	m.DecodePrefills = true
 	f.bundle.Models["m"] = m
 	p, err := f.plan(NameReserve, q, 1)
 	if err != nil || !p.SkipPrefill || p.SkipReserve || p.Decode.Name == "" {
@@ -144,7 +144,7 @@
 		t.Errorf("no other engine can prefill the prompt: plan %+v, error %v", p, err)
 	}
 	m := f.bundle.Models["m"]
-	m.DecodeReads = true
+	m.DecodePrefills = true
 	f.bundle.Models["m"] = m
 	if p, err := f.plan(NameReserve, q, 1); err != nil || !p.SkipPrefill {
 		t.Errorf("the decode engine does not prefill the prompt: plan %+v, error %v", p, err)
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -35,8 +35,8 @@
 		return d.waitOrRefuse(decodePool, prefillPool, err)
 	}
 	bytes := model.KVBytesPerToken * int64(q.PromptTokens)
-	prefill, err := d.pickPrefill(prefillPool, decode.replica, bytes, model.DecodeReads)
-	if model.DecodeReads && d.shouldPrefillOnDecode(decode, prefill, err != nil) {
+	prefill, err := d.pickPrefill(prefillPool, decode.replica, bytes, model.DecodePrefills)
+	if model.DecodePrefills && d.shouldPrefillOnDecode(decode, prefill, err != nil) {
 		return d.planPrefillOnDecode(decode)
 	}
 	if err != nil {
--- a/router/peers.go
+++ b/router/peers.go
@@ -36,7 +36,7 @@
 
 // onHeartbeat applies the bundle version and the leaving upstreams of a peer's heartbeat.
 func (r *Router) onHeartbeat(hb wire.Heartbeat) {
-	r.watcher.Notice(hb.Node, hb.BundleNumber, hb.BundleDigest)
+	r.watcher.QueueHeartbeat(hb.Node, hb.BundleNumber, hb.BundleDigest)
 	now := time.Now()
 	r.holder.Update(func(b *board.Board) { b.ApplyPeerNotices(now, hb.Node, hb.Leaving) })
 }
--- a/router/provision.go
+++ b/router/provision.go
@@ -136,14 +136,14 @@
 		return errors.Wrap(err, "settings: bundle")
 	}
 	r.watcher, err = watch.New(watch.Options{
-		Log:             infra.NewLog(r.settings.Platform.LogURL, r.platformClient()),
-		Trust:           trust,
-		Stream:          r.settings.Bundle.Stream,
-		Fetch:           r.fetchBundle,
-		Rand:            r.newRand(rngWatch),
-		CheckpointEvery: r.settings.Bundle.CheckpointEvery,
-		Logger:          r.logger,
-		Meter:           r.metrics.Meter(),
+		Log:                infra.NewLog(r.settings.Platform.LogURL, r.platformClient()),
+		Trust:              trust,
+		Stream:             r.settings.Bundle.Stream,
+		Fetch:              r.fetchBundle,
+		Rand:               r.newRand(rngWatch),
+		CheckpointInterval: r.settings.Bundle.CheckpointEvery,
+		Logger:             r.logger,
+		Meter:              r.metrics.Meter(),
 	})
 	if err != nil {
 		return err
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -80,7 +80,7 @@
 	u.Name = name
 	if v := a.watcher.View(); v != nil && v.Bundle != nil {
 		member := v.Bundle.Bundle.Upstreams[name]
-		u.Incarnation, pool = member.Life, member.Pool
+		u.Incarnation, pool = member.Incarnation, member.Pool
 	}
 	return u, pool
 }
