--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -49,7 +49,7 @@
 	b := &Batch{}
 	for i := range claims {
 		b.Claims = append(b.Claims, Claim{
-			ID: ClaimID{node, uint64(1_000 + i)}, Key: benchKey(i), Body: Body{1}, Seen: 123_456, RequestID: "0123456789abcdef0123456789abcdef",
+			ID: ClaimID{node, uint64(1_000 + i)}, Key: benchKey(i), Body: BodyDigest{1}, SeenOffset: 123_456, RequestID: "0123456789abcdef0123456789abcdef",
 		})
 		b.Results = append(b.Results, Result{ID: ClaimID{node, uint64(i)}, Key: benchKey(i), Status: Ran})
 	}
@@ -169,7 +169,7 @@
 	for i := range 4 {
 		homes = append(homes, testGate(b, fmt.Sprint("home", i), l, func(o *Options) {
 			o.Follow = func(shard int) bool { return shard == i }
-			o.Ask = func(context.Context, int, wire.ClaimGet) (wire.ClaimState, error) {
+			o.LookupAtHome = func(context.Context, int, wire.ClaimGet) (wire.ClaimState, error) {
 				return wire.ClaimState{}, errNotHome
 			}
 			o.Linger, o.AppendsPerSecond = 0, 70
@@ -177,11 +177,11 @@
 	}
 	return benchGates(b, l, n, func(o *Options) {
 		o.Follow = func(int) bool { return false }
-		o.Ask = func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error) {
+		o.LookupAtHome = func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error) {
 			clock.Sleep(ctx, benchDelay)
-			return homes[shard].ServeGet(ctx, get)
+			return homes[shard].ServeLookup(ctx, get)
 		}
-		o.Relay = func(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
+		o.AppendAtHome = func(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
 			clock.Sleep(ctx, benchDelay)
 			return homes[shard].ServeAppend(ctx, put)
 		}
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -18,10 +18,10 @@
 type Claim struct {
 	ID   ClaimID
 	Key  Key
-	Body Body
-	// Seen is the offset below which the claimant had read the stream when it
+	Body BodyDigest
+	// SeenOffset is the offset below which the claimant had read the stream when it
 	// received the request.
-	Seen uint64
+	SeenOffset uint64
 	// RequestID is informational; it identifies the request to people who read the
 	// log.
 	RequestID string
@@ -112,7 +112,7 @@
 	for i := range b.Claims {
 		c := &b.Claims[i]
 		rec.Claims = append(rec.Claims, claimRecord{
-			Node: t.index(c.ID.Node), Seq: c.ID.Seq, Key: c.Key[:], Body: c.Body[:], Seen: c.Seen, RequestID: c.RequestID,
+			Node: t.index(c.ID.Node), Seq: c.ID.Seq, Key: c.Key[:], Body: c.Body[:], Seen: c.SeenOffset, RequestID: c.RequestID,
 		})
 	}
 	for i := range b.Results {
@@ -148,7 +148,7 @@
 			return nil, errors.New("decode claims: malformed claim")
 		}
 		b.Claims = append(b.Claims, Claim{
-			ID: ClaimID{Node: rec.Nodes[c.Node], Seq: c.Seq}, Key: Key(c.Key), Body: Body(c.Body), Seen: c.Seen, RequestID: c.RequestID,
+			ID: ClaimID{Node: rec.Nodes[c.Node], Seq: c.Seq}, Key: Key(c.Key), Body: BodyDigest(c.Body), SeenOffset: c.Seen, RequestID: c.RequestID,
 		})
 	}
 	for i := range rec.Results {
--- a/claims/faults_test.go
+++ b/claims/faults_test.go
@@ -18,7 +18,7 @@
 )
 
 // shortDecisionTimeout makes claims fail after 100 ms without a decision.
-func shortDecisionTimeout(o *Options) { o.DecideWithin = 100 * time.Millisecond }
+func shortDecisionTimeout(o *Options) { o.DecisionTimeout = 100 * time.Millisecond }
 
 // TestLogDown checks that a request refused while the log is unavailable is told
 // "unknown", never "not run". The claim may be on the log, or the balancer may have
@@ -34,7 +34,7 @@
 	}
 	checkClaim(t, "run", g, claimKey(g.Minter().Mint("team"), 1))
 	service.SetFaults(logsvc.Faults{}, 0)
-	g.shards[0].opts.DecideWithin = time.Minute
+	g.shards[0].opts.DecisionTimeout = time.Minute
 	checkClaim(t, "run", g, claimKey("k", 1))
 }
 
@@ -64,12 +64,12 @@
 	var asked atomic.Int32
 	notFollowing := func(o *Options) {
 		o.Follow = func(int) bool { return false }
-		o.Ask = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
+		o.LookupAtHome = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
 			if asked.Add(1) == 1 {
 				return wire.ClaimState{}, errors.New("connection cut")
 			}
 			time.AfterFunc(homeRetryDelay, func() { service.SetFaults(logsvc.Faults{}, 0) })
-			return home.ServeGet(ctx, get)
+			return home.ServeLookup(ctx, get)
 		}
 	}
 	a, b := testGate(t, "a", l, notFollowing), testGate(t, "b", l, notFollowing)
@@ -85,11 +85,11 @@
 	g.Finish(request.Outcome{Run: errkind.Ran, Answer: &request.CallAnswer{Status: 200, Body: []byte("ok")}})
 	awaitStatus(t, home, claimKey("k", 1), Ran)
 	checkClaim(t, "answer ok", b, claimKey("k", 1))
-	if _, err := a.ServeGet(t.Context(), wire.ClaimGet{Stream: a.shards[0].stream, Key: make([]byte, 3)}); err == nil {
+	if _, err := a.ServeLookup(t.Context(), wire.ClaimGet{Stream: a.shards[0].stream, Key: make([]byte, 3)}); err == nil {
 		t.Error("a malformed lookup was answered")
 	}
 	key := NewKey("team", "k")
-	if _, err := a.ServeGet(t.Context(), wire.ClaimGet{Stream: Stream(key.Shard(4)), Key: key[:]}); !errors.Is(err, errNotHome) {
+	if _, err := a.ServeLookup(t.Context(), wire.ClaimGet{Stream: Stream(key.Shard(4)), Key: key[:]}); !errors.Is(err, errNotHome) {
 		t.Errorf("a daemon that does not follow the shard answered: %v", err)
 	}
 }
@@ -103,10 +103,10 @@
 	home := testGate(t, "home", l, nil)
 	notFollowing := func(o *Options) {
 		o.Follow = func(int) bool { return false }
-		o.Ask = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
-			return home.ServeGet(ctx, get)
+		o.LookupAtHome = func(ctx context.Context, _ int, get wire.ClaimGet) (wire.ClaimState, error) {
+			return home.ServeLookup(ctx, get)
 		}
-		o.Relay = func(ctx context.Context, _ int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
+		o.AppendAtHome = func(ctx context.Context, _ int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
 			return home.ServeAppend(ctx, put)
 		}
 		o.Log = struct{ Log }{} // panics when used
@@ -200,17 +200,17 @@
 // expired in the meantime. The wall clock decides whether the grant is still valid.
 func TestThawedClaimIsNotGranted(t *testing.T) {
 	m, now := testMachine(1)
-	seq, _, _ := m.Claim(now, Key{1}, Body{1}, "")
-	if _, d, decided := m.Claim(now, Key{2}, Body{1}, ""); !decided || d.Err.Kind != errkind.Overloaded {
+	seq, _, _ := m.Claim(now, Key{1}, BodyDigest{1}, "")
+	if _, d, decided := m.Claim(now, Key{2}, BodyDigest{1}, ""); !decided || d.Err.Kind != errkind.Overloaded {
 		t.Errorf("a claim over MaxWaiting: %+v", d)
 	}
-	reply := record(t, 0, m.Batch(now), now)
-	m.Appended()
-	got := m.Read(now.Add(2*time.Minute), reply)
+	reply := record(t, 0, m.NextBatch(now), now)
+	m.AppendSucceeded()
+	got := m.ApplyRead(now.Add(2*time.Minute), reply)
 	if len(got) != 1 || got[0].Seq != seq || got[0].Decision.Run {
 		t.Fatalf("decided %+v", got)
 	}
-	if b := m.Batch(now.Add(3 * time.Minute)); b == nil || len(b.Results) != 1 || b.Results[0].Status != Released {
+	if b := m.NextBatch(now.Add(3 * time.Minute)); b == nil || len(b.Results) != 1 || b.Results[0].Status != Released {
 		t.Errorf("the key was not released: %+v", b)
 	}
 }
@@ -224,10 +224,10 @@
 		fail func(m *Machine, now time.Time)
 		mend func(m *Machine, now time.Time)
 	}{
-		{"appends", func(m *Machine, now time.Time) { m.Batch(now); m.AppendFailed(now) },
-			func(m *Machine, now time.Time) { m.Batch(now); m.Appended() }},
+		{"appends", func(m *Machine, now time.Time) { m.NextBatch(now); m.AppendFailed(now) },
+			func(m *Machine, now time.Time) { m.NextBatch(now); m.AppendSucceeded() }},
 		{"reads", (*Machine).ReadFailed,
-			func(m *Machine, now time.Time) { m.Read(now, infraapi.ReadReply{}) }},
+			func(m *Machine, now time.Time) { m.ApplyRead(now, infraapi.ReadReply{}) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -237,7 +237,7 @@
 				if step != nil {
 					step(m, now)
 				}
-				_, _, decided := m.Claim(now, Key{byte(i)}, Body{}, "")
+				_, _, decided := m.Claim(now, Key{byte(i)}, BodyDigest{}, "")
 				waits = append(waits, !decided)
 				now = now.Add(outageAfter)
 			}
@@ -255,18 +255,18 @@
 func TestLogLosesItsEnd(t *testing.T) {
 	m, now := testMachine(9)
 	claim := func(key byte, offset uint64) (granted bool) {
-		m.Claim(now, Key{key}, Body{}, "")
+		m.Claim(now, Key{key}, BodyDigest{}, "")
 		now = now.Add(time.Second)
-		b := m.Batch(now)
-		m.Appended()
-		if len(b.Claims) != 1 || b.Claims[0].Seen != offset {
+		b := m.NextBatch(now)
+		m.AppendSucceeded()
+		if len(b.Claims) != 1 || b.Claims[0].SeenOffset != offset {
 			t.Fatalf("at offset %d appended %+v", offset, b)
 		}
-		got := m.Read(now, record(t, offset, b, now))
+		got := m.ApplyRead(now, record(t, offset, b, now))
 		return len(got) == 1 && got[0].Decision.Run
 	}
 	granted := []bool{claim(1, 0), claim(2, 1)}
-	m.Read(now, infraapi.ReadReply{})
+	m.ApplyRead(now, infraapi.ReadReply{})
 	granted = append(granted, claim(3, 0))
 	now = now.Add(2 * time.Hour)
 	granted = append(granted, claim(4, 1))
@@ -283,16 +283,16 @@
 func TestForgottenClaimIsNotReleased(t *testing.T) {
 	m, now := testMachine(9)
 	m.cfg.MaxResults = 0 // drops the result of the run
-	seq, _, _ := m.Claim(now, Key{1}, Body{1}, "")
-	b, appended := m.Batch(now), now
-	m.Appended()
-	m.Read(now, record(t, 0, b, appended))
+	seq, _, _ := m.Claim(now, Key{1}, BodyDigest{1}, "")
+	b, appended := m.NextBatch(now), now
+	m.AppendSucceeded()
+	m.ApplyRead(now, record(t, 0, b, appended))
 	m.Finish(now, seq, request.Outcome{Run: errkind.Ran})
 	now = now.Add(2 * time.Hour)
-	m.Claim(now, Key{2}, Body{1}, "")
+	m.Claim(now, Key{2}, BodyDigest{1}, "")
 	m.cfg.MaxResults = 9
-	m.Read(now, record(t, 1, b, appended))
-	if b := m.Batch(now); len(b.Results) != 0 {
+	m.ApplyRead(now, record(t, 1, b, appended))
+	if b := m.NextBatch(now); len(b.Results) != 0 {
 		t.Errorf("released: %+v", b.Results)
 	}
 }
@@ -307,9 +307,9 @@
 		m.Follow(follows)
 		var marked []bool
 		for _, after := range []time.Duration{14 * time.Minute, 15 * time.Minute, 16 * time.Minute, 30 * time.Minute} {
-			b := m.Batch(now.Add(after))
+			b := m.NextBatch(now.Add(after))
 			marked = append(marked, b != nil)
-			m.Appended()
+			m.AppendSucceeded()
 		}
 		if diff := cmp.Diff([]bool{false, follows, false, follows}, marked); diff != "" {
 			t.Errorf("follows %v: markers (-want +got):\n%s", follows, diff)
--- a/claims/follow.go
+++ b/claims/follow.go
@@ -74,7 +74,7 @@
 func (s *shard) applyReply(reply infraapi.ReadReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deliver(s.machine.Read(s.opts.Now(), reply))
+	s.deliver(s.machine.ApplyRead(s.opts.Now(), reply))
 	close(s.progress)
 	s.progress = make(chan struct{})
 	s.wake()
--- a/claims/gate.go
+++ b/claims/gate.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	minter.isDead, minter.now = opts.Dead, opts.Now
+	minter.isDead, minter.now = opts.IsDead, opts.Now
 	g := &Gate{opts: opts, minter: minter}
 	g.appendLimiter = rate.NewLimiter(rate.Limit(opts.AppendsPerSecond), max(1, int(opts.AppendsPerSecond/10)))
 	for i := range opts.Shards {
@@ -64,7 +64,7 @@
 // Claim implements request.Gate. It waits up to Options.DecideWithin for a
 // decision.
 func (g *Gate) Claim(ctx context.Context, k request.ClaimKey) (request.Grant, *errkind.Error) {
-	body := Body(k.Body[:DigestSize])
+	body := BodyDigest(k.Body[:DigestSize])
 	if isToken(k.Key) {
 		return g.minter.Claim(k.Team, k.Key, body)
 	}
@@ -72,10 +72,10 @@
 	return g.shards[key.Shard(len(g.shards))].claim(ctx, key, body, k.RequestID)
 }
 
-// ServeGet returns the state of a key to another daemon. This daemon must follow
+// ServeLookup returns the state of a key to another daemon. This daemon must follow
 // the key's shard; it answers once it has read the stream up to the offset that the
 // request names.
-func (g *Gate) ServeGet(ctx context.Context, get wire.ClaimGet) (wire.ClaimState, error) {
+func (g *Gate) ServeLookup(ctx context.Context, get wire.ClaimGet) (wire.ClaimState, error) {
 	s, key, err := g.shardForLookup(get)
 	if err != nil {
 		return wire.ClaimState{}, err
--- a/claims/home.go
+++ b/claims/home.go
@@ -23,10 +23,10 @@
 func (s *shard) askHome(ctx context.Context, key Key, seq, offset uint64) (d Decision, ok bool) {
 	get := wire.ClaimGet{Stream: s.stream, Key: key[:], Through: offset + 1}
 	for ctx.Err() == nil {
-		if s.opts.Ask == nil {
+		if s.opts.LookupAtHome == nil {
 			return Decision{}, false
 		}
-		state, err := s.opts.Ask(ctx, s.number, get)
+		state, err := s.opts.LookupAtHome(ctx, s.number, get)
 		if err == nil && state.Through > offset {
 			return s.applyHomeState(seq, state)
 		}
@@ -43,7 +43,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, ok = s.machine.Told(s.opts.Now(), seq, v, state.Through)
+	d, ok = s.machine.ResolveFromHome(s.opts.Now(), seq, v, state.Through)
 	if ok {
 		delete(s.waiters, seq)
 		s.wake()
@@ -96,20 +96,20 @@
 
 // toWireState encodes the state of a key for another daemon. through is the offset
 // below which this daemon has read every record.
-func toWireState(v View, through uint64) wire.ClaimState {
+func toWireState(v KeyState, through uint64) wire.ClaimState {
 	return wire.ClaimState{
-		Found: v.Found, Holder: v.Holder.Node, Seq: v.Holder.Seq, Offset: v.Offset, Through: through, Body: v.Body[:], Sure: v.Sure,
-		Status: uint8(v.Status), Released: v.Released, AgeMS: v.Age.Milliseconds(), Answer: v.Answer,
+		Found: v.Found, Holder: v.Holder.Node, Seq: v.Holder.Seq, Offset: v.Offset, Through: through, Body: v.Body[:], Sure: v.Authoritative,
+		Status: uint8(v.Status), Released: v.ReleaseOffset, AgeMS: v.Age.Milliseconds(), Answer: v.Answer,
 	}
 }
 
 // fromWireState decodes the state of a key that another daemon sent.
-func fromWireState(st wire.ClaimState) (View, error) {
+func fromWireState(st wire.ClaimState) (KeyState, error) {
 	if len(st.Body) != DigestSize || st.Status > uint8(Released) {
-		return View{}, errors.New("claims: malformed state")
+		return KeyState{}, errors.New("claims: malformed state")
 	}
-	return View{
-		Found: st.Found, Sure: st.Sure, Holder: ClaimID{Node: st.Holder, Seq: st.Seq}, Body: Body(st.Body), Offset: st.Offset,
-		Status: Status(st.Status), Released: st.Released, Age: time.Duration(st.AgeMS) * time.Millisecond, Answer: st.Answer,
+	return KeyState{
+		Found: st.Found, Authoritative: st.Sure, Holder: ClaimID{Node: st.Holder, Seq: st.Seq}, Body: BodyDigest(st.Body), Offset: st.Offset,
+		Status: Status(st.Status), ReleaseOffset: st.Released, Age: time.Duration(st.AgeMS) * time.Millisecond, Answer: st.Answer,
 	}, nil
 }
--- a/claims/index.go
+++ b/claims/index.go
@@ -22,23 +22,23 @@
 	AnswerBytes int
 }
 
-// View is the state of one key in an Index.
-type View struct {
+// KeyState is the state of one key in an Index.
+type KeyState struct {
 	// Found is false if the index has no claim for the key.
 	Found bool
-	// Sure is false if records that this reader could not read may contain an
+	// Authoritative is false if records that this reader could not read may contain an
 	// earlier claim for the key.
-	Sure   bool
-	Holder ClaimID
+	Authoritative bool
+	Holder        ClaimID
 	// Body is the digest of the request for which the holder claimed the key.
-	Body Body
+	Body BodyDigest
 	// Offset is the offset of the record with the holder's claim.
 	Offset uint64
 	// Status is the status of the holder's claim.
 	Status Status
-	// Released is the offset of the record that released the key; 0 unless Status
+	// ReleaseOffset is the offset of the record that released the key; 0 unless Status
 	// is Released.
-	Released uint64
+	ReleaseOffset uint64
 	// Age is the time since the holder claimed the key, measured by the timestamps
 	// of the log.
 	Age time.Duration
@@ -49,7 +49,7 @@
 // keyEntry is the state of one key.
 type keyEntry struct {
 	holder        ClaimID
-	body          Body
+	body          BodyDigest
 	authoritative bool // no earlier claim for the key can be missing
 	status        Status
 	offset        uint64
@@ -111,13 +111,13 @@
 // Len returns the number of keys held.
 func (x *Index) Len() int { return len(x.entries) }
 
-// Skip notes that the log no longer contains the records below offset first.
+// SkipTo notes that the log no longer contains the records below offset first.
 //
 // If the log trimmed records before this reader read them, a later claim for a key
 // would look like the first one and the key's request could run twice. Therefore
 // the timestamp of the next record becomes missingUntil, and no key claimed up to a
 // lifetime after it is authoritative.
-func (x *Index) Skip(first uint64) {
+func (x *Index) SkipTo(first uint64) {
 	if first <= x.next {
 		return
 	}
@@ -125,10 +125,10 @@
 	x.gapBefore = true
 }
 
-// Reset notes that the log lost records which this reader had read already: the log
+// Rewind notes that the log lost records which this reader had read already: the log
 // now ends before next and begins at offset first. No key is authoritative until a
 // lifetime has passed.
-func (x *Index) Reset(first uint64) {
+func (x *Index) Rewind(first uint64) {
 	x.markMissing(x.logTime)
 	x.next = first
 	x.gapBefore = first > 0
@@ -186,7 +186,7 @@
 	// A released key passes to a claim whose request arrived after its daemon had
 	// read the release. A claim for an earlier request, delayed on its way to the
 	// log, does not get the key, since its caller may have been told "not run".
-	if e.status == Released && c.Seen > e.releaseOffset && c.Body == e.body {
+	if e.status == Released && c.SeenOffset > e.releaseOffset && c.Body == e.body {
 		e.holder, e.offset, e.claimedMS = c.ID, r.Offset, r.TimeMS
 		e.status, e.releaseOffset = Held, 0
 	}
@@ -265,13 +265,13 @@
 
 // Lookup returns the state of a key. It does not return an expired key that is
 // still in memory, because readers remove expired keys at different times.
-func (x *Index) Lookup(k Key) View {
+func (x *Index) Lookup(k Key) KeyState {
 	e := x.entries[k]
 	if e == nil || e.lastClaimMS < x.expiryCutoff() {
-		return View{}
+		return KeyState{}
 	}
-	return View{
-		Found: true, Sure: e.authoritative, Holder: e.holder, Body: e.body, Offset: e.offset, Status: e.status,
-		Released: e.releaseOffset, Age: time.Duration(x.logTime-e.claimedMS) * time.Millisecond, Answer: e.answer.encoded,
+	return KeyState{
+		Found: true, Authoritative: e.authoritative, Holder: e.holder, Body: e.body, Offset: e.offset, Status: e.status,
+		ReleaseOffset: e.releaseOffset, Age: time.Duration(x.logTime-e.claimedMS) * time.Millisecond, Answer: e.answer.encoded,
 	}
 }
--- a/claims/index_test.go
+++ b/claims/index_test.go
@@ -31,10 +31,10 @@
 	var b Batch
 	for i := range rapid.IntRange(0, 2).Draw(t, "claims") {
 		b.Claims = append(b.Claims, Claim{
-			ID:   ClaimID{wire.NodeID{Instance: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "node"))}, uint64(offset*10 + i)},
-			Key:  Key{byte(rapid.IntRange(0, 2).Draw(t, "key"))},
-			Body: Body{byte(rapid.IntRange(0, 1).Draw(t, "body"))},
-			Seen: uint64(rapid.IntRange(0, offset).Draw(t, "seen")),
+			ID:         ClaimID{wire.NodeID{Instance: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "node"))}, uint64(offset*10 + i)},
+			Key:        Key{byte(rapid.IntRange(0, 2).Draw(t, "key"))},
+			Body:       BodyDigest{byte(rapid.IntRange(0, 1).Draw(t, "body"))},
+			SeenOffset: uint64(rapid.IntRange(0, offset).Draw(t, "seen")),
 		})
 	}
 	for _, o := range *old {
@@ -75,7 +75,7 @@
 			full.Apply(r)
 			small.Apply(r)
 			if offset < from || offset >= to {
-				late.Skip(r.Offset)
+				late.SkipTo(r.Offset)
 				late.Apply(r)
 			}
 			checkHolderChanges(t, before, lookups(full), &b, func(k int) time.Duration {
@@ -96,7 +96,7 @@
 }
 
 // lookups returns the states of the three keys of the test.
-func lookups(x *Index) (out [3]View) {
+func lookups(x *Index) (out [3]KeyState) {
 	for k := range out {
 		out[k] = x.Lookup(Key{byte(k)})
 	}
@@ -108,7 +108,7 @@
 func checkAgreement(t *rapid.T, full, other *Index) {
 	for k, v := range lookups(other) {
 		f := full.Lookup(Key{byte(k)})
-		if v.Found && v.Sure && (f.Holder != v.Holder || f.Status != v.Status || f.Released != v.Released) {
+		if v.Found && v.Authoritative && (f.Holder != v.Holder || f.Status != v.Status || f.ReleaseOffset != v.ReleaseOffset) {
 			t.Fatalf("key %d: authoritative state %+v differs from that of the whole log, %+v", k, v, f)
 		}
 	}
@@ -117,7 +117,7 @@
 // checkHolderChanges checks that a key gets another holder only if its last claim
 // was more than a lifetime ago, or if it was released before the new claimant's
 // request arrived. It also checks that a result is final.
-func checkHolderChanges(t *rapid.T, before, after [3]View, b *Batch, pause func(k int) time.Duration) {
+func checkHolderChanges(t *rapid.T, before, after [3]KeyState, b *Batch, pause func(k int) time.Duration) {
 	for k := range after {
 		o, n := before[k], after[k]
 		if !o.Found || !n.Found || pause(k) > testLifetime {
@@ -130,7 +130,7 @@
 			continue
 		}
 		released := slices.ContainsFunc(b.Claims, func(c Claim) bool {
-			return c.ID == n.Holder && c.Body == o.Body && o.Status == Released && c.Seen > o.Released
+			return c.ID == n.Holder && c.Body == o.Body && o.Status == Released && c.SeenOffset > o.ReleaseOffset
 		})
 		if !released {
 			t.Fatalf("key %d went from %+v to %+v", k, o, n)
--- a/claims/judge.go
+++ b/claims/judge.go
@@ -36,7 +36,7 @@
 // A refusal reports "not run" only where no attempt with this key and body can have
 // run or will run. Another attempt, sent by the balancer to another daemon, may be
 // running now, so most refusals report "unknown".
-func decideClaim(v View, ownID *ClaimID, body Body, staleAfter time.Duration, isDead func(wire.NodeID) bool) Decision {
+func decideClaim(v KeyState, ownID *ClaimID, body BodyDigest, staleAfter time.Duration, isDead func(wire.NodeID) bool) Decision {
 	switch {
 	case !v.Found:
 		return refuse(errkind.ClaimUnavailable, "the key is not on the log yet", retryAfterShort)
@@ -44,7 +44,7 @@
 		return alreadyRan(v.Answer)
 	case v.Status == Unknown && v.Body == body:
 		return outcomeUnknown()
-	case !v.Sure:
+	case !v.Authoritative:
 		return refuse(errkind.ClaimUnavailable, "the log no longer keeps all records of the key's lifetime", retryAfterLong)
 	case ownID != nil && v.Holder == *ownID && v.Status == Held:
 		return Decision{Run: true}
--- a/claims/key.go
+++ b/claims/key.go
@@ -18,8 +18,8 @@
 // Key is the digest of a team's name and the idempotency key that the team chose.
 type Key [DigestSize]byte
 
-// Body is the digest of the request for which a key was claimed.
-type Body [DigestSize]byte
+// BodyDigest is the digest of the request for which a key was claimed.
+type BodyDigest [DigestSize]byte
 
 // NewKey returns the digest of a team's idempotency key. The hashed input starts
 // with the length of the team's name, so that different pairs of team and key never
--- a/claims/machine.go
+++ b/claims/machine.go
@@ -84,7 +84,7 @@
 
 // Claim makes a claim for a request. The claim is either decided at once, or waits
 // for its resolution under the sequence number that is returned.
-func (m *Machine) Claim(now time.Time, key Key, body Body, requestID string) (seq uint64, d Decision, decided bool) {
+func (m *Machine) Claim(now time.Time, key Key, body BodyDigest, requestID string) (seq uint64, d Decision, decided bool) {
 	m.claims.prune(now.Add(-m.cfg.Index.Lifetime - m.cfg.Index.Margin))
 	if d, decided = m.decideLocally(key, body); decided {
 		return 0, d, true
@@ -96,7 +96,7 @@
 		return 0, refuse(errkind.Overloaded, "too many keys are being claimed", retryAfterShort), true
 	}
 	m.seq++
-	c := Claim{ID: ClaimID{Node: m.self, Seq: m.seq}, Key: key, Body: body, Seen: m.seenOffset, RequestID: requestID}
+	c := Claim{ID: ClaimID{Node: m.self, Seq: m.seq}, Key: key, Body: body, SeenOffset: m.seenOffset, RequestID: requestID}
 	m.claims.add(&ownClaim{claim: c, started: now})
 	m.waitingCount++
 	m.outbox.claims = append(m.outbox.claims, c)
@@ -124,7 +124,7 @@
 }
 
 // decideLocally decides a repeat for which no claim needs to be appended.
-func (m *Machine) decideLocally(key Key, body Body) (Decision, bool) {
+func (m *Machine) decideLocally(key Key, body BodyDigest) (Decision, bool) {
 	if o := m.claims.byKey[key]; o != nil {
 		if d, ok := m.decideOwnRepeat(o, body); ok {
 			return d, true
@@ -141,7 +141,7 @@
 }
 
 // decideOwnRepeat decides a repeat of a request that this daemon claimed itself.
-func (m *Machine) decideOwnRepeat(o *ownClaim, body Body) (Decision, bool) {
+func (m *Machine) decideOwnRepeat(o *ownClaim, body BodyDigest) (Decision, bool) {
 	switch {
 	case o.phase == phaseWaiting:
 		return keyInProgress(), true
@@ -158,8 +158,8 @@
 }
 
 // reclaimable reports whether a request that arrives now may claim a released key.
-func (m *Machine) reclaimable(v View, body Body) bool {
-	return v.Sure && v.Status == Released && v.Body == body && m.seenOffset > v.Released
+func (m *Machine) reclaimable(v KeyState, body BodyDigest) bool {
+	return v.Authoritative && v.Status == Released && v.Body == body && m.seenOffset > v.ReleaseOffset
 }
 
 // indexNearlyFull reports whether the index holds 90% of MaxKeys. From there on
@@ -169,17 +169,17 @@
 	return m.index != nil && m.index.Len() >= m.cfg.Index.MaxKeys-m.cfg.Index.MaxKeys/10
 }
 
-// Read applies the reply to a read of the stream, and returns the decisions on this
+// ApplyRead applies the reply to a read of the stream, and returns the decisions on this
 // daemon's claims in it.
-func (m *Machine) Read(now time.Time, reply infraapi.ReadReply) []resolution {
+func (m *Machine) ApplyRead(now time.Time, reply infraapi.ReadReply) []resolution {
 	if m.index == nil {
 		return nil
 	}
 	m.readFailingSince = time.Time{}
 	if reply.Next < m.index.Next() {
-		m.index.Reset(reply.First)
+		m.index.Rewind(reply.First)
 	}
-	m.index.Skip(reply.First)
+	m.index.SkipTo(reply.First)
 	var out []resolution
 	for _, r := range reply.Records {
 		b := m.index.Apply(r)
@@ -228,11 +228,11 @@
 
 // resolveClaim ends the wait of a claim, given the state of its key read at least
 // up to the claim's own record.
-func (m *Machine) resolveClaim(now time.Time, o *ownClaim, v View) Decision {
+func (m *Machine) resolveClaim(now time.Time, o *ownClaim, v KeyState) Decision {
 	d := decideClaim(v, &o.claim.ID, o.claim.Body, m.cfg.StaleAfter, m.isDead)
 	m.waitingCount--
 	m.outbox.removeClaim(o.claim.ID.Seq)
-	if !d.Run && v.Found && v.Sure && v.Holder != o.claim.ID {
+	if !d.Run && v.Found && v.Authoritative && v.Holder != o.claim.ID {
 		m.claims.remove(o)
 		return d
 	}
@@ -250,10 +250,10 @@
 	return d
 }
 
-// Told decides a waiting claim from the state v of its key at a home of the shard,
+// ResolveFromHome decides a waiting claim from the state v of its key at a home of the shard,
 // which has read every record below the offset through, including the claim's own.
 // ok is false if the claim no longer waits.
-func (m *Machine) Told(now time.Time, seq uint64, v View, through uint64) (d Decision, ok bool) {
+func (m *Machine) ResolveFromHome(now time.Time, seq uint64, v KeyState, through uint64) (d Decision, ok bool) {
 	m.seenOffset = max(m.seenOffset, through)
 	o := m.claims.bySeq[seq]
 	if o == nil || o.phase != phaseWaiting {
@@ -320,9 +320,9 @@
 }
 
 // Lookup returns the state of a key; the zero View if the stream is not followed.
-func (m *Machine) Lookup(k Key) View {
+func (m *Machine) Lookup(k Key) KeyState {
 	if m.index == nil {
-		return View{}
+		return KeyState{}
 	}
 	return m.index.Lookup(k)
 }
--- a/claims/model_test.go
+++ b/claims/model_test.go
@@ -61,7 +61,7 @@
 	arrived     int           // value of modelState.steps at its arrival
 	deadline    time.Duration // the latest time of its dispatch
 	offset      int           // offset of its claim's record, or -1
-	homeView    *View         // a home's reply that is yet to be delivered
+	homeView    *KeyState     // a home's reply that is yet to be delivered
 	homeThrough uint64        // the home had read every record below this offset
 }
 
@@ -239,7 +239,7 @@
 	switch name {
 	case "arrive":
 		a.arrived, a.incarnation, a.offset = w.steps, d.incarnation, -1
-		seq, dec, decided := d.m.Claim(w.time(), modelKey, Body{a.body}, "")
+		seq, dec, decided := d.m.Claim(w.time(), modelKey, BodyDigest{a.body}, "")
 		a.seq, a.phase, a.deadline = seq, 'w', w.now+modelGrantTTL
 		if decided {
 			w.recordAnswer(i, dec)
@@ -252,7 +252,7 @@
 		v := w.daemons[0].m.Lookup(modelKey)
 		a.homeView, a.homeThrough = &v, w.daemons[0].m.Next()
 	case "tell":
-		if dec, ok := d.m.Told(w.time(), a.seq, *a.homeView, a.homeThrough); ok {
+		if dec, ok := d.m.ResolveFromHome(w.time(), a.seq, *a.homeView, a.homeThrough); ok {
 			w.recordAnswer(i, dec)
 		}
 	case "dispatch":
@@ -331,7 +331,7 @@
 	d := w.daemons[i]
 	switch name {
 	case "send":
-		b := d.m.Batch(w.time())
+		b := d.m.NextBatch(w.time())
 		data, err := b.Encode()
 		if err != nil {
 			panic(err)
@@ -341,7 +341,7 @@
 	case "reply":
 		offset := w.messages[d.inFlight].offset
 		d.inFlight = -1
-		for _, seq := range d.m.Appended() {
+		for _, seq := range d.m.AppendSucceeded() {
 			for k := range w.attempts {
 				if a := &w.attempts[k]; a.daemon == i && a.incarnation == d.incarnation && a.seq == seq {
 					a.offset = offset
@@ -370,7 +370,7 @@
 	if from := int(d.m.Next()); from >= w.trimmedBelow {
 		reply.Records = w.log[from : from+1]
 	}
-	for _, r := range d.m.Read(w.time(), reply) {
+	for _, r := range d.m.ApplyRead(w.time(), reply) {
 		for k := range w.attempts {
 			a := &w.attempts[k]
 			if a.daemon == i && a.incarnation == d.incarnation && a.phase == 'w' && a.seq == r.Seq {
--- a/claims/options.go
+++ b/claims/options.go
@@ -18,9 +18,9 @@
 	Read(ctx context.Context, stream string, from uint64, maxRecords int, wait time.Duration) (infraapi.ReadReply, error)
 }
 
-// AskFunc asks a home of a shard, which is a daemon that follows the shard, for the
+// HomeLookupFunc asks a home of a shard, which is a daemon that follows the shard, for the
 // state of a key. The home answers with Gate.ServeGet.
-type AskFunc func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error)
+type HomeLookupFunc func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error)
 
 // Options configure a Gate. Zero values select the defaults given below.
 type Options struct {
@@ -40,16 +40,16 @@
 	// plus the marker interval (a quarter of Lifetime), plus twice Margin. Default
 	// 2 h.
 	Retention time.Duration
-	// Margin is the largest difference expected between two clocks. Default 1 min.
-	Margin time.Duration
-	// DecideWithin limits how long a claim waits for a decision. Default 3 s.
-	DecideWithin time.Duration
+	// MaxClockSkew is the largest difference expected between two clocks. Default 1 min.
+	MaxClockSkew time.Duration
+	// DecisionTimeout limits how long a claim waits for a decision. Default 3 s.
+	DecisionTimeout time.Duration
 	// GrantTTL is how long after its arrival a request may be dispatched. Default
 	// 1 min.
 	GrantTTL time.Duration
-	// Stale is the age at which a claim without a result counts as lost: the
+	// StaleAfter is the age at which a claim without a result counts as lost: the
 	// outcome of its request is then unknown. Default 10 min.
-	Stale time.Duration
+	StaleAfter time.Duration
 	// MaxWaiting is the largest number of claims per shard that wait for a
 	// decision. The lookups and the records of other daemons that wait are limited
 	// to as many. Default 1024.
@@ -78,16 +78,16 @@
 	// Follow reports whether this daemon should read a shard; nil means that it
 	// reads all. It is called again about every second.
 	Follow func(shard int) bool
-	// Ask looks a key up at a home of a shard that this daemon does not follow. It
+	// LookupAtHome looks a key up at a home of a shard that this daemon does not follow. It
 	// is required if Follow is set.
-	Ask AskFunc
-	// Relay sends records for a shard that this daemon does not follow to a home of
+	LookupAtHome HomeLookupFunc
+	// AppendAtHome sends records for a shard that this daemon does not follow to a home of
 	// the shard, which appends them together with those of other daemons. If nil,
 	// this daemon appends them itself.
-	Relay RelayFunc
-	// Dead reports whether an incarnation is known to have ended; nil means that
+	AppendAtHome HomeAppendFunc
+	// IsDead reports whether an incarnation is known to have ended; nil means that
 	// none ever is.
-	Dead func(wire.NodeID) bool
+	IsDead func(wire.NodeID) bool
 	// Now returns the wall-clock time; nil means time.Now.
 	Now func() time.Time
 }
@@ -111,10 +111,10 @@
 	setDefault(&o.Shards, 4)
 	setDefault(&o.Lifetime, time.Hour)
 	setDefault(&o.Retention, 2*time.Hour)
-	setDefault(&o.Margin, time.Minute)
-	setDefault(&o.DecideWithin, 3*time.Second)
+	setDefault(&o.MaxClockSkew, time.Minute)
+	setDefault(&o.DecisionTimeout, 3*time.Second)
 	setDefault(&o.GrantTTL, time.Minute)
-	setDefault(&o.Stale, 10*time.Minute)
+	setDefault(&o.StaleAfter, 10*time.Minute)
 	setDefault(&o.MaxWaiting, 1024)
 	setDefault(&o.MaxKeys, 100_000)
 	setDefault(&o.AnswerLimit, 4<<10)
@@ -126,8 +126,8 @@
 	if o.Logger == nil {
 		o.Logger = log.Log
 	}
-	if o.Dead == nil {
-		o.Dead = func(wire.NodeID) bool { return false }
+	if o.IsDead == nil {
+		o.IsDead = func(wire.NodeID) bool { return false }
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -152,16 +152,16 @@
 		return errors.New("claims: no instance name")
 	case o.Shards < 1:
 		return errors.New("claims: shards must be at least 1")
-	case o.Relay != nil && o.Follow == nil:
+	case o.AppendAtHome != nil && o.Follow == nil:
 		return errors.New("claims: Relay is set although every shard is followed")
-	case o.Follow != nil && o.Ask == nil:
+	case o.Follow != nil && o.LookupAtHome == nil:
 		return errors.New("claims: Follow is set but there is no way to ask the homes of other shards: Ask is not set")
-	case o.Retention < o.Lifetime+marker+2*o.Margin:
+	case o.Retention < o.Lifetime+marker+2*o.MaxClockSkew:
 		return errors.Errorf("claims: keys that live for %s need a log that keeps records for at least %s, not %s",
-			o.Lifetime, o.Lifetime+marker+2*o.Margin, o.Retention)
-	case o.GrantTTL+2*o.Margin > o.Lifetime:
+			o.Lifetime, o.Lifetime+marker+2*o.MaxClockSkew, o.Retention)
+	case o.GrantTTL+2*o.MaxClockSkew > o.Lifetime:
 		return errors.Errorf("claims: a grant of %s must end at least two clock margins of %s before the key lifetime of %s",
-			o.GrantTTL, o.Margin, o.Lifetime)
+			o.GrantTTL, o.MaxClockSkew, o.Lifetime)
 	}
 	return nil
 }
@@ -169,9 +169,9 @@
 // machineConfig returns the configuration of the Machine of each shard.
 func (o *Options) machineConfig() machineConfig {
 	return machineConfig{
-		Index:          IndexConfig{Lifetime: o.Lifetime, Margin: o.Margin, MaxKeys: o.MaxKeys, AnswerBytes: o.AnswerBytes},
+		Index:          IndexConfig{Lifetime: o.Lifetime, Margin: o.MaxClockSkew, MaxKeys: o.MaxKeys, AnswerBytes: o.AnswerBytes},
 		GrantTTL:       o.GrantTTL,
-		StaleAfter:     o.Stale,
+		StaleAfter:     o.StaleAfter,
 		MaxWaiting:     o.MaxWaiting,
 		Linger:         o.Linger,
 		ResultLinger:   resultLinger,
--- a/claims/options_test.go
+++ b/claims/options_test.go
@@ -21,7 +21,7 @@
 		{"no instance", "no instance", func(o *Options) { o.Self.Instance = "" }},
 		{"negative shards", "shards", func(o *Options) { o.Shards = -1 }},
 		{"relay of nothing", "every shard is followed", func(o *Options) {
-			o.Relay = func(context.Context, int, wire.ClaimAppend) (wire.ClaimAppended, error) {
+			o.AppendAtHome = func(context.Context, int, wire.ClaimAppend) (wire.ClaimAppended, error) {
 				return wire.ClaimAppended{}, nil
 			}
 		}},
--- a/claims/outbox.go
+++ b/claims/outbox.go
@@ -99,10 +99,10 @@
 	return m.outbox.dueAt(&m.cfg, m.index != nil)
 }
 
-// Batch returns the next batch to append, or nil if none is due. While the append
+// NextBatch returns the next batch to append, or nil if none is due. While the append
 // of a batch is in progress, until Appended or AppendFailed is called, no other
 // batch is due.
-func (m *Machine) Batch(now time.Time) *Batch {
+func (m *Machine) NextBatch(now time.Time) *Batch {
 	at, ok := m.Due()
 	if !ok || now.Before(at) {
 		return nil
@@ -117,10 +117,10 @@
 	return b
 }
 
-// Appended records that the batch in flight is on the log. It returns the sequence
+// AppendSucceeded records that the batch in flight is on the log. It returns the sequence
 // numbers of the batch's claims that still wait. If this daemon does not follow the
 // stream, a home must be asked to decide them.
-func (m *Machine) Appended() []uint64 {
+func (m *Machine) AppendSucceeded() []uint64 {
 	b := m.outbox.inflight
 	m.outbox.inflight, m.outbox.backoff, m.outbox.failingSince = nil, 0, time.Time{}
 	if b == nil {
--- a/claims/relay.go
+++ b/claims/relay.go
@@ -8,9 +8,9 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// RelayFunc sends a record to a home of a shard, which appends it. The home answers
+// HomeAppendFunc sends a record to a home of a shard, which appends it. The home answers
 // with Gate.ServeAppend.
-type RelayFunc func(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error)
+type HomeAppendFunc func(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error)
 
 // maxForwardedBytes is the largest size of a record that is appended for another
 // daemon.
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -44,7 +44,7 @@
 	return &shard{
 		number: number, stream: Stream(number), opts: opts,
 		wakeup:  make(chan struct{}, 1),
-		machine: newMachine(opts.machineConfig(), opts.Self, opts.Dead, opts.Now()),
+		machine: newMachine(opts.machineConfig(), opts.Self, opts.IsDead, opts.Now()),
 		waiters: make(map[uint64]*waiter), progress: make(chan struct{}),
 	}
 }
@@ -58,7 +58,7 @@
 }
 
 // claim makes a claim and waits for its decision.
-func (s *shard) claim(ctx context.Context, key Key, body Body, requestID string) (request.Grant, *errkind.Error) {
+func (s *shard) claim(ctx context.Context, key Key, body BodyDigest, requestID string) (request.Grant, *errkind.Error) {
 	started := s.opts.Now()
 	s.mu.Lock()
 	seq, d, decided := s.machine.Claim(started, key, body, requestID)
@@ -75,7 +75,7 @@
 
 // wait returns the decision on a claim, or abandons the claim after DecideWithin.
 func (s *shard) wait(ctx context.Context, key Key, seq uint64, w *waiter) Decision {
-	ctx, cancel := context.WithTimeout(ctx, s.opts.DecideWithin)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.DecisionTimeout)
 	defer cancel()
 	for {
 		select {
@@ -204,7 +204,7 @@
 // together with records forwarded by other daemons.
 func (s *shard) appendDue(ctx context.Context, at time.Time) {
 	s.mu.Lock()
-	b := s.machine.Batch(at)
+	b := s.machine.NextBatch(at)
 	forwarded := s.takeForwarded()
 	s.lastAppend = s.opts.Now()
 	s.mu.Unlock()
@@ -231,7 +231,7 @@
 		s.machine.AppendFailed(s.opts.Now())
 		return
 	}
-	for _, seq := range s.machine.Appended() {
+	for _, seq := range s.machine.AppendSucceeded() {
 		if w := s.waiters[seq]; w != nil && !s.following {
 			select {
 			case w.appended <- offset:
@@ -253,8 +253,8 @@
 		if err != nil {
 			return 0, err
 		}
-		if s.opts.Relay != nil && !s.opts.Follow(s.number) && len(forwarded) == 0 {
-			reply, err := s.opts.Relay(ctx, s.number, wire.ClaimAppend{Stream: s.stream, Record: data})
+		if s.opts.AppendAtHome != nil && !s.opts.Follow(s.number) && len(forwarded) == 0 {
+			reply, err := s.opts.AppendAtHome(ctx, s.number, wire.ClaimAppend{Stream: s.stream, Record: data})
 			return reply.Offset, err
 		}
 		records = append(records, data)
--- a/claims/token.go
+++ b/claims/token.go
@@ -81,7 +81,7 @@
 
 // Claim decides a request whose idempotency key is a bound token. If another
 // incarnation issued the token, the grant names it as the owner.
-func (m *Minter) Claim(team, key string, body Body) (request.Grant, *errkind.Error) {
+func (m *Minter) Claim(team, key string, body BodyDigest) (request.Grant, *errkind.Error) {
 	t, mac, err := parseToken(key)
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.BadRequest, "the idempotency key looks like a bound token but is none")
@@ -110,7 +110,7 @@
 }
 
 // claimLocal decides a request with a valid token of this incarnation.
-func (m *Minter) claimLocal(now time.Time, key Key, body Body, expiry time.Time) (request.Grant, *errkind.Error) {
+func (m *Minter) claimLocal(now time.Time, key Key, body BodyDigest, expiry time.Time) (request.Grant, *errkind.Error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.used.claim(now, key, body, expiry)
--- a/claims/token_test.go
+++ b/claims/token_test.go
@@ -22,7 +22,7 @@
 	dead := wire.NodeID{Instance: "dead", Incarnation: 9}
 	var clockOffset atomic.Int64
 	a := testGate(t, "a.b", l, func(o *Options) {
-		o.Dead = func(n wire.NodeID) bool { return n == dead }
+		o.IsDead = func(n wire.NodeID) bool { return n == dead }
 		o.Now = func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 		o.MaxTokens = 2
 	})
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	m.now = func() time.Time { return start.Add(clockOffset) }
-	use := func(token string) string { return claimResult(m.Claim("team", token, Body{1})) }
+	use := func(token string) string { return claimResult(m.Claim("team", token, BodyDigest{1})) }
 	used := m.Mint("team")
 	got := []string{use(used)}
 	clockOffset = 70 * time.Second
--- a/claims/tokenindex.go
+++ b/claims/tokenindex.go
@@ -19,7 +19,7 @@
 // tokenEntry is the state of a bound token that was used.
 type tokenEntry struct {
 	key    Key
-	body   Body
+	body   BodyDigest
 	expiry time.Time
 	phase  phase
 	status Status
@@ -31,7 +31,7 @@
 }
 
 // claim decides a request with the token that key identifies.
-func (x *tokenIndex) claim(now time.Time, key Key, body Body, expiry time.Time) Decision {
+func (x *tokenIndex) claim(now time.Time, key Key, body BodyDigest, expiry time.Time) Decision {
 	x.prune(now)
 	e := x.entries[key]
 	switch {
--- a/router/homes_test.go
+++ b/router/homes_test.go
@@ -69,7 +69,7 @@
 	}
 	switch req := req.(type) {
 	case wire.ClaimGet:
-		*reply.(*wire.ClaimState), err = p.f.gates[to].ServeGet(ctx, req)
+		*reply.(*wire.ClaimState), err = p.f.gates[to].ServeLookup(ctx, req)
 	case wire.ClaimAppend:
 		*reply.(*wire.ClaimAppended), err = p.f.gates[to].ServeAppend(ctx, req)
 	}
@@ -147,8 +147,8 @@
 	for i := range daemons {
 		h := f.homes(i)
 		g, err := claims.New(claims.Options{
-			Log: infra.NewLog(url, hc), Self: fleetNode(i), Follow: h.follow, Ask: h.ask, Relay: h.relay,
-			DecideWithin: testTimeout, Logger: &log.Logger{Handler: discard.Default, Level: log.FatalLevel},
+			Log: infra.NewLog(url, hc), Self: fleetNode(i), Follow: h.follow, LookupAtHome: h.ask, AppendAtHome: h.relay,
+			DecisionTimeout: testTimeout, Logger: &log.Logger{Handler: discard.Default, Level: log.FatalLevel},
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/router/peers.go
+++ b/router/peers.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.gate.ServeGet(ctx, get)
+	return r.gate.ServeLookup(ctx, get)
 }
 
 // serveForward runs a request that a peer forwarded.
