--- a/board/learned.go
+++ b/board/learned.go
@@ -126,10 +126,10 @@
 // otherwise keep away the requests that could correct it.
 func (e *entry) nextExpiry(now time.Time) time.Time {
 	out := futureOrZero(e.prefillExpiry(), now)
-	out = earlier(out, futureOrZero(e.tokenInterval.Lapses(), now))
+	out = earlier(out, futureOrZero(e.tokenInterval.ExpiresAt(), now))
 	if e.estimates != nil {
-		out = earlier(out, futureOrZero(e.estimates.step.Lapses(), now))
-		out = earlier(out, futureOrZero(e.estimates.prefill.Lapses(), now))
+		out = earlier(out, futureOrZero(e.estimates.step.ExpiresAt(), now))
+		out = earlier(out, futureOrZero(e.estimates.prefill.ExpiresAt(), now))
 	}
 	return out
 }
--- a/claims/machine.go
+++ b/claims/machine.go
@@ -301,7 +301,7 @@
 
 // statusFromRun returns the status for a run state. Any state other than Ran and
 // NotRun gives Unknown.
-func statusFromRun(r errkind.Run) Status {
+func statusFromRun(r errkind.RunState) Status {
 	switch r {
 	case errkind.Ran:
 		return Ran
--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -49,15 +49,15 @@
 	Internal             Kind = "internal"
 )
 
-// Run is a run state: whether the request ran on an upstream.
-type Run string
+// RunState is a run state: whether the request ran on an upstream.
+type RunState string
 
 // The run states. NotRun guarantees that no upstream executed the request, so a retry
 // cannot run it twice.
 const (
-	NotRun  Run = "not-run"
-	Unknown Run = "unknown"
-	Ran     Run = "ran"
+	NotRun  RunState = "not-run"
+	Unknown RunState = "unknown"
+	Ran     RunState = "ran"
 )
 
 // Row is the table entry of one Kind.
@@ -65,7 +65,7 @@
 	// Status is the HTTP status code.
 	Status int
 	// Run is the run state that is reported unless Error.Run is set.
-	Run Run
+	Run RunState
 	// Retryable says whether the same request can succeed later.
 	Retryable bool
 	// RetryAfter is the default retry delay; with zero, none is sent.
@@ -81,7 +81,7 @@
 	// Detail is a sentence for humans. It must not contain secrets.
 	Detail string
 	// Run overrides the run state of the table if it is set.
-	Run Run
+	Run RunState
 	// RetryAfter overrides the retry delay of the table if it is positive.
 	RetryAfter time.Duration
 
@@ -100,7 +100,7 @@
 }
 
 // WithRun returns a copy of e with the run state set.
-func (e *Error) WithRun(run Run) *Error {
+func (e *Error) WithRun(run RunState) *Error {
 	c := *e
 	c.Run = run
 	return &c
--- a/estimate/answers.go
+++ b/estimate/answers.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Answers estimates the length of answers from those already finished. It records the
+// AnswerLengths estimates the length of answers from those already finished. It records the
 // ratio of each answer's length to its expected length: the caller's own estimate or,
 // without one, its limit on the number of tokens. The zero value has no samples. It is
 // safe for concurrent use.
 //
 // It is meant for answers of up to thousands of tokens whose estimates are right in the
 // median but off by a factor of two either way.
-type Answers struct {
+type AnswerLengths struct {
 	mu     sync.Mutex
 	ratios distribution
 }
 
-// Finished records the actual and the expected length of a complete answer, in tokens.
-func (a *Answers) Finished(now time.Time, tokens, expected int) {
+// Add records the actual and the expected length of a complete answer, in tokens.
+func (a *AnswerLengths) Add(now time.Time, tokens, expected int) {
 	if tokens <= 0 || expected <= 0 {
 		return
 	}
@@ -28,7 +28,7 @@
 }
 
 // Samples returns the number of answers seen, and the time of the last one.
-func (a *Answers) Samples() (int, time.Time) {
+func (a *AnswerLengths) Samples() (int, time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ratios.samples, a.ratios.at
@@ -37,7 +37,7 @@
 // Quantile returns the length, in tokens, that a share q (0 to 1) of the answers with
 // the given expected length does not exceed. It returns false while there are too few
 // samples.
-func (a *Answers) Quantile(q float64, expected int) (int, bool) {
+func (a *AnswerLengths) Quantile(q float64, expected int) (int, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ratios.samples < minDistributionSamples || expected <= 0 {
@@ -48,7 +48,7 @@
 
 // Mean returns the mean length, in tokens, of answers with the given expected length.
 // It returns false while there are too few samples.
-func (a *Answers) Mean(expected int) (float64, bool) {
+func (a *AnswerLengths) Mean(expected int) (float64, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ratios.samples < minDistributionSamples || expected <= 0 {
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -57,13 +57,13 @@
 // expiry the pool would refuse all requests even after the engines have recovered.
 func TestMeanLapses(t *testing.T) {
 	m := meanOf(repeat(5, 10)...)
-	if _, known := m.Value(m.Lapses().Add(-time.Millisecond)); !known {
+	if _, known := m.Value(m.ExpiresAt().Add(-time.Millisecond)); !known {
 		t.Error("the estimate expires early")
 	}
-	if _, known := m.Value(m.Lapses()); known {
+	if _, known := m.Value(m.ExpiresAt()); known {
 		t.Error("the estimate does not expire")
 	}
-	m.Add(m.Lapses(), 50)
+	m.Add(m.ExpiresAt(), 50)
 	if n, _ := m.Samples(); n != 1 {
 		t.Errorf("%d samples after the expiry, want 1", n)
 	}
@@ -72,11 +72,11 @@
 // newAnswers returns Answers with n answers whose lengths have a log-normal
 // distribution: the median is ratio times the expected 1000 tokens, and spread is the
 // standard deviation of the logarithm.
-func newAnswers(n int, ratio, spread float64) *Answers {
+func newAnswers(n int, ratio, spread float64) *AnswerLengths {
 	rng := rand.New(rand.NewPCG(1, 2))
-	a := &Answers{}
+	a := &AnswerLengths{}
 	for range n {
-		a.Finished(t0, int(1000*ratio*math.Exp(spread*rng.NormFloat64())), 1000)
+		a.Add(t0, int(1000*ratio*math.Exp(spread*rng.NormFloat64())), 1000)
 	}
 	return a
 }
@@ -103,7 +103,7 @@
 func TestAnswersFollowANewMix(t *testing.T) {
 	a := newAnswers(1000, 1, 0.3)
 	for range 300 {
-		a.Finished(t0, 4000, 1000)
+		a.Add(t0, 4000, 1000)
 	}
 	if median, _ := a.Quantile(0.5, 1000); median < 3000 {
 		t.Errorf("median %d after 300 answers of 4000 tokens, want at least 3000", median)
@@ -131,7 +131,7 @@
 	if !ok || got < trueTime*9/10 || got > trueTime*13/10 {
 		t.Errorf("estimated %v, known %v; true time %v", got, ok, trueTime)
 	}
-	if _, ok := s.Value(s.Lapses()); ok {
+	if _, ok := s.Value(s.ExpiresAt()); ok {
 		t.Error("the estimate does not expire")
 	}
 }
--- a/estimate/mean.go
+++ b/estimate/mean.go
@@ -106,9 +106,9 @@
 // Samples returns the number of samples in the mean, and the time of the last one.
 func (m *Mean) Samples() (int, time.Time) { return m.samples, m.at }
 
-// Lapses returns when the mean expires if no further sample is added; zero if it has no
+// ExpiresAt returns when the mean expires if no further sample is added; zero if it has no
 // samples.
-func (m *Mean) Lapses() time.Time {
+func (m *Mean) ExpiresAt() time.Time {
 	if m.samples == 0 {
 		return time.Time{}
 	}
--- a/estimate/sample.go
+++ b/estimate/sample.go
@@ -14,7 +14,7 @@
 	Held time.Duration
 	// PerToken is the mean time between two tokens of the answer, ReadPerToken the
 	// prefill time per prompt token.
-	PerToken, ReadPerToken time.Duration
-	// ReadLost says that a prefill was abandoned because it exceeded its time limit.
-	ReadLost bool
+	PerToken, PrefillPerToken time.Duration
+	// PrefillTimedOut says that a prefill was abandoned because it exceeded its time limit.
+	PrefillTimedOut bool
 }
--- a/estimate/speed.go
+++ b/estimate/speed.go
@@ -51,9 +51,9 @@
 // Samples returns the number of calls seen, and the time of the last one.
 func (s *Speed) Samples() (int, time.Time) { return s.durations.samples, s.durations.at }
 
-// Lapses returns when the speed expires if no further call is added; zero if there are
+// ExpiresAt returns when the speed expires if no further call is added; zero if there are
 // none.
-func (s *Speed) Lapses() time.Time {
+func (s *Speed) ExpiresAt() time.Time {
 	if s.durations.samples == 0 {
 		return time.Time{}
 	}
--- a/frontend/problem.go
+++ b/frontend/problem.go
@@ -20,7 +20,7 @@
 	// Kind is one of the kinds of package errkind.
 	Kind errkind.Kind `json:"kind"`
 	// Run says whether the request ran on an upstream.
-	Run errkind.Run `json:"run"`
+	Run errkind.RunState `json:"run"`
 	// Retryable says whether the same request can succeed later. RetryAfterMS is
 	// the delay before a retry in milliseconds; 0 means that none is known.
 	Retryable    bool   `json:"retryable"`
--- a/frontend/replay_test.go
+++ b/frontend/replay_test.go
@@ -23,7 +23,7 @@
 		method  string
 		headers []string
 		kind    errkind.Kind
-		run     errkind.Run
+		run     errkind.RunState
 	}{
 		"full/key":          {full, "POST", []string{key}, errkind.Overloaded, errkind.Unknown},
 		"full/no-key":       {full, "POST", nil, errkind.Overloaded, errkind.NotRun},
--- a/frontend/server_test.go
+++ b/frontend/server_test.go
@@ -259,7 +259,7 @@
 		name   string
 		change func(*wire.Forward)
 		want   errkind.Kind
-		run    errkind.Run
+		run    errkind.RunState
 	}{
 		{"another's token", func(*wire.Forward) {}, errkind.ClaimUnavailable, errkind.Unknown}, // the token's owner may have run the request
 		{"unknown team", func(f *wire.Forward) { f.Team = "blue" }, errkind.UnknownTeam, errkind.NotRun},
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -45,9 +45,9 @@
 
 // Problem is the part of a problem JSON body that is checked.
 type Problem struct {
-	Kind   errkind.Kind `json:"kind"`
-	Run    errkind.Run  `json:"run"`
-	Detail string       `json:"detail"`
+	Kind   errkind.Kind     `json:"kind"`
+	Run    errkind.RunState `json:"run"`
+	Detail string           `json:"detail"`
 }
 
 // Honest says whether the problem has a kind of the closed list and a run state.
@@ -90,7 +90,7 @@
 	// Detail says what was wrong.
 	Detail string
 	Kind   errkind.Kind
-	Run    errkind.Run
+	Run    errkind.RunState
 	// First, Gap95 and MeanGap are the time to the first token from the scheduled
 	// arrival and the gaps between tokens; Total is the time to the end.
 	First   time.Duration
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -64,9 +64,9 @@
 
 // KindCount is how many errors of one kind and run state callers got.
 type KindCount struct {
-	Kind  errkind.Kind `json:"kind"`
-	Run   errkind.Run  `json:"run"`
-	Count int          `json:"count"`
+	Kind  errkind.Kind     `json:"kind"`
+	Run   errkind.RunState `json:"run"`
+	Count int              `json:"count"`
 }
 
 // Fault is one broken promise, kept for the report.
--- a/internal/loadgen/verify_test.go
+++ b/internal/loadgen/verify_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestReconcile(t *testing.T) {
-	result := func(key string, o Outcome, kind errkind.Kind, run errkind.Run) Result {
+	result := func(key string, o Outcome, kind errkind.Kind, run errkind.RunState) Result {
 		return Result{Spec: Spec{Key: key, Kind: KindSubmit}, Outcome: o, Kind: kind, Run: run}
 	}
 	refused := func(key string) Result { return result(key, Refused, errkind.Overloaded, errkind.NotRun) }
--- a/policy/unprepared_test.go
+++ b/policy/unprepared_test.go
@@ -51,7 +51,7 @@
 
 // checkLearned checks the estimates learned from sixty requests: times within a factor of 1.05,
 // the length of answers within two bins of its histogram.
-func checkLearned(t *testing.T, seed uint64, e engineSpec, step, prefill *estimate.Mean, answers *estimate.Answers) {
+func checkLearned(t *testing.T, seed uint64, e engineSpec, step, prefill *estimate.Mean, answers *estimate.AnswerLengths) {
 	t.Helper()
 	checkNear := func(name string, got, want, within float64) {
 		if got < want/within || got > want*within {
@@ -88,7 +88,7 @@
 			*r = Replica{Name: r.Name, DataCentre: r.DataCentre, Pool: r.Pool, Slots: e.slots, Weight: 1}
 		})
 		var step, prefill estimate.Mean
-		var answers estimate.Answers
+		var answers estimate.AnswerLengths
 		for n := range 60 {
 			r := e.drawFeasibleRequest(rng, first, deadline)
 			expected := max(1, int(float64(r.answer)*e.lengthBias))
@@ -109,7 +109,7 @@
 			}
 			step.Add(t0, float64(e.step))
 			prefill.Add(t0, float64(e.perToken))
-			answers.Finished(t0, r.answer, expected)
+			answers.Add(t0, r.answer, expected)
 		}
 		checkLearned(t, seed, e, &step, &prefill, &answers)
 	}
--- a/relay/message.go
+++ b/relay/message.go
@@ -118,8 +118,8 @@
 	for _, s := range list {
 		out = append(out, sample{
 			Model: s.Model, Prompt: s.PromptTokens, Expected: s.ExpectedTokens, Size: s.AnswerTokens,
-			HeldMillis: s.Held.Milliseconds(), PerTokenMicros: s.PerToken.Microseconds(), ReadNanos: s.ReadPerToken.Nanoseconds(),
-			ReadLost: s.ReadLost,
+			HeldMillis: s.Held.Milliseconds(), PerTokenMicros: s.PerToken.Microseconds(), ReadNanos: s.PrefillPerToken.Nanoseconds(),
+			ReadLost: s.PrefillTimedOut,
 		})
 	}
 	return out
@@ -132,8 +132,8 @@
 		out = append(out, estimate.Sample{
 			Model: s.Model, PromptTokens: s.Prompt, ExpectedTokens: s.Expected, AnswerTokens: s.Size,
 			Held:     time.Duration(s.HeldMillis) * time.Millisecond,
-			PerToken: time.Duration(s.PerTokenMicros) * time.Microsecond, ReadPerToken: time.Duration(s.ReadNanos),
-			ReadLost: s.ReadLost,
+			PerToken: time.Duration(s.PerTokenMicros) * time.Microsecond, PrefillPerToken: time.Duration(s.ReadNanos),
+			PrefillTimedOut: s.ReadLost,
 		})
 	}
 	return out
--- a/relay/samples_test.go
+++ b/relay/samples_test.go
@@ -77,7 +77,7 @@
 func TestSamplesPassWhole(t *testing.T) {
 	want := []estimate.Sample{{
 		Model: "m", PromptTokens: 3000, ExpectedTokens: 500, AnswerTokens: 700,
-		Held: 3500 * time.Millisecond, PerToken: 5 * time.Millisecond, ReadPerToken: 30 * time.Microsecond, ReadLost: true,
+		Held: 3500 * time.Millisecond, PerToken: 5 * time.Millisecond, PrefillPerToken: 30 * time.Microsecond, PrefillTimedOut: true,
 	}}
 	if d := cmp.Diff(want, fromWireSamples(toWireSamples(want))); d != "" {
 		t.Error(d)
--- a/request/complete.go
+++ b/request/complete.go
@@ -278,7 +278,7 @@
 	d.r.o.Observer.Succeeded(now, a.Target.Name)
 	chunks := len(d.m.Tokens())
 	tokens := chunks * d.r.o.ChunkTokens(d.c.Model)
-	d.r.answers.forModel(d.c.Model).Finished(now, tokens, d.expectedTokens())
+	d.r.answers.forModel(d.c.Model).Add(now, tokens, d.expectedTokens())
 	f := FinishObservation{
 		Model: d.c.Model, Upstream: a.Target.Name, PromptTokens: d.promptTokens() - chunks, AnswerTokens: tokens,
 		ExpectedTokens: d.expectedTokens(), Held: now.Sub(d.decodeSentAt),
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -57,7 +57,7 @@
 // want is the expected outcome of a request.
 type want struct {
 	kind errkind.Kind // empty: a complete answer
-	run  errkind.Run
+	run  errkind.RunState
 }
 
 var (
--- a/request/gate.go
+++ b/request/gate.go
@@ -20,7 +20,7 @@
 
 // Outcome is the result of a granted request.
 type Outcome struct {
-	Run errkind.Run
+	Run errkind.RunState
 	// Answer is stored, within size limits, for a repeat of the same key.
 	Answer *CallAnswer
 }
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -178,15 +178,15 @@
 // metrics records dropped chunks and wasted prefill tokens.
 type metrics struct{ f *fleet }
 
-func (metrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
-func (metrics) FirstToken(bundle.Class, time.Duration)                       {}
-func (metrics) NextToken(bundle.Class, time.Duration)                        {}
-func (metrics) Permitted(bool)                                               {}
-func (metrics) Retried(bundle.Class)                                         {}
-func (metrics) Decided(string)                                               {}
-func (metrics) Cancelled(int, time.Duration, bool)                           {}
-func (m metrics) WastedPrefill(n int)                                        { m.f.set(func() { m.f.wasted += n }) }
-func (m metrics) Dropped(d request.Drops)                                    { m.f.set(func() { m.f.drops = d }) }
+func (metrics) Ended(bundle.Class, errkind.Kind, errkind.RunState, time.Duration) {}
+func (metrics) FirstToken(bundle.Class, time.Duration)                            {}
+func (metrics) NextToken(bundle.Class, time.Duration)                             {}
+func (metrics) Permitted(bool)                                                    {}
+func (metrics) Retried(bundle.Class)                                              {}
+func (metrics) Decided(string)                                                    {}
+func (metrics) Cancelled(int, time.Duration, bool)                                {}
+func (m metrics) WastedPrefill(n int)                                             { m.f.set(func() { m.f.wasted += n }) }
+func (m metrics) Dropped(d request.Drops)                                         { m.f.set(func() { m.f.drops = d }) }
 
 func (f *fleet) addEngine(name string) {
 	cfg := engine.DefaultConfig()
@@ -417,14 +417,14 @@
 }
 
 // wantFailed fails the test unless s ended with kind and run.
-func (s *sink) wantFailed(kind errkind.Kind, run errkind.Run) {
+func (s *sink) wantFailed(kind errkind.Kind, run errkind.RunState) {
 	s.t.Helper()
 	if s.err == nil || s.err.Kind != kind || s.err.Run != run {
 		s.t.Errorf("got end %q, error %v (run %q); want %s, %s", s.reason, s.err, runOf(s.err), kind, run)
 	}
 }
 
-func runOf(err *errkind.Error) errkind.Run {
+func runOf(err *errkind.Error) errkind.RunState {
 	if err == nil {
 		return ""
 	}
--- a/request/lattice.go
+++ b/request/lattice.go
@@ -51,7 +51,7 @@
 func (l level) join(o level) level { return max(l, o) }
 
 // run returns the level as the run state that callers get.
-func (l level) run() errkind.Run {
+func (l level) run() errkind.RunState {
 	switch l {
 	case notRun:
 		return errkind.NotRun
--- a/request/lattice_test.go
+++ b/request/lattice_test.go
@@ -16,8 +16,8 @@
 	const n, u, r = errkind.NotRun, errkind.Unknown, errkind.Ran
 	for _, tc := range []struct {
 		step                            Step
-		inFlight                        errkind.Run
-		notSent, refused, maybe, answer errkind.Run
+		inFlight                        errkind.RunState
+		notSent, refused, maybe, answer errkind.RunState
 	}{
 		{StepReserve, n, n, n, n, n}, // carries only ids and a size
 		{StepPrefill, u, n, n, u, u},
@@ -25,7 +25,7 @@
 		{StepResume, n, n, n, n, n}, // only reads the output of a running attempt
 		{StepCall, u, n, n, u, r},
 	} {
-		for d, want := range map[upstream.Delivery]errkind.Run{
+		for d, want := range map[upstream.Delivery]errkind.RunState{
 			upstream.NotSent: tc.notSent, upstream.Refused: tc.refused,
 			upstream.Maybe: tc.maybe, upstream.Done: tc.answer,
 		} {
--- a/request/learned.go
+++ b/request/learned.go
@@ -12,19 +12,19 @@
 // concurrent use.
 type answersByModel struct {
 	mu      sync.Mutex
-	byModel map[string]*estimate.Answers
+	byModel map[string]*estimate.AnswerLengths
 }
 
 func newAnswersByModel() *answersByModel {
-	return &answersByModel{byModel: map[string]*estimate.Answers{}}
+	return &answersByModel{byModel: map[string]*estimate.AnswerLengths{}}
 }
 
-func (a *answersByModel) forModel(model string) *estimate.Answers {
+func (a *answersByModel) forModel(model string) *estimate.AnswerLengths {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	got := a.byModel[model]
 	if got == nil {
-		got = &estimate.Answers{}
+		got = &estimate.AnswerLengths{}
 		a.byModel[model] = got
 	}
 	return got
@@ -33,7 +33,7 @@
 // RecordAnswer records an answer that another daemon reported. tokens is its length, and
 // expected the length that its caller expected.
 func (r *Runner) RecordAnswer(now time.Time, model string, tokens, expected int) {
-	r.answers.forModel(model).Finished(now, tokens, expected)
+	r.answers.forModel(model).Add(now, tokens, expected)
 }
 
 // RecordPrefill records the end of a prefill, of this daemon or of another one that reported
--- a/request/once.go
+++ b/request/once.go
@@ -67,7 +67,7 @@
 // same request. The caller asks about the request rather than this attempt. If it were told
 // "not run" while a replay placed the order, it would place the order twice, so the run state
 // is reported as unknown.
-func reportedRun(run errkind.Run, deadline, now time.Time) errkind.Run {
+func reportedRun(run errkind.RunState, deadline, now time.Time) errkind.RunState {
 	if run == errkind.NotRun && grantExpired(deadline, now) {
 		return errkind.Unknown
 	}
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -196,9 +196,9 @@
 	for name, tc := range map[string]struct {
 		arrange    func(*serviceFixture)
 		kind       errkind.Kind // empty: an answer
-		run        errkind.Run
+		run        errkind.RunState
 		executions int
-		finished   errkind.Run // empty: no grant to finish
+		finished   errkind.RunState // empty: no grant to finish
 	}{
 		"healthy/answer":             {func(*serviceFixture) {}, "", "", 1, ran},
 		"claim/log-down":             {refused(errkind.ClaimUnavailable), errkind.ClaimUnavailable, n, 0, ""},
@@ -238,7 +238,7 @@
 			if n := r.executions(); n != tc.executions {
 				t.Errorf("%d executions, want %d", n, tc.executions)
 			}
-			var finished errkind.Run
+			var finished errkind.RunState
 			for _, o := range r.gate.ended {
 				finished += o.Run
 			}
@@ -263,7 +263,7 @@
 	for name, tc := range map[string]struct {
 		arrange func(*serviceFixture)
 		kind    errkind.Kind
-		run     errkind.Run
+		run     errkind.RunState
 	}{
 		"accept/upstream-killed":    {func(r *serviceFixture) { r.kill() }, "", ""},
 		"accept/leaving":            {firstCallFaults(service.Faults{Leaving: true}), "", ""},
--- a/request/options.go
+++ b/request/options.go
@@ -91,7 +91,7 @@
 // use.
 type Metrics interface {
 	// Ended records the end of a request; kind is empty for a complete answer.
-	Ended(class bundle.Class, kind errkind.Kind, run errkind.Run, took time.Duration)
+	Ended(class bundle.Class, kind errkind.Kind, run errkind.RunState, took time.Duration)
 	// FirstToken and NextToken record the time that the caller waited for a token.
 	FirstToken(class bundle.Class, wait time.Duration)
 	NextToken(class bundle.Class, wait time.Duration)
@@ -230,12 +230,12 @@
 
 type noopMetrics struct{}
 
-func (noopMetrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
-func (noopMetrics) FirstToken(bundle.Class, time.Duration)                       {}
-func (noopMetrics) NextToken(bundle.Class, time.Duration)                        {}
-func (noopMetrics) Retried(bundle.Class)                                         {}
-func (noopMetrics) WastedPrefill(int)                                            {}
-func (noopMetrics) Permitted(bool)                                               {}
-func (noopMetrics) Decided(string)                                               {}
-func (noopMetrics) Dropped(Drops)                                                {}
-func (noopMetrics) Cancelled(int, time.Duration, bool)                           {}
+func (noopMetrics) Ended(bundle.Class, errkind.Kind, errkind.RunState, time.Duration) {}
+func (noopMetrics) FirstToken(bundle.Class, time.Duration)                            {}
+func (noopMetrics) NextToken(bundle.Class, time.Duration)                             {}
+func (noopMetrics) Retried(bundle.Class)                                              {}
+func (noopMetrics) WastedPrefill(int)                                                 {}
+func (noopMetrics) Permitted(bool)                                                    {}
+func (noopMetrics) Decided(string)                                                    {}
+func (noopMetrics) Dropped(Drops)                                                     {}
+func (noopMetrics) Cancelled(int, time.Duration, bool)                                {}
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -56,7 +56,7 @@
 // callerRun returns the run state that the caller gets, where run is that of this request id.
 // A quarantined request has been run by upstreams under other ids, so it is never reported as
 // not run.
-func callerRun(kind errkind.Kind, run errkind.Run) errkind.Run {
+func callerRun(kind errkind.Kind, run errkind.RunState) errkind.RunState {
 	if kind == errkind.CrashesUpstreams && run == errkind.NotRun {
 		return errkind.Unknown
 	}
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -12,8 +12,8 @@
 type Limits struct {
 	// Ratio is the credit, in retries, that each first attempt earns.
 	Ratio float64
-	// Depth is the maximum credit that can be accumulated.
-	Depth float64
+	// MaxCredit is the maximum credit that can be accumulated.
+	MaxCredit float64
 	// Slack is the number of retries per window that need no credit.
 	Slack  float64
 	Window time.Duration
@@ -44,14 +44,14 @@
 		b.slackSpent.add(now, spent)
 	}
 	b.limits = l
-	b.credit = min(b.credit, l.Depth)
+	b.credit = min(b.credit, l.MaxCredit)
 }
 
 // OnFirstAttempt adds the credit for a first attempt.
 func (b *Bucket) OnFirstAttempt(time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.credit = min(b.limits.Depth, b.credit+b.limits.Ratio)
+	b.credit = min(b.limits.MaxCredit, b.credit+b.limits.Ratio)
 }
 
 // roundingTolerance absorbs the rounding error of adding up fractions of a retry.
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -31,7 +31,7 @@
 // Guards against a budget that does not add up credit and slack. Fractions of both make up one
 // retry, and several retries are taken at once or not at all.
 func TestBucketAddsUp(t *testing.T) {
-	b := NewBucket(Limits{Ratio: 0.25, Depth: 2, Slack: 0.5, Window: testWindow})
+	b := NewBucket(Limits{Ratio: 0.25, MaxCredit: 2, Slack: 0.5, Window: testWindow})
 	b.OnFirstAttempt(t0)
 	if b.Allow(t0, 1) {
 		t.Error("a credit of 0.25 and a slack of 0.5 were accepted for one retry")
@@ -48,7 +48,7 @@
 	const ratio, depth, slack = 0.2, 1.7, 3.4
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		b := NewBucket(Limits{Ratio: ratio, Depth: depth, Slack: slack, Window: testWindow})
+		b := NewBucket(Limits{Ratio: ratio, MaxCredit: depth, Slack: slack, Window: testWindow})
 		var firsts, retries []time.Time
 		for now := t0; now.Before(t0.Add(time.Minute)); {
 			now = now.Add(time.Duration(rng.IntN(400)) * time.Millisecond)
@@ -80,7 +80,7 @@
 		ratio := rapid.SampledFrom([]float64{0, 0.05, 0.2, 1}).Draw(t, "ratio")
 		n := rapid.IntRange(1, 300).Draw(t, "attempts")
 		gap := time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond
-		b, retries := NewBucket(Limits{Ratio: ratio, Depth: 10, Slack: slack, Window: window}), 0
+		b, retries := NewBucket(Limits{Ratio: ratio, MaxCredit: 10, Slack: slack, Window: window}), 0
 		for i := range n {
 			now := t0.Add(time.Duration(i) * gap)
 			b.OnFirstAttempt(now)
@@ -93,7 +93,7 @@
 			t.Fatalf("%d retries for %d first attempts with ratio %v", retries, n, ratio)
 		}
 	})
-	b := NewBucket(Limits{Ratio: 0.2, Depth: 10, Slack: slack, Window: window})
+	b := NewBucket(Limits{Ratio: 0.2, MaxCredit: 10, Slack: slack, Window: window})
 	if !b.Allow(t0, 1) || b.Allow(t0, 1) || !b.Allow(t0.Add(6*time.Second), 1) {
 		t.Error("without first attempts, one retry must be allowed at once and another after the window of five seconds")
 	}
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -13,11 +13,11 @@
 	// in addition, in any span of Window.
 	Ratio, Slack float64
 	Window       time.Duration
-	// Daemons is the minimum number of daemons among which the slack is divided.
-	Daemons int
-	// First is set when the fleet starts for the first time: all daemons start at about the same
+	// MinDaemons is the minimum number of daemons among which the slack is divided.
+	MinDaemons int
+	// FirstStart is set when the fleet starts for the first time: all daemons start at about the same
 	// moment, and none has run before.
-	First bool
+	FirstStart bool
 }
 
 // Budgets enforces this daemon's share of the Bounds, separately for each target. It is safe for
@@ -54,13 +54,13 @@
 	lastTick, noCreditUntil time.Time
 }
 
-// TickEvery is the interval at which Counted must be called.
-const TickEvery = 200 * time.Millisecond
+// TickInterval is the interval at which Counted must be called.
+const TickInterval = 200 * time.Millisecond
 
 const (
 	// stallThreshold is the time between two ticks from which the process counts as stalled. A
 	// daemon that has only a fifth of a core ticks a tenth of a second late.
-	stallThreshold = 3 * TickEvery
+	stallThreshold = 3 * TickInterval
 	// stallDrainTime is how long after a stall the process still reads requests that had queued
 	// in its sockets.
 	stallDrainTime = 500 * time.Millisecond
@@ -84,10 +84,10 @@
 	b.buckets.Set(now, b.limits())
 }
 
-// Counted must be called every TickEvery while the process runs, with the number of daemons known
+// UpdateDaemons must be called every TickEvery while the process runs, with the number of daemons known
 // or 0 if it is unknown. The largest number ever passed is used, since one that is too high only
 // makes this daemon's share smaller. Counted reports whether the share has changed.
-func (b *Budgets) Counted(now time.Time, daemons int) bool {
+func (b *Budgets) UpdateDaemons(now time.Time, daemons int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tick(now)
@@ -110,7 +110,7 @@
 // slackDelay is the time from the first count until the share of the slack becomes available; b.mu
 // must be held.
 func (b *Budgets) slackDelay() time.Duration {
-	if b.bounds.First {
+	if b.bounds.FirstStart {
 		return min(discoveryTime, b.bounds.Window)
 	}
 	return b.bounds.Window
@@ -153,11 +153,11 @@
 
 // limits returns the limits of each target's bucket; b.mu must be held.
 func (b *Budgets) limits() Limits {
-	l := Limits{Ratio: b.bounds.Ratio, Depth: minDepth, Window: b.bounds.Window}
+	l := Limits{Ratio: b.bounds.Ratio, MaxCredit: minDepth, Window: b.bounds.Window}
 	if b.settled {
-		part := b.share().Part
-		l.Depth = max(minDepth, depthShare*part)
-		l.Slack = max(0, part-l.Depth)
+		part := b.share().Retries
+		l.MaxCredit = max(minDepth, depthShare*part)
+		l.Slack = max(0, part-l.MaxCredit)
 	}
 	return l
 }
@@ -166,14 +166,14 @@
 type Share struct {
 	// Daemons is the number of daemons among which the slack is divided.
 	Daemons int
-	// Part is the share: the retries per window beyond those that this daemon's requests earn.
-	Part float64
+	// Retries is the share: the retries per window beyond those that this daemon's requests earn.
+	Retries float64
 	// Settled is set once the share is available; before, the credit of one retry is all that a
 	// daemon can accumulate.
 	Settled bool
-	// Counted is when the number of daemons became known after the start or the latest stall of the
+	// FirstCounted is when the number of daemons became known after the start or the latest stall of the
 	// process, or zero.
-	Counted time.Time
+	FirstCounted time.Time
 }
 
 // Share returns this daemon's current share.
@@ -184,8 +184,8 @@
 }
 
 func (b *Budgets) share() Share {
-	daemons := max(b.bounds.Daemons, b.daemons)
-	return Share{Daemons: daemons, Part: dividedSlack * b.bounds.Slack / float64(daemons), Settled: b.settled, Counted: b.firstCounted}
+	daemons := max(b.bounds.MinDaemons, b.daemons)
+	return Share{Daemons: daemons, Retries: dividedSlack * b.bounds.Slack / float64(daemons), Settled: b.settled, FirstCounted: b.firstCounted}
 }
 
 // Of returns the budget of a target.
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -23,8 +23,8 @@
 // run advances the clock by d, with a tick every TickEvery.
 func (l *testDaemon) run(d time.Duration) *testDaemon {
 	for end := l.now.Add(d); l.now.Before(end); {
-		l.now = l.now.Add(TickEvery)
-		l.Counted(l.now, l.daemons)
+		l.now = l.now.Add(TickInterval)
+		l.UpdateDaemons(l.now, l.daemons)
 	}
 	return l
 }
@@ -45,7 +45,7 @@
 }
 
 func TestBudgetsKeepTargetsApart(t *testing.T) {
-	bounds := Bounds{Slack: 4, Window: testWindow, Daemons: 1}
+	bounds := Bounds{Slack: 4, Window: testWindow, MinDaemons: 1}
 	l := newTestDaemon(bounds, 1).run(testWindow + time.Second)
 	if a, b := l.drain("a"), l.drain("b"); a != 1 || b != 1 {
 		t.Errorf("allowed %d and %d retries, want one each", a, b)
@@ -60,7 +60,7 @@
 // Guards against a restart that lets a daemon spend its share of the slack twice within a window: a
 // new process does not know what its predecessor spent.
 func TestLifeBeginsWithNothing(t *testing.T) {
-	l := newTestDaemon(Bounds{Ratio: 0.2, Slack: 100, Window: testWindow, Daemons: 1}, 1)
+	l := newTestDaemon(Bounds{Ratio: 0.2, Slack: 100, Window: testWindow, MinDaemons: 1}, 1)
 	if n := l.run(time.Second).drain("a"); n != 0 {
 		t.Errorf("%d retries allowed right after the start", n)
 	}
@@ -76,7 +76,7 @@
 // Guards against a fleet without slack when callers arrive ten seconds after its first start, while
 // engines that still take their roles reject some of the first prompts.
 func TestSlackOpensEarlyAtTheFirstStart(t *testing.T) {
-	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, Daemons: 1, First: true}, 10)
+	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, MinDaemons: 1, FirstStart: true}, 10)
 	if n := l.run(discoveryTime - time.Second).drain("a"); n != 0 {
 		t.Errorf("%d retries before the other daemons can be known", n)
 	}
@@ -88,7 +88,7 @@
 // Guards against daemons that each spend the whole slack. A daemon that starts while it cannot
 // discover the others, for longer than a window, must not take an unknown count for a count of one.
 func TestSlackWaitsForACount(t *testing.T) {
-	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, Daemons: 1}, 0)
+	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, MinDaemons: 1}, 0)
 	if n := l.run(3 * testWindow).drain("a"); n != 0 {
 		t.Errorf("%d retries although the number of daemons is unknown", n)
 	}
@@ -104,11 +104,11 @@
 // Guards against a share computed from too few daemons. The largest count is used, and a larger one
 // makes the share smaller at once.
 func TestPartFollowsTheLargestCount(t *testing.T) {
-	l := newTestDaemon(Bounds{Ratio: 1, Slack: 100, Window: testWindow, Daemons: 5}, 10).run(testWindow + time.Second)
+	l := newTestDaemon(Bounds{Ratio: 1, Slack: 100, Window: testWindow, MinDaemons: 5}, 10).run(testWindow + time.Second)
 	l.firstAttempts(20)
 	l.daemons = 50
 	l.run(time.Second)
-	if s := l.Share(); s.Daemons != 50 || s.Part != 1.9 {
+	if s := l.Share(); s.Daemons != 50 || s.Retries != 1.9 {
 		t.Errorf("share %+v", s)
 	}
 	if n := l.drain("a"); n != 1 {
@@ -123,13 +123,13 @@
 // Guards against credit for requests that waited in the sockets of a frozen daemon. Their callers may
 // have given up and sent them to other daemons, where they earn credit too.
 func TestRequestsReadAfterAFreezeEarnNothing(t *testing.T) {
-	l := newTestDaemon(Bounds{Ratio: 1, Window: testWindow, Daemons: 1}, 1).run(time.Second)
+	l := newTestDaemon(Bounds{Ratio: 1, Window: testWindow, MinDaemons: 1}, 1).run(time.Second)
 	l.now = l.now.Add(3 * time.Second)
 	l.firstAttempts(10)
 	if n := l.drain("a"); n != 0 {
 		t.Errorf("requests earn %d retries before the first tick after a freeze", n)
 	}
-	l.run(TickEvery)
+	l.run(TickInterval)
 	l.firstAttempts(10)
 	if n := l.drain("a"); n != 0 {
 		t.Errorf("requests earn %d retries right after the first tick", n)
@@ -145,9 +145,9 @@
 // few others freezes for as long as it must wait; the frozen time must not count, since its number
 // of daemons is not updated then.
 func TestPartDoesNotOpenInAFreeze(t *testing.T) {
-	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, Daemons: 1}, 2).run(time.Second)
+	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, MinDaemons: 1}, 2).run(time.Second)
 	l.now = l.now.Add(testWindow)
-	if n := l.run(TickEvery).drain("a"); n != 0 {
+	if n := l.run(TickInterval).drain("a"); n != 0 {
 		t.Errorf("%d retries right after the freeze", n)
 	}
 	l.daemons = 50
@@ -162,7 +162,7 @@
 // Guards against a reload of the settings that lets a daemon spend its slack twice, because a window
 // of another length starts empty.
 func TestNewWindowForgetsNothing(t *testing.T) {
-	bounds := Bounds{Slack: 20, Window: testWindow, Daemons: 1}
+	bounds := Bounds{Slack: 20, Window: testWindow, MinDaemons: 1}
 	l := newTestDaemon(bounds, 1).run(testWindow + time.Second)
 	if n := l.drain("a"); n != 9 {
 		t.Fatalf("%d retries, want 9", n)
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -71,7 +71,7 @@
 func (f *modelFleet) start(d *modelDaemon, after time.Duration) {
 	d.startedAt = f.now.Add(after)
 	d.upAt, d.frozenUntil, d.backlog = d.startedAt, time.Time{}, 0
-	d.budgets = NewBudgets(d.startedAt, Bounds{Ratio: modelRatio, Slack: f.slack, Window: modelWindow, Daemons: 1})
+	d.budgets = NewBudgets(d.startedAt, Bounds{Ratio: modelRatio, Slack: f.slack, Window: modelWindow, MinDaemons: 1})
 }
 
 func (f *modelFleet) isRunning(d *modelDaemon) bool {
@@ -116,7 +116,7 @@
 // step advances the simulation by modelStep.
 func (f *modelFleet) step() {
 	f.now = f.now.Add(modelStep)
-	tick := f.now.Sub(t0)%TickEvery < modelStep
+	tick := f.now.Sub(t0)%TickInterval < modelStep
 	var counts daemonCounts
 	if tick {
 		counts = f.countDaemons()
@@ -129,7 +129,7 @@
 			f.serve(d)
 		}
 		if tick {
-			d.budgets.Counted(f.now, f.discovered(d, counts))
+			d.budgets.UpdateDaemons(f.now, f.discovered(d, counts))
 		}
 	}
 	for expected := f.rate * modelStep.Seconds(); f.rng.Float64() < expected; expected-- {
--- a/router/attached_test.go
+++ b/router/attached_test.go
@@ -68,8 +68,8 @@
 	cfg.Store.Retry = 5 * time.Millisecond
 	cfg.Limits.MemoryMB = 1024
 	cfg.Drain.Notice, cfg.Drain.Grace = time.Millisecond, 20*time.Second
-	cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickEvery // a single daemon may retry at once
-	cfg.Orders.Quiet = time.Hour                                                          // engines keep their roles
+	cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickInterval // a single daemon may retry at once
+	cfg.Orders.Quiet = time.Hour                                                             // engines keep their roles
 	if change != nil {
 		change(cfg)
 	}
--- a/router/observe.go
+++ b/router/observe.go
@@ -83,7 +83,7 @@
 
 // Ended does nothing: the frontend counts ended requests, since it also sees those that
 // are refused before they reach the runner.
-func (m requestMetrics) Ended(bundle.Class, errkind.Kind, errkind.Run, time.Duration) {}
+func (m requestMetrics) Ended(bundle.Class, errkind.Kind, errkind.RunState, time.Duration) {}
 
 func (m requestMetrics) FirstToken(class bundle.Class, wait time.Duration) {
 	m.instruments.FirstToken(class, wait)
--- a/router/provision.go
+++ b/router/provision.go
@@ -68,7 +68,7 @@
 	if ratio <= 0 {
 		return retry.Limits{Window: retryWindow}
 	}
-	return retry.Limits{Ratio: ratio, Depth: retryDepth, Slack: retrySlack, Window: retryWindow}
+	return retry.Limits{Ratio: ratio, MaxCredit: retryDepth, Slack: retrySlack, Window: retryWindow}
 }
 
 // provisionPeers opens the listener for peers and creates the peer service.
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -72,7 +72,7 @@
 		cfg.Store.Address, cfg.Store.Retry = f.site.StoreAddress(), 5*time.Millisecond
 		cfg.Limits.MemoryMB = 1024
 		cfg.Drain.Notice, cfg.Drain.Grace = time.Millisecond, 20*time.Second
-		cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickEvery
+		cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickInterval
 		cfg.Orders.Quiet = time.Hour
 		if f.edit != nil {
 			f.edit(cfg)
--- a/router/retries.go
+++ b/router/retries.go
@@ -17,7 +17,7 @@
 // retryBounds returns the bounds of retries over all daemons from the settings.
 func retryBounds(s *settings.Attached) retry.Bounds {
 	r := s.Retries
-	return retry.Bounds{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window, Daemons: r.Daemons, First: s.Orders.Bootstrap}
+	return retry.Bounds{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window, MinDaemons: r.Daemons, FirstStart: s.Orders.Bootstrap}
 }
 
 // daemonCounter periodically passes the number of daemons to the retry budgets, which
@@ -37,12 +37,12 @@
 func (c *daemonCounter) Run(ctx context.Context) error {
 	const countEvery = 3 // ticks
 	n := 0
-	for tick := 0; clock.Sleep(ctx, retry.TickEvery); tick++ {
+	for tick := 0; clock.Sleep(ctx, retry.TickInterval); tick++ {
 		now := time.Now()
 		if tick%countEvery == 0 {
 			n = c.count(now)
 		}
-		if c.a.budgets.Counted(now, n) {
+		if c.a.budgets.UpdateDaemons(now, n) {
 			c.report(now)
 		}
 	}
@@ -83,9 +83,9 @@
 // report logs this daemon's share of the retry budget and sets its metrics.
 func (c *daemonCounter) report(now time.Time) {
 	s := c.a.budgets.Share()
-	c.a.metrics.RetryShare(s.Daemons, s.Part)
+	c.a.metrics.RetryShare(s.Daemons, s.Retries)
 	c.a.logger.WithFields(log.Fields{
-		"daemons": s.Daemons, "part": s.Part, "settled": s.Settled, "counted_ms": now.Sub(s.Counted).Milliseconds(),
+		"daemons": s.Daemons, "part": s.Retries, "settled": s.Settled, "counted_ms": now.Sub(s.FirstCounted).Milliseconds(),
 	}).Info("retry budget")
 }
 
--- a/router/roles.go
+++ b/router/roles.go
@@ -106,11 +106,11 @@
 	}
 	service := v.Registrations[upstream].Service
 	o.a.costs.get(service).Prefilled(now, tokens, p.Took)
-	o.a.addSample(now, estimate.Sample{Model: service, ReadPerToken: p.Took / time.Duration(tokens)})
+	o.a.addSample(now, estimate.Sample{Model: service, PrefillPerToken: p.Took / time.Duration(tokens)})
 }
 
 func (o attachedObserver) PrefillTimedOut(now time.Time, model string) {
-	o.a.addSample(now, estimate.Sample{Model: model, ReadLost: true})
+	o.a.addSample(now, estimate.Sample{Model: model, PrefillTimedOut: true})
 }
 
 func (o attachedObserver) Finished(now time.Time, f request.FinishObservation) {
@@ -146,8 +146,8 @@
 func (a *Attached) learnSamples(list []estimate.Sample) {
 	now := time.Now()
 	for _, s := range list {
-		if s.ReadLost || s.ReadPerToken > 0 {
-			a.runner.RecordPrefill(now, s.Model, s.ReadLost)
+		if s.PrefillTimedOut || s.PrefillPerToken > 0 {
+			a.runner.RecordPrefill(now, s.Model, s.PrefillTimedOut)
 		}
 	}
 	list = slices.DeleteFunc(list, func(s estimate.Sample) bool {
@@ -159,12 +159,12 @@
 	for _, s := range list {
 		costs := a.costs.get(s.Model)
 		costs.Finished(now, roles.Sample{Prompt: s.PromptTokens, Answer: s.AnswerTokens, Held: s.Held})
-		costs.Prefilled(now, 1, s.ReadPerToken)
+		costs.Prefilled(now, 1, s.PrefillPerToken)
 		a.runner.RecordAnswer(now, s.Model, s.AnswerTokens, s.ExpectedTokens)
 	}
 	a.holder.Update(func(b *board.Board) {
 		for _, s := range list {
-			b.AddRemoteSample(now, s.Model, s.PerToken, s.ReadPerToken)
+			b.AddRemoteSample(now, s.Model, s.PerToken, s.PrefillPerToken)
 		}
 	})
 }
--- a/test/failure/call_test.go
+++ b/test/failure/call_test.go
@@ -111,7 +111,7 @@
 	name   string
 	faults service.Faults
 	ran    int
-	told   errkind.Run
+	told   errkind.RunState
 }
 
 var callFaults = []callFault{
