--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -17,11 +17,11 @@
 
 // Exit codes.
 const (
-	// ExitDone means that the command succeeded.
-	ExitDone = 0
-	// ExitRefused means that the command failed, that another operator's record was
+	// ExitOK means that the command succeeded.
+	ExitOK = 0
+	// ExitFailed means that the command failed, that another operator's record was
 	// adopted first, or that the outcome is unknown.
-	ExitRefused = 1
+	ExitFailed = 1
 	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
 )
@@ -89,7 +89,7 @@
 	}
 	parsed, err := parser.Parse(args)
 	if kongExit == 0 {
-		return ExitDone // kong has printed the help
+		return ExitOK // kong has printed the help
 	}
 	if err != nil {
 		return printError(env.Stderr, err, ExitUsage)
@@ -99,7 +99,7 @@
 	if err := parsed.Run(&runEnv{Env: env, ctx: ctx}); err != nil {
 		return printError(env.Stderr, err, exitCode(err))
 	}
-	return ExitDone
+	return ExitOK
 }
 
 // newParser returns the parser for c.
@@ -132,7 +132,7 @@
 	if errors.As(err, &usage) {
 		return ExitUsage
 	}
-	return ExitRefused
+	return ExitFailed
 }
 
 // printError prints an error and returns code.
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -79,7 +79,7 @@
 func (d *harness) mustRun(args ...string) string {
 	d.t.Helper()
 	code, out := d.run(args...)
-	if code != ExitDone {
+	if code != ExitOK {
 		d.t.Fatalf("%v: exit %d\n%s", args, code, out)
 	}
 	return out
@@ -89,8 +89,8 @@
 func (d *harness) wantRefused(args []string, want ...string) {
 	d.t.Helper()
 	code, out := d.run(args...)
-	if code != ExitRefused {
-		d.t.Errorf("%v: exit %d, want %d\n%s", args, code, ExitRefused, out)
+	if code != ExitFailed {
+		d.t.Errorf("%v: exit %d, want %d\n%s", args, code, ExitFailed, out)
 	}
 	wantContains(d.t, out, want...)
 }
@@ -188,11 +188,11 @@
 		records int
 		want    []string
 	}{
-		{"reply lost", []func(*harness){lostReply}, ExitDone, 1, []string{"reply was lost", "won: version 1"}},
-		{"rival first", []func(*harness){rival}, ExitRefused, 2, []string{"lost (lost-race) to number 1, digest ", "by author eva"}},
-		{"rival first and reply lost", []func(*harness){rival, lostReply}, ExitRefused, 2, []string{"reply was lost", "by author eva"}},
-		{"never arrived", []func(*harness){cut}, ExitRefused, 0, []string{"unknown outcome", "up to offset 0"}},
-		{"log down", []func(*harness){down}, ExitRefused, 0, []string{"nothing was appended", "503"}},
+		{"reply lost", []func(*harness){lostReply}, ExitOK, 1, []string{"reply was lost", "won: version 1"}},
+		{"rival first", []func(*harness){rival}, ExitFailed, 2, []string{"lost (lost-race) to number 1, digest ", "by author eva"}},
+		{"rival first and reply lost", []func(*harness){rival, lostReply}, ExitFailed, 2, []string{"reply was lost", "by author eva"}},
+		{"never arrived", []func(*harness){cut}, ExitFailed, 0, []string{"unknown outcome", "up to offset 0"}},
+		{"log down", []func(*harness){down}, ExitFailed, 0, []string{"nothing was appended", "503"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -342,7 +342,7 @@
 			t.Errorf("%v: exit %d\n%s", args, code, out)
 		}
 	}
-	if code, _ := d.run("bundle", "--help"); code != ExitDone {
+	if code, _ := d.run("bundle", "--help"); code != ExitOK {
 		t.Errorf("--help: exit %d", code)
 	}
 }
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -63,7 +63,7 @@
 		files = append(files, file)
 	}
 	var out, errs bytes.Buffer
-	if code := Main(t.Context(), append([]string{"explain", "r3"}, files...), Env{Stdout: &out, Stderr: &errs}); code != ExitDone {
+	if code := Main(t.Context(), append([]string{"explain", "r3"}, files...), Env{Stdout: &out, Stderr: &errs}); code != ExitOK {
 		t.Fatalf("%d: %s", code, errs.String())
 	}
 	for _, want := range []string{"run broke off", "other_request=r1", "sign=ended", "request quarantined", "ends=3"} {
--- a/internal/ctl/quarantine_test.go
+++ b/internal/ctl/quarantine_test.go
@@ -34,7 +34,7 @@
 	run := func(args ...string) string {
 		var out, errs bytes.Buffer
 		args = append([]string{"quarantine", "--store", s.StoreAddress()}, args...)
-		if code := Main(t.Context(), args, Env{Stdout: &out, Stderr: &errs, Clock: func() time.Time { return now }}); code != ExitDone {
+		if code := Main(t.Context(), args, Env{Stdout: &out, Stderr: &errs, Clock: func() time.Time { return now }}); code != ExitOK {
 			t.Fatalf("%v: %d: %s", args, code, errs.String())
 		}
 		return out.String()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return err
 	}
-	bounded := telemetry.NewBounded(logger.Handler)
+	bounded := telemetry.NewAsyncHandler(logger.Handler)
 	defer bounded.Close(logFlushTimeout)
 	logger.Handler = bounded
 	a, err := router.NewAttached(s, logger)
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -27,17 +27,17 @@
 
 // Limits bound how often one subsystem is restarted.
 type Limits struct {
-	// Restarts is the maximum number of restarts within Window.
-	Restarts int
+	// MaxRestarts is the maximum number of restarts within Window.
+	MaxRestarts int
 	// Window is the period over which restarts are counted.
 	Window time.Duration
-	// Pause is the delay between a failure and the restart.
-	Pause time.Duration
+	// RestartDelay is the delay between a failure and the restart.
+	RestartDelay time.Duration
 }
 
 // DefaultLimits allow five restarts a minute.
 func DefaultLimits() Limits {
-	return Limits{Restarts: 5, Window: time.Minute, Pause: 100 * time.Millisecond}
+	return Limits{MaxRestarts: 5, Window: time.Minute, RestartDelay: 100 * time.Millisecond}
 }
 
 // Tree runs services until the context is cancelled or one of them fails permanently, which means
@@ -91,10 +91,10 @@
 		now := time.Now()
 		failures = append(timesAfter(failures, now.Add(-t.limits.Window)), now)
 		t.logger.WithError(err).WithField("service", s.Name()).Error("subsystem failed")
-		if len(failures) > t.limits.Restarts {
+		if len(failures) > t.limits.MaxRestarts {
 			return errors.Wrapf(err, "%s failed %d times within %s", s.Name(), len(failures), t.limits.Window)
 		}
-		if !clock.Sleep(ctx, t.limits.Pause) {
+		if !clock.Sleep(ctx, t.limits.RestartDelay) {
 			return nil
 		}
 	}
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -23,7 +23,7 @@
 func (s service) Run(ctx context.Context) error { return s.run(ctx) }
 
 func newTree(restarts int) *Tree {
-	limits := Limits{Restarts: restarts, Window: time.Minute, Pause: time.Microsecond}
+	limits := Limits{MaxRestarts: restarts, Window: time.Minute, RestartDelay: time.Microsecond}
 	return New(&log.Logger{Handler: discard.Default}, limits)
 }
 
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -21,7 +21,7 @@
 	maxLinesPerKind = 200
 )
 
-// Bounded is an asynchronous log handler that never blocks its caller and limits the
+// AsyncHandler is an asynchronous log handler that never blocks its caller and limits the
 // rate of lines.
 //
 // With a synchronous handler, a process that stops reading the daemon's standard output
@@ -34,7 +34,7 @@
 // The kind of a line is its message, and for a decision also the step. Decisions that
 // fail a request are thus limited apart from the others. A part of the queue is reserved
 // for lines about failures.
-type Bounded struct {
+type AsyncHandler struct {
 	next  log.Handler
 	queue chan *log.Entry
 	now   func() time.Time
@@ -47,18 +47,18 @@
 	dropped       map[string]int // dropped lines that no summary has reported yet, by kind
 }
 
-// NewBounded returns a handler that passes lines to next in a goroutine of its own.
+// NewAsyncHandler returns a handler that passes lines to next in a goroutine of its own.
 // Close stops the goroutine.
-func NewBounded(next log.Handler) *Bounded { return newBounded(next, time.Now) }
+func NewAsyncHandler(next log.Handler) *AsyncHandler { return newBounded(next, time.Now) }
 
-func newBounded(next log.Handler, now func() time.Time) *Bounded {
-	b := &Bounded{next: next, queue: make(chan *log.Entry, queueSize), now: now, written: map[string]int{}, dropped: map[string]int{}}
+func newBounded(next log.Handler, now func() time.Time) *AsyncHandler {
+	b := &AsyncHandler{next: next, queue: make(chan *log.Entry, queueSize), now: now, written: map[string]int{}, dropped: map[string]int{}}
 	b.wg.Go(b.writeLoop)
 	return b
 }
 
 // HandleLog implements log.Handler.
-func (b *Bounded) HandleLog(e *log.Entry) error {
+func (b *AsyncHandler) HandleLog(e *log.Entry) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed {
@@ -81,7 +81,7 @@
 
 // enqueue queues a line, or counts it as dropped if there is no room. The caller holds
 // b.mu.
-func (b *Bounded) enqueue(e *log.Entry, kind string) {
+func (b *AsyncHandler) enqueue(e *log.Entry, kind string) {
 	free := cap(b.queue) - len(b.queue)
 	if !isFailure(e) {
 		free -= failureReserve
@@ -96,7 +96,7 @@
 // enqueueDropSummary queues one line with the number of dropped lines by kind, if any.
 // trigger is the line being handled, from which the summary takes its time and logger.
 // The caller holds b.mu.
-func (b *Bounded) enqueueDropSummary(trigger *log.Entry) {
+func (b *AsyncHandler) enqueueDropSummary(trigger *log.Entry) {
 	if len(b.dropped) == 0 || cap(b.queue) == len(b.queue) {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 // writeLoop passes the queued lines to the next handler until the queue is closed.
-func (b *Bounded) writeLoop() {
+func (b *AsyncHandler) writeLoop() {
 	for e := range b.queue {
 		_ = b.next.HandleLog(e) // an error of the log itself cannot be logged
 	}
@@ -118,7 +118,7 @@
 // Close writes the queued lines and stops the handler. It returns after timeout even if
 // the writer is still blocked; the writer's goroutine then remains until the process
 // exits.
-func (b *Bounded) Close(timeout time.Duration) {
+func (b *AsyncHandler) Close(timeout time.Duration) {
 	b.mu.Lock()
 	if !b.closed {
 		b.closed = true
@@ -158,7 +158,7 @@
 
 // droppedKinds returns the sorted kinds with dropped lines that no summary has reported
 // yet.
-func (b *Bounded) droppedKinds() []string {
+func (b *AsyncHandler) droppedKinds() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make([]string, 0, len(b.dropped))
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -131,7 +131,7 @@
 			}
 			logger := inner
 			if bounded {
-				h := NewBounded(inner.Handler)
+				h := NewAsyncHandler(inner.Handler)
 				defer h.Close(time.Minute)
 				logger = &log.Logger{Handler: h, Level: log.InfoLevel}
 			}
--- a/internal/telemetry/instruments.go
+++ b/internal/telemetry/instruments.go
@@ -136,49 +136,49 @@
 
 // The results of a read of the platform's store.
 const (
-	ReadDirect = "direct"
-	ReadReader = "reader" // through another instance, which reads the store for others
-	ReadFailed = "failed"
+	ReadDirect    = "direct"
+	ReadViaReader = "reader" // through another instance, which reads the store for others
+	ReadFailed    = "failed"
 )
 
-// StoreReading counts a read of a feed of the platform's store.
-func (in *Instruments) StoreReading(feed, result string) {
+// StoreRead counts a read of a feed of the platform's store.
+func (in *Instruments) StoreRead(feed, result string) {
 	in.storeReads.Add(context.Background(), 1, metric.WithAttributes(attribute.String(labelFeed, feed), attribute.String(labelResult, result)))
 }
 
-// Configuration sets the version of the platform's configuration in force.
-func (in *Instruments) Configuration(version uint64) {
+// SetConfigurationVersion sets the version of the platform's configuration in force.
+func (in *Instruments) SetConfigurationVersion(version uint64) {
 	in.configurationVersion.Record(context.Background(), int64(version))
 }
 
 // The results of applying the rate limit of an upstream to a request.
 const (
-	LimitSent    = "sent"
-	LimitLent    = "lent"     // sent with units borrowed from another instance
-	LimitLeftOut = "left-out" // the upstream was excluded from the request's plan
-	LimitRefused = "refused"  // the limits of all upstreams left for the request were reached
+	LimitSent     = "sent"
+	LimitBorrowed = "lent"     // sent with units borrowed from another instance
+	LimitLeftOut  = "left-out" // the upstream was excluded from the request's plan
+	LimitRefused  = "refused"  // the limits of all upstreams left for the request were reached
 )
 
-// UpstreamLimit counts n decisions with a result, one of the constants above. For
+// LimitDecisions counts n decisions with a result, one of the constants above. For
 // LimitLeftOut, n is the number of excluded upstreams; otherwise it is 1.
-func (in *Instruments) UpstreamLimit(result string, n int) {
+func (in *Instruments) LimitDecisions(result string, n int) {
 	in.limitedRequests.Add(context.Background(), int64(n), labelOption(labelResult, result))
 }
 
-// UpstreamLimits sets the number of upstreams with a rate limit.
-func (in *Instruments) UpstreamLimits(n int) {
+// SetLimitedUpstreams sets the number of upstreams with a rate limit.
+func (in *Instruments) SetLimitedUpstreams(n int) {
 	in.limitedUpstreams.Record(context.Background(), int64(n))
 }
 
-// UpstreamLook counts a probe of an upstream on which runs lost their connection. sign
+// UpstreamProbe counts a probe of an upstream on which runs lost their connection. sign
 // is its result, the text of a quarantine.Sign.
-func (in *Instruments) UpstreamLook(sign string) {
+func (in *Instruments) UpstreamProbe(sign string) {
 	in.upstreamProbes.Add(context.Background(), 1, labelOption(labelResult, sign))
 }
 
-// QuarantineRequests sets the number of requests that have crashed upstreams and have not
+// SetQuarantineRequests sets the number of requests that have crashed upstreams and have not
 // completed since.
-func (in *Instruments) QuarantineRequests(n int) {
+func (in *Instruments) SetQuarantineRequests(n int) {
 	in.crashedRequests.Record(context.Background(), int64(n))
 }
 
@@ -200,9 +200,9 @@
 	in.retryPermits.Add(context.Background(), 1, labelOption(labelResult, result))
 }
 
-// RetryShare sets the number of daemons among which the slack of the retry budget is
+// SetRetryShare sets the number of daemons among which the slack of the retry budget is
 // divided, and this daemon's share of it in retries per window.
-func (in *Instruments) RetryShare(daemons int, part float64) {
+func (in *Instruments) SetRetryShare(daemons int, part float64) {
 	in.retryDaemons.Record(context.Background(), int64(daemons))
 	in.retryShare.Record(context.Background(), part)
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -25,12 +25,12 @@
 	provider *sdk.MeterProvider
 	meter    *catalogMeter
 	handler  http.Handler
-	onScrape atomic.Pointer[func() Readings]
+	onScrape atomic.Pointer[func() ScrapeValues]
 }
 
-// Readings are the values that are read when the /metrics page is fetched. Those of type
+// ScrapeValues are the values that are read when the /metrics page is fetched. Those of type
 // uint64 are counters.
-type Readings struct {
+type ScrapeValues struct {
 	// PeersLive is the number of live peers in this daemon's membership view.
 	PeersLive int
 	// InFlight is the number of requests in flight on this daemon.
@@ -83,7 +83,7 @@
 // OnScrape sets the function that returns the readings. It is called when the /metrics
 // page is fetched, possibly by several goroutines at once. Until it is set, the page
 // lacks these metrics.
-func (m *Metrics) OnScrape(read func() Readings) { m.onScrape.Store(&read) }
+func (m *Metrics) OnScrape(read func() ScrapeValues) { m.onScrape.Store(&read) }
 
 // Close shuts down the meter provider; the page is not updated any more.
 func (m *Metrics) Close(ctx context.Context) error {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -25,7 +25,7 @@
 	in.BetweenTokens(bundle.Draft, time.Millisecond)
 	in.Retry()
 	in.RetryPermit(true)
-	in.RetryShare(9, 5.4)
+	in.SetRetryShare(9, 5.4)
 	in.TeamAdmitted("red", 40)
 	in.TeamRefused("red", 2)
 	in.PrefillWasted(41)
@@ -38,12 +38,12 @@
 		_, _ = in.Gate(fakeGate{grant: g}).Claim(context.Background(), request.ClaimKey{})
 	}
 	in.Step("reserve")
-	in.StoreReading("config", ReadReader)
-	in.UpstreamLook("ended")
-	in.QuarantineRequests(2)
-	in.Configuration(7)
-	in.UpstreamLimits(1)
-	in.UpstreamLimit(LimitSent, 1)
+	in.StoreRead("config", ReadViaReader)
+	in.UpstreamProbe("ended")
+	in.SetQuarantineRequests(2)
+	in.SetConfigurationVersion(7)
+	in.SetLimitedUpstreams(1)
+	in.LimitDecisions(LimitSent, 1)
 	_, _ = in.Gate(fakeGate{err: errkind.New(errkind.KeyReused, "")}).Claim(context.Background(), request.ClaimKey{})
 }
 
@@ -84,7 +84,7 @@
 	defer m.Close(context.Background())
 	useAllInstruments(Discard())
 	useAllInstruments(m.Instruments)
-	m.OnScrape(func() Readings { return Readings{Sweeps: 7, ViewAge: 1500 * time.Millisecond} })
+	m.OnScrape(func() ScrapeValues { return ScrapeValues{Sweeps: 7, ViewAge: 1500 * time.Millisecond} })
 	other, err := m.Meter().Int64Counter("corianderturn.other.thing")
 	if err != nil {
 		t.Fatal(err)
--- a/router/attached.go
+++ b/router/attached.go
@@ -199,7 +199,7 @@
 func (a *Attached) applyView(now time.Time, v fleet.View) {
 	a.holder.Update(func(b *board.Board) { b.SetVersion(now, v.Bundle) })
 	if v.Config != nil {
-		a.metrics.Configuration(v.Config.Version)
+		a.metrics.SetConfigurationVersion(v.Config.Version)
 	}
 }
 
--- a/router/feeds.go
+++ b/router/feeds.go
@@ -97,6 +97,6 @@
 // countStoreRead counts a read of a feed by how it was served: by the store, by another
 // daemon, or not at all.
 func (a *Attached) countStoreRead(f fleet.Feed, w relay.Outcome) {
-	result := [...]string{relay.Direct: telemetry.ReadDirect, relay.ViaPeer: telemetry.ReadReader, relay.Failed: telemetry.ReadFailed}[w]
-	a.metrics.StoreReading(f.String(), result)
+	result := [...]string{relay.Direct: telemetry.ReadDirect, relay.ViaPeer: telemetry.ReadViaReader, relay.Failed: telemetry.ReadFailed}[w]
+	a.metrics.StoreRead(f.String(), result)
 }
--- a/router/observe.go
+++ b/router/observe.go
@@ -124,9 +124,9 @@
 
 // gaugeReadings returns the values of the gauges that are computed when the metrics page
 // is fetched.
-func (r *Router) gaugeReadings() telemetry.Readings {
+func (r *Router) gaugeReadings() telemetry.ScrapeValues {
 	traffic, swept := r.peers.Stats(), r.steward.Stats()
-	out := telemetry.Readings{
+	out := telemetry.ScrapeValues{
 		PeersLive:    len(r.peers.View().Live()),
 		InFlight:     r.frontend.InFlight(),
 		BytesIn:      traffic.BytesIn,
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -13,8 +13,8 @@
 // Attached filled in.
 func newQuarantineKeeper(o quarantine.Options, m *telemetry.Instruments, logger log.Interface) *quarantine.Keeper {
 	o.Dial, o.Logger, o.Now = quarantine.DialTCP, logger, time.Now
-	o.OnProbe = func(s quarantine.ProbeResult) { m.UpstreamLook(s.String()) }
-	o.OnCountChanged = m.QuarantineRequests
+	o.OnProbe = func(s quarantine.ProbeResult) { m.UpstreamProbe(s.String()) }
+	o.OnCountChanged = m.SetQuarantineRequests
 	return quarantine.NewKeeper(o)
 }
 
--- a/router/retries.go
+++ b/router/retries.go
@@ -83,7 +83,7 @@
 // report logs this daemon's share of the retry budget and sets its metrics.
 func (c *daemonCounter) report(now time.Time) {
 	s := c.a.budgets.Share()
-	c.a.metrics.RetryShare(s.Daemons, s.Retries)
+	c.a.metrics.SetRetryShare(s.Daemons, s.Retries)
 	c.a.logger.WithFields(log.Fields{
 		"daemons": s.Daemons, "part": s.Retries, "settled": s.Settled, "counted_ms": now.Sub(s.FirstCounted).Milliseconds(),
 	}).Info("retry budget")
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -101,7 +101,7 @@
 	}
 	for clock.Sleep(ctx, ratelimit.Window) {
 		inForce := l.book.InForce(time.Now())
-		l.o.Metrics.UpstreamLimits(len(inForce))
+		l.o.Metrics.SetLimitedUpstreams(len(inForce))
 		for _, h := range inForce {
 			l.o.Logger.WithFields(log.Fields{"upstream": h.Upstream.Name, "limit": h.Limit, "sent_here": h.Sent}).Info("upstream rate limit in force")
 		}
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(out) > 0 {
-		l.o.Metrics.UpstreamLimit(telemetry.LimitLeftOut, len(out))
+		l.o.Metrics.LimitDecisions(telemetry.LimitLeftOut, len(out))
 	}
 	return out
 }
@@ -238,7 +238,7 @@
 	if !limited || !ok {
 		return nil, ok
 	}
-	l.o.Metrics.UpstreamLimit(telemetry.LimitSent, 1)
+	l.o.Metrics.LimitDecisions(telemetry.LimitSent, 1)
 	return l.refundFunc(ticket), true
 }
 
@@ -263,7 +263,7 @@
 		return nil, false
 	}
 	l.book.RecordSent(time.Now(), u)
-	l.o.Metrics.UpstreamLimit(telemetry.LimitLent, 1)
+	l.o.Metrics.LimitDecisions(telemetry.LimitBorrowed, 1)
 	return l.refundFunc(ticket), true
 }
 
@@ -277,7 +277,7 @@
 	}
 	share := l.o.Share(now)
 	wait := l.gate.RetryAfter(now, s, upstreams, share)
-	l.o.Metrics.UpstreamLimit(telemetry.LimitRefused, 1)
+	l.o.Metrics.LimitDecisions(telemetry.LimitRefused, 1)
 	l.o.Logger.WithFields(log.Fields{
 		"request": request, "upstreams": names, "rank": s.Rank, "part": share, "retry_after_ms": wait.Milliseconds(),
 	}).Info("upstream rate limits reached")
