--- a/claims/home.go
+++ b/claims/home.go
@@ -98,18 +98,18 @@
 // below which this daemon has read every record.
 func toWireState(v KeyState, through uint64) wire.ClaimState {
 	return wire.ClaimState{
-		Found: v.Found, Holder: v.Holder.Node, Seq: v.Holder.Seq, Offset: v.Offset, Through: through, Body: v.Body[:], Sure: v.Authoritative,
-		Status: uint8(v.Status), Released: v.ReleaseOffset, AgeMS: v.Age.Milliseconds(), Answer: v.Answer,
+		Found: v.Found, Holder: v.Holder.Node, HolderSeq: v.Holder.Seq, Offset: v.Offset, Through: through, BodyDigest: v.Body[:], Authoritative: v.Authoritative,
+		Status: uint8(v.Status), ReleaseOffset: v.ReleaseOffset, AgeMS: v.Age.Milliseconds(), Answer: v.Answer,
 	}
 }
 
 // fromWireState decodes the state of a key that another daemon sent.
 func fromWireState(st wire.ClaimState) (KeyState, error) {
-	if len(st.Body) != DigestSize || st.Status > uint8(Released) {
+	if len(st.BodyDigest) != DigestSize || st.Status > uint8(Released) {
 		return KeyState{}, errors.New("claims: malformed state")
 	}
 	return KeyState{
-		Found: st.Found, Authoritative: st.Sure, Holder: ClaimID{Node: st.Holder, Seq: st.Seq}, Body: BodyDigest(st.Body), Offset: st.Offset,
-		Status: Status(st.Status), ReleaseOffset: st.Released, Age: time.Duration(st.AgeMS) * time.Millisecond, Answer: st.Answer,
+		Found: st.Found, Authoritative: st.Authoritative, Holder: ClaimID{Node: st.Holder, Seq: st.HolderSeq}, Body: BodyDigest(st.BodyDigest), Offset: st.Offset,
+		Status: Status(st.Status), ReleaseOffset: st.ReleaseOffset, Age: time.Duration(st.AgeMS) * time.Millisecond, Answer: st.Answer,
 	}, nil
 }
--- a/internal/wire/board.go
+++ b/internal/wire/board.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// RowBytes is the size of one packed row.
-	RowBytes = 8
+	// BoardRowBytes is the size of one packed row.
+	BoardRowBytes = 8
 	// MaxBoardIndex is the largest upstream index that a row can carry.
 	MaxBoardIndex = 1<<15 - 1
 
@@ -99,10 +99,10 @@
 	if err != nil {
 		return err
 	}
-	if len(packed)%RowBytes != 0 {
+	if len(packed)%BoardRowBytes != 0 {
 		return errors.Errorf("packed board rows take %d bytes, not a multiple of the row size", len(packed))
 	}
-	for ; len(packed) > 0; packed = packed[RowBytes:] {
+	for ; len(packed) > 0; packed = packed[BoardRowBytes:] {
 		b.Rows = append(b.Rows, unpackRow(number, packed))
 	}
 	return nil
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -19,9 +19,9 @@
 var (
 	// ErrTooLarge means that a frame exceeds the size limit. Its body was not read.
 	ErrTooLarge = errors.New("frame is too large")
-	// ErrGarbled means that the bytes are not a valid msgpack encoding of the expected
+	// ErrMalformed means that the bytes are not a valid msgpack encoding of the expected
 	// type.
-	ErrGarbled = errors.New("frame is garbled")
+	ErrMalformed = errors.New("frame is garbled")
 	// ErrVersion means that the envelope has a protocol version other than Version.
 	ErrVersion = errors.New("protocol version is unknown")
 )
@@ -32,18 +32,18 @@
 // readBufferBytes is large enough to read a burst of heartbeats at once.
 const readBufferBytes = 4 << 10
 
-// Fault is the error for an invalid frame or message. Reason is ErrTooLarge,
+// FrameError is the error for an invalid frame or message. Reason is ErrTooLarge,
 // ErrGarbled or ErrVersion.
-type Fault struct {
+type FrameError struct {
 	Reason error
 	Detail string
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return f.Reason.Error() + ": " + f.Detail }
+func (f *FrameError) Error() string { return f.Reason.Error() + ": " + f.Detail }
 
 // Unwrap returns Reason.
-func (f *Fault) Unwrap() error { return f.Reason }
+func (f *FrameError) Unwrap() error { return f.Reason }
 
 // Frame is an encoded frame in a pooled buffer.
 type Frame struct{ buf bytes.Buffer }
@@ -84,7 +84,7 @@
 	n := f.buf.Len() - lengthBytes
 	if n > limit {
 		f.Release()
-		return nil, &Fault{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", n, limit)}
+		return nil, &FrameError{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", n, limit)}
 	}
 	binary.BigEndian.PutUint32(f.buf.Bytes(), uint32(n))
 	return f, nil
@@ -102,7 +102,7 @@
 // Decode decodes the body of an envelope into msg. Errors are of type *Fault.
 func Decode(body []byte, msg any) error {
 	if err := safepack.Unmarshal(body, msg); err != nil {
-		return &Fault{Reason: ErrGarbled, Detail: err.Error()}
+		return &FrameError{Reason: ErrMalformed, Detail: err.Error()}
 	}
 	return nil
 }
@@ -130,17 +130,17 @@
 	}
 	size := binary.BigEndian.Uint32(length[:])
 	if uint64(size) > uint64(r.limit) {
-		return nil, 0, &Fault{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", size, r.limit)}
+		return nil, 0, &FrameError{Reason: ErrTooLarge, Detail: fmt.Sprintf("%d bytes, bound %d", size, r.limit)}
 	}
 	if err := r.readBody(int(size)); err != nil {
 		return nil, 0, err
 	}
 	r.env = Envelope{Body: r.env.Body[:0]}
 	if err := safepack.Unmarshal(r.buf, &r.env); err != nil {
-		return nil, 0, &Fault{Reason: ErrGarbled, Detail: err.Error()}
+		return nil, 0, &FrameError{Reason: ErrMalformed, Detail: err.Error()}
 	}
 	if r.env.Version != Version {
-		return nil, 0, &Fault{Reason: ErrVersion, Detail: fmt.Sprintf("got version %d, want %d", r.env.Version, Version)}
+		return nil, 0, &FrameError{Reason: ErrVersion, Detail: fmt.Sprintf("got version %d, want %d", r.env.Version, Version)}
 	}
 	return &r.env, lengthBytes + int(size), nil
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -23,13 +23,13 @@
 
 func TestReaderReturnsWhatWasEncoded(t *testing.T) {
 	want := Heartbeat{Node: NodeID{"i-1", 7}, DataCentre: "a", Address: "127.0.0.1:1", Seq: 1 << 40,
-		BundleNumber: 3, BundleDigest: []byte{1}, Leaving: []string{"u"}, Fresh: Freshness(nil).Append(9, 1<<16+2),
-		Known: []Known{{Node: NodeID{"i-2", 1}, DataCentre: "b", Address: "x"}}}
+		BundleNumber: 3, BundleDigest: []byte{1}, Leaving: []string{"u"}, RelayedSeqs: RelayedSeqs(nil).Append(9, 1<<16+2),
+		Known: []KnownDaemon{{Node: NodeID{"i-2", 1}, DataCentre: "b", Address: "x"}}}
 	var in bytes.Buffer
 	in.Write(encodeFrame(t, Envelope{Type: TypeHeartbeat, ID: 5, Reply: true}, &want))
-	in.Write(encodeFrame(t, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 2, Same: true}))
+	in.Write(encodeFrame(t, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 2, Abbreviated: true}))
 	r := NewReader(&in, MaxFrame)
-	for _, w := range []Heartbeat{want, {Seq: 2, Same: true}} {
+	for _, w := range []Heartbeat{want, {Seq: 2, Abbreviated: true}} {
 		env, _, err := r.Read()
 		if err != nil {
 			t.Fatal(err)
@@ -60,13 +60,13 @@
 	}{
 		"over the bound":   {withLength(101), ErrTooLarge},
 		"largest length":   {withLength(1<<32 - 1), ErrTooLarge},
-		"garbled":          {withLength(3, 0xc1, 0xc1, 0xc1), ErrGarbled},
-		"empty":            {withLength(0), ErrGarbled},
-		"trailing bytes":   {append(withLength(uint32(len(good)-3), good[4:]...), 0xc0), ErrGarbled},
+		"garbled":          {withLength(3, 0xc1, 0xc1, 0xc1), ErrMalformed},
+		"empty":            {withLength(0), ErrMalformed},
+		"trailing bytes":   {append(withLength(uint32(len(good)-3), good[4:]...), 0xc0), ErrMalformed},
 		"other version":    {withLength(uint32(len(otherVersion)), otherVersion...), ErrVersion},
 		"cut in the body":  {good[:len(good)-1], io.ErrUnexpectedEOF},
 		"cut in the head":  {good[:2], io.ErrUnexpectedEOF},
-		"huge inner array": {withLength(7, 0x81, 0xa1, 'b', 0xc6, 0x7f, 0xff, 0xff), ErrGarbled},
+		"huge inner array": {withLength(7, 0x81, 0xa1, 'b', 0xc6, 0x7f, 0xff, 0xff), ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, _, err := NewReader(bytes.NewReader(c.in), 100).Read(); !errors.Is(err, c.want) {
@@ -110,7 +110,7 @@
 func FuzzReader(f *testing.F) {
 	f.Add(encodeFrame(f, Envelope{Type: TypeHello, ID: 1}, &Hello{Node: NodeID{"i", 1}}))
 	f.Add(encodeFrame(f, Envelope{Type: TypeBoard}, &Board{Rows: []BoardRow{{Index: 3}, {BundleNumber: 2}}}))
-	f.Add(encodeFrame(f, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 9, Fresh: Freshness{1, 2, 3, 4, 5, 6}}))
+	f.Add(encodeFrame(f, Envelope{Type: TypeHeartbeat}, &Heartbeat{Seq: 9, RelayedSeqs: RelayedSeqs{1, 2, 3, 4, 5, 6}}))
 	f.Add([]byte{0, 0, 0, 1, 0xc1})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := NewReader(bytes.NewReader(in), 1<<16)
@@ -121,10 +121,10 @@
 			}
 			var hb Heartbeat
 			_ = Decode(env.Body, &hb)
-			for range hb.Fresh.All() {
+			for range hb.RelayedSeqs.All() {
 			}
 			var b Board
-			if Decode(env.Body, &b) == nil && len(b.Rows)*RowBytes > len(env.Body) {
+			if Decode(env.Body, &b) == nil && len(b.Rows)*BoardRowBytes > len(env.Body) {
 				t.Fatalf("%d rows from %d bytes", len(b.Rows), len(env.Body))
 			}
 		}
@@ -184,7 +184,7 @@
 	full := &Heartbeat{Node: NodeID{"entry-0123456789", 1_790_000_000_000}, DataCentre: "dc-3", Address: "10.12.34.56:7400",
 		Seq: 300_000, BundleNumber: 41_000, BundleDigest: make([]byte, 32)}
 	b.Run("heartbeat-full", func(b *testing.B) { benchRoundTrip(b, full, &Heartbeat{}, 0) })
-	b.Run("heartbeat-short", func(b *testing.B) { benchRoundTrip(b, &Heartbeat{Seq: 300_000, Same: true}, &Heartbeat{}, 0) })
+	b.Run("heartbeat-short", func(b *testing.B) { benchRoundTrip(b, &Heartbeat{Seq: 300_000, Abbreviated: true}, &Heartbeat{}, 0) })
 	for name, n := range map[string]int{"32": 32, "1500": 1500} {
 		board := benchRows(n)
 		b.Run("board-packed-"+name, func(b *testing.B) { benchRoundTrip(b, board, &Board{}, n) })
--- a/internal/wire/fresh.go
+++ b/internal/wire/fresh.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Freshness is a packed list of the latest heartbeat sequence numbers of other daemons.
+// RelayedSeqs is a packed list of the latest heartbeat sequence numbers of other daemons.
 // An entry is a ShortID and the low 16 bits of the sequence number.
-type Freshness []byte
+type RelayedSeqs []byte
 
-// FreshBytes is the size of one entry of Freshness.
-const FreshBytes = 6
+// RelayedSeqBytes is the size of one entry of Freshness.
+const RelayedSeqBytes = 6
 
 // ShortID is a 32-bit hash of a NodeID, used in Freshness. Among 370 daemons, the
 // probability that any two have the same ShortID is about 1.6e-5. In that case one of
@@ -29,15 +29,15 @@
 }
 
 // Append adds an entry for one daemon to f.
-func (f Freshness) Append(id ShortID, seq uint64) Freshness {
+func (f RelayedSeqs) Append(id ShortID, seq uint64) RelayedSeqs {
 	f = binary.BigEndian.AppendUint32(f, uint32(id))
 	return binary.BigEndian.AppendUint16(f, uint16(seq))
 }
 
 // All returns an iterator over the entries. A truncated last entry is skipped.
-func (f Freshness) All() iter.Seq2[ShortID, uint16] {
+func (f RelayedSeqs) All() iter.Seq2[ShortID, uint16] {
 	return func(yield func(ShortID, uint16) bool) {
-		for ; len(f) >= FreshBytes; f = f[FreshBytes:] {
+		for ; len(f) >= RelayedSeqBytes; f = f[RelayedSeqBytes:] {
 			if !yield(ShortID(binary.BigEndian.Uint32(f)), binary.BigEndian.Uint16(f[4:])) {
 				return
 			}
--- a/internal/wire/messages.go
+++ b/internal/wire/messages.go
@@ -70,19 +70,19 @@
 	Seq          uint64 `msgpack:"s"`
 	BundleNumber uint64 `msgpack:"bn,omitempty"`
 	BundleDigest []byte `msgpack:"bd,omitempty"`
-	// Same marks a short heartbeat: BundleNumber, BundleDigest, Draining and Leaving are
+	// Abbreviated marks a short heartbeat: BundleNumber, BundleDigest, Draining and Leaving are
 	// left out because they are unchanged since the sender's last full heartbeat on this
 	// connection. Node, DataCentre and Address are left out too, as the Hello contains
 	// them. Package peer fills in all of these before it passes the heartbeat on.
-	Same bool `msgpack:"=,omitempty"`
-	// Ask requests an immediate full heartbeat whose Echo is this Seq. A daemon sets it
+	Abbreviated bool `msgpack:"=,omitempty"`
+	// RequestEcho requests an immediate full heartbeat whose Echo is this Seq. A daemon sets it
 	// after its process was paused, to find out which peers are alive now.
-	Ask bool `msgpack:"q,omitempty"`
+	RequestEcho bool `msgpack:"q,omitempty"`
 	// Echo is the Seq of the receiver's heartbeat that this one answers; 0 if none
 	// asked.
 	Echo uint64 `msgpack:"e,omitempty"`
-	// Fresh relays the heartbeat sequence numbers of daemons in other data centres.
-	Fresh Freshness `msgpack:"f,omitempty"`
+	// RelayedSeqs relays the heartbeat sequence numbers of daemons in other data centres.
+	RelayedSeqs RelayedSeqs `msgpack:"f,omitempty"`
 	// Draining is set when the sender takes no new requests.
 	Draining bool `msgpack:"dr,omitempty"`
 	// Leaving lists the upstreams of which the sender has learned, from any source, that
@@ -90,11 +90,11 @@
 	Leaving []string `msgpack:"l,omitempty"`
 	// Known lists other daemons, so that a new daemon discovers all of them from one
 	// peer.
-	Known []Known `msgpack:"k,omitempty"`
+	Known []KnownDaemon `msgpack:"k,omitempty"`
 }
 
-// Known is a daemon that the sender does not consider dead.
-type Known struct {
+// KnownDaemon is a daemon that the sender does not consider dead.
+type KnownDaemon struct {
 	Node       NodeID `msgpack:"n"`
 	DataCentre string `msgpack:"d"`
 	Address    string `msgpack:"a"`
@@ -156,17 +156,17 @@
 	Holder  NodeID `msgpack:"h"`
 	Offset  uint64 `msgpack:"o"`
 	Through uint64 `msgpack:"t"` // the home has read every record below this offset
-	// Seq is the number that the holder gave to its claim.
-	Seq uint64 `msgpack:"q"`
-	// Body is the digest of the request for which the holder claimed the key.
-	Body []byte `msgpack:"b"`
-	// Sure is false when records that the home could not read may name an
+	// HolderSeq is the number that the holder gave to its claim.
+	HolderSeq uint64 `msgpack:"q"`
+	// BodyDigest is the digest of the request for which the holder claimed the key.
+	BodyDigest []byte `msgpack:"b"`
+	// Authoritative is false when records that the home could not read may name an
 	// earlier holder.
-	Sure bool `msgpack:"u"`
+	Authoritative bool `msgpack:"u"`
 	// Status is the progress of the holder, a value of claims.Status.
 	Status uint8 `msgpack:"p"`
-	// Released is the offset of the record that released the key, if any.
-	Released uint64 `msgpack:"r"`
+	// ReleaseOffset is the offset of the record that released the key, if any.
+	ReleaseOffset uint64 `msgpack:"r"`
 	// AgeMS is the age of the claim in milliseconds, by the timestamps of the log.
 	AgeMS int64 `msgpack:"a"`
 	// Answer is the stored answer to the request, encoded by package claims, or nil.
--- a/members/gossip.go
+++ b/members/gossip.go
@@ -17,7 +17,7 @@
 type Round struct {
 	table   *Table
 	hb      wire.Heartbeat
-	relayed wire.Freshness
+	relayed wire.RelayedSeqs
 }
 
 // Beat starts the next periodic round. Call it once per Config.Heartbeat.
@@ -35,12 +35,12 @@
 func (t *Table) Greet() Round {
 	t.seq++
 	return Round{table: t, hb: wire.Heartbeat{
-		Node:       t.cfg.Node,
-		DataCentre: t.cfg.DataCentre,
-		Address:    t.cfg.Address,
-		Seq:        t.seq,
-		Draining:   t.draining,
-		Ask:        !t.frozenAt.IsZero(),
+		Node:        t.cfg.Node,
+		DataCentre:  t.cfg.DataCentre,
+		Address:     t.cfg.Address,
+		Seq:         t.seq,
+		Draining:    t.draining,
+		RequestEcho: !t.frozenAt.IsZero(),
 	}}
 }
 
@@ -51,7 +51,7 @@
 func (r Round) To(dataCentre string, cursor Cursor) (wire.Heartbeat, Cursor) {
 	hb := r.hb
 	if dataCentre == r.table.cfg.DataCentre {
-		hb.Fresh = r.relayed
+		hb.RelayedSeqs = r.relayed
 	}
 	hb.Known, cursor = r.table.updatesAfter(cursor)
 	return hb, cursor
@@ -59,7 +59,7 @@
 
 // updatesAfter returns up to KnownPerBeat live daemons that changed after cursor,
 // in the order of their changes, and the cursor after the last of them.
-func (t *Table) updatesAfter(cursor Cursor) ([]wire.Known, Cursor) {
+func (t *Table) updatesAfter(cursor Cursor) ([]wire.KnownDaemon, Cursor) {
 	if uint64(cursor) >= t.version {
 		return nil, cursor
 	}
@@ -78,10 +78,10 @@
 }
 
 // toKnown converts table entries to the list sent in a heartbeat.
-func toKnown(entries []*entry) []wire.Known {
-	out := make([]wire.Known, len(entries))
+func toKnown(entries []*entry) []wire.KnownDaemon {
+	out := make([]wire.KnownDaemon, len(entries))
 	for i, e := range entries {
-		out[i] = wire.Known{Node: e.Node, DataCentre: e.DataCentre, Address: e.Address}
+		out[i] = wire.KnownDaemon{Node: e.Node, DataCentre: e.DataCentre, Address: e.Address}
 	}
 	return out
 }
@@ -92,11 +92,11 @@
 // (ranked first by rendezvous hashing). For a remote daemon that no other daemon
 // relayed for two periods, any daemon that receives its heartbeats takes over:
 // the first contact may have lost the connection.
-func (t *Table) relayedProgress(now time.Time) wire.Freshness {
+func (t *Table) relayedProgress(now time.Time) wire.RelayedSeqs {
 	period := time.Duration(t.cfg.RelayEvery) * t.cfg.Heartbeat
 	self := newMember(t.cfg.Node, t.cfg.DataCentre, t.cfg.Address)
 	own := t.view.LiveIn(t.cfg.DataCentre)
-	var f wire.Freshness
+	var f wire.RelayedSeqs
 	for _, e := range t.entries {
 		if e.DataCentre == t.cfg.DataCentre || now.Sub(e.lastDirect) >= period {
 			continue
@@ -113,7 +113,7 @@
 // numbers, half the range of which is more than two hours of heartbeats. If two
 // daemons have the same ShortID, byShortID holds only one of them, and the other
 // appears dead in data centres that receive its progress by relay alone.
-func (t *Table) handleRelay(now time.Time, f wire.Freshness) {
+func (t *Table) handleRelay(now time.Time, f wire.RelayedSeqs) {
 	for id, low := range f.All() {
 		e := t.byShortID[id]
 		if e == nil || e.DataCentre == t.cfg.DataCentre {
--- a/members/mesh_test.go
+++ b/members/mesh_test.go
@@ -169,7 +169,7 @@
 	t := NewTable(config("daemon-00-00", "dc-0"), start)
 	for i := 1; i < 370; i++ {
 		dc := fmt.Sprintf("dc-%d", i%8)
-		t.addOrGet(start, wire.Known{Node: node(fmt.Sprintf("daemon-%02d-%02d", i%8, i), 1_790_000_000_000), DataCentre: dc, Address: "10.12.34.56:7400"})
+		t.addOrGet(start, wire.KnownDaemon{Node: node(fmt.Sprintf("daemon-%02d-%02d", i%8, i), 1_790_000_000_000), DataCentre: dc, Address: "10.12.34.56:7400"})
 	}
 	t.Tick(start)
 	hearNeighbours(t, start, 1)
@@ -241,7 +241,7 @@
 		r := tb.Beat(now)
 		for _, n := range tb.View().Neighbours() {
 			hb, _ := r.To(n.DataCentre, cursor)
-			f, err := wire.Encode(wire.Envelope{Type: wire.TypeHeartbeat}, &wire.Heartbeat{Seq: hb.Seq + 300_000, Same: true, Fresh: hb.Fresh}, wire.MaxFrame)
+			f, err := wire.Encode(wire.Envelope{Type: wire.TypeHeartbeat}, &wire.Heartbeat{Seq: hb.Seq + 300_000, Abbreviated: true, RelayedSeqs: hb.RelayedSeqs}, wire.MaxFrame)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/members/table.go
+++ b/members/table.go
@@ -94,7 +94,7 @@
 	if t.checkOwnInstance(hb.Node) {
 		return
 	}
-	e := t.addOrGet(now, wire.Known{Node: hb.Node, DataCentre: hb.DataCentre, Address: hb.Address})
+	e := t.addOrGet(now, wire.KnownDaemon{Node: hb.Node, DataCentre: hb.DataCentre, Address: hb.Address})
 	if e == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 		t.addOrGet(now, k)
 	}
 	if hb.DataCentre == t.cfg.DataCentre {
-		t.handleRelay(now, hb.Fresh)
+		t.handleRelay(now, hb.RelayedSeqs)
 	}
 }
 
@@ -131,7 +131,7 @@
 // incarnation. An existing entry is left unchanged, so that being listed by
 // another daemon does not make a dead daemon alive; only a higher sequence number
 // does.
-func (t *Table) addOrGet(now time.Time, k wire.Known) *entry {
+func (t *Table) addOrGet(now time.Time, k wire.KnownDaemon) *entry {
 	if k.Node.IsZero() || t.checkOwnInstance(k.Node) {
 		return nil
 	}
--- a/members/table_test.go
+++ b/members/table_test.go
@@ -41,7 +41,7 @@
 // the growth of the daemon's own sequence numbers.
 func TestLivenessFollowsIncarnationAndProgress(t *testing.T) {
 	listing := beat("c", "x", 1, 1)
-	listing.Known = []wire.Known{{Node: node("b", 2), DataCentre: "x"}}
+	listing.Known = []wire.KnownDaemon{{Node: node("b", 2), DataCentre: "x"}}
 	steps := []struct {
 		name       string
 		ms         int
@@ -120,7 +120,7 @@
 // Cause: the old incarnation is not notified that it was replaced.
 func TestEarlierLifeHearsThatItIsOver(t *testing.T) {
 	listing := beat("b", "x", 1, 1)
-	listing.Known = []wire.Known{{Node: node("a", 2)}}
+	listing.Known = []wire.KnownDaemon{{Node: node("a", 2)}}
 	for name, hb := range map[string]wire.Heartbeat{"directly": beat("a", "x", 2, 1), "by another daemon's list": listing} {
 		tb := NewTable(config("a", "x"), start)
 		tb.Hear(start, hb)
@@ -163,7 +163,7 @@
 	t.Run("a majority answers", func(t *testing.T) {
 		tb, round := freezeAndTick(t)
 		ask, _ := round.To("x", 0)
-		if !ask.Ask {
+		if !ask.RequestEcho {
 			t.Fatal("the heartbeat after the freeze does not ask for an echo")
 		}
 		for i, n := range []string{"b", "b", "c"} {
--- a/peer/link.go
+++ b/peer/link.go
@@ -158,7 +158,7 @@
 	l.close(err)
 	l.s.unregister(l)
 	l.failCalls()
-	var fault *wire.Fault
+	var fault *wire.FrameError
 	if errors.As(err, &fault) {
 		l.s.counters.faults.Add(1)
 	}
@@ -248,7 +248,7 @@
 		Node:       o.Members.Node,
 		DataCentre: o.Members.DataCentre,
 		Address:    o.Members.Address,
-		Known:      []wire.Known{{Node: later.Node, DataCentre: later.DataCentre, Address: later.Address}},
+		Known:      []wire.KnownDaemon{{Node: later.Node, DataCentre: later.DataCentre, Address: later.Address}},
 	}
 	f, err := wire.Encode(wire.Envelope{Type: wire.TypeHeartbeat}, &hb, o.MaxFrame)
 	if err != nil {
@@ -278,7 +278,7 @@
 	hb.Echo, l.pendingEcho = l.pendingEcho, 0
 	l.sentSinceFull++
 	if l.lastFullSent != nil && l.sentSinceFull < fullHeartbeatEvery && sameAnnouncement(l.lastFullSent, &hb) {
-		hb = wire.Heartbeat{Seq: hb.Seq, Same: true, Ask: hb.Ask, Echo: hb.Echo, Fresh: hb.Fresh, Known: hb.Known}
+		hb = wire.Heartbeat{Seq: hb.Seq, Abbreviated: true, RequestEcho: hb.RequestEcho, Echo: hb.Echo, RelayedSeqs: hb.RelayedSeqs, Known: hb.Known}
 	} else {
 		full := hb
 		l.lastFullSent, l.sentSinceFull = &full, 0
@@ -299,11 +299,11 @@
 // expandHeartbeat fills in the fields that a short heartbeat leaves out. The identity
 // is always that of the connection's Hello.
 func (l *link) expandHeartbeat(hb wire.Heartbeat) wire.Heartbeat {
-	if hb.Same {
+	if hb.Abbreviated {
 		hb.BundleNumber, hb.BundleDigest = l.lastReceived.BundleNumber, l.lastReceived.BundleDigest
 		hb.Draining, hb.Leaving = l.lastReceived.Draining, l.lastReceived.Leaving
 	}
-	hb.Same = false
+	hb.Abbreviated = false
 	hb.Node, hb.DataCentre, hb.Address = l.peer.Node, l.peer.DataCentre, l.peer.Address
 	l.lastReceived = hb
 	return hb
--- a/peer/service.go
+++ b/peer/service.go
@@ -254,13 +254,13 @@
 func (s *Service) handleHeartbeat(l *link, hb wire.Heartbeat) {
 	now := time.Now()
 	var own wire.Heartbeat
-	if hb.Ask {
+	if hb.RequestEcho {
 		own = s.announcement()
 	}
 	s.mu.Lock()
 	s.table.Hear(now, hb)
 	s.view.Store(s.table.View())
-	if hb.Ask {
+	if hb.RequestEcho {
 		l.pendingEcho, l.lastFullSent = hb.Seq, nil
 		l.sendHeartbeat(s.table.Greet(), own)
 	}
