--- a/internal/experiment/state_test.go
+++ b/internal/experiment/state_test.go
@@ -58,7 +58,7 @@
 	now := time.Unix(1000, 0)
 	t := members.NewTable(members.Config{Node: wire.NodeID{Instance: "entry-000", Incarnation: 1}, DataCentre: "dc-0"}, now)
 	for i := 1; i < designDaemons; i++ {
-		t.Hear(now, wire.Heartbeat{
+		t.HandleHeartbeat(now, wire.Heartbeat{
 			Node: wire.NodeID{Instance: fmt.Sprintf("entry-%03d", i), Incarnation: 1}, Seq: 1,
 			DataCentre: fmt.Sprintf("dc-%d", i%designDataCentres), Address: fmt.Sprintf("10.0.%d.%d:8081", i>>8, i&255),
 		})
--- a/members/config.go
+++ b/members/config.go
@@ -13,15 +13,15 @@
 
 // Default values of the Config fields with the same names.
 const (
-	DefaultHeartbeat    = 250 * time.Millisecond
-	DefaultUnknownAfter = 10 * time.Second
-	DefaultFrozenAfter  = time.Second
-	DefaultRefreshAfter = time.Second
-	DefaultForgetAfter  = time.Hour
-	DefaultLossMemory   = 30 * time.Second
-	DefaultContacts     = 2
-	DefaultRelayEvery   = 2
-	DefaultKnownPerBeat = 32
+	DefaultHeartbeat            = 250 * time.Millisecond
+	DefaultUnknownAfter         = 10 * time.Second
+	DefaultFrozenAfter          = time.Second
+	DefaultRefreshAfter         = time.Second
+	DefaultForgetAfter          = time.Hour
+	DefaultIsolationWindow      = 30 * time.Second
+	DefaultContacts             = 2
+	DefaultRelayEvery           = 2
+	DefaultMaxKnownPerHeartbeat = 32
 )
 
 // Defaults of SuspectAfter, DeadAfter and FarDeadAfter, in heartbeat intervals.
@@ -45,10 +45,10 @@
 	// SuspectAfter and DeadAfter are the times without a new heartbeat after which
 	// a daemon of this data centre becomes Suspect and Dead.
 	SuspectAfter, DeadAfter time.Duration
-	// FarDeadAfter replaces DeadAfter for daemons of other data centres. It is
+	// RemoteDeadAfter replaces DeadAfter for daemons of other data centres. It is
 	// longer because most of their heartbeats arrive indirectly: daemons of this
 	// data centre relay the sequence numbers, once every RelayEvery heartbeats.
-	FarDeadAfter time.Duration
+	RemoteDeadAfter time.Duration
 	// UnknownAfter is how long a daemon must stay Unknown, with this process not
 	// frozen meanwhile, before callers may treat it as dead. It covers the time
 	// that a newly started daemon needs to discover all others.
@@ -62,9 +62,9 @@
 	// ForgetAfter is the time without a heartbeat after which a daemon is removed
 	// from the table; until then connection attempts to it go on.
 	ForgetAfter time.Duration
-	// LossMemory is the time since its last heartbeat during which a silent daemon
+	// IsolationWindow is the time since its last heartbeat during which a silent daemon
 	// counts for View.Isolated.
-	LossMemory time.Duration
+	IsolationWindow time.Duration
 	// Contacts is the number of daemons in each other data centre that this daemon
 	// exchanges heartbeats with, unless the data centre is small enough to connect
 	// to all of its daemons.
@@ -72,8 +72,8 @@
 	// RelayEvery is the number of heartbeats per relay: every RelayEvery-th one to
 	// this data centre carries the sequence numbers of remote daemons.
 	RelayEvery int
-	// KnownPerBeat is the maximum number of daemon descriptions per heartbeat.
-	KnownPerBeat int
+	// MaxKnownPerHeartbeat is the maximum number of daemon descriptions per heartbeat.
+	MaxKnownPerHeartbeat int
 }
 
 // withDefaults returns c with defaults in place of zero values.
@@ -81,15 +81,15 @@
 	setDefault(&c.Heartbeat, DefaultHeartbeat)
 	setDefault(&c.SuspectAfter, suspectHeartbeats*c.Heartbeat)
 	setDefault(&c.DeadAfter, deadHeartbeats*c.Heartbeat)
-	setDefault(&c.FarDeadAfter, max(remoteDeadHeartbeats*c.Heartbeat, 2*c.DeadAfter))
+	setDefault(&c.RemoteDeadAfter, max(remoteDeadHeartbeats*c.Heartbeat, 2*c.DeadAfter))
 	setDefault(&c.UnknownAfter, DefaultUnknownAfter)
 	setDefault(&c.FrozenAfter, DefaultFrozenAfter)
 	setDefault(&c.RefreshAfter, DefaultRefreshAfter)
 	setDefault(&c.ForgetAfter, DefaultForgetAfter)
-	setDefault(&c.LossMemory, DefaultLossMemory)
+	setDefault(&c.IsolationWindow, DefaultIsolationWindow)
 	setDefault(&c.Contacts, DefaultContacts)
 	setDefault(&c.RelayEvery, DefaultRelayEvery)
-	setDefault(&c.KnownPerBeat, DefaultKnownPerBeat)
+	setDefault(&c.MaxKnownPerHeartbeat, DefaultMaxKnownPerHeartbeat)
 	return c
 }
 
--- a/members/gossip.go
+++ b/members/gossip.go
@@ -20,9 +20,9 @@
 	relayed wire.RelayedSeqs
 }
 
-// Beat starts the next periodic round. Call it once per Config.Heartbeat.
-func (t *Table) Beat(now time.Time) Round {
-	r := t.Greet()
+// NextRound starts the next periodic round. Call it once per Config.Heartbeat.
+func (t *Table) NextRound(now time.Time) Round {
+	r := t.SinglePeerRound()
 	t.rounds++
 	if t.rounds%uint64(t.cfg.RelayEvery) == 0 {
 		r.relayed = t.relayedProgress(now)
@@ -30,9 +30,9 @@
 	return r
 }
 
-// Greet starts an extra round for a single peer, outside the period: on a new
+// SinglePeerRound starts an extra round for a single peer, outside the period: on a new
 // connection, or to reply to a heartbeat that has Ask set.
-func (t *Table) Greet() Round {
+func (t *Table) SinglePeerRound() Round {
 	t.seq++
 	return Round{table: t, hb: wire.Heartbeat{
 		Node:        t.cfg.Node,
@@ -44,11 +44,11 @@
 	}}
 }
 
-// To returns the heartbeat of this round for one peer of the given data centre.
+// HeartbeatFor returns the heartbeat of this round for one peer of the given data centre.
 // It lists daemons that changed after cursor, the position returned for this
 // peer in an earlier round. The caller passes the returned cursor in the next
 // round, or the old one again if the heartbeat was not sent.
-func (r Round) To(dataCentre string, cursor Cursor) (wire.Heartbeat, Cursor) {
+func (r Round) HeartbeatFor(dataCentre string, cursor Cursor) (wire.Heartbeat, Cursor) {
 	hb := r.hb
 	if dataCentre == r.table.cfg.DataCentre {
 		hb.RelayedSeqs = r.relayed
@@ -70,10 +70,10 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.changeVersion, b.changeVersion) })
-	if len(changed) <= t.cfg.KnownPerBeat {
+	if len(changed) <= t.cfg.MaxKnownPerHeartbeat {
 		return toKnown(changed), Cursor(t.version)
 	}
-	changed = changed[:t.cfg.KnownPerBeat]
+	changed = changed[:t.cfg.MaxKnownPerHeartbeat]
 	return toKnown(changed), Cursor(changed[len(changed)-1].changeVersion)
 }
 
--- a/members/mesh_test.go
+++ b/members/mesh_test.go
@@ -47,16 +47,16 @@
 	rounds := map[string]Round{}
 	for name, tb := range m.tables {
 		tb.Tick(m.now)
-		rounds[name] = tb.Beat(m.now)
+		rounds[name] = tb.NextRound(m.now)
 	}
 	for l := range links {
 		from, to := m.tables[l[0]], m.tables[l[1]]
 		if m.down[l[0]] || m.down[l[1]] || m.partitioned != nil && m.partitioned(from, to) {
 			continue
 		}
-		hb, cursor := rounds[l[0]].To(to.cfg.DataCentre, m.cursors[l])
+		hb, cursor := rounds[l[0]].HeartbeatFor(to.cfg.DataCentre, m.cursors[l])
 		m.cursors[l] = cursor
-		to.Hear(m.now, hb)
+		to.HandleHeartbeat(m.now, hb)
 	}
 }
 
@@ -180,7 +180,7 @@
 // hearNeighbours passes a heartbeat with number seq from each neighbour to t.
 func hearNeighbours(t *Table, now time.Time, seq uint64) {
 	for _, n := range t.View().Neighbours() {
-		t.Hear(now, wire.Heartbeat{Node: n.Node, DataCentre: n.DataCentre, Address: n.Address, Seq: seq})
+		t.HandleHeartbeat(now, wire.Heartbeat{Node: n.Node, DataCentre: n.DataCentre, Address: n.Address, Seq: seq})
 	}
 }
 
@@ -204,7 +204,7 @@
 		tb := NewTable(config(self, self[:1]), start)
 		for _, n := range all {
 			if n != self {
-				tb.Hear(start, beat(n, n[:1], 1, 1))
+				tb.HandleHeartbeat(start, beat(n, n[:1], 1, 1))
 			}
 		}
 		tb.Tick(start)
@@ -238,9 +238,9 @@
 			e.lastProgress, e.lastRelayed = now, now
 		}
 		tb.Tick(now)
-		r := tb.Beat(now)
+		r := tb.NextRound(now)
 		for _, n := range tb.View().Neighbours() {
-			hb, _ := r.To(n.DataCentre, cursor)
+			hb, _ := r.HeartbeatFor(n.DataCentre, cursor)
 			f, err := wire.Encode(wire.Envelope{Type: wire.TypeHeartbeat}, &wire.Heartbeat{Seq: hb.Seq + 300_000, Abbreviated: true, RelayedSeqs: hb.RelayedSeqs}, wire.MaxFrame)
 			if err != nil {
 				b.Fatal(err)
--- a/members/table.go
+++ b/members/table.go
@@ -29,9 +29,9 @@
 	return [...]string{"none", "joined", "suspected", "died", "recovered", "froze", "thawed", "superseded"}[e]
 }
 
-// Action is one membership change returned by Tick. Node is the daemon that
+// Change is one membership change returned by Tick. Node is the daemon that
 // changed.
-type Action struct {
+type Change struct {
 	Event Event
 	Node  wire.NodeID
 }
@@ -52,7 +52,7 @@
 	entries   map[string]*entry
 	byShortID map[wire.ShortID]*entry
 	view      *View
-	events    []Action
+	events    []Change
 
 	seq               uint64 // number of this daemon's last heartbeat
 	rounds            uint64 // periodic rounds sent
@@ -88,8 +88,8 @@
 	t.draining = draining
 }
 
-// Hear processes a heartbeat received directly from its sender.
-func (t *Table) Hear(now time.Time, hb wire.Heartbeat) {
+// HandleHeartbeat processes a heartbeat received directly from its sender.
+func (t *Table) HandleHeartbeat(now time.Time, hb wire.Heartbeat) {
 	t.detectFreeze(now)
 	if t.checkOwnInstance(hb.Node) {
 		return
@@ -176,7 +176,7 @@
 // Tick updates the liveness of all daemons for the time now, publishes a new view
 // and returns the changes since the previous tick. Call it at least every half
 // Config.Heartbeat.
-func (t *Table) Tick(now time.Time) []Action {
+func (t *Table) Tick(now time.Time) []Change {
 	t.detectFreeze(now)
 	if !t.frozenAt.IsZero() && clock.Elapsed(t.frozenAt, now) >= t.cfg.RefreshAfter {
 		t.endFreeze()
@@ -196,7 +196,7 @@
 func (t *Table) updateLiveness(now time.Time, name string, e *entry) {
 	extraTime := time.Duration(0)
 	if e.DataCentre != t.cfg.DataCentre {
-		extraTime = t.cfg.FarDeadAfter - t.cfg.DeadAfter
+		extraTime = t.cfg.RemoteDeadAfter - t.cfg.DeadAfter
 	}
 	switch silent := now.Sub(e.lastProgress) - extraTime; {
 	case silent >= t.cfg.ForgetAfter:
@@ -224,7 +224,7 @@
 }
 
 func (t *Table) addEvent(ev Event, n wire.NodeID) {
-	t.events = append(t.events, Action{Event: ev, Node: n})
+	t.events = append(t.events, Change{Event: ev, Node: n})
 }
 
 // publish replaces the view with a snapshot of the current state.
@@ -257,7 +257,7 @@
 		switch silence := now.Sub(e.lastProgress); {
 		case silence < limit:
 			recent++
-		case silence < t.cfg.LossMemory:
+		case silence < t.cfg.IsolationWindow:
 			silent++
 		}
 	}
--- a/members/table_test.go
+++ b/members/table_test.go
@@ -65,7 +65,7 @@
 		tickTo(tb, last, s.ms)
 		last = s.ms
 		for _, hb := range s.hear {
-			tb.Hear(at(s.ms), hb)
+			tb.HandleHeartbeat(at(s.ms), hb)
 		}
 		tb.Tick(at(s.ms))
 		got := [2]Liveness{tb.View().Liveness(node("b", 1)), tb.View().Liveness(node("b", 2))}
@@ -101,7 +101,7 @@
 			for ms := 0; ms <= 40000; ms += 125 {
 				for _, n := range c.others {
 					if ms == 0 || !strings.Contains(c.silent, n) {
-						tb.Hear(at(ms), beat(n, n[1:], 1, uint64(1+ms)))
+						tb.HandleHeartbeat(at(ms), beat(n, n[1:], 1, uint64(1+ms)))
 					}
 				}
 				tb.Tick(at(ms))
@@ -123,8 +123,8 @@
 	listing.Known = []wire.KnownDaemon{{Node: node("a", 2)}}
 	for name, hb := range map[string]wire.Heartbeat{"directly": beat("a", "x", 2, 1), "by another daemon's list": listing} {
 		tb := NewTable(config("a", "x"), start)
-		tb.Hear(start, hb)
-		if got := tb.Tick(start); got[len(got)-1] != (Action{Superseded, node("a", 2)}) {
+		tb.HandleHeartbeat(start, hb)
+		if got := tb.Tick(start); got[len(got)-1] != (Change{Superseded, node("a", 2)}) {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
@@ -140,15 +140,15 @@
 	freezeAndTick := func(t *testing.T) (*Table, Round) {
 		tb := NewTable(config("a", "x"), start)
 		for _, n := range []string{"b", "c", "d"} {
-			tb.Hear(start, beat(n, "x", 1, 1))
+			tb.HandleHeartbeat(start, beat(n, "x", 1, 1))
 		}
 		tb.Tick(start)
-		tb.Beat(start)
+		tb.NextRound(start)
 		now := at(3000)
 		if !tb.View().Frozen(now) {
 			t.Error("Frozen is false before the first tick after the freeze")
 		}
-		tb.Hear(now, beat("b", "x", 1, 9)) // waited in the socket
+		tb.HandleHeartbeat(now, beat("b", "x", 1, 9)) // waited in the socket
 		tb.Tick(now)
 		if !tb.View().Frozen(now) {
 			t.Error("a buffered heartbeat ended the freeze")
@@ -158,11 +158,11 @@
 				t.Errorf("%s is %v after the freeze, want alive", n, got)
 			}
 		}
-		return tb, tb.Beat(now)
+		return tb, tb.NextRound(now)
 	}
 	t.Run("a majority answers", func(t *testing.T) {
 		tb, round := freezeAndTick(t)
-		ask, _ := round.To("x", 0)
+		ask, _ := round.HeartbeatFor("x", 0)
 		if !ask.RequestEcho {
 			t.Fatal("the heartbeat after the freeze does not ask for an echo")
 		}
@@ -172,7 +172,7 @@
 			if !tb.View().Frozen(at(3010)) {
 				t.Errorf("the freeze ended before a majority replied, at heartbeat %d", i)
 			}
-			tb.Hear(at(3010), hb)
+			tb.HandleHeartbeat(at(3010), hb)
 		}
 		if tb.View().Frozen(at(3010)) {
 			t.Error("still frozen after 2 of 3 peers answered")
@@ -183,7 +183,7 @@
 		for _, n := range []string{"b", "c", "d"} {
 			hb := beat(n, "x", 1, 20)
 			hb.Echo = round.hb.Seq - 1
-			tb.Hear(at(3010), hb)
+			tb.HandleHeartbeat(at(3010), hb)
 		}
 		if !tb.View().Frozen(at(3010)) {
 			t.Error("echoes of a heartbeat sent before the freeze ended it")
@@ -208,11 +208,11 @@
 func TestSinceStartsAgainAfterAFreeze(t *testing.T) {
 	tb := NewTable(config("a", "x"), start)
 	tickTo(tb, 0, 9875)
-	if got := tb.View().Since(); !got.Equal(start) {
+	if got := tb.View().ValidSince(); !got.Equal(start) {
 		t.Errorf("since %v before the freeze", got)
 	}
 	tickTo(tb, 15000, 18000)
-	if got := tb.View().Since(); !got.Equal(at(15000)) || tb.View().Frozen(at(18000)) {
+	if got := tb.View().ValidSince(); !got.Equal(at(15000)) || tb.View().Frozen(at(18000)) {
 		t.Errorf("since %v after the freeze", got)
 	}
 }
@@ -233,7 +233,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			tb := NewTable(config("a", "x"), start)
 			for n, dc := range map[string]string{"b": "x", "c": "x", "d": "y"} {
-				tb.Hear(start, beat(n, dc, 1, 1))
+				tb.HandleHeartbeat(start, beat(n, dc, 1, 1))
 			}
 			for _, n := range c.draining {
 				if n == "a" {
@@ -242,7 +242,7 @@
 				}
 				hb := beat(n, tb.entries[n].DataCentre, 1, 2)
 				hb.Draining = true
-				tb.Hear(start, hb)
+				tb.HandleHeartbeat(start, hb)
 			}
 			tb.Tick(start)
 			got := map[string]bool{}
@@ -260,13 +260,13 @@
 func TestStewardDeathMovesOnlyItsUpstreams(t *testing.T) {
 	tb := NewTable(config("a", "x"), start)
 	for _, n := range []string{"b", "c", "d"} {
-		tb.Hear(start, beat(n, "x", 1, 1))
+		tb.HandleHeartbeat(start, beat(n, "x", 1, 1))
 	}
 	tb.Tick(start)
 	before := tb.View()
 	for ms := 125; ms <= 1500; ms += 125 {
-		tb.Hear(at(ms), beat("b", "x", 1, uint64(ms)))
-		tb.Hear(at(ms), beat("c", "x", 1, uint64(ms)))
+		tb.HandleHeartbeat(at(ms), beat("b", "x", 1, uint64(ms)))
+		tb.HandleHeartbeat(at(ms), beat("c", "x", 1, uint64(ms)))
 		tb.Tick(at(ms))
 	}
 	for i := range 200 {
--- a/members/view.go
+++ b/members/view.go
@@ -81,9 +81,9 @@
 // Heartbeat returns the configured heartbeat interval.
 func (v *View) Heartbeat() time.Duration { return v.cfg.Heartbeat }
 
-// FarDeadAfter returns the configured time without a new heartbeat after which a
+// RemoteDeadAfter returns the configured time without a new heartbeat after which a
 // daemon of another data centre is Dead.
-func (v *View) FarDeadAfter() time.Duration { return v.cfg.FarDeadAfter }
+func (v *View) RemoteDeadAfter() time.Duration { return v.cfg.RemoteDeadAfter }
 
 // Generation returns a number that changes whenever the results of Live,
 // Neighbours, Near or Steward may have changed.
@@ -166,20 +166,20 @@
 	return v.cfg.Node
 }
 
-// Mine reports whether this daemon is the Steward of an upstream. It is cheaper
+// IsSteward reports whether this daemon is the Steward of an upstream. It is cheaper
 // than Steward for upstreams of other data centres, because it needs no hashing
 // where such a data centre has candidates of its own.
-func (v *View) Mine(upstream, dataCentre string) bool {
+func (v *View) IsSteward(upstream, dataCentre string) bool {
 	if dataCentre != v.cfg.DataCentre && len(v.membership.eligibleByCentre[dataCentre]) > 0 {
 		return false
 	}
 	return v.Steward(upstream, dataCentre) == v.cfg.Node
 }
 
-// Homes returns up to n daemons for a key, by rendezvous hashing among the live,
+// TopRanked returns up to n daemons for a key, by rendezvous hashing among the live,
 // not draining daemons of all data centres or, if there are none, among all live
 // daemons. Callers use the first; when it dies, the second becomes the first.
-func (v *View) Homes(key string, n int) []Member {
+func (v *View) TopRanked(key string, n int) []Member {
 	candidates := v.membership.eligible
 	if len(candidates) == 0 {
 		candidates = v.membership.live
@@ -187,9 +187,9 @@
 	return topN(xxhash.Sum64String(key), candidates, n)
 }
 
-// Since returns when the table was created or last detected a freeze of this
+// ValidSince returns when the table was created or last detected a freeze of this
 // process. Observations made before that time are outdated.
-func (v *View) Since() time.Time { return v.validSince }
+func (v *View) ValidSince() time.Time { return v.validSince }
 
 // UnknownAfter returns the configured time after which an Unknown daemon may be
 // treated as dead.
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -218,7 +218,7 @@
 		return errStopped
 	}
 	if l.peer.Node.Instance == self.Instance {
-		s.table.Hear(time.Now(), wire.Heartbeat{Node: l.peer.Node, DataCentre: l.peer.DataCentre, Address: l.peer.Address})
+		s.table.HandleHeartbeat(time.Now(), wire.Heartbeat{Node: l.peer.Node, DataCentre: l.peer.DataCentre, Address: l.peer.Address})
 		return errSelf
 	}
 	if s.view.Load().Superseded(l.peer.Node) {
@@ -238,7 +238,7 @@
 		}
 	}
 	s.links[l.peer.Node.Instance] = l
-	l.sendHeartbeat(s.table.Greet(), own)
+	l.sendHeartbeat(s.table.SinglePeerRound(), own)
 	return nil
 }
 
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -213,7 +213,7 @@
 func TestLaterIncarnationTakesTheLink(t *testing.T) {
 	supersededBy := make(chan wire.NodeID, 10)
 	s := startService(t, "s", func(o *Options) {
-		o.OnEvent = func(a members.Action) {
+		o.OnEvent = func(a members.Change) {
 			if a.Event == members.Superseded {
 				supersededBy <- a.Node
 			}
@@ -273,7 +273,7 @@
 	now := time.Now()
 	addDaemon := func(name string) *link {
 		hb := wire.Heartbeat{Node: wire.NodeID{Instance: name, Incarnation: 1}, DataCentre: "x", Address: "10.0.0.1:1", Seq: 1}
-		s.table.Hear(now, hb)
+		s.table.HandleHeartbeat(now, hb)
 		return &link{peer: wire.Hello{Node: hb.Node, Address: hb.Address}}
 	}
 	addDaemon("first")
--- a/peer/link.go
+++ b/peer/link.go
@@ -272,7 +272,7 @@
 	if l.frameDropped.Swap(false) {
 		l.lastFullSent, l.gossipCursor = nil, 0
 	}
-	hb, cursor := round.To(l.peer.DataCentre, l.gossipCursor)
+	hb, cursor := round.HeartbeatFor(l.peer.DataCentre, l.gossipCursor)
 	hb.BundleNumber, hb.BundleDigest = own.BundleNumber, own.BundleDigest
 	hb.Draining, hb.Leaving = own.Draining, own.Leaving
 	hb.Echo, l.pendingEcho = l.pendingEcho, 0
--- a/peer/options.go
+++ b/peer/options.go
@@ -63,7 +63,7 @@
 	// new ones. It is for tests of network partitions only.
 	Block func(address string) bool
 	// OnEvent is called for every membership event. It must not block.
-	OnEvent func(members.Action)
+	OnEvent func(members.Change)
 	// Logger is required.
 	Logger log.Interface
 	// Rand is the source of the jitter in reconnect delays. It must not be used
@@ -127,7 +127,7 @@
 		o.Block = func(string) bool { return false }
 	}
 	if o.OnEvent == nil {
-		o.OnEvent = func(members.Action) {}
+		o.OnEvent = func(members.Change) {}
 	}
 	if o.TLS != nil {
 		o.TLS = withMutualTLS(o.TLS)
--- a/peer/service.go
+++ b/peer/service.go
@@ -64,7 +64,7 @@
 		retired:    map[*link]time.Time{},
 	}
 	s.view.Store(s.table.View())
-	s.opts = o.withDefaults(s.View().FarDeadAfter())
+	s.opts = o.withDefaults(s.View().RemoteDeadAfter())
 	return s
 }
 
@@ -225,7 +225,7 @@
 		sendHeartbeats = sendHeartbeats || e.Event == members.Froze
 	}
 	if sendHeartbeats {
-		round := s.table.Beat(now)
+		round := s.table.NextRound(now)
 		for _, l := range s.links {
 			l.sendHeartbeat(round, own)
 		}
@@ -258,11 +258,11 @@
 		own = s.announcement()
 	}
 	s.mu.Lock()
-	s.table.Hear(now, hb)
+	s.table.HandleHeartbeat(now, hb)
 	s.view.Store(s.table.View())
 	if hb.RequestEcho {
 		l.pendingEcho, l.lastFullSent = hb.Seq, nil
-		l.sendHeartbeat(s.table.Greet(), own)
+		l.sendHeartbeat(s.table.SinglePeerRound(), own)
 	}
 	s.mu.Unlock()
 	for _, f := range s.heartbeatHooks {
--- a/peer/service_test.go
+++ b/peer/service_test.go
@@ -33,7 +33,7 @@
 	}
 	o := Options{
 		Members: members.Config{Node: wire.NodeID{Instance: name, Incarnation: 5}, DataCentre: dataCentre,
-			Heartbeat: testHeartbeat, SuspectAfter: time.Second, DeadAfter: 2 * time.Second, FarDeadAfter: 4 * time.Second},
+			Heartbeat: testHeartbeat, SuspectAfter: time.Second, DeadAfter: 2 * time.Second, RemoteDeadAfter: 4 * time.Second},
 		Listener: ln,
 		Logger:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 		Rand:     rand.New(rand.NewPCG(1, 2)),
@@ -218,7 +218,7 @@
 	a := startService(t, "a", func(o *Options) {
 		withSeeds(b)(o)
 		o.Members.RefreshAfter = time.Hour
-		o.OnEvent = func(e members.Action) {
+		o.OnEvent = func(e members.Change) {
 			if e.Event == members.Thawed {
 				select {
 				case thawed <- struct{}{}:
--- a/router/homes.go
+++ b/router/homes.go
@@ -64,7 +64,7 @@
 	if !h.large.Load() {
 		return true
 	}
-	for _, m := range view.Homes(claims.Stream(shard), homesPerShard) {
+	for _, m := range view.TopRanked(claims.Stream(shard), homesPerShard) {
 		if m.Node == view.Self() {
 			return true
 		}
@@ -87,7 +87,7 @@
 // callHome calls the homes of a shard in turn until one answers.
 func callHome[T any](ctx context.Context, h *homes, shard int, t wire.Type, req any) (T, error) {
 	view, err := h.peers.View(), errNoHome
-	for _, m := range view.Homes(claims.Stream(shard), homesPerShard) {
+	for _, m := range view.TopRanked(claims.Stream(shard), homesPerShard) {
 		if m.Node == view.Self() {
 			continue
 		}
--- a/router/homes_test.go
+++ b/router/homes_test.go
@@ -44,7 +44,7 @@
 		t := members.NewTable(members.Config{Node: fleetNode(i), DataCentre: "a"}, now)
 		for j := range n {
 			if j != i && sees(i, j) {
-				t.Hear(now, wire.Heartbeat{Node: fleetNode(j), DataCentre: "a", Seq: 1})
+				t.HandleHeartbeat(now, wire.Heartbeat{Node: fleetNode(j), DataCentre: "a", Seq: 1})
 			}
 		}
 		t.Tick(now)
@@ -117,7 +117,7 @@
 // detected as dead, although the second home is live.
 func TestSecondHomeIsAsked(t *testing.T) {
 	f := newHomeFleet(30, all)
-	list := f.memberTables[0].View().Homes(claims.Stream(0), homesPerShard)
+	list := f.memberTables[0].View().TopRanked(claims.Stream(0), homesPerShard)
 	f.unreachable[list[0].Node] = true
 	caller := 0
 	for fleetNode(caller) == list[0].Node || fleetNode(caller) == list[1].Node {
--- a/router/provision.go
+++ b/router/provision.go
@@ -284,5 +284,5 @@
 // isSteward reports whether this daemon is the steward of an upstream: the one daemon that
 // polls and orders it.
 func (r *Router) isSteward(name, dataCentre string) bool {
-	return r.peers.View().Mine(name, dataCentre)
+	return r.peers.View().IsSteward(name, dataCentre)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -177,7 +177,7 @@
 // onMemberEvent makes Run return when a later incarnation of this instance has joined.
 // This process was then suspended or partitioned, the platform has replaced it, and
 // stewards are freeing its engine memory: new work would be cancelled.
-func (r *Router) onMemberEvent(a members.Action) {
+func (r *Router) onMemberEvent(a members.Change) {
 	if a.Event != members.Superseded {
 		return
 	}
--- a/steward/bench_test.go
+++ b/steward/bench_test.go
@@ -16,7 +16,7 @@
 	now := time.Unix(1000, 0)
 	t := members.NewTable(members.Config{Node: wire.NodeID{Instance: "entry-000", Incarnation: 1}, DataCentre: "dc-0"}, now)
 	for i := 1; i < 370; i++ {
-		t.Hear(now, wire.Heartbeat{Node: wire.NodeID{Instance: fmt.Sprintf("entry-%03d", i), Incarnation: 1}, Seq: 1, DataCentre: fmt.Sprintf("dc-%d", i%8)})
+		t.HandleHeartbeat(now, wire.Heartbeat{Node: wire.NodeID{Instance: fmt.Sprintf("entry-%03d", i), Incarnation: 1}, Seq: 1, DataCentre: fmt.Sprintf("dc-%d", i%8)})
 	}
 	t.Tick(now)
 	content := &bundle.Bundle{Upstreams: map[string]bundle.Upstream{}}
--- a/steward/runner.go
+++ b/steward/runner.go
@@ -242,7 +242,7 @@
 func ownUpstreams(v *members.View, b *bundle.Bundle) map[string]bool {
 	isEngine := map[string]bool{}
 	for name, u := range b.Upstreams {
-		if v.Mine(name, u.DataCentre) {
+		if v.IsSteward(name, u.DataCentre) {
 			isEngine[name] = b.Pools[u.Pool].Role != bundle.RoleService
 		}
 	}
--- a/steward/runner_test.go
+++ b/steward/runner_test.go
@@ -144,7 +144,7 @@
 	p := &fakePeers{sent: make(chan wire.Board, 100)}
 	p.table = members.NewTable(members.Config{Node: wire.NodeID{Instance: "me", Incarnation: 2}, DataCentre: "x",
 		DeadAfter: time.Hour, SuspectAfter: time.Hour}, time.Now())
-	p.table.Hear(time.Now(), wire.Heartbeat{Node: wire.NodeID{Instance: "other", Incarnation: 1}, DataCentre: "x", Seq: 1})
+	p.table.HandleHeartbeat(time.Now(), wire.Heartbeat{Node: wire.NodeID{Instance: "other", Incarnation: 1}, DataCentre: "x", Seq: 1})
 	o := Options{Engines: f, Peers: p, Board: h, Current: func() *bundle.Version { return version },
 		Logger: &log.Logger{Handler: discard.New(), Level: log.DebugLevel}, Rand: rand.New(rand.NewPCG(1, 1)),
 		LoadInterval: 20 * time.Millisecond, EventsInterval: 20 * time.Millisecond, HeldInterval: 20 * time.Millisecond,
@@ -227,7 +227,7 @@
 	}
 	waittest.Until(t, "all listed", func() bool { return r.Stats().Sweeps == uint64(engines) })
 	p.mu.Lock()
-	p.table.Hear(time.Now(), wire.Heartbeat{Node: wire.NodeID{Instance: "other", Incarnation: 2}, DataCentre: "x", Seq: 1})
+	p.table.HandleHeartbeat(time.Now(), wire.Heartbeat{Node: wire.NodeID{Instance: "other", Incarnation: 2}, DataCentre: "x", Seq: 1})
 	p.mu.Unlock()
 	waittest.Until(t, "all freed", func() bool { return r.Stats().Cancels == uint64(engines) })
 }
--- a/steward/sweep.go
+++ b/steward/sweep.go
@@ -145,7 +145,7 @@
 		}
 		key := workKey{h.WorkID, h.Kind}
 		o, seen := previous.orphans[key]
-		if !seen || o.reason != reason || o.firstSeen.Before(v.Since()) {
+		if !seen || o.reason != reason || o.firstSeen.Before(v.ValidSince()) {
 			o = orphan{firstSeen: now, reason: reason}
 		}
 		o.cancelAt = o.firstSeen.Add(grace)
--- a/steward/sweep_test.go
+++ b/steward/sweep_test.go
@@ -43,7 +43,7 @@
 		w.seq++
 		for _, n := range []string{"owner", "b", "c", "d"} {
 			if ownerAlive && (n == "owner" || w.otherPeers) {
-				w.table.Hear(at(w.ms), wire.Heartbeat{Node: wire.NodeID{Instance: n, Incarnation: 2}, DataCentre: "x", Seq: w.seq})
+				w.table.HandleHeartbeat(at(w.ms), wire.Heartbeat{Node: wire.NodeID{Instance: n, Incarnation: 2}, DataCentre: "x", Seq: w.seq})
 			}
 		}
 		w.table.Tick(at(w.ms))
@@ -181,7 +181,7 @@
 		switch {
 		case ms == 0:
 			want = 0
-		case time.Duration(1500+ms)*time.Millisecond >= members.DefaultLossMemory: // since the last heartbeat
+		case time.Duration(1500+ms)*time.Millisecond >= members.DefaultIsolationWindow: // since the last heartbeat
 			want = 2
 		}
 		if got := w.list(1, held...); len(got) != want {
