--- a/orders/planner.go
+++ b/orders/planner.go
@@ -9,16 +9,16 @@
 
 // Config holds the planner's intervals and bounds.
 type Config struct {
-	// ReadEvery is the interval at which the state of an upstream is read while it is
+	// ReadInterval is the interval at which the state of an upstream is read while it is
 	// the desired state. For more than fullRateUpstreams upstreams, the interval grows
 	// with their number. The interval bounds how long the effect of a delayed order from
 	// an older bundle lasts on an upstream that ignores fencing numbers.
-	ReadEvery time.Duration
-	// RetryEvery is the interval at which the state is read until it is the desired one.
-	RetryEvery time.Duration
-	// MaxLoading bounds the number of upstreams that load models at once, so that a new
+	ReadInterval time.Duration
+	// RetryInterval is the interval at which the state is read until it is the desired one.
+	RetryInterval time.Duration
+	// MaxConcurrentLoads bounds the number of upstreams that load models at once, so that a new
 	// bundle does not exceed the rate limit of the weight store.
-	MaxLoading int
+	MaxConcurrentLoads int
 }
 
 // fullRateUpstreams is the number of upstreams per steward up to which each one is read
@@ -29,13 +29,13 @@
 
 // DefaultConfig returns the default intervals and bounds.
 func DefaultConfig() Config {
-	return Config{ReadEvery: 2 * time.Second, RetryEvery: 500 * time.Millisecond, MaxLoading: 8}
+	return Config{ReadInterval: 2 * time.Second, RetryInterval: 500 * time.Millisecond, MaxConcurrentLoads: 8}
 }
 
-// Action requests that the runner read the state of an upstream. The runner passes the
+// StateRead requests that the runner read the state of an upstream. The runner passes the
 // state to Planner.Observed, which returns the orders to send, or calls Planner.Failed
 // if the read failed.
-type Action struct {
+type StateRead struct {
 	Upstream string
 	Address  string
 }
@@ -46,7 +46,7 @@
 type Planner struct {
 	config          Config
 	bundleNumber    uint64
-	desired         map[string]Wanted
+	desired         map[string]DesiredState
 	reconciliations map[string]*reconciliation
 	// assigned are the names of the upstreams that this daemon is the steward of, as of
 	// generation. assignedStale means that the bundle has changed since.
@@ -67,7 +67,7 @@
 
 // NewPlanner returns a planner without a bundle.
 func NewPlanner(config Config) *Planner {
-	return &Planner{config: config, desired: map[string]Wanted{}, reconciliations: map[string]*reconciliation{}}
+	return &Planner{config: config, desired: map[string]DesiredState{}, reconciliations: map[string]*reconciliation{}}
 }
 
 // SetVersion sets the current bundle. An older one is ignored, because orders must never
@@ -78,7 +78,7 @@
 	}
 	p.bundleNumber, p.assignedStale = v.Number, true
 	previous := p.desired
-	p.desired = WantedBy(v.Bundle)
+	p.desired = DesiredStates(v.Bundle)
 	for name := range p.reconciliations {
 		if _, ok := p.desired[name]; !ok {
 			delete(p.reconciliations, name)
@@ -116,24 +116,24 @@
 
 // Due returns the upstreams to read now, among those that this daemon is the steward of.
 // isSteward reports whether it is; its results may change only with the generation.
-func (p *Planner) Due(now time.Time, generation uint64, isSteward func(upstream, dataCentre string) bool) []Action {
+func (p *Planner) Due(now time.Time, generation uint64, isSteward func(upstream, dataCentre string) bool) []StateRead {
 	p.updateAssigned(generation, isSteward)
-	var out []Action
+	var out []StateRead
 	for _, name := range p.assigned {
 		e := p.reconciliations[name]
 		if e.readInFlight || now.Before(e.nextRead) {
 			continue
 		}
 		e.readInFlight = true
-		out = append(out, Action{Upstream: name, Address: p.desired[name].Address})
+		out = append(out, StateRead{Upstream: name, Address: p.desired[name].Address})
 	}
 	return out
 }
 
-// Observed records the state read from an upstream and returns the orders to send to it.
+// RecordState records the state read from an upstream and returns the orders to send to it.
 // Orders are computed from each state anew, so that an order is sent again if it was lost
 // or if a delayed older order has undone it.
-func (p *Planner) Observed(now time.Time, upstream string, state engineapi.State) []engineapi.Order {
+func (p *Planner) RecordState(now time.Time, upstream string, state engineapi.State) []engineapi.Order {
 	e, ok := p.reconciliations[upstream]
 	if !ok {
 		return nil
@@ -146,15 +146,15 @@
 	if len(orders) == 0 || e.loadInFlight {
 		return nil
 	}
-	if p.loadsInFlight() >= p.config.MaxLoading {
+	if p.loadsInFlight() >= p.config.MaxConcurrentLoads {
 		return nil
 	}
 	e.loadInFlight = true
 	return orders
 }
 
-// Failed records that the state of an upstream could not be read.
-func (p *Planner) Failed(now time.Time, upstream string) {
+// RecordFailure records that the state of an upstream could not be read.
+func (p *Planner) RecordFailure(now time.Time, upstream string) {
 	e, ok := p.reconciliations[upstream]
 	if !ok {
 		return
@@ -162,21 +162,21 @@
 	e.readInFlight = false
 	e.loadInFlight = false
 	e.inDesiredState = false
-	e.nextRead = now.Add(p.config.RetryEvery)
+	e.nextRead = now.Add(p.config.RetryInterval)
 }
 
-// Current reports whether orders computed from the bundle of the given number may still
+// IsCurrent reports whether orders computed from the bundle of the given number may still
 // be sent, which is no longer the case once the planner has a newer bundle.
-func (p *Planner) Current(bundleNumber uint64) bool { return bundleNumber == p.bundleNumber }
+func (p *Planner) IsCurrent(bundleNumber uint64) bool { return bundleNumber == p.bundleNumber }
 
-// Number returns the number of the current bundle.
-func (p *Planner) Number() uint64 { return p.bundleNumber }
+// BundleNumber returns the number of the current bundle.
+func (p *Planner) BundleNumber() uint64 { return p.bundleNumber }
 
 func (p *Planner) readInterval(e *reconciliation) time.Duration {
 	if e.inDesiredState {
-		return p.config.ReadEvery * time.Duration(max(1, len(p.assigned)/fullRateUpstreams))
+		return p.config.ReadInterval * time.Duration(max(1, len(p.assigned)/fullRateUpstreams))
 	}
-	return p.config.RetryEvery
+	return p.config.RetryInterval
 }
 
 func (p *Planner) loadsInFlight() int {
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -58,12 +58,12 @@
 	var sent []engineapi.Order
 	for range 10 {
 		for range p.Due(now, 0, isStewardOfAll) {
-			for _, o := range p.Observed(now, "d1", e.State) {
+			for _, o := range p.RecordState(now, "d1", e.State) {
 				e.apply(o)
 				sent = append(sent, o)
 			}
 		}
-		now = now.Add(p.config.RetryEvery)
+		now = now.Add(p.config.RetryInterval)
 	}
 	return sent
 }
@@ -95,7 +95,7 @@
 	e := newFakeEngine("decode")
 	reconcileUntilStable(t, p, e, start)
 	e.apply(engineapi.Order{Fence: 7, Kind: engineapi.OrderLoadModel, Model: "m", Version: "v1"})
-	reconcileUntilStable(t, p, e, start.Add(p.config.ReadEvery+10*p.config.RetryEvery))
+	reconcileUntilStable(t, p, e, start.Add(p.config.ReadInterval+10*p.config.RetryInterval))
 	if got := e.Models["m"]; got != "v2" {
 		t.Fatalf("model version %q after a late order, want v2", got)
 	}
@@ -107,8 +107,8 @@
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(8, "v2"))
 	p.SetVersion(version(7, "v1"))
-	if !p.Current(8) || p.Current(7) {
-		t.Fatalf("number %d, want 8", p.Number())
+	if !p.IsCurrent(8) || p.IsCurrent(7) {
+		t.Fatalf("number %d, want 8", p.BundleNumber())
 	}
 }
 
@@ -119,10 +119,10 @@
 	p.SetVersion(version(7, "v1"))
 	e := newFakeEngine("decode")
 	p.Due(start, 0, isStewardOfAll)
-	if lost := p.Observed(start, "d1", e.State); len(lost) == 0 {
+	if lost := p.RecordState(start, "d1", e.State); len(lost) == 0 {
 		t.Fatal("no order for an upstream that is not in its desired state")
 	}
-	if again := reconcileUntilStable(t, p, e, start.Add(p.config.RetryEvery)); len(again) == 0 {
+	if again := reconcileUntilStable(t, p, e, start.Add(p.config.RetryInterval)); len(again) == 0 {
 		t.Fatal("a lost order was not sent again")
 	}
 }
@@ -132,11 +132,11 @@
 func TestPlannerBoundsLoads(t *testing.T) {
 	v := version(7, "v1")
 	v.Bundle.Upstreams["d3"] = bundle.Upstream{Pool: "d", Address: "d3:1", State: bundle.StateServing}
-	p := NewPlanner(Config{ReadEvery: time.Second, RetryEvery: time.Second, MaxLoading: 1})
+	p := NewPlanner(Config{ReadInterval: time.Second, RetryInterval: time.Second, MaxConcurrentLoads: 1})
 	p.SetVersion(v)
 	ordered := 0
 	for _, a := range p.Due(start, 0, isStewardOfAll) {
-		if len(p.Observed(start, a.Upstream, newFakeEngine("decode").State)) > 0 {
+		if len(p.RecordState(start, a.Upstream, newFakeEngine("decode").State)) > 0 {
 			ordered++
 		}
 	}
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -32,9 +32,9 @@
 	Engines Engines
 	// Current returns the current bundle; nil before the first one.
 	Current func() *bundle.Version
-	// Mine reports whether this daemon is currently the steward of an upstream, that is,
+	// IsSteward reports whether this daemon is currently the steward of an upstream, that is,
 	// the one daemon that sends it orders.
-	Mine func(upstream, dataCentre string) bool
+	IsSteward func(upstream, dataCentre string) bool
 	// Generation returns a number that changes whenever the results of Mine may change.
 	Generation func() uint64
 	// Frozen reports whether this process was suspended and has not refreshed its view of
@@ -88,19 +88,19 @@
 	r.planner = NewPlanner(r.options.Config)
 }
 
-func (r *Runner) dueReads(now time.Time) []Action {
+func (r *Runner) dueReads(now time.Time) []StateRead {
 	if r.options.Frozen(now) {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planner.SetVersion(r.options.Current())
-	return r.planner.Due(now, r.options.Generation(), r.options.Mine)
+	return r.planner.Due(now, r.options.Generation(), r.options.IsSteward)
 }
 
 // reconcile reads the state of one upstream and sends the orders that lead to its desired
 // state.
-func (r *Runner) reconcile(ctx context.Context, a Action) {
+func (r *Runner) reconcile(ctx context.Context, a StateRead) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	state, err := r.options.Engines.State(ctx, a.Address)
@@ -122,10 +122,10 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	if err != nil {
-		r.planner.Failed(now, upstream)
-		return nil, r.planner.Number()
+		r.planner.RecordFailure(now, upstream)
+		return nil, r.planner.BundleNumber()
 	}
-	return r.planner.Observed(now, upstream, state), r.planner.Number()
+	return r.planner.RecordState(now, upstream, state), r.planner.BundleNumber()
 }
 
 // maySend reports whether an order from the bundle of the given number may still be
@@ -142,7 +142,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.planner.SetVersion(r.options.Current())
-	return r.planner.Current(bundleNumber)
+	return r.planner.IsCurrent(bundleNumber)
 }
 
 func (r *Runner) logOrder(upstream string, o engineapi.Order, reply engineapi.OrderReply, err error) {
--- a/orders/runner_test.go
+++ b/orders/runner_test.go
@@ -54,7 +54,7 @@
 		frozen, current = false, version(7, "v1")
 		h := &hookedEngine{fakeEngine: newFakeEngine("prefill"), afterState: c.afterState, afterOrder: c.afterOrder}
 		r := NewRunner(Options{
-			Config: DefaultConfig(), Engines: h, Mine: isStewardOfAll, Generation: func() uint64 { return 0 },
+			Config: DefaultConfig(), Engines: h, IsSteward: isStewardOfAll, Generation: func() uint64 { return 0 },
 			Current: func() *bundle.Version { return current },
 			Frozen:  func(time.Time) bool { return frozen },
 			Logger:  &log.Logger{Handler: discard.New()},
--- a/orders/wanted.go
+++ b/orders/wanted.go
@@ -19,8 +19,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Wanted is the desired state of one upstream according to a bundle.
-type Wanted struct {
+// DesiredState is the desired state of one upstream according to a bundle.
+type DesiredState struct {
 	Address    string
 	DataCentre string
 	Role       bundle.PoolRole
@@ -41,12 +41,12 @@
 
 func compareAdapters(a, b AdapterName) int { return strings.Compare(a.StateKey(), b.StateKey()) }
 
-// WantedBy returns the desired state of each upstream that gets orders, by name. Upstreams
+// DesiredStates returns the desired state of each upstream that gets orders, by name. Upstreams
 // of plain services and leaving upstreams get none. The maps are shared by the upstreams
 // of a pool and must not be modified.
-func WantedBy(b *bundle.Bundle) map[string]Wanted {
-	out := make(map[string]Wanted, len(b.Upstreams))
-	pools := make(map[string]Wanted, len(b.Pools))
+func DesiredStates(b *bundle.Bundle) map[string]DesiredState {
+	out := make(map[string]DesiredState, len(b.Upstreams))
+	pools := make(map[string]DesiredState, len(b.Pools))
 	for name, pool := range b.Pools {
 		pools[name] = poolDesiredState(b, name, pool.Role)
 	}
@@ -64,8 +64,8 @@
 
 // poolDesiredState returns the desired state of the upstreams of a pool, without address
 // and data centre.
-func poolDesiredState(b *bundle.Bundle, pool string, role bundle.PoolRole) Wanted {
-	w := Wanted{
+func poolDesiredState(b *bundle.Bundle, pool string, role bundle.PoolRole) DesiredState {
+	w := DesiredState{
 		Role:     role,
 		Models:   make(map[string]string),
 		Adapters: make(map[AdapterName]string),
@@ -82,7 +82,7 @@
 	return w
 }
 
-func (w Wanted) equal(o Wanted) bool {
+func (w DesiredState) equal(o DesiredState) bool {
 	return w.Address == o.Address && w.DataCentre == o.DataCentre && w.Role == o.Role &&
 		maps.Equal(w.Models, o.Models) && maps.Equal(w.Adapters, o.Adapters)
 }
@@ -90,7 +90,7 @@
 // missingOrders returns the orders that lead from state to w: first the role, then models,
 // then adapters of models that are loaded, each sorted by name. Items that the upstream
 // reports as being loaded are left out.
-func (w Wanted) missingOrders(state engineapi.State, fence uint64) []engineapi.Order {
+func (w DesiredState) missingOrders(state engineapi.State, fence uint64) []engineapi.Order {
 	var out []engineapi.Order
 	if state.Role != string(w.Role) {
 		out = append(out, engineapi.Order{Fence: fence, Kind: engineapi.OrderSetRole, Role: string(w.Role)})
--- a/router/provision.go
+++ b/router/provision.go
@@ -274,7 +274,7 @@
 		Config:     orders.DefaultConfig(),
 		Engines:    r.engines,
 		Current:    r.watcher.Current,
-		Mine:       r.isSteward,
+		IsSteward:  r.isSteward,
 		Generation: func() uint64 { return r.peers.View().Generation() },
 		Frozen:     r.stale,
 		Logger:     r.logger,
