--- a/peer/calls.go
+++ b/peer/calls.go
@@ -82,7 +82,7 @@
 		return nil, errStopped
 	case !ok || m.Node != to:
 		return nil, errors.Errorf("daemon %s/%d is not a known live member", to.Instance, to.Incarnation)
-	case s.opts.Block(m.Address):
+	case s.opts.IsBlocked(m.Address):
 		return nil, errBlocked
 	}
 	opened := make(chan error, 1)
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -24,7 +24,7 @@
 // which no live or connected daemon is known.
 func (s *Service) dialMissingPeers(r *run, now time.Time, view *members.View) {
 	for _, address := range s.dialTargets(view) {
-		if s.opts.Block(address) || !s.beginDial(address, now) {
+		if s.opts.IsBlocked(address) || !s.beginDial(address, now) {
 			continue
 		}
 		started := r.spawn(func() {
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, d := range s.dialStates {
-		if !d.inProgress && now.Sub(d.lastWanted) > s.opts.IdleAfter {
+		if !d.inProgress && now.Sub(d.lastWanted) > s.opts.IdleTimeout {
 			delete(s.dialStates, address)
 		}
 	}
@@ -207,7 +207,7 @@
 // restarted. The caller then notifies that peer: closing the connection without a
 // message would leave it serving requests whose engine work the stewards cancel.
 func (s *Service) register(r *run, l *link) error {
-	if s.opts.Block(l.peer.Address) {
+	if s.opts.IsBlocked(l.peer.Address) {
 		return errBlocked
 	}
 	self := s.opts.Members.Node
--- a/peer/fault_test.go
+++ b/peer/fault_test.go
@@ -116,12 +116,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, p := range []*rawPeer{dialRaw(t, s, wire.NodeID{}), linkRaw(t, s, wire.NodeID{Instance: name, Incarnation: 1})} {
-				before := s.Stats().Faults
+				before := s.Stats().ProtocolErrors
 				if _, err := p.Write(bytes); err != nil {
 					t.Fatal(err)
 				}
 				p.waitClosed()
-				waittest.Until(t, "the fault is counted", func() bool { return s.Stats().Faults > before })
+				waittest.Until(t, "the fault is counted", func() bool { return s.Stats().ProtocolErrors > before })
 			}
 		})
 	}
@@ -165,7 +165,7 @@
 // memory grow and delay its other messages.
 func TestStalledPeerIsBoundedAndCutOff(t *testing.T) {
 	s := startService(t, "s", func(o *Options) {
-		o.Queue = 4
+		o.QueueLimit = 4
 		o.WriteTimeout = time.Second
 		o.ReadTimeout = time.Hour
 	})
@@ -195,7 +195,7 @@
 	s := startService(t, "s", func(o *Options) {
 		o.ReadTimeout = 200 * time.Millisecond
 		o.CallTimeout = 20 * time.Second
-		o.IdleAfter = time.Hour
+		o.IdleTimeout = time.Hour
 	})
 	n := wire.NodeID{Instance: "gone", Incarnation: 1}
 	linkRaw(t, s, n)
@@ -325,7 +325,7 @@
 	good := startService(t, "good", func(o *Options) { withSeeds(s)(o); o.TLS = conf })
 	waittest.Until(t, "the peer with a certificate is linked", hasLiveness(good, nodeID(s), members.Alive))
 	bare := &tls.Config{RootCAs: conf.RootCAs, ServerName: "127.0.0.1"}
-	before := s.Stats().Faults
+	before := s.Stats().ProtocolErrors
 	c, err := tls.Dial("tcp", s.opts.Members.Address, bare)
 	if err != nil {
 		t.Fatal(err)
@@ -335,7 +335,7 @@
 	f, _ := wire.Encode(wire.Envelope{Type: wire.TypeHello}, &wire.Hello{Node: wire.NodeID{Instance: "bare", Incarnation: 1}}, wire.MaxFrame)
 	_, _ = c.Write(f.Bytes())
 	p.waitClosed()
-	waittest.Until(t, "the handshake fails", func() bool { return s.Stats().Faults > before })
+	waittest.Until(t, "the handshake fails", func() bool { return s.Stats().ProtocolErrors > before })
 	if s.link(wire.NodeID{Instance: "bare", Incarnation: 1}) != nil {
 		t.Error("a client without a certificate was linked")
 	}
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -13,7 +13,7 @@
 
 // shortCallLimits sets timeouts that expire while a forwarded request runs.
 func shortCallLimits(o *Options) {
-	o.CallTimeout, o.IdleAfter = 20*time.Millisecond, 20*time.Millisecond
+	o.CallTimeout, o.IdleTimeout = 20*time.Millisecond, 20*time.Millisecond
 }
 
 // Guards against CallTimeout and IdleAfter being applied to forwarded requests: a
--- a/peer/link.go
+++ b/peer/link.go
@@ -74,7 +74,7 @@
 	l := &link{
 		s: s, conn: c, dialled: dialled,
 		reader: wire.NewReader(c, s.opts.MaxFrame),
-		out:    newQueue(s.opts.Queue),
+		out:    newQueue(s.opts.QueueLimit),
 		done:   make(chan struct{}),
 		inboundSlots: [numCallClasses]chan struct{}{
 			classShortCall: make(chan struct{}, s.opts.MaxCalls),
--- a/peer/options.go
+++ b/peer/options.go
@@ -21,14 +21,14 @@
 
 // The defaults of Options.
 const (
-	DefaultQueue       = 256
-	DefaultMaxCalls    = 64
-	DefaultMaxForwards = 256
-	DefaultMaxInbound  = 1024
-	DefaultDialTimeout = time.Second
-	DefaultIOTimeout   = time.Second
-	DefaultCallTimeout = 2 * time.Second
-	DefaultIdleAfter   = 30 * time.Second
+	DefaultQueueLimit   = 256
+	DefaultMaxCalls     = 64
+	DefaultMaxForwards  = 256
+	DefaultMaxInbound   = 1024
+	DefaultDialTimeout  = time.Second
+	DefaultWriteTimeout = time.Second
+	DefaultCallTimeout  = 2 * time.Second
+	DefaultIdleTimeout  = 30 * time.Second
 	// DefaultForwardTimeout is longer than any request deadline that clients are
 	// likely to be allowed, so that the request's own deadline applies.
 	DefaultForwardTimeout = time.Hour
@@ -59,9 +59,9 @@
 	// settings and from the platform's list of instances. Whether an address is
 	// listed does not affect failure detection. It must not block.
 	Seeds func() []string
-	// Block reports whether to close connections to a daemon's address and open no
+	// IsBlocked reports whether to close connections to a daemon's address and open no
 	// new ones. It is for tests of network partitions only.
-	Block func(address string) bool
+	IsBlocked func(address string) bool
 	// OnEvent is called for every membership event. It must not block.
 	OnEvent func(members.Change)
 	// Logger is required.
@@ -70,8 +70,8 @@
 	// elsewhere. Required.
 	Rand *rand.Rand
 
-	// Queue limits the frames that wait to be written on one connection.
-	Queue int
+	// QueueLimit limits the frames that wait to be written on one connection.
+	QueueLimit int
 	// MaxCalls limits the concurrent calls on one connection in each direction,
 	// without those of type wire.TypeForward.
 	MaxCalls int
@@ -96,9 +96,9 @@
 	// ForwardTimeout replaces CallTimeout for wire.TypeForward, whose calls last as
 	// long as the client requests that they carry.
 	ForwardTimeout time.Duration
-	// IdleAfter is the time without calls after which a link to a daemon that is not
+	// IdleTimeout is the time without calls after which a link to a daemon that is not
 	// a neighbour is closed.
-	IdleAfter time.Duration
+	IdleTimeout time.Duration
 }
 
 // Handler answers a call or processes a one-way message. Handlers of calls run
@@ -109,22 +109,22 @@
 
 // withDefaults returns o with defaults for fields that are not set.
 func (o Options) withDefaults(farDeadAfter time.Duration) Options {
-	setDefault(&o.Queue, DefaultQueue)
+	setDefault(&o.QueueLimit, DefaultQueueLimit)
 	setDefault(&o.MaxCalls, DefaultMaxCalls)
 	setDefault(&o.MaxForwards, DefaultMaxForwards)
 	setDefault(&o.MaxInbound, DefaultMaxInbound)
 	setDefault(&o.MaxFrame, wire.MaxFrame)
 	setDefault(&o.DialTimeout, DefaultDialTimeout)
 	setDefault(&o.ReadTimeout, farDeadAfter)
-	setDefault(&o.WriteTimeout, DefaultIOTimeout)
+	setDefault(&o.WriteTimeout, DefaultWriteTimeout)
 	setDefault(&o.CallTimeout, DefaultCallTimeout)
 	setDefault(&o.ForwardTimeout, DefaultForwardTimeout)
-	setDefault(&o.IdleAfter, DefaultIdleAfter)
+	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
 	if o.Seeds == nil {
 		o.Seeds = func() []string { return nil }
 	}
-	if o.Block == nil {
-		o.Block = func(string) bool { return false }
+	if o.IsBlocked == nil {
+		o.IsBlocked = func(string) bool { return false }
 	}
 	if o.OnEvent == nil {
 		o.OnEvent = func(members.Change) {}
--- a/peer/service.go
+++ b/peer/service.go
@@ -86,10 +86,12 @@
 // before Run. Hooks run concurrently and must not block.
 func (s *Service) OnHeartbeat(f func(wire.Heartbeat)) { s.heartbeatHooks = append(s.heartbeatHooks, f) }
 
-// Announce registers a hook that fills in BundleNumber, BundleDigest, Draining
+// OnSendHeartbeat registers a hook that fills in BundleNumber, BundleDigest, Draining
 // and Leaving of this daemon's heartbeats. Call it before Run. Hooks run
 // concurrently, must not block, and must not modify the slices that they have set.
-func (s *Service) Announce(f func(*wire.Heartbeat)) { s.announceHooks = append(s.announceHooks, f) }
+func (s *Service) OnSendHeartbeat(f func(*wire.Heartbeat)) {
+	s.announceHooks = append(s.announceHooks, f)
+}
 
 // Run implements supervise.Service.
 func (s *Service) Run(ctx context.Context) error {
@@ -280,14 +282,14 @@
 	}
 	for name, l := range s.links {
 		switch {
-		case s.opts.Block(l.peer.Address):
+		case s.opts.IsBlocked(l.peer.Address):
 			l.close(errBlocked)
-		case !neighbours[name] && now.Sub(l.lastUsed()) > s.opts.IdleAfter && !l.hasCalls():
+		case !neighbours[name] && now.Sub(l.lastUsed()) > s.opts.IdleTimeout && !l.hasCalls():
 			l.close(errIdle)
 		}
 	}
 	for l, since := range s.retired {
-		if now.Sub(since) > s.opts.CallTimeout && !l.hasCalls() || s.opts.Block(l.peer.Address) {
+		if now.Sub(since) > s.opts.CallTimeout && !l.hasCalls() || s.opts.IsBlocked(l.peer.Address) {
 			l.close(errDuplicate)
 		}
 	}
--- a/peer/service_test.go
+++ b/peer/service_test.go
@@ -177,7 +177,7 @@
 	var number atomic.Uint64
 	number.Store(1)
 	a := newTestService(t, "a", "x", nil)
-	a.Announce(func(hb *wire.Heartbeat) {
+	a.OnSendHeartbeat(func(hb *wire.Heartbeat) {
 		hb.BundleNumber, hb.BundleDigest, hb.Leaving = number.Load(), make([]byte, 32), []string{"u"}
 	})
 	runService(t, a)
@@ -238,7 +238,7 @@
 // until each is dead in the other's view, and then allows it again.
 func TestBlockCutsAndHeals(t *testing.T) {
 	var blocked atomic.Bool
-	block := func(o *Options) { o.Block = func(string) bool { return blocked.Load() } }
+	block := func(o *Options) { o.IsBlocked = func(string) bool { return blocked.Load() } }
 	a := startService(t, "a", block)
 	b := startService(t, "b", func(o *Options) { withSeeds(a)(o); block(o) })
 	waittest.Until(t, "both are alive", func() bool {
--- a/peer/stats.go
+++ b/peer/stats.go
@@ -10,8 +10,8 @@
 	BytesIn, BytesOut uint64
 	// Dropped counts frames dropped by a full or closed send queue.
 	Dropped uint64
-	// Faults counts connections ended by an invalid frame or a failed handshake.
-	Faults uint64
+	// ProtocolErrors counts connections ended by an invalid frame or a failed handshake.
+	ProtocolErrors uint64
 	// Dials counts connection attempts.
 	Dials uint64
 	// Links is the current number of links.
@@ -31,7 +31,7 @@
 	return Stats{
 		FramesIn: c.framesIn.Load(), FramesOut: c.framesOut.Load(),
 		BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(),
-		Dropped: c.dropped.Load(), Faults: c.faults.Load(), Dials: c.dials.Load(),
+		Dropped: c.dropped.Load(), ProtocolErrors: c.faults.Load(), Dials: c.dials.Load(),
 		Links: links,
 	}
 }
--- a/router/peers.go
+++ b/router/peers.go
@@ -15,7 +15,7 @@
 
 // handlePeers registers the handlers of heartbeats and calls from other daemons.
 func (r *Router) handlePeers() {
-	r.peers.Announce(r.fillHeartbeat)
+	r.peers.OnSendHeartbeat(r.fillHeartbeat)
 	r.peers.OnHeartbeat(r.onHeartbeat)
 	r.peers.Handle(wire.TypeBundleGet, r.serveBundle)
 	r.peers.Handle(wire.TypeClaim, r.serveClaim)
