--- a/relay/world_store_test.go
+++ b/relay/world_store_test.go
@@ -214,10 +214,10 @@
 	self Peer
 }
 
-func (m fakeGroup) Join(ctx context.Context, _ uint64, ttl time.Duration) (roles.Holding, error) {
+func (m fakeGroup) Join(ctx context.Context, _ uint64, ttl time.Duration) (roles.Membership, error) {
 	s := m.view.store
 	if err := s.serveCall(ctx, m.view.instance, 0.1); err != nil {
-		return roles.Holding{}, err
+		return roles.Membership{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,7 +233,7 @@
 		s.generation++
 	}
 	s.members[i].expires = now.Add(ttl)
-	return roles.Holding{Generation: s.generation, Owner: i == 0}, nil
+	return roles.Membership{Generation: s.generation, Owner: i == 0}, nil
 }
 
 func (m fakeGroup) Leave(ctx context.Context) error {
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -154,8 +154,8 @@
 		OnView: d.apply, Logger: discardLogger, Now: time.Now,
 	})
 	member := roles.NewRunner(roles.Options{
-		Group: fakeGroup{view, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, Quiet: 3 * time.Second, Every: 700 * time.Millisecond,
-		Call: 600 * time.Millisecond, Candidate: d.feeds.ReadsStore, Logger: discardLogger, Now: time.Now,
+		Group: fakeGroup{view, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, QuietPeriod: 3 * time.Second, RenewalInterval: 700 * time.Millisecond,
+		CallTimeout: 600 * time.Millisecond, Candidate: d.feeds.ReadsStore, Logger: discardLogger, Now: time.Now,
 	})
 	exchange := NewExchange(ExchangeOptions{
 		Self: d.self, Seeds: w.seeds(), Roster: d.roster, Samples: d.samples, Dial: dial, Logger: discardLogger, Now: time.Now,
--- a/roles/lease.go
+++ b/roles/lease.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Holding is the store's response to a daemon that joins the group or renews its
+// Membership is the store's response to a daemon that joins the group or renews its
 // membership.
-type Holding struct {
+type Membership struct {
 	// Generation increases with each change of the group.
 	Generation uint64
 	// Owner means that this daemon owns the partition that represents the lease.
@@ -21,7 +21,7 @@
 type Lease struct {
 	ttl, quietPeriod time.Duration
 	ordersOpenAt     time.Time // set by Bootstrap; zero without it
-	holding          Holding
+	holding          Membership
 	heldSince        time.Time // start of the uninterrupted tenure; zero if not held
 	renewedAt        time.Time // when the last successful join was sent
 }
@@ -47,13 +47,15 @@
 	return !l.ordersOpenAt.IsZero() && !now.Before(l.ordersOpenAt) && !l.heldSince.After(l.ordersOpenAt.Add(-l.ttl))
 }
 
-// Early reports whether this daemon has held the lease for less than the ttl plus the
+// BootstrapOnly reports whether this daemon has held the lease for less than the ttl plus the
 // quiet period, so that it may send orders only because of Bootstrap. An order may then be
 // sent only to an engine that has had none, in case this is not the first start after all.
-func (l *Lease) Early(now time.Time) bool { return now.Before(l.heldSince.Add(l.ttl + l.quietPeriod)) }
+func (l *Lease) BootstrapOnly(now time.Time) bool {
+	return now.Before(l.heldSince.Add(l.ttl + l.quietPeriod))
+}
 
-// Joined records the store's response to a join that was sent at the given time.
-func (l *Lease) Joined(sent, now time.Time, h Holding) {
+// RecordJoin records the store's response to a join that was sent at the given time.
+func (l *Lease) RecordJoin(sent, now time.Time, h Membership) {
 	expired := l.renewedAt.IsZero() || !now.Before(l.renewedAt.Add(l.ttl))
 	switch {
 	case !h.Owner:
@@ -78,7 +80,7 @@
 func (l *Lease) Fence(now time.Time) (uint64, bool) {
 	const margin = 4 // the last quarter of the ttl is reserved for the order to arrive
 	valid := l.holding.Owner && now.Before(l.renewedAt.Add(l.ttl-l.ttl/margin))
-	if !valid || l.Early(now) && !l.bootstrapped(now) {
+	if !valid || l.BootstrapOnly(now) && !l.bootstrapped(now) {
 		return 0, false
 	}
 	return l.holding.Generation, true
--- a/roles/lease_test.go
+++ b/roles/lease_test.go
@@ -14,12 +14,12 @@
 	if _, ok := l.Fence(at(0)); ok {
 		t.Error("a fence before the first join")
 	}
-	l.Joined(at(0), at(5), Holding{Generation: 4, Owner: true})
+	l.RecordJoin(at(0), at(5), Membership{Generation: 4, Owner: true})
 	if _, ok := l.Fence(at(6)); ok {
 		t.Error("a new holder may send orders at once")
 	}
 	for ms := 500; ms <= 5500; ms += 500 {
-		l.Joined(at(ms), at(ms+5), Holding{Generation: 4, Owner: true})
+		l.RecordJoin(at(ms), at(ms+5), Membership{Generation: 4, Owner: true})
 	}
 	if fence, ok := l.Fence(at(5510)); !ok || fence != 4 {
 		t.Errorf("fence %d, %t after the quiet period, want 4, true", fence, ok)
@@ -27,7 +27,7 @@
 	if _, ok := l.Fence(at(7100)); ok {
 		t.Error("a holder that did not renew its membership may send orders")
 	}
-	l.Joined(at(9000), at(9005), Holding{Generation: 9, Owner: true})
+	l.RecordJoin(at(9000), at(9005), Membership{Generation: 9, Owner: true})
 	if _, ok := l.Fence(at(9010)); ok {
 		t.Error("a holder whose membership had expired may send orders at once")
 	}
@@ -59,7 +59,7 @@
 func TestBootstrapOpensOrdersEarly(t *testing.T) {
 	join := func(l *Lease, from, until int) {
 		for ms := from; ms <= until; ms += 500 {
-			l.Joined(at(ms), at(ms+5), Holding{Generation: 3, Owner: true})
+			l.RecordJoin(at(ms), at(ms+5), Membership{Generation: 3, Owner: true})
 		}
 	}
 	for name, tc := range map[string]struct {
@@ -96,7 +96,7 @@
 		r.lease = NewLease(ttl, quiet)
 		r.lease.Bootstrap(at(8500))
 		for ms := 6500; ms <= 8500; ms += 500 {
-			r.lease.Joined(at(ms), at(ms), Holding{Generation: 7, Owner: true})
+			r.lease.RecordJoin(at(ms), at(ms), Membership{Generation: 7, Owner: true})
 		}
 		now = at(8600)
 		fence, ok := r.lease.Fence(now)
@@ -148,7 +148,7 @@
 					owner, generation = d, generation+1
 				}
 				knownGeneration[d] = generation
-				leases[d].Joined(now, now.Add(10*time.Millisecond), Holding{Generation: generation, Owner: owner == d})
+				leases[d].RecordJoin(now, now.Add(10*time.Millisecond), Membership{Generation: generation, Owner: owner == d})
 			}
 			fence, ok := leases[d].Fence(now.Add(20 * time.Millisecond))
 			if !ok {
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -9,18 +9,18 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// Member is one registered engine.
-type Member struct {
-	Name       string
-	Address    string
-	DataCentre string
-	Role       fleet.Role
-	Born       int64 // identifies the incarnation; see fleet.Registration
+// Engine is one registered engine.
+type Engine struct {
+	Name        string
+	Address     string
+	DataCentre  string
+	Role        fleet.Role
+	Incarnation int64 // identifies the incarnation; see fleet.Registration
 }
 
 // Order changes the role of one engine.
 type Order struct {
-	Member Member
+	Member Engine
 	To     fleet.Role
 }
 
@@ -93,20 +93,20 @@
 	return &Planner{switchTime: switchTime, pending: map[string]pendingOrder{}, avoidUntil: map[string]time.Time{}}
 }
 
-// Given records an order as pending, whether or not the engine accepted it.
-func (p *Planner) Given(now time.Time, o Order) {
-	p.pending[o.Member.Name] = pendingOrder{to: o.To, incarnation: o.Member.Born, until: now.Add(p.switchTime + settleTime)}
+// RecordOrder records an order as pending, whether or not the engine accepted it.
+func (p *Planner) RecordOrder(now time.Time, o Order) {
+	p.pending[o.Member.Name] = pendingOrder{to: o.To, incarnation: o.Member.Incarnation, until: now.Add(p.switchTime + settleTime)}
 }
 
-// Unreachable records that an engine did not respond. No orders are planned for it during
+// RecordUnreachable records that an engine did not respond. No orders are planned for it during
 // settleTime.
-func (p *Planner) Unreachable(now time.Time, m Member) {
+func (p *Planner) RecordUnreachable(now time.Time, m Engine) {
 	p.avoidUntil[m.Name] = now.Add(settleTime)
 }
 
 // Next returns the next order, if one is due. share is the share of the engines that
 // should prefill; early means that no clients have connected yet.
-func (p *Planner) Next(now time.Time, members []Member, share float64, early bool) (Order, bool) {
+func (p *Planner) Next(now time.Time, members []Engine, share float64, early bool) (Order, bool) {
 	p.removeFinished(now, members)
 	prefill, decode := p.splitByRole(members)
 	engines := len(prefill) + len(decode)
@@ -164,8 +164,8 @@
 // removeFinished removes pending orders that were carried out, that took too long, or
 // whose engine is gone or has restarted, since a restart cancels the order. It also
 // removes engines from avoidUntil whose time is over.
-func (p *Planner) removeFinished(now time.Time, members []Member) {
-	byName := map[string]Member{}
+func (p *Planner) removeFinished(now time.Time, members []Engine) {
+	byName := map[string]Engine{}
 	for _, m := range members {
 		byName[m.Name] = m
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	for name, o := range p.pending {
-		if m, ok := byName[name]; !ok || m.Role == o.to || m.Born != o.incarnation || !now.Before(o.until) {
+		if m, ok := byName[name]; !ok || m.Role == o.to || m.Incarnation != o.incarnation || !now.Before(o.until) {
 			delete(p.pending, name)
 		}
 	}
@@ -183,7 +183,7 @@
 
 // splitByRole splits the engines by role. An engine with a pending order counts in the
 // role that it was ordered to take.
-func (p *Planner) splitByRole(members []Member) (prefill, decode []Member) {
+func (p *Planner) splitByRole(members []Engine) (prefill, decode []Engine) {
 	for _, m := range members {
 		role := m.Role
 		if o, ok := p.pending[m.Name]; ok {
@@ -208,8 +208,8 @@
 }
 
 // chooseEngine returns an order for one of the engines that are not to be avoided.
-func (p *Planner) chooseEngine(now time.Time, list []Member, to fleet.Role) (Order, bool) {
-	list = slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return now.Before(p.avoidUntil[m.Name]) })
+func (p *Planner) chooseEngine(now time.Time, list []Engine, to fleet.Role) (Order, bool) {
+	list = slices.DeleteFunc(slices.Clone(list), func(m Engine) bool { return now.Before(p.avoidUntil[m.Name]) })
 	if len(list) == 0 {
 		return Order{}, false
 	}
@@ -218,12 +218,12 @@
 
 // pickEngine returns an engine of the data centre that has the most engines in the list,
 // so that engines of both roles stay spread over the data centres.
-func pickEngine(list []Member) Member {
+func pickEngine(list []Engine) Engine {
 	count := map[string]int{}
 	for _, m := range list {
 		count[m.DataCentre]++
 	}
-	return slices.MinFunc(list, func(a, b Member) int {
+	return slices.MinFunc(list, func(a, b Engine) int {
 		return cmp.Or(count[b.DataCentre]-count[a.DataCentre], cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Name, b.Name))
 	})
 }
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -17,10 +17,10 @@
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 // newEngines returns n engines spread over three data centres. The first p of them prefill.
-func newEngines(p, n int) []Member {
-	var out []Member
+func newEngines(p, n int) []Engine {
+	var out []Engine
 	for i := range n {
-		m := Member{Name: fmt.Sprintf("e%02d", i), DataCentre: fmt.Sprintf("dc%d", i%3), Role: fleet.RoleDecode}
+		m := Engine{Name: fmt.Sprintf("e%02d", i), DataCentre: fmt.Sprintf("dc%d", i%3), Role: fleet.RoleDecode}
 		if i < p {
 			m.Role = fleet.RolePrefill
 		}
@@ -33,14 +33,14 @@
 
 // runPlanner calls the planner every half second, carries out its orders at once, and
 // returns the number of prefill engines at the end.
-func runPlanner(p *Planner, from int, members []Member, share float64, steps int) int {
+func runPlanner(p *Planner, from int, members []Engine, share float64, steps int) int {
 	for i := range steps {
 		now := at(from + 500*i)
 		o, ok := p.Next(now, members, share, false)
 		if !ok {
 			continue
 		}
-		p.Given(now, o)
+		p.RecordOrder(now, o)
 		for j := range members {
 			if members[j].Name == o.Member.Name {
 				members[j].Role = o.To
@@ -50,7 +50,7 @@
 	return countPrefill(members)
 }
 
-func countPrefill(members []Member) int {
+func countPrefill(members []Engine) int {
 	n := 0
 	for _, m := range members {
 		if m.Role == fleet.RolePrefill {
@@ -92,7 +92,7 @@
 	p := NewPlanner(switchTime)
 	members := newEngines(3, 14)
 	runPlanner(p, 0, members, 0.19, 10)
-	left := append([]Member(nil), members[:9]...) // decode engines are gone
+	left := append([]Engine(nil), members[:9]...) // decode engines are gone
 	if got := runPlanner(p, 5000, left, 0.19, 8); got != 3 {
 		t.Errorf("%d prefill engines are left of 3", got)
 	}
@@ -107,7 +107,7 @@
 	sent := 0
 	for i := range 16 { // 8 s, during which orders stay pending
 		if o, ok := p.Next(at(500*i), members, 0.19, false); ok {
-			p.Given(at(500*i), o)
+			p.RecordOrder(at(500*i), o)
 			sent++
 		}
 	}
@@ -123,7 +123,7 @@
 	if !ok {
 		t.Fatal("no order")
 	}
-	p.Unreachable(at(0), first.Member)
+	p.RecordUnreachable(at(0), first.Member)
 	second, ok := p.Next(at(500), members, 0.19, false)
 	if !ok || second.Member.Name == first.Member.Name {
 		t.Errorf("second order for %q, want one for another engine than the first", second.Member.Name)
@@ -145,22 +145,22 @@
 }
 
 func TestPrefillShareFollowsTheWork(t *testing.T) {
-	e := Engine{Slots: 12, MemoryTokens: 30000}
-	w := NewWork()
+	e := Capacity{Slots: 12, MemoryTokens: 30000}
+	w := NewCostEstimator()
 	first, learned := w.PrefillShare(at(0), e)
 	if first < 0.1 || first > 0.4 || learned {
 		t.Errorf("share without samples: %v, learned %v", first, learned)
 	}
 	for range 60 {
-		w.Finished(at(0), Sample{Prompt: 12000, Answer: 100, Held: 500 * time.Millisecond})
-		w.Prefilled(at(0), 12000, 360*time.Millisecond)
+		w.AddCompletion(at(0), Sample{Prompt: 12000, Answer: 100, DecodeTime: 500 * time.Millisecond})
+		w.AddPrefill(at(0), 12000, 360*time.Millisecond)
 	}
 	long, learned := w.PrefillShare(at(0), e)
 	if !learned {
 		t.Error("nothing learned from sixty completions")
 	}
 	for range 60 {
-		w.Finished(at(1), Sample{Prompt: 500, Answer: 2000, Held: 10 * time.Second})
+		w.AddCompletion(at(1), Sample{Prompt: 500, Answer: 2000, DecodeTime: 10 * time.Second})
 	}
 	short, _ := w.PrefillShare(at(1), e)
 	if long <= first || short >= first {
@@ -173,12 +173,12 @@
 // only a dozen samples of prefills, all from the burst, in which each prompt waited as long
 // as its prefill took.
 func TestOneBurstMovesNoEngine(t *testing.T) {
-	w := NewWork()
-	e := Engine{Slots: 12, MemoryTokens: 30000}
+	w := NewCostEstimator()
+	e := Capacity{Slots: 12, MemoryTokens: 30000}
 	before, _ := w.PrefillShare(at(0), e)
 	for range 12 {
-		w.Finished(at(0), Sample{Prompt: 3000, Answer: 700, Held: 3500 * time.Millisecond})
-		w.Prefilled(at(0), 3000, 180*time.Millisecond)
+		w.AddCompletion(at(0), Sample{Prompt: 3000, Answer: 700, DecodeTime: 3500 * time.Millisecond})
+		w.AddPrefill(at(0), 3000, 180*time.Millisecond)
 	}
 	if after, learned := w.PrefillShare(at(0), e); learned || after != before {
 		t.Errorf("share %v after a burst, %v before", after, before)
@@ -189,14 +189,14 @@
 // an engine that has the prompt in its cache, it takes almost no time. A single such sample
 // must not make prefill seem ten times as fast.
 func TestOneKeptPromptTeachesLittle(t *testing.T) {
-	w := NewWork()
-	e := Engine{Slots: 12, MemoryTokens: 30000}
+	w := NewCostEstimator()
+	e := Capacity{Slots: 12, MemoryTokens: 30000}
 	for range 60 {
-		w.Finished(at(0), Sample{Prompt: 3000, Answer: 700, Held: 3500 * time.Millisecond})
-		w.Prefilled(at(0), 3000, 90*time.Millisecond)
+		w.AddCompletion(at(0), Sample{Prompt: 3000, Answer: 700, DecodeTime: 3500 * time.Millisecond})
+		w.AddPrefill(at(0), 3000, 90*time.Millisecond)
 	}
 	before, _ := w.PrefillShare(at(0), e)
-	w.Prefilled(at(0), 3000, time.Millisecond)
+	w.AddPrefill(at(0), 3000, time.Millisecond)
 	if after, _ := w.PrefillShare(at(0), e); after < 0.95*before {
 		t.Errorf("share %v after one cached prompt, %v before", after, before)
 	}
@@ -214,12 +214,12 @@
 	p := NewPlanner(switchTime)
 	members := newEngines(3, 6)
 	order := Order{Member: members[5], To: fleet.RolePrefill}
-	p.Given(at(0), order)
+	p.RecordOrder(at(0), order)
 	p.removeFinished(at(1), members)
 	if len(p.pending) != 1 {
 		t.Fatal("the order is no longer pending")
 	}
-	members[5].Born = 7
+	members[5].Incarnation = 7
 	p.removeFinished(at(2), members)
 	if len(p.pending) != 0 {
 		t.Error("the order is still pending after the engine restarted")
@@ -230,14 +230,14 @@
 // rest of it. During a burst the wanted share seems to be 1.6 times its real value.
 func TestPlannerSitsBurstsOut(t *testing.T) {
 	const n, share = 128, 0.21
-	fleetOf := func(prefill int) []Member {
-		var out []Member
+	fleetOf := func(prefill int) []Engine {
+		var out []Engine
 		for i := range n {
 			role := fleet.RoleDecode
 			if i < prefill {
 				role = fleet.RolePrefill
 			}
-			out = append(out, Member{Name: fmt.Sprintf("e%d", i), Role: role})
+			out = append(out, Engine{Name: fmt.Sprintf("e%d", i), Role: role})
 		}
 		return out
 	}
@@ -257,9 +257,9 @@
 // four times as slow as assumed, and the pool must grow from 27 to about 64 engines.
 func TestPlannerFollowsWhatIsFarOff(t *testing.T) {
 	const n = 128
-	members := make([]Member, n)
+	members := make([]Engine, n)
 	for i := range members {
-		members[i] = Member{Name: fmt.Sprintf("e%d", i), Role: fleet.RoleDecode}
+		members[i] = Engine{Name: fmt.Sprintf("e%d", i), Role: fleet.RoleDecode}
 		if i < 27 {
 			members[i].Role = fleet.RolePrefill
 		}
@@ -270,7 +270,7 @@
 		if !ok {
 			continue
 		}
-		p.Given(t0.Add(at), o)
+		p.RecordOrder(t0.Add(at), o)
 		for i := range members {
 			if members[i].Name == o.Member.Name {
 				members[i].Role = o.To // carried out at once
--- a/roles/runner.go
+++ b/roles/runner.go
@@ -14,7 +14,7 @@
 type Group interface {
 	// Join joins the group or renews the membership. generation is the one from the last
 	// response.
-	Join(ctx context.Context, generation uint64, ttl time.Duration) (Holding, error)
+	Join(ctx context.Context, generation uint64, ttl time.Duration) (Membership, error)
 	// Leave ends the membership.
 	Leave(ctx context.Context) error
 }
@@ -25,16 +25,16 @@
 	Busy bool // an order is being carried out
 	// Orders is the number of orders accepted since the engine started. Born identifies
 	// its incarnation; 0 if the engine does not report it.
-	Orders uint64
-	Born   int64
+	Orders      uint64
+	Incarnation int64
 }
 
 // Engines is the client of the engines' control API.
 type Engines interface {
-	State(ctx context.Context, m Member) (State, error)
+	State(ctx context.Context, m Engine) (State, error)
 	// SetRole sends one order. The engine refuses it if the number of orders that it has
 	// accepted differs from expected.
-	SetRole(ctx context.Context, m Member, to fleet.Role, fence, expected uint64) error
+	SetRole(ctx context.Context, m Engine, to fleet.Role, fence, expected uint64) error
 }
 
 // Options configures a Runner. All fields are required unless stated otherwise.
@@ -42,20 +42,20 @@
 	Group   Group
 	Engines Engines
 	View    func() *fleet.View
-	// Work returns the cost estimates for completions of a service.
-	Work  func(service string) *Work
-	TTL   time.Duration // see NewLease
-	Quiet time.Duration // see NewLease
-	Every time.Duration // interval at which the lease holder renews its membership
-	Call  time.Duration // timeout of a call to the store, and of an order with its read
+	// Costs returns the cost estimates for completions of a service.
+	Costs           func(service string) *CostEstimator
+	TTL             time.Duration // see NewLease
+	QuietPeriod     time.Duration // see NewLease
+	RenewalInterval time.Duration // interval at which the lease holder renews its membership
+	CallTimeout     time.Duration // timeout of a call to the store, and of an order with its read
 	// Bootstrap is the time from the start of Run until orders open, when the whole
 	// system starts for the first time; 0 otherwise.
 	Bootstrap time.Duration
 	// Candidate reports whether this daemon should join the group and so may get the
 	// lease; nil means always. Each member costs a call to the store every few seconds.
 	Candidate func() bool
-	// Joined is called with the group's generation after each renewal; may be nil.
-	Joined func(generation uint64)
+	// OnJoin is called with the group's generation after each renewal; may be nil.
+	OnJoin func(generation uint64)
 	Logger log.Interface
 	Now    func() time.Time
 }
@@ -80,7 +80,7 @@
 
 // Run implements supervise.Service.
 func (r *Runner) Run(ctx context.Context) error {
-	r.lease, r.planners = NewLease(r.options.TTL, r.options.Quiet), map[string]*Planner{}
+	r.lease, r.planners = NewLease(r.options.TTL, r.options.QuietPeriod), map[string]*Planner{}
 	if r.options.Bootstrap > 0 {
 		r.ordersOpenAt = r.options.Now().Add(r.options.Bootstrap)
 		r.lease.Bootstrap(r.ordersOpenAt)
@@ -111,10 +111,10 @@
 }
 
 func (r *Runner) leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
 	r.joined = false
-	r.lease.Joined(r.options.Now(), r.options.Now(), Holding{Generation: r.lease.Generation()})
+	r.lease.RecordJoin(r.options.Now(), r.options.Now(), Membership{Generation: r.lease.Generation()})
 	if err := r.options.Group.Leave(ctx); err != nil {
 		r.options.Logger.WithError(err).Info("failed to leave the group: membership will expire")
 	}
@@ -135,15 +135,15 @@
 	case early && !r.joined:
 		return candidateCheckInterval
 	case early:
-		return r.options.Every / 2
+		return r.options.RenewalInterval / 2
 	case r.lease.Held():
-		return r.options.Every
+		return r.options.RenewalInterval
 	}
 	return r.options.TTL * 2 / 3
 }
 
 func (r *Runner) renew(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
 	sent := r.options.Now()
 	r.joined = true // even if the call fails, the store may have processed it
@@ -152,9 +152,9 @@
 		r.options.Logger.WithError(err).Debug("membership not renewed")
 		return
 	}
-	r.lease.Joined(sent, r.options.Now(), h)
-	if r.options.Joined != nil {
-		r.options.Joined(h.Generation)
+	r.lease.RecordJoin(sent, r.options.Now(), h)
+	if r.options.OnJoin != nil {
+		r.options.OnJoin(h.Generation)
 	}
 }
 
@@ -189,8 +189,8 @@
 			p = NewPlanner(s.Engine.RoleSwitch)
 			r.planners[name] = p
 		}
-		early := r.lease.Early(r.options.Now())
-		share, _ := r.options.Work(name).PrefillShare(r.options.Now(), Engine{Slots: s.Engine.Slots, MemoryTokens: s.Engine.MemoryTokens})
+		early := r.lease.BootstrapOnly(r.options.Now())
+		share, _ := r.options.Costs(name).PrefillShare(r.options.Now(), Capacity{Slots: s.Engine.Slots, MemoryTokens: s.Engine.MemoryTokens})
 		members := engineMembers(v, name)
 		for attempts := 0; r.holdsFence(fence) && (early || attempts < max(1, len(members)/enginesPerOrder)); attempts++ {
 			o, ok := p.Next(r.options.Now(), members, share, early)
@@ -209,11 +209,11 @@
 	return ok && now == fence
 }
 
-func engineMembers(v *fleet.View, service string) []Member {
-	var out []Member
+func engineMembers(v *fleet.View, service string) []Engine {
+	var out []Engine
 	for _, m := range v.Registrations {
 		if m.Service == service && !m.Draining && m.Role != fleet.RolePlain {
-			out = append(out, Member{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre, Role: m.Role, Born: m.Born})
+			out = append(out, Engine{Name: m.Name, Address: m.Address, DataCentre: m.DataCentre, Role: m.Role, Incarnation: m.Born})
 		}
 	}
 	return out
@@ -223,17 +223,17 @@
 // this out. Once the state has been read, the order counts as pending whatever happens
 // next: even an order without a response may be carried out later.
 func (r *Runner) sendOrder(ctx context.Context, p *Planner, o Order, fence uint64, share float64) {
-	ctx, cancel := context.WithTimeout(ctx, r.options.Call)
+	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
 	entry := r.options.Logger.WithFields(log.Fields{"upstream": o.Member.Name, "to": o.To.String(), "fence": fence, "share": share})
 	state, err := r.options.Engines.State(ctx, o.Member)
 	if err != nil {
-		p.Unreachable(r.options.Now(), o.Member)
+		p.RecordUnreachable(r.options.Now(), o.Member)
 		entry.WithError(err).Info("order not sent: engine did not respond")
 		return
 	}
-	p.Given(r.options.Now(), o)
-	if state.Born != o.Member.Born && state.Born != 0 && o.Member.Born != 0 {
+	p.RecordOrder(r.options.Now(), o)
+	if state.Incarnation != o.Member.Incarnation && state.Incarnation != 0 && o.Member.Incarnation != 0 {
 		entry.Info("order not sent: engine restarted and has not registered again")
 		return
 	}
@@ -245,7 +245,7 @@
 		entry.Info("order not sent: lease lost")
 		return
 	}
-	if state.Orders > 0 && r.lease.Early(r.options.Now()) {
+	if state.Orders > 0 && r.lease.BootstrapOnly(r.options.Now()) {
 		entry.Info("order not sent: engine has had orders and the lease is new")
 		return
 	}
--- a/roles/runner_test.go
+++ b/roles/runner_test.go
@@ -17,11 +17,11 @@
 // fakeGroup makes every member the owner of the partition.
 type fakeGroup struct{ fail bool }
 
-func (g *fakeGroup) Join(context.Context, uint64, time.Duration) (Holding, error) {
+func (g *fakeGroup) Join(context.Context, uint64, time.Duration) (Membership, error) {
 	if g.fail {
-		return Holding{}, errors.New("store unreachable")
+		return Membership{}, errors.New("store unreachable")
 	}
-	return Holding{Generation: 7, Owner: true}, nil
+	return Membership{Generation: 7, Owner: true}, nil
 }
 
 func (g *fakeGroup) Leave(context.Context) error { return nil }
@@ -33,9 +33,9 @@
 	orders []string
 }
 
-func (e *fakeEngines) State(context.Context, Member) (State, error) { return e.state, e.err }
+func (e *fakeEngines) State(context.Context, Engine) (State, error) { return e.state, e.err }
 
-func (e *fakeEngines) SetRole(_ context.Context, m Member, to fleet.Role, fence, expected uint64) error {
+func (e *fakeEngines) SetRole(_ context.Context, m Engine, to fleet.Role, fence, expected uint64) error {
 	e.orders = append(e.orders, fmt.Sprintf("%s %s %d %d", m.Name, to, fence, expected))
 	return nil
 }
@@ -49,10 +49,10 @@
 	for _, m := range newEngines(5, 14) {
 		v.Registrations[m.Name] = fleet.Registration{Name: m.Name, Service: "llm", DataCentre: m.DataCentre, Role: m.Role}
 	}
-	work := NewWork()
+	work := NewCostEstimator()
 	r := NewRunner(Options{
-		Group: &fakeGroup{}, Engines: e, View: func() *fleet.View { return v }, Work: func(string) *Work { return work },
-		TTL: ttl, Quiet: quiet, Every: time.Hour, Call: time.Minute,
+		Group: &fakeGroup{}, Engines: e, View: func() *fleet.View { return v }, Costs: func(string) *CostEstimator { return work },
+		TTL: ttl, QuietPeriod: quiet, RenewalInterval: time.Hour, CallTimeout: time.Minute,
 		Logger: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 		Now:    func() time.Time { return *now },
 	})
--- a/roles/work.go
+++ b/roles/work.go
@@ -22,7 +22,7 @@
 	// Prompt and Answer are its numbers of tokens. Held is how long it occupied its decode
 	// engine.
 	Prompt, Answer int
-	Held           time.Duration
+	DecodeTime     time.Duration
 }
 
 const (
@@ -44,9 +44,9 @@
 	minPrefills    = 48
 )
 
-// Work estimates how much of a prefill engine and of a decode engine one completion of a
+// CostEstimator estimates how much of a prefill engine and of a decode engine one completion of a
 // service takes. It is safe for concurrent use.
-type Work struct {
+type CostEstimator struct {
 	mu              sync.Mutex
 	promptTokens    estimate.Mean
 	answerTokens    estimate.Mean
@@ -54,26 +54,26 @@
 	prefillPerToken estimate.Speed // prefill time per prompt token
 }
 
-// NewWork returns an estimator without samples.
-func NewWork() *Work { return &Work{} }
+// NewCostEstimator returns an estimator without samples.
+func NewCostEstimator() *CostEstimator { return &CostEstimator{} }
 
-// Finished adds a finished completion to the estimates.
-func (w *Work) Finished(now time.Time, s Sample) {
-	if s.Prompt <= 0 || s.Held <= 0 {
+// AddCompletion adds a finished completion to the estimates.
+func (w *CostEstimator) AddCompletion(now time.Time, s Sample) {
+	if s.Prompt <= 0 || s.DecodeTime <= 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.promptTokens.Add(now, float64(s.Prompt))
 	w.answerTokens.Add(now, float64(s.Answer))
-	w.decodeSeconds.Add(now, s.Held.Seconds())
+	w.decodeSeconds.Add(now, s.DecodeTime.Seconds())
 }
 
-// Prefilled adds the time of a prefill of the given number of tokens that had no prompt
+// AddPrefill adds the time of a prefill of the given number of tokens that had no prompt
 // ahead of it. A prefill may still have waited in a queue, or have found the prompt in the
 // engine's cache. estimate.Speed uses a low quantile, so that neither distorts the
 // estimate.
-func (w *Work) Prefilled(now time.Time, tokens int, took time.Duration) {
+func (w *CostEstimator) AddPrefill(now time.Time, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -82,9 +82,9 @@
 	w.prefillPerToken.Add(now, took/time.Duration(tokens))
 }
 
-// Engine describes the capacity of one engine: its slots, and its KV cache in tokens. Zero
+// Capacity describes the capacity of one engine: its slots, and its KV cache in tokens. Zero
 // means no limit.
-type Engine struct {
+type Capacity struct {
 	Slots, MemoryTokens int
 }
 
@@ -93,7 +93,7 @@
 // its engine, times the fraction of the engine that it takes (of the slots or the memory,
 // whichever is larger). learned means that the costs are estimated from samples, not
 // assumed.
-func (w *Work) PrefillShare(now time.Time, e Engine) (share float64, learned bool) {
+func (w *CostEstimator) PrefillShare(now time.Time, e Capacity) (share float64, learned bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	prompt, promptKnown := w.promptTokens.Value(now)
@@ -112,7 +112,7 @@
 // the given numbers of tokens takes prefillSeconds on a prefill engine and decodeSeconds on
 // a decode engine. On average, a completion in decode holds its prompt and half its answer
 // in memory.
-func (e Engine) prefillShare(prefillSeconds, decodeSeconds, promptTokens, answerTokens float64) float64 {
+func (e Capacity) prefillShare(prefillSeconds, decodeSeconds, promptTokens, answerTokens float64) float64 {
 	decodeCost := decodeSeconds * e.loadFraction(promptTokens+answerTokens/2)
 	prefillSeconds *= prefillHeadroom
 	return prefillSeconds / (prefillSeconds + decodeCost)
@@ -128,7 +128,7 @@
 
 // loadFraction returns the fraction of an engine that a completion takes which holds the
 // given mean number of tokens: of its slots or of its memory, whichever is larger.
-func (e Engine) loadFraction(tokens float64) float64 {
+func (e Capacity) loadFraction(tokens float64) float64 {
 	fraction := 0.0
 	if e.Slots > 0 {
 		fraction = 1 / float64(e.Slots)
--- a/router/roles.go
+++ b/router/roles.go
@@ -34,18 +34,18 @@
 		bootstrap = bootstrapDelay
 	}
 	a.roles = roles.NewRunner(roles.Options{
-		Group:   a.group,
-		Engines: platform.NewEngineOrders(upstreamClient(), a.settings.Load().Instance.Name, a.upstreamLimits),
-		View:    a.watcher.View,
-		Work:    a.costs.get,
-		TTL:     leaseTTL,
-		Quiet:   a.settings.Load().Orders.Quiet,
-		Every:   leaseInterval,
-		Call:    orderTimeout,
+		Group:           a.group,
+		Engines:         platform.NewEngineOrders(upstreamClient(), a.settings.Load().Instance.Name, a.upstreamLimits),
+		View:            a.watcher.View,
+		Costs:           a.costs.get,
+		TTL:             leaseTTL,
+		QuietPeriod:     a.settings.Load().Orders.Quiet,
+		RenewalInterval: leaseInterval,
+		CallTimeout:     orderTimeout,
 
 		Bootstrap: bootstrap,
 		Candidate: a.leaseCandidate,
-		Joined:    a.daemonCounter.noteGeneration,
+		OnJoin:    a.daemonCounter.noteGeneration,
 		Logger:    a.logger,
 		Now:       time.Now,
 	})
@@ -60,18 +60,20 @@
 // concurrent use.
 type costsByService struct {
 	mu        sync.Mutex
-	byService map[string]*roles.Work
+	byService map[string]*roles.CostEstimator
 }
 
-func newCostsByService() *costsByService { return &costsByService{byService: map[string]*roles.Work{}} }
+func newCostsByService() *costsByService {
+	return &costsByService{byService: map[string]*roles.CostEstimator{}}
+}
 
 // get returns the learned costs of a service and creates them if needed.
-func (w *costsByService) get(service string) *roles.Work {
+func (w *costsByService) get(service string) *roles.CostEstimator {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	costs := w.byService[service]
 	if costs == nil {
-		costs = roles.NewWork()
+		costs = roles.NewCostEstimator()
 		w.byService[service] = costs
 	}
 	return costs
@@ -105,7 +107,7 @@
 		return
 	}
 	service := v.Registrations[upstream].Service
-	o.a.costs.get(service).Prefilled(now, tokens, p.Took)
+	o.a.costs.get(service).AddPrefill(now, tokens, p.Took)
 	o.a.addSample(now, estimate.Sample{Model: service, PrefillPerToken: p.Took / time.Duration(tokens)})
 }
 
@@ -115,7 +117,7 @@
 
 func (o attachedObserver) Finished(now time.Time, f request.FinishObservation) {
 	o.observer.Finished(now, f)
-	o.a.costs.get(f.Model).Finished(now, roles.Sample{Prompt: f.PromptTokens, Answer: f.AnswerTokens, Held: f.Held})
+	o.a.costs.get(f.Model).AddCompletion(now, roles.Sample{Prompt: f.PromptTokens, Answer: f.AnswerTokens, DecodeTime: f.Held})
 	o.a.addSample(now, estimate.Sample{
 		Model: f.Model, PromptTokens: f.PromptTokens, ExpectedTokens: f.ExpectedTokens, AnswerTokens: f.AnswerTokens,
 		Held: f.Held, PerToken: f.PerToken,
@@ -158,8 +160,8 @@
 	})
 	for _, s := range list {
 		costs := a.costs.get(s.Model)
-		costs.Finished(now, roles.Sample{Prompt: s.PromptTokens, Answer: s.AnswerTokens, Held: s.Held})
-		costs.Prefilled(now, 1, s.PrefillPerToken)
+		costs.AddCompletion(now, roles.Sample{Prompt: s.PromptTokens, Answer: s.AnswerTokens, DecodeTime: s.Held})
+		costs.AddPrefill(now, 1, s.PrefillPerToken)
 		a.runner.RecordAnswer(now, s.Model, s.AnswerTokens, s.ExpectedTokens)
 	}
 	a.holder.Update(func(b *board.Board) {
