--- a/router/attached_test.go
+++ b/router/attached_test.go
@@ -69,7 +69,7 @@
 	cfg.Limits.MemoryMB = 1024
 	cfg.Drain.Notice, cfg.Drain.Grace = time.Millisecond, 20*time.Second
 	cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickInterval // a single daemon may retry at once
-	cfg.Orders.Quiet = time.Hour                                                             // engines keep their roles
+	cfg.Orders.QuietPeriod = time.Hour                                                       // engines keep their roles
 	if change != nil {
 		change(cfg)
 	}
--- a/router/feeds.go
+++ b/router/feeds.go
@@ -20,9 +20,9 @@
 func (a *Attached) provisionFeeds() error {
 	s := a.settings.Load()
 	a.store = platform.NewStore(s.Store.Address, a.storeClient(), a.logger)
-	wait := s.Store.Contact - s.Store.Timeout - contactMargin
+	wait := s.Store.ContactTimeout - s.Store.Timeout - contactMargin
 	a.quarantine = newQuarantineKeeper(quarantine.Options{
-		Log: platform.NewQuarantineLog(a.store), IsReader: a.readsQuarantineLog, Wait: wait, Retention: s.Store.Keep,
+		Log: platform.NewQuarantineLog(a.store), IsReader: a.readsQuarantineLog, Wait: wait, Retention: s.Store.RecordRetention,
 	}, a.metrics.Instruments, a.logger)
 	self := relay.Peer{Instance: s.Instance.Name, DataCentre: s.Instance.DataCentre, Weight: s.Limits.Weight()}
 	var feeds fleet.Store = fleet.TimeoutStore{Store: a.store, Timeout: s.Store.Timeout}
@@ -65,7 +65,7 @@
 	a.teamLimits.borrower.lenders = relay.NewLoans(relay.LoansOptions{Roster: a.roster, Time: a.timeKeeper, Quota: a.teamLimits.ledger, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now})
 	a.relay = relay.NewServer(relay.ServerOptions{
 		Cache: a.journal, Roster: a.roster, Followers: a.readRequests, Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples,
-		Timing: relay.TimingFor(s.Store.Bound()), Lend: a.lendRetries, Quota: a.teamLimits.ledger, LendUnits: a.lendUnits, Logger: a.logger, Now: time.Now,
+		Timing: relay.TimingFor(s.Store.ChangeTimeout()), Lend: a.lendRetries, Quota: a.teamLimits.ledger, LendUnits: a.lendUnits, Logger: a.logger, Now: time.Now,
 	})
 	a.relay.Listen(ln)
 	a.retryBorrower = relay.NewBorrower(relay.BorrowerOptions{
@@ -82,7 +82,7 @@
 	s := a.settings.Load()
 	return relay.Options{
 		Direct: direct, Directory: a.group, Cache: a.journal, Roster: a.roster, Followers: a.readRequests,
-		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples, Time: a.timeKeeper, Dial: relay.DialTCP, Timing: relay.TimingFor(s.Store.Bound()), Self: self, Seeds: s.Relay.Seeds,
+		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples, Time: a.timeKeeper, Dial: relay.DialTCP, Timing: relay.TimingFor(s.Store.ChangeTimeout()), Self: self, Seeds: s.Relay.Seeds,
 		Random: rand.New(rand.NewPCG(a.seed, rngRelay)), Logger: a.logger, Now: time.Now, OnRead: a.countStoreRead,
 	}
 }
--- a/router/instances.go
+++ b/router/instances.go
@@ -69,7 +69,7 @@
 		if n, ok := w.read(ctx, client); ok {
 			size = n
 		}
-		if !clock.Sleep(ctx, listInterval(platform.InstancesEvery, size, rng)) {
+		if !clock.Sleep(ctx, listInterval(platform.InstancesInterval, size, rng)) {
 			return nil
 		}
 	}
--- a/router/provision.go
+++ b/router/provision.go
@@ -141,7 +141,7 @@
 		Stream:             r.settings.Bundle.Stream,
 		Fetch:              r.fetchBundle,
 		Rand:               r.newRand(rngWatch),
-		CheckpointInterval: r.settings.Bundle.CheckpointEvery,
+		CheckpointInterval: r.settings.Bundle.CheckpointInterval,
 		Logger:             r.logger,
 		Meter:              r.metrics.Meter(),
 	})
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -73,7 +73,7 @@
 		cfg.Limits.MemoryMB = 1024
 		cfg.Drain.Notice, cfg.Drain.Grace = time.Millisecond, 20*time.Second
 		cfg.Retries.Slack, cfg.Retries.Daemons, cfg.Retries.Window = 1000, 1, retry.TickInterval
-		cfg.Orders.Quiet = time.Hour
+		cfg.Orders.QuietPeriod = time.Hour
 		if f.edit != nil {
 			f.edit(cfg)
 		}
--- a/router/roles.go
+++ b/router/roles.go
@@ -39,7 +39,7 @@
 		View:            a.watcher.View,
 		Costs:           a.costs.get,
 		TTL:             leaseTTL,
-		QuietPeriod:     a.settings.Load().Orders.Quiet,
+		QuietPeriod:     a.settings.Load().Orders.QuietPeriod,
 		RenewalInterval: leaseInterval,
 		CallTimeout:     orderTimeout,
 
--- a/settings/attached.go
+++ b/settings/attached.go
@@ -22,7 +22,7 @@
 	Quota    Quota           `yaml:"quota" doc:"how far all daemons together may exceed the rate limits of teams"`
 	Orders   Orders          `yaml:"orders" doc:"orders that move engines between prefill and decode"`
 	Drain    AttachedDrain   `yaml:"drain" doc:"graceful shutdown"`
-	Limits   AttachedLimits  `yaml:"limits" doc:"resources of the instance"`
+	Limits   Resources       `yaml:"limits" doc:"resources of the instance"`
 	Log      Log             `yaml:"log" doc:"log lines, written to standard output"`
 	Policy   Policy          `yaml:"policy" doc:"the routing policy"`
 }
@@ -50,17 +50,17 @@
 
 // Store configures how the daemon reads the platform's store.
 type Store struct {
-	Address string        `yaml:"address" validate:"hostport" unit:"host:port" doc:"address of the store"`
-	Contact time.Duration `yaml:"contact" validate:"gt=1s" unit:"duration" doc:"time after which the platform considers a daemon that lost contact with the store to be in contact again; each read of the store ends within it, because nothing else detects an answer that is lost on an open connection"`
-	Timeout time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"timeout of one call, in addition to the wait of a long poll"`
-	Retry   time.Duration `yaml:"retry" validate:"gt=0" unit:"duration" doc:"pause after a failed call"`
-	Apply   time.Duration `yaml:"apply" validate:"gt=0" unit:"duration" doc:"time within which a new configuration must take effect"`
-	Keep    time.Duration `yaml:"keep" validate:"gt=0" unit:"duration" doc:"how long the store retains the records that daemons append"`
-	Leave   time.Duration `yaml:"leave" validate:"gt=0" unit:"duration" doc:"time after which an upstream that is leaving must receive no new requests"`
+	Address         string        `yaml:"address" validate:"hostport" unit:"host:port" doc:"address of the store"`
+	ContactTimeout  time.Duration `yaml:"contact" validate:"gt=1s" unit:"duration" doc:"time after which the platform considers a daemon that lost contact with the store to be in contact again; each read of the store ends within it, because nothing else detects an answer that is lost on an open connection"`
+	Timeout         time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"timeout of one call, in addition to the wait of a long poll"`
+	Retry           time.Duration `yaml:"retry" validate:"gt=0" unit:"duration" doc:"pause after a failed call"`
+	ApplyTimeout    time.Duration `yaml:"apply" validate:"gt=0" unit:"duration" doc:"time within which a new configuration must take effect"`
+	RecordRetention time.Duration `yaml:"keep" validate:"gt=0" unit:"duration" doc:"how long the store retains the records that daemons append"`
+	LeaveTimeout    time.Duration `yaml:"leave" validate:"gt=0" unit:"duration" doc:"time after which an upstream that is leaving must receive no new requests"`
 }
 
-// Bound returns the time within which every change in the store must take effect.
-func (s Store) Bound() time.Duration { return min(s.Apply, s.Leave) }
+// ChangeTimeout returns the time within which every change in the store must take effect.
+func (s Store) ChangeTimeout() time.Duration { return min(s.ApplyTimeout, s.LeaveTimeout) }
 
 // Retries bounds the attempts of all requests beyond the first of each.
 type Retries struct {
@@ -80,7 +80,7 @@
 
 // Orders configures the orders that move engines between prefill and decode.
 type Orders struct {
-	Quiet time.Duration `yaml:"quiet" validate:"gt=0" unit:"duration" doc:"minimum time between the last order of one daemon and the first of another"`
+	QuietPeriod time.Duration `yaml:"quiet" validate:"gt=0" unit:"duration" doc:"minimum time between the last order of one daemon and the first of another"`
 	// Bootstrap is set by the platform.
 	Bootstrap bool `yaml:"bootstrap" doc:"whether the whole system starts for the first time: all daemons start at about the same moment, and none has sent orders or retries before"`
 }
@@ -91,21 +91,21 @@
 	Grace  time.Duration `yaml:"grace" validate:"gt=0" unit:"duration" doc:"time from SIGTERM until the platform kills the process"`
 }
 
-// AttachedLimits holds the resources of the instance, to which the daemon limits itself.
-type AttachedLimits struct {
+// Resources holds the resources of the instance, to which the daemon limits itself.
+type Resources struct {
 	MemoryMB    int `yaml:"memory_mb" validate:"min=16" unit:"megabytes" doc:"memory of the instance"`
 	Descriptors int `yaml:"descriptors" validate:"min=64" unit:"descriptors" doc:"file descriptors of the process"`
 	Cores       int `yaml:"cores" validate:"min=1" doc:"processors of the instance"`
-	// Share and Link determine Weight.
-	Share float64 `yaml:"share" validate:"gt=0" unit:"cores" doc:"processor time available to the instance per second"`
-	Link  float64 `yaml:"link" validate:"gt=0" unit:"Mbit/s" doc:"bandwidth of the instance's network link"`
+	// CPUShare and Link determine Weight.
+	CPUShare float64 `yaml:"share" validate:"gt=0" unit:"cores" doc:"processor time available to the instance per second"`
+	LinkRate float64 `yaml:"link" validate:"gt=0" unit:"Mbit/s" doc:"bandwidth of the instance's network link"`
 }
 
 // Weight returns the capacity of the instance to relay the store's feeds to other daemons, by
 // which readers are elected: the smaller of its CPU in thousandths of a core and its link's
 // bandwidth in tenths of a Mbit/s. A fifth of a core and 20 Mbit/s serve about the same number
 // of followers.
-func (l AttachedLimits) Weight() int { return int(min(1000*l.Share, 10*l.Link)) }
+func (l Resources) Weight() int { return int(min(1000*l.CPUShare, 10*l.LinkRate)) }
 
 // AttachedDefaults returns the values of the keys that the file does not set.
 func AttachedDefaults() *Attached {
@@ -114,19 +114,19 @@
 		Instance: base.Instance,
 		Callers:  AttachedCallers{Listen: base.Callers.Listen, BodyTimeout: 5 * time.Second, WriteTimeout: base.Callers.WriteTimeout},
 		Store: Store{
-			Address: "127.0.0.1:8090",
-			Contact: 3 * time.Second,
-			Timeout: 800 * time.Millisecond,
-			Retry:   250 * time.Millisecond,
-			Apply:   2 * time.Second,
-			Keep:    5 * time.Minute,
-			Leave:   2 * time.Second,
+			Address:         "127.0.0.1:8090",
+			ContactTimeout:  3 * time.Second,
+			Timeout:         800 * time.Millisecond,
+			Retry:           250 * time.Millisecond,
+			ApplyTimeout:    2 * time.Second,
+			RecordRetention: 5 * time.Minute,
+			LeaveTimeout:    2 * time.Second,
 		},
 		Retries: Retries{Ratio: 0.2, Slack: 20, Window: 10 * time.Second, Daemons: 2},
 		Quota:   Quota{Window: 8 * time.Second, Excess: 0.1},
-		Orders:  Orders{Quiet: 3 * time.Second},
+		Orders:  Orders{QuietPeriod: 3 * time.Second},
 		Drain:   AttachedDrain{Notice: 2500 * time.Millisecond, Grace: 8 * time.Second},
-		Limits:  AttachedLimits{MemoryMB: 128, Descriptors: 1024, Cores: 1, Share: 1, Link: 1000},
+		Limits:  Resources{MemoryMB: 128, Descriptors: 1024, Cores: 1, CPUShare: 1, LinkRate: 1000},
 		Log:     Log{Level: "info", Format: "json"},
 	}
 }
--- a/settings/attached_test.go
+++ b/settings/attached_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Instance.Name != "front-1" || s.Retries.Slack != 54 || s.Drain.Grace != 8*time.Second || s.Store.Contact != AttachedDefaults().Store.Contact {
+	if s.Instance.Name != "front-1" || s.Retries.Slack != 54 || s.Drain.Grace != 8*time.Second || s.Store.ContactTimeout != AttachedDefaults().Store.ContactTimeout {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/settings/model.go
+++ b/settings/model.go
@@ -80,18 +80,18 @@
 
 // Platform configures the clients of the platform's services.
 type Platform struct {
-	LogURL         string        `yaml:"log_url" validate:"http_url" unit:"URL" doc:"append-only log service"`
-	InstancesURL   string        `yaml:"instances_url" validate:"omitempty,http_url" unit:"URL" doc:"list of live and leaving instances; empty uses none"`
-	Timeout        time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"timeout of one call, in addition to the wait of a long poll"`
-	InstancesEvery time.Duration `yaml:"instances_every" validate:"gt=0" unit:"duration" doc:"time between reads of the instance list"`
+	LogURL            string        `yaml:"log_url" validate:"http_url" unit:"URL" doc:"append-only log service"`
+	InstancesURL      string        `yaml:"instances_url" validate:"omitempty,http_url" unit:"URL" doc:"list of live and leaving instances; empty uses none"`
+	Timeout           time.Duration `yaml:"timeout" validate:"gt=0" unit:"duration" doc:"timeout of one call, in addition to the wait of a long poll"`
+	InstancesInterval time.Duration `yaml:"instances_every" validate:"gt=0" unit:"duration" doc:"time between reads of the instance list"`
 }
 
 // Bundle configures the source of bundle versions and the keys that are trusted to sign them.
 type Bundle struct {
-	Stream          string            `yaml:"stream" validate:"required,nodename" doc:"stream of the log that holds bundle records"`
-	CheckpointEvery time.Duration     `yaml:"checkpoint_every" validate:"gt=0" unit:"duration" doc:"time after which the active version is appended again; much less than the log's retention"`
-	Authors         map[string]string `yaml:"authors" validate:"dive,ed25519" unit:"base64 ed25519 public key" doc:"public keys of those who may write bundles, by key id"`
-	Reviewers       map[string]string `yaml:"reviewers" validate:"dive,ed25519" unit:"base64 ed25519 public key" doc:"public keys of those who may approve bundles, by key id"`
+	Stream             string            `yaml:"stream" validate:"required,nodename" doc:"stream of the log that holds bundle records"`
+	CheckpointInterval time.Duration     `yaml:"checkpoint_every" validate:"gt=0" unit:"duration" doc:"time after which the active version is appended again; much less than the log's retention"`
+	Authors            map[string]string `yaml:"authors" validate:"dive,ed25519" unit:"base64 ed25519 public key" doc:"public keys of those who may write bundles, by key id"`
+	Reviewers          map[string]string `yaml:"reviewers" validate:"dive,ed25519" unit:"base64 ed25519 public key" doc:"public keys of those who may approve bundles, by key id"`
 }
 
 // Claims configures at-most-once execution of requests with an idempotency key.
@@ -150,15 +150,15 @@
 			FrozenAfter: time.Second,
 		},
 		Platform: Platform{
-			LogURL:         "http://127.0.0.1:8090",
-			Timeout:        2 * time.Second,
-			InstancesEvery: time.Second,
+			LogURL:            "http://127.0.0.1:8090",
+			Timeout:           2 * time.Second,
+			InstancesInterval: time.Second,
 		},
 		Bundle: Bundle{
-			Stream:          "bundles",
-			CheckpointEvery: 10 * time.Minute,
-			Authors:         map[string]string{},
-			Reviewers:       map[string]string{},
+			Stream:             "bundles",
+			CheckpointInterval: 10 * time.Minute,
+			Authors:            map[string]string{},
+			Reviewers:          map[string]string{},
 		},
 		Claims: Claims{
 			Shards:           4,
--- a/test/failure/bundle_test.go
+++ b/test/failure/bundle_test.go
@@ -259,7 +259,7 @@
 	t.Parallel()
 	soon := func(l *testbed.Layout) {
 		before := l.Settings
-		l.Settings = func(n int, s *settings.Settings) { before(n, s); s.Bundle.CheckpointEvery = time.Second }
+		l.Settings = func(n int, s *settings.Settings) { before(n, s); s.Bundle.CheckpointInterval = time.Second }
 	}
 	for name, fault := range map[string]func(*rig){
 		"re-append/daemon-killed":       func(r *rig) { r.Daemons[0].Kill() },
