--- a/steward/sweep.go
+++ b/steward/sweep.go
@@ -32,7 +32,7 @@
 const (
 	DefaultGrace         = 400 * time.Millisecond
 	DefaultIsolatedGrace = 30 * time.Second
-	DefaultExportBound   = 5 * time.Second
+	DefaultMaxExportAge  = 5 * time.Second
 )
 
 // SweepConfig holds the timeouts of a Sweep. A timeout of zero is replaced by its
@@ -45,9 +45,9 @@
 	// are. The steward itself may then have lost its network, and with the short
 	// Grace it would cancel the work of all live daemons.
 	IsolatedGrace time.Duration
-	// ExportBound is the age from which an export that is still held is cancelled,
+	// MaxExportAge is the age from which an export that is still held is cancelled,
 	// although its owner is alive.
-	ExportBound time.Duration
+	MaxExportAge time.Duration
 }
 
 // Cancel is one piece of work to cancel on an upstream.
@@ -95,7 +95,7 @@
 func newSweep(cfg SweepConfig) *Sweep {
 	setDefault(&cfg.Grace, DefaultGrace)
 	setDefault(&cfg.IsolatedGrace, DefaultIsolatedGrace)
-	setDefault(&cfg.ExportBound, DefaultExportBound)
+	setDefault(&cfg.MaxExportAge, DefaultMaxExportAge)
 	return &Sweep{cfg: cfg, upstreams: map[string]*upstreamOrphans{}}
 }
 
@@ -103,10 +103,10 @@
 // becomes its steward. Their grace periods start again.
 func (s *Sweep) Forget(upstream string) { delete(s.upstreams, upstream) }
 
-// Next returns when to list an upstream again because of the orphans in its last
+// NextListing returns when to list an upstream again because of the orphans in its last
 // listing: at the end of the first grace period, but not before Grace from now, so
 // that a cancel already sent can take effect. ok is false if there are no orphans.
-func (s *Sweep) Next(now time.Time, upstream string) (at time.Time, ok bool) {
+func (s *Sweep) NextListing(now time.Time, upstream string) (at time.Time, ok bool) {
 	u := s.upstreams[upstream]
 	if u == nil {
 		return time.Time{}, false
@@ -122,10 +122,10 @@
 	return at, ok
 }
 
-// Listed processes a listing of the memory that an upstream holds and returns the
+// ProcessListing processes a listing of the memory that an upstream holds and returns the
 // work to cancel now. It returns the same cancel again for each later listing that
 // still contains the work.
-func (s *Sweep) Listed(now time.Time, upstream string, r engineapi.HeldReply, v *members.View) []Cancel {
+func (s *Sweep) ProcessListing(now time.Time, upstream string, r engineapi.HeldReply, v *members.View) []Cancel {
 	if v.Frozen(now) {
 		// The view and the earlier listings are outdated after a freeze.
 		s.Forget(upstream)
@@ -172,7 +172,7 @@
 	case members.Unknown:
 		return OwnerUnknown, v.UnknownAfter()
 	case members.Alive, members.Suspect:
-		if h.Kind == engineapi.HeldExport && time.Duration(h.AgeMS)*time.Millisecond >= s.cfg.ExportBound {
+		if h.Kind == engineapi.HeldExport && time.Duration(h.AgeMS)*time.Millisecond >= s.cfg.MaxExportAge {
 			return ExportStale, 0
 		}
 	}
--- a/steward/sweep_test.go
+++ b/steward/sweep_test.go
@@ -54,7 +54,7 @@
 // the reasons of the cancels.
 func (w *sweepHarness) list(incarnation uint64, held ...engineapi.Held) []Reason {
 	var reasons []Reason
-	for _, c := range w.sweep.Listed(at(w.ms), "e", engineapi.HeldReply{Incarnation: incarnation, Held: held}, w.table.View()) {
+	for _, c := range w.sweep.ProcessListing(at(w.ms), "e", engineapi.HeldReply{Incarnation: incarnation, Held: held}, w.table.View()) {
 		reasons = append(reasons, c.Reason)
 	}
 	return reasons
@@ -72,7 +72,7 @@
 // dead one.
 func TestSweepByOwner(t *testing.T) {
 	stale := heldWork("owner", 2, engineapi.HeldExport)
-	stale.AgeMS = DefaultExportBound.Milliseconds()
+	stale.AgeMS = DefaultMaxExportAge.Milliseconds()
 	young := stale
 	young.AgeMS--
 	old := heldWork("owner", 2, engineapi.HeldDecode)
@@ -196,13 +196,13 @@
 func TestSweepSaysWhenToListAgain(t *testing.T) {
 	w := newSweepHarness(time.Minute)
 	w.list(1)
-	if _, ok := w.sweep.Next(at(w.ms), "e"); ok {
+	if _, ok := w.sweep.NextListing(at(w.ms), "e"); ok {
 		t.Error("a listing is due without orphans")
 	}
 	w.list(1, heldWork("nobody", 1, engineapi.HeldDecode))
 	next := func(want time.Duration) {
 		t.Helper()
-		if got, ok := w.sweep.Next(at(w.ms), "e"); !ok || got.Sub(at(w.ms)) != want {
+		if got, ok := w.sweep.NextListing(at(w.ms), "e"); !ok || got.Sub(at(w.ms)) != want {
 			t.Errorf("next listing in %v (%v), want %v", got.Sub(at(w.ms)), ok, want)
 		}
 	}
--- a/steward/visit.go
+++ b/steward/visit.go
@@ -30,7 +30,7 @@
 	}
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	nextListing, _ := rd.sweep.Next(time.Now(), task.upstream)
+	nextListing, _ := rd.sweep.NextListing(time.Now(), task.upstream)
 	rd.scheduler.finish(task.upstream, ok, nextListing)
 }
 
@@ -98,7 +98,7 @@
 	}
 	now := time.Now()
 	rd.mu.Lock()
-	cancels := rd.sweep.Listed(now, upstream, held, rd.opts.Peers.View())
+	cancels := rd.sweep.ProcessListing(now, upstream, held, rd.opts.Peers.View())
 	rd.mu.Unlock()
 	rd.stats.sweeps.Add(1)
 	ok := true
