--- a/request/attempt.go
+++ b/request/attempt.go
@@ -93,7 +93,7 @@
 
 // handleOpened handles an engine's acceptance of a decode or resume call. The state changes
 // only with the first chunk.
-func (m *Machine) handleOpened(now time.Time, head *engineapi.Head) {
+func (m *Machine) handleOpened(now time.Time, head *engineapi.ResponseHead) {
 	if m.lastStep == StepDecode || m.lastStep == StepResume {
 		m.run.settle(m.lastStep, upstream.Done)
 		if m.handle != "" && !m.decodeAccepted {
--- a/request/call.go
+++ b/request/call.go
@@ -274,7 +274,7 @@
 	k.arrivals.sent(StepCall)
 	answer, err := k.r.o.Services.Call(ctx, rep.Address, upstream.ServiceCall{
 		RequestID: k.c.ID, Method: k.c.Method, Path: k.c.Path,
-		Header: k.c.Header, Body: k.c.Body, Once: k.c.atMostOnce(),
+		Header: k.c.Header, Body: k.c.Body, NoReplay: k.c.atMostOnce(),
 		Upstream: rep.Name, Deadline: now.Add(left),
 	})
 	k.run.settle(StepCall, upstream.DeliveryOf(err))
@@ -329,7 +329,7 @@
 	case upstream.DeliveryOf(err) == upstream.Refused:
 		return errkind.Wrap(err, errkind.UpstreamRefused, "the service refused the call")
 	case upstream.DeliveryOf(err) == upstream.NotSent:
-		k.r.o.Observer.Unanswered(now, rep.Name, upstream.Reached(err))
+		k.r.o.Observer.Unanswered(now, rep.Name, upstream.HostResponded(err))
 		return errkind.Wrap(err, errkind.UpstreamFailed, "the service was not reached")
 	default:
 		k.r.o.Observer.Failed(now, rep.Name)
--- a/request/dispatch.go
+++ b/request/dispatch.go
@@ -92,8 +92,8 @@
 	return engineapi.WorkID{RequestID: d.c.ID, Attempt: a.Attempt}
 }
 
-func (d *driver) envelope(a Action) engineapi.Envelope {
-	return engineapi.Envelope{Upstream: a.Target.Name, Deadline: d.c.Deadline, Original: d.c.Original}
+func (d *driver) envelope(a Action) engineapi.CallMetadata {
+	return engineapi.CallMetadata{Upstream: a.Target.Name, Deadline: d.c.Deadline, CallerRequest: d.c.Original}
 }
 
 // reserveRequest asks for a slot that stays reserved for the timeouts of the prefill and of the
@@ -258,13 +258,13 @@
 	d.sendEvent(ctx, Event{
 		Kind: EventCallFailed, Call: a.Call,
 		Delivery: upstream.DeliveryOf(err), Refusal: upstream.RefusalOf(err), Answer: ownAnswer(err),
-		Reached: upstream.Reached(err),
+		Reached: upstream.HostResponded(err),
 	})
 }
 
 // ownAnswer returns the upstream's own answer that err carries, or nil.
 func ownAnswer(err error) *CallAnswer {
-	a := upstream.AnswerOf(err)
+	a := upstream.ResponseOf(err)
 	if a == nil {
 		return nil
 	}
--- a/request/events.go
+++ b/request/events.go
@@ -74,7 +74,7 @@
 	// Reservation is the engine's id of the reservation in EventReserved.
 	Reservation string
 	// Head is the head of the engine's answer in EventOpened; nil if there is none.
-	Head *engineapi.Head
+	Head *engineapi.ResponseHead
 	// Answer is the engine's own error answer in EventCallFailed; nil if there is none.
 	Answer *CallAnswer
 	// Reached is set if the upstream's host responded although the call failed.
@@ -167,7 +167,7 @@
 	// Reservation and Handle are the engines' ids of what they hold for the attempt: the slot
 	// on the decode engine and the prefill result on the prefill engine.
 	Reservation, Handle string
-	Head                *engineapi.Head
+	Head                *engineapi.ResponseHead
 	Answer              *CallAnswer
 	Unanswered, Reached bool
 	// TimedOut is set for ActionBlame if the call timed out.
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -113,7 +113,7 @@
 		Policy:      func(string) (policy.Policy, bool) { return inOrder{f}, true },
 		Inflight:    board.NewInflight(),
 		Engines:     upstream.NewEngines(hc),
-		Services:    upstream.NewServices(hc, upstream.NoNotices{}),
+		Services:    upstream.NewServices(hc, upstream.NoRateLimitObserver{}),
 		Observer:    observer{f},
 		Metrics:     metrics{f},
 		RetryBudget: func(string) request.RetryBudget { return switchableBudget{&f.budget} },
--- a/request/observe.go
+++ b/request/observe.go
@@ -33,7 +33,7 @@
 
 // reportServiceAnswer passes on the load and the leaving notice in a plain service's answer or
 // refusal.
-func (r *Runner) reportServiceAnswer(name string, answer *upstream.ServiceAnswer, err error) {
+func (r *Runner) reportServiceAnswer(name string, answer *upstream.ServiceResponse, err error) {
 	r.reportRefusal(name, err)
 	if answer != nil && answer.Load != nil {
 		r.reportLoad(name, answer.Load)
--- a/request/options.go
+++ b/request/options.go
@@ -129,7 +129,7 @@
 // Services makes calls to plain services. upstream.Services implements it. Implementations are
 // safe for concurrent use; their errors are *upstream.CallError.
 type Services interface {
-	Call(ctx context.Context, addr string, c upstream.ServiceCall) (*upstream.ServiceAnswer, error)
+	Call(ctx context.Context, addr string, c upstream.ServiceCall) (*upstream.ServiceResponse, error)
 }
 
 // Options configure a Runner. Snapshot, Policy, Inflight, Engines, Services and Logger are
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -85,7 +85,7 @@
 // mayHaveCrashed reports whether a call may have failed because the upstream crashed while it
 // had the request: its delivery is unknown, it got no answer, and it was not cancelled here.
 func mayHaveCrashed(ctx context.Context, s Step, err error) bool {
-	return s != StepReserve && ctx.Err() == nil && upstream.DeliveryOf(err) == upstream.Maybe && upstream.AnswerOf(err) == nil
+	return s != StepReserve && ctx.Err() == nil && upstream.DeliveryOf(err) == upstream.Maybe && upstream.ResponseOf(err) == nil
 }
 
 // reportBroken reports a call that failed after it was sent at the given time. answering is
--- a/request/types.go
+++ b/request/types.go
@@ -45,7 +45,7 @@
 	// Prefix holds the chained hashes of the prompt's blocks if Prompt is empty.
 	Prefix []uint64
 	// Original is the caller's unmodified request, for engines that accept it in that form.
-	Original *engineapi.Original
+	Original *engineapi.CallerRequest
 	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so it
 	// must never be a key.
 	CallerTeam string
@@ -113,7 +113,7 @@
 type PassThroughSink interface {
 	Sink
 	// Open delivers the head of the first engine's answer, before the first token.
-	Open(head engineapi.Head)
+	Open(head engineapi.ResponseHead)
 	// Answer ends the request with an engine's own error answer, before any token.
 	Answer(a CallAnswer)
 }
--- a/router/attached.go
+++ b/router/attached.go
@@ -187,12 +187,12 @@
 // storeClient returns an HTTP client for calls to the store.
 func (a *Attached) storeClient() *http.Client {
 	const idleTimeout = 10 * time.Second
-	return upstream.NewHTTPClientWith(upstream.Transport{Dial: dialTimeout, Idle: idleTimeout, KeepAlive: probeInterval, Probes: storeProbes, Unacked: unackedTimeout, PerHost: storeConns, IdlePerHost: storeConns})
+	return upstream.NewHTTPClientWith(upstream.TransportConfig{Dial: dialTimeout, Idle: idleTimeout, KeepAlive: probeInterval, Probes: storeProbes, UserTimeout: unackedTimeout, PerHost: storeConns, IdlePerHost: storeConns})
 }
 
 // upstreamClient returns an HTTP client for calls to upstreams.
 func upstreamClient() *http.Client {
-	return upstream.NewHTTPClientWith(upstream.Transport{Dial: dialTimeout, Idle: upstreamIdleTimeout, KeepAlive: probeInterval, Probes: upstreamProbes, Unacked: unackedTimeout, PerHost: connsPerUpstream, IdlePerHost: idleConns})
+	return upstream.NewHTTPClientWith(upstream.TransportConfig{Dial: dialTimeout, Idle: upstreamIdleTimeout, KeepAlive: probeInterval, Probes: upstreamProbes, UserTimeout: unackedTimeout, PerHost: connsPerUpstream, IdlePerHost: idleConns})
 }
 
 // applyView applies a new view of the configuration and the upstreams.
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -121,17 +121,17 @@
 	}
 }
 
-// Noticed takes what the headers of an answer state about its upstream's rate limit. It
+// ObserveRateLimit takes what the headers of an answer state about its upstream's rate limit. It
 // implements upstream.Notices.
-func (l *upstreamLimits) Noticed(n upstream.Notice) {
-	if n.Unreadable != "" {
-		l.o.Logger.WithFields(log.Fields{"upstream": n.Upstream, "limit": truncate(n.Unreadable)}).Warn("invalid rate limit from upstream: previous limit kept")
+func (l *upstreamLimits) ObserveRateLimit(n upstream.RateLimitNotice) {
+	if n.Invalid != "" {
+		l.o.Logger.WithFields(log.Fields{"upstream": n.Upstream, "limit": truncate(n.Invalid)}).Warn("invalid rate limit from upstream: previous limit kept")
 	}
 	u, _ := l.o.Lookup(n.Upstream)
 	switch {
-	case n.Named:
-		l.applyReport(ratelimit.Observation{Upstream: u, HasLimit: true, Limit: n.Limit, At: n.Came})
-	case n.Ran && n.Unreadable == "":
+	case n.HasLimit:
+		l.applyReport(ratelimit.Observation{Upstream: u, HasLimit: true, Limit: n.Limit, At: n.Received})
+	case n.Executed && n.Invalid == "":
 		l.applyReport(ratelimit.Observation{Upstream: u, At: n.Sent})
 	}
 }
--- a/upstream/delivery.go
+++ b/upstream/delivery.go
@@ -49,9 +49,9 @@
 	// Refusal is set when Delivery is Refused.
 	Refusal *engineapi.Refusal
 
-	// Answer is the upstream's complete error response, to be passed on to the caller
+	// Response is the upstream's complete error response, to be passed on to the caller
 	// unchanged; nil if there is none.
-	Answer *ServiceAnswer
+	Response *ServiceResponse
 
 	cause error
 }
@@ -90,9 +90,9 @@
 	return Maybe
 }
 
-// Reached reports whether a call failed because the upstream's host refused or reset the
+// HostResponded reports whether a call failed because the upstream's host refused or reset the
 // connection. The host is then up and the network path to it works.
-func Reached(err error) bool {
+func HostResponded(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// AnswerOf returns the upstream's error response in err's *CallError, or nil.
-func AnswerOf(err error) *ServiceAnswer {
+// ResponseOf returns the upstream's error response in err's *CallError, or nil.
+func ResponseOf(err error) *ServiceResponse {
 	var ce *CallError
 	if errors.As(err, &ce) {
-		return ce.Answer
+		return ce.Response
 	}
 	return nil
 }
--- a/upstream/delivery_test.go
+++ b/upstream/delivery_test.go
@@ -79,12 +79,12 @@
 		"key, no body":   {Method: "POST", Header: http.Header{"Idempotency-Key": {"k"}}},
 		"key, body":      {Method: "POST", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("b")},
 		"x-key, no body": {Method: "DELETE", Header: http.Header{"X-Idempotency-Key": {"k"}}},
-		"marked get":     {Method: "GET", Once: true},
+		"marked get":     {Method: "GET", NoReplay: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
 			addr := serveCrashOnReuse(t, &requests)
-			s := upstream.NewServices(client(t), upstream.NoNotices{})
+			s := upstream.NewServices(client(t), upstream.NoRateLimitObserver{})
 			c.Path = "/orders"
 			if _, err := s.Call(context.Background(), addr, c); err != nil {
 				t.Fatal(err)
@@ -243,12 +243,12 @@
 		"crossed":             {named("r2", 200, "ok"), upstream.Maybe},
 		"no length":           {raw(""), upstream.Maybe},
 		"shorter than stated": {raw("Content-Length: 9\r\n"), upstream.Maybe},
-		"too long":            {raw(fmt.Sprintf("Content-Length: %d\r\n", upstream.DefaultMaxAnswer+1)), upstream.Maybe},
+		"too long":            {raw(fmt.Sprintf("Content-Length: %d\r\n", upstream.DefaultMaxResponseBytes+1)), upstream.Maybe},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := upstream.ServiceCall{RequestID: "r1", Method: "GET", Path: "/x?y=z", Header: http.Header{
 				"Connection": {"Secret-Hop"}, "Secret-Hop": {"1"}, "Te": {"trailers"}, "Kept": {"yes"}}}
-			a, err := upstream.NewServices(client(t), upstream.NoNotices{}).Call(context.Background(), serve(t, tc.h), c)
+			a, err := upstream.NewServices(client(t), upstream.NoRateLimitObserver{}).Call(context.Background(), serve(t, tc.h), c)
 			if got := upstream.DeliveryOf(err); got != tc.want {
 				t.Fatalf("got %s (%v), want %s", got, err, tc.want)
 			}
--- a/upstream/engineapi/engineapi.go
+++ b/upstream/engineapi/engineapi.go
@@ -39,9 +39,9 @@
 	Attempt   int    `json:"attempt"`
 }
 
-// Original is the caller's HTTP request, for engines that take it unchanged instead of a
+// CallerRequest is the caller's HTTP request, for engines that take it unchanged instead of a
 // prompt. All calls for a request share one Original, which must not be modified.
-type Original struct {
+type CallerRequest struct {
 	Method string
 	// Path is the path with the raw query.
 	Path   string
@@ -52,20 +52,20 @@
 	FirstIndex int
 }
 
-// Envelope has the metadata of a call that is not part of its JSON message. Clients of other
+// CallMetadata has the metadata of a call that is not part of its JSON message. Clients of other
 // interfaces send it in HTTP headers; it is not sent to engines with this interface.
-type Envelope struct {
+type CallMetadata struct {
 	// Upstream is the name of the engine that the call is for. An engine with another name
 	// may have taken over the address.
 	Upstream string
 	// Deadline is when the caller stops waiting for the answer.
-	Deadline time.Time
-	Original *Original
+	Deadline      time.Time
+	CallerRequest *CallerRequest
 }
 
-// Head is the status and header of an engine's HTTP response, to be passed on to the caller
+// ResponseHead is the status and header of an engine's HTTP response, to be passed on to the caller
 // unchanged.
-type Head struct {
+type ResponseHead struct {
 	Status int
 	Header http.Header
 }
@@ -73,7 +73,7 @@
 // ReserveRequest reserves a slot and KV cache memory on a decode engine.
 type ReserveRequest struct {
 	WorkID
-	Envelope Envelope `json:"-"`
+	Envelope CallMetadata `json:"-"`
 	// Tokens is the memory to reserve, in tokens. Headroom is the memory, in tokens, that must
 	// be free in addition for the reservation to be granted.
 	Tokens   int    `json:"-"`
@@ -107,12 +107,12 @@
 // The engine keeps the result for export until ExpiresInMS of the reply.
 type PrefillRequest struct {
 	WorkID
-	Envelope Envelope `json:"-"`
-	Owner    Owner    `json:"owner"`
-	Model    string   `json:"model"`
-	Adapter  string   `json:"adapter,omitempty"`
-	Prompt   string   `json:"prompt"`
-	Priority int      `json:"priority"`
+	Envelope CallMetadata `json:"-"`
+	Owner    Owner        `json:"owner"`
+	Model    string       `json:"model"`
+	Adapter  string       `json:"adapter,omitempty"`
+	Prompt   string       `json:"prompt"`
+	Priority int          `json:"priority"`
 	// Generated are the tokens that earlier attempts delivered to the caller. The KV cache is
 	// computed for the prompt and these tokens.
 	Generated []string `json:"generated,omitempty"`
@@ -133,7 +133,7 @@
 // cache from Source and streams the generated tokens.
 type DecodeRequest struct {
 	WorkID
-	Envelope Envelope `json:"-"`
+	Envelope CallMetadata `json:"-"`
 	// Reservation and Handle are those of the ReserveReply and the PrefillReply.
 	Reservation string `json:"-"`
 	Handle      string `json:"-"`
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Notice is what one response of an upstream states about the upstream's rate limit.
-type Notice struct {
+// RateLimitNotice is what one response of an upstream states about the upstream's rate limit.
+type RateLimitNotice struct {
 	// Upstream is the upstream's name.
 	Upstream string
 	// Sent is when the request was sent, and Came when its response began to arrive. The
 	// upstream wrote the response between these two times.
-	Sent, Came time.Time
-	// Named reports whether the response states a limit. Limit is that limit, in requests per
+	Sent, Received time.Time
+	// HasLimit reports whether the response states a limit. Limit is that limit, in requests per
 	// second from all daemons together.
-	Named bool
-	Limit float64
-	// Unreadable is the quoted value of a limit that cannot be parsed; empty if there is none.
-	Unreadable string
-	// Ran reports whether the upstream itself ran the request. Only then does a response
+	HasLimit bool
+	Limit    float64
+	// Invalid is the quoted value of a limit that cannot be parsed; empty if there is none.
+	Invalid string
+	// Executed reports whether the upstream itself ran the request. Only then does a response
 	// without a limit mean that the upstream has none: a refusal may come from a proxy.
-	Ran bool
+	Executed bool
 }
 
-// NoticeOf returns the Notice of a response. values are the values of its rate limit header.
+// NewRateLimitNotice returns the Notice of a response. values are the values of its rate limit header.
 // There should be at most one; if there are several, the lowest applies.
-func NoticeOf(name string, sent, received time.Time, values []string, ran bool) Notice {
-	n := Notice{Upstream: name, Sent: sent, Came: received, Ran: ran}
+func NewRateLimitNotice(name string, sent, received time.Time, values []string, ran bool) RateLimitNotice {
+	n := RateLimitNotice{Upstream: name, Sent: sent, Received: received, Executed: ran}
 	for _, text := range values {
 		limit, ok := parseLimit(text)
 		switch {
 		case !ok:
-			n.Unreadable = strconv.Quote(text)
-		case !n.Named || limit < n.Limit:
-			n.Named, n.Limit = true, limit
+			n.Invalid = strconv.Quote(text)
+		case !n.HasLimit || limit < n.Limit:
+			n.HasLimit, n.Limit = true, limit
 		}
 	}
 	return n
@@ -50,15 +50,15 @@
 	return limit, true
 }
 
-// Notices is notified of the rate limits that responses state. Implementations must be safe
+// RateLimitObserver is notified of the rate limits that responses state. Implementations must be safe
 // for concurrent use and must not block.
-type Notices interface {
-	// Noticed is called once for each response, whether or not it states a limit.
-	Noticed(n Notice)
+type RateLimitObserver interface {
+	// ObserveRateLimit is called once for each response, whether or not it states a limit.
+	ObserveRateLimit(n RateLimitNotice)
 }
 
-// NoNotices is a Notices that ignores all notices.
-type NoNotices struct{}
+// NoRateLimitObserver is a Notices that ignores all notices.
+type NoRateLimitObserver struct{}
 
-// Noticed implements Notices.
-func (NoNotices) Noticed(Notice) {}
+// ObserveRateLimit implements Notices.
+func (NoRateLimitObserver) ObserveRateLimit(RateLimitNotice) {}
--- a/upstream/services.go
+++ b/upstream/services.go
@@ -26,13 +26,13 @@
 	loadFormat = "active=%d slots=%d leaving=%t incarnation=%d seq=%d"
 )
 
-// HeaderLimit is the response header in which a plain service may state the rate limit of the
+// HeaderRateLimit is the response header in which a plain service may state the rate limit of the
 // replica: a decimal number of requests per second from all daemons together. The limit
 // applies until a response states another one or has no such header.
-const HeaderLimit = "X-Rate-Limit"
+const HeaderRateLimit = "X-Rate-Limit"
 
-// DefaultMaxAnswer is the largest body of a plain service's response, in bytes.
-const DefaultMaxAnswer = 8 << 20
+// DefaultMaxResponseBytes is the largest body of a plain service's response, in bytes.
+const DefaultMaxResponseBytes = 8 << 20
 
 // ServiceCall is one HTTP call to a plain service.
 type ServiceCall struct {
@@ -46,13 +46,13 @@
 	// stops waiting for the response. Some clients send both in the request's header.
 	Upstream string
 	Deadline time.Time
-	// Once keeps net/http from sending the call a second time by itself, even if the method
+	// NoReplay keeps net/http from sending the call a second time by itself, even if the method
 	// is safe.
-	Once bool
+	NoReplay bool
 }
 
-// ServiceAnswer is a complete response, with any status.
-type ServiceAnswer struct {
+// ServiceResponse is a complete response, with any status.
+type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -64,20 +64,20 @@
 type Services struct {
 	hc             *http.Client
 	maxAnswerBytes int64
-	notices        Notices
+	notices        RateLimitObserver
 }
 
 // NewServices returns a client that sends its requests with hc, which should come from
 // NewHTTPClient or NewHTTPClientWith. The rate limits that responses state are reported
 // to notices.
-func NewServices(hc *http.Client, notices Notices) *Services {
-	return &Services{hc: hc, maxAnswerBytes: DefaultMaxAnswer, notices: notices}
+func NewServices(hc *http.Client, notices RateLimitObserver) *Services {
+	return &Services{hc: hc, maxAnswerBytes: DefaultMaxResponseBytes, notices: notices}
 }
 
 // Call sends c once to the replica at addr, which is host:port, and returns the complete
 // response. A response that may be truncated, exceeds DefaultMaxAnswer or has the id of
 // another request gives an error with Delivery Maybe.
-func (s *Services) Call(ctx context.Context, addr string, c ServiceCall) (*ServiceAnswer, error) {
+func (s *Services) Call(ctx context.Context, addr string, c ServiceCall) (*ServiceResponse, error) {
 	req, err := newServiceRequest(ctx, addr, c)
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 	if err == nil {
 		err = checkResponse(resp, c)
 	}
-	s.notices.Noticed(NoticeOf(c.Upstream, sent, received, resp.Header.Values(HeaderLimit), err == nil && resp.StatusCode/100 == 2))
+	s.notices.ObserveRateLimit(NewRateLimitNotice(c.Upstream, sent, received, resp.Header.Values(HeaderRateLimit), err == nil && resp.StatusCode/100 == 2))
 	if err != nil {
 		return nil, &CallError{Delivery: Maybe, Status: resp.StatusCode, cause: err}
 	}
@@ -103,8 +103,8 @@
 	h := resp.Header.Clone()
 	httpsem.RemoveHopByHop(h)
 	h.Del(HeaderLoad)
-	h.Del(HeaderLimit)
-	return &ServiceAnswer{Status: resp.StatusCode, Header: h, Body: body, Load: parseLoadHeader(resp.Header)}, nil
+	h.Del(HeaderRateLimit)
+	return &ServiceResponse{Status: resp.StatusCode, Header: h, Body: body, Load: parseLoadHeader(resp.Header)}, nil
 }
 
 // serviceRefusal returns the refusal in the body of a 503 response, or nil if there is none.
@@ -149,7 +149,7 @@
 	}
 	httpsem.RemoveHopByHop(req.Header)
 	req.Header.Set(HeaderRequestID, c.RequestID)
-	if len(c.Body) > 0 || c.Once || (!httpsem.Safe(c.Method) && hasIdempotencyKey(req.Header)) {
+	if len(c.Body) > 0 || c.NoReplay || (!httpsem.Safe(c.Method) && hasIdempotencyKey(req.Header)) {
 		disableReplay(req, bytes.NewReader(c.Body), int64(len(c.Body)))
 	}
 	return req, nil
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -11,13 +11,13 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// MaxLine is the maximum length of a line of a decode stream, in bytes.
-const MaxLine = 16 << 10
+// MaxLineBytes is the maximum length of a line of a decode stream, in bytes.
+const MaxLineBytes = 16 << 10
 
 // ErrLineTooLong is returned for a line that is longer than MaxLine.
 var ErrLineTooLong = errors.New("stream line too long")
 
-var bufferPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxLine) }}
+var bufferPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxLineBytes) }}
 
 // ChunkStream reads the stream of generated tokens from a decode call. It is not safe for
 // concurrent use, except that cancelling the context of the call makes a blocked Next
@@ -28,7 +28,7 @@
 	Next(c *engineapi.Chunk) error
 	// Head returns the status and header of the engine's response if they are to be passed
 	// on to the caller, otherwise nil.
-	Head() *engineapi.Head
+	Head() *engineapi.ResponseHead
 	// Close closes the stream, which must not be used afterwards.
 	Close() error
 }
@@ -67,7 +67,7 @@
 
 // Head implements ChunkStream. It returns nil, because nothing of the engine's header is
 // passed on to the caller.
-func (s *Stream) Head() *engineapi.Head { return nil }
+func (s *Stream) Head() *engineapi.ResponseHead { return nil }
 
 // Close implements ChunkStream. It returns the buffer to the pool.
 func (s *Stream) Close() error {
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -34,7 +34,7 @@
 		defer s.Close()
 		var got engineapi.Chunk
 		if err := s.Next(&got); err != nil {
-			if errors.Is(err, ErrLineTooLong) && len(line) >= MaxLine {
+			if errors.Is(err, ErrLineTooLong) && len(line) >= MaxLineBytes {
 				return
 			}
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 	}{
 		"end":          {"", io.EOF},
 		"cut line":     {`{"request_id":"r"`, io.ErrUnexpectedEOF},
-		"endless line": {strings.Repeat("x", MaxLine+1), ErrLineTooLong},
+		"endless line": {strings.Repeat("x", MaxLineBytes+1), ErrLineTooLong},
 	} {
 		s := newTestStream(tc.in)
 		if err := s.Next(new(engineapi.Chunk)); !errors.Is(err, tc.want) {
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -32,12 +32,12 @@
 // keep-alive, limits the number of connections to each upstream, and counts the writes on
 // each connection. It follows no redirects and uses neither a proxy nor compression.
 func NewHTTPClient() *http.Client {
-	return NewHTTPClientWith(Transport{Dial: dialTimeout, KeepAlive: keepAlive, Probes: keepAliveProbes, Idle: idleTimeout, PerHost: maxConnsPerHost, IdlePerHost: maxIdleConnsPerHost})
+	return NewHTTPClientWith(TransportConfig{Dial: dialTimeout, KeepAlive: keepAlive, Probes: keepAliveProbes, Idle: idleTimeout, PerHost: maxConnsPerHost, IdlePerHost: maxIdleConnsPerHost})
 }
 
-// Transport has the settings of an HTTP client that depend on the network between the
+// TransportConfig has the settings of an HTTP client that depend on the network between the
 // daemon and its upstreams.
-type Transport struct {
+type TransportConfig struct {
 	// Dial is the timeout for opening a connection. Idle is how long an unused connection is
 	// kept open.
 	Dial, Idle time.Duration
@@ -46,20 +46,20 @@
 	KeepAlive time.Duration
 	// Probes is the number of unacknowledged probes after which a connection is closed.
 	Probes int
-	// Unacked is how long sent data may stay unacknowledged before the connection is closed
+	// UserTimeout is how long sent data may stay unacknowledged before the connection is closed
 	// (TCP_USER_TIMEOUT); 0 means the system's default. Keep-alive probes do not detect a
 	// dead connection while sent data is unacknowledged.
-	Unacked time.Duration
+	UserTimeout time.Duration
 	// PerHost is the maximum number of connections to one address, and IdlePerHost that of
 	// unused connections that are kept open.
 	PerHost, IdlePerHost int
 }
 
 // dialer returns a dialer that sets the TCP options of each connection.
-func (c Transport) dialer() *net.Dialer {
+func (c TransportConfig) dialer() *net.Dialer {
 	d := &net.Dialer{Timeout: c.Dial, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: c.KeepAlive, Interval: c.KeepAlive, Count: c.Probes}}
-	if c.Unacked > 0 {
-		d.Control = func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.Unacked) }
+	if c.UserTimeout > 0 {
+		d.Control = func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw, c.UserTimeout) }
 	}
 	return d
 }
@@ -76,7 +76,7 @@
 }
 
 // NewHTTPClientWith returns a client like that of NewHTTPClient, with the settings cfg.
-func NewHTTPClientWith(cfg Transport) *http.Client {
+func NewHTTPClientWith(cfg TransportConfig) *http.Client {
 	d := cfg.dialer()
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
