--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,6 +1,7 @@
-// Package answer computes the deterministic answers of the stand-in engine, so
-// that a load generator or a test can check that a caller received the whole
-// answer to its own request, across resumes and repeated prefills.
+// Package answer computes the answers of the simulated engine. They are
+// deterministic, so that a load generator or a test can verify that a client
+// received the complete answer to its own request, also after the stream was
+// resumed or the prefill repeated.
 package answer
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultMaxTokens is the limit used when a request gives none.
+// DefaultMaxTokens is the largest answer, in tokens, if the request sets no limit.
 const DefaultMaxTokens = 256
 
 // The finish reasons of a complete answer.
@@ -19,21 +20,23 @@
 	FinishLength = "length"
 )
 
-// Hash identifies a prompt. The prefill result carries it to the decode engine.
+// Hash identifies a prompt. A prefill engine sends it to the decode engine as part
+// of the prefill result.
 type Hash uint64
 
-// HashPrompt returns the prompt's identity.
+// HashPrompt returns the hash of a prompt.
 func HashPrompt(prompt string) Hash {
 	return Hash(xxhash.Sum64String(prompt))
 }
 
-// Token returns token i of the answer to prompt. Every token depends on the
-// model, the adapter, the whole prompt and i, so a crossed answer is visible.
+// Token returns token i of the answer to prompt. Every token depends on the model,
+// the adapter, the whole prompt and i, so that a test can detect a token of
+// another request's answer.
 func Token(model, adapter, prompt string, i int) string {
 	return TokenOf(model, adapter, HashPrompt(prompt), i)
 }
 
-// TokenOf is Token for a prompt of which only the hash is known.
+// TokenOf is like Token, but takes the hash of the prompt.
 func TokenOf(model, adapter string, prompt Hash, i int) string {
 	var nums [16]byte
 	binary.LittleEndian.PutUint64(nums[:8], uint64(prompt))
@@ -46,7 +49,7 @@
 	return fmt.Sprintf(" %06x", d.Sum64()&0xffffff)
 }
 
-// Text returns the whole answer to prompt.
+// Text returns the complete answer to prompt.
 func Text(model, adapter, prompt string, maxTokens int) string {
 	n := AnswerLength(prompt, maxTokens)
 	hash := HashPrompt(prompt)
@@ -57,15 +60,16 @@
 	return string(out)
 }
 
-// AnswerLength returns the number of tokens of the answer to prompt: between
-// half of maxTokens and maxTokens. A maxTokens of 0 or less means DefaultMaxTokens.
+// AnswerLength returns the number of tokens in the answer to prompt, which is
+// between half of maxTokens and maxTokens. A maxTokens of 0 or less means
+// DefaultMaxTokens.
 //
-//nolint:revive // The name is the agreed one; load generator and tests use it.
+//nolint:revive // the load generator and tests use this name
 func AnswerLength(prompt string, maxTokens int) int {
 	return LengthOf(HashPrompt(prompt), maxTokens)
 }
 
-// LengthOf is AnswerLength for a prompt of which only the hash is known.
+// LengthOf is like AnswerLength, but takes the hash of the prompt.
 func LengthOf(prompt Hash, maxTokens int) int {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
@@ -74,7 +78,8 @@
 	return half + int(uint64(prompt)%uint64(maxTokens-half+1))
 }
 
-// FinishReason returns why an answer of the given length ends.
+// FinishReason returns the finish reason of a complete answer with the given number
+// of tokens.
 func FinishReason(tokens, maxTokens int) string {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
