--- a/internal/standin/engine/constants.go
+++ b/internal/standin/engine/constants.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Every constant of the stand-in's behaviour stands here. "Required" marks what the
-// users say of their engines.
+// The constants of the simulated engine. "Required" marks a property that the
+// users state for their own engines.
 const (
 	// DefaultSlots is the size of the decode batch. Required: a decode engine
 	// holds about twenty requests.
@@ -12,27 +12,29 @@
 	// empty and with a full batch.
 	DefaultStepBase = 30 * time.Millisecond
 	DefaultStepFull = 45 * time.Millisecond
-	// DefaultPrefillPerToken makes a typical prompt cost 200 ms, about 89 of a
-	// full batch's output tokens (45 ms / 20 each). Required: a prefill costs
-	// as much as many tens of output tokens.
+	// DefaultPrefillPerToken is the prefill time of one token. A typical prompt
+	// takes 200 ms, as long as a full batch takes for about 89 output tokens
+	// (45 ms / 20 each). Required: a prefill costs as much as many tens of
+	// output tokens.
 	DefaultPrefillPerToken = 100 * time.Microsecond
-	// TypicalPromptTokens is the prompt that DefaultPrefillPerToken is set for.
+	// TypicalPromptTokens is the length of the prompt for which
+	// DefaultPrefillPerToken and DefaultMemoryBytes are chosen.
 	TypicalPromptTokens = 2000
-	// DefaultPrefillTTL is how long a prefill result survives. Required: under
-	// a second. No time scale applies to it.
+	// DefaultPrefillTTL is the time to live of a prefill result. Required: less
+	// than a second. Config.TimeScale does not apply to it.
 	DefaultPrefillTTL = 800 * time.Millisecond
-	// DefaultPrefillQueue bounds the prompts that wait for prefill.
+	// DefaultPrefillQueue is the largest number of prompts that wait for prefill.
 	DefaultPrefillQueue = 16
-	// DefaultLinger is how long a finished stream stays readable.
+	// DefaultLinger is how long a finished stream can still be read.
 	DefaultLinger = time.Second
-	// DefaultLoadLag is the age that a polled load report may have. Required:
-	// engines report load with a lag.
+	// DefaultLoadLag is the largest age of a polled load report. Required:
+	// engines report their load with a lag.
 	DefaultLoadLag = 300 * time.Millisecond
-	// DefaultEventDelay is how late a cache event is published. Required:
-	// published late.
+	// DefaultEventDelay is the delay with which a cache event is published.
+	// Required: engines publish cache events late.
 	DefaultEventDelay = 500 * time.Millisecond
-	// DefaultEventDrop is the share of cache events that are never published.
-	// Required: with gaps.
+	// DefaultEventDrop is the fraction of cache events that are never published.
+	// Required: the published events have gaps.
 	DefaultEventDrop = 0.02
 	// DefaultCacheBlocks is the size of the prefix cache, in blocks of
 	// engineapi.BlockTokens tokens: about 32 typical prompts.
@@ -42,32 +44,37 @@
 	DefaultLinkRate = 2.5e9
 	// DefaultKVPerToken is the size of one token's KV cache, in bytes.
 	DefaultKVPerToken = 128 << 10
-	// DefaultMemoryBytes bounds the KV memory of an engine: half as much
-	// again as a full batch of typical prompts.
+	// DefaultMemoryBytes is the KV memory of an engine, in bytes: 1.5 times that
+	// of a full batch of typical prompts.
 	DefaultMemoryBytes = DefaultSlots * TypicalPromptTokens * DefaultKVPerToken * 3 / 2
-	// DefaultOrderTime is how long loading a model or an adapter and changing
-	// the role take.
+	// DefaultOrderTime is how long an order takes: loading a model or an adapter,
+	// or changing the role.
 	DefaultOrderTime = 2 * time.Second
-	// DefaultImportTimeout bounds one pull of a KV cache.
+	// DefaultImportTimeout is the timeout for importing one KV cache.
 	DefaultImportTimeout = 10 * time.Second
 
-	// linkSlice is the share of a second of link time that one export books at
-	// once, so that exports interleave: 5 ms.
-	linkSlice = 0.005
-	// maxCancelled bounds the cancelled attempts that are remembered.
-	maxCancelled = 1 << 16
-	// maxExpired bounds the expired prefill results that are remembered, which
-	// are answered 410 in place of 404.
-	maxExpired = 4096
-	// maxEvents bounds the cache events that are kept; older ones are a gap.
-	maxEvents = 4096
-	// maxLagSteps is how many steps a process that was stopped makes up for at
-	// once when it runs again.
-	maxLagSteps = 10
-	// loadEvery is the number of tokens between two load reports in a stream.
-	loadEvery = 16
-	// retryAfter is the time to come back that a refusal names.
+	// linkSliceSeconds is the link time that one export reserves at once, in
+	// seconds: 5 ms, short enough that concurrent exports interleave.
+	linkSliceSeconds = 0.005
+	// maxCancelledAttempts is the number of cancelled attempts whose later calls
+	// are refused; the oldest are forgotten first.
+	maxCancelledAttempts = 1 << 16
+	// maxExpiredPrefills is the number of expired prefill results for which an
+	// export is answered with 410 instead of 404; the oldest are forgotten first.
+	maxExpiredPrefills = 4096
+	// maxCacheEvents is the number of cache events that are kept. A reader that
+	// is further behind finds a gap.
+	maxCacheEvents = 4096
+	// maxCatchUpSteps is the largest delay, in decode steps, after which the missed
+	// steps are still run. After a longer delay, because the process was suspended,
+	// they are skipped.
+	maxCatchUpSteps = 10
+	// tokensPerLoadReport is the number of tokens from one load report in a stream
+	// to the next.
+	tokensPerLoadReport = 16
+	// retryAfter is the delay before a retry that a refusal suggests.
 	retryAfter = 500 * time.Millisecond
-	// maxWeightBytes bounds what one order reads from the weight store.
+	// maxWeightBytes is the largest number of bytes that one order reads from the
+	// weight store.
 	maxWeightBytes = 256 << 20
 )
--- a/internal/standin/engine/core_decode.go
+++ b/internal/standin/engine/core_decode.go
@@ -7,8 +7,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// reserve keeps a slot and memory. Repeating the call for an attempt that is
-// still reserved confirms it.
+// reserve reserves a slot and KV memory for an attempt. Repeating the call while
+// the reservation exists succeeds without a change.
 func (c *core) reserve(now time.Time, req engineapi.ReserveRequest) *refusal {
 	if ref := c.admit(now, req.WorkID, RoleDecode, req.Model, ""); ref != nil {
 		return ref
@@ -19,7 +19,7 @@
 		}
 		return c.refuse(now, http.StatusConflict, "attempt is already decoding")
 	}
-	if ref := c.room(now, req.KVBytes); ref != nil {
+	if ref := c.checkCapacity(now, req.KVBytes); ref != nil {
 		return ref
 	}
 	c.stats.Reserves++
@@ -32,7 +32,8 @@
 	return nil
 }
 
-func (c *core) room(now time.Time, kvBytes int64) *refusal {
+// checkCapacity refuses a decode when no slot or not enough KV memory is free.
+func (c *core) checkCapacity(now time.Time, kvBytes int64) *refusal {
 	if c.slotsUsed() >= c.cfg.Slots {
 		return c.refuse(now, http.StatusServiceUnavailable, "every slot is taken")
 	}
@@ -42,8 +43,9 @@
 	return nil
 }
 
-// startDecode turns a reservation into an import; without one it takes a free
-// slot, so that policies that do not reserve can be compared.
+// startDecode starts the import of the KV cache into a reservation. Without a
+// reservation it takes a free slot, so that scheduling policies that do not
+// reserve can be compared.
 func (c *core) startDecode(now time.Time, req engineapi.DecodeRequest) (*decode, *refusal) {
 	d := c.decodes[req.WorkID]
 	if d != nil && d.state != decodeReserved {
@@ -56,7 +58,7 @@
 		if ref := c.admit(now, req.WorkID, RoleDecode, req.Model, req.Adapter); ref != nil {
 			return nil, ref
 		}
-		if ref := c.room(now, 0); ref != nil {
+		if ref := c.checkCapacity(now, 0); ref != nil {
 			return nil, ref
 		}
 		d = newDecode(now, req)
@@ -68,34 +70,35 @@
 	return d, nil
 }
 
-// imported makes a decode run on the KV cache that arrived. A cache that is
-// larger than what was reserved for it may find no memory.
-func (c *core) imported(now time.Time, d *decode, kv export) {
+// finishImport starts generating from the KV cache that has arrived. The import
+// fails if the cache is larger than its reservation and the rest does not fit
+// into memory.
+func (c *core) finishImport(now time.Time, d *decode, kv kvDescriptor) {
 	if c.decodes[d.WorkID] != d {
 		return
 	}
 	if kv.KVBytes > d.kvBytes && c.usedBytes()-d.kvBytes+kv.KVBytes > c.cfg.MemoryBytes {
-		c.importFailed(now, d, "import: memory is full")
+		c.failImport(now, d, "import: memory is full")
 		return
 	}
 	d.imported = true
-	d.hash = kv.PromptHash
-	d.context = kv.Generated
+	d.promptHash = kv.PromptHash
+	d.contextTokens = kv.Generated
 	d.kvBytes = max(d.kvBytes, kv.KVBytes)
-	d.end = d.FromIndex + max(0, answerEnd(d, kv)-kv.Generated)
+	d.endIndex = d.FromIndex + max(0, answerLength(d, kv)-kv.Generated)
 	d.state = decodeRunning
-	if d.pauseWish {
+	if d.pauseRequested {
 		d.state = decodePaused
 	}
-	if d.next() >= d.end {
+	if d.nextIndex() >= d.endIndex {
 		c.finishDecode(now, d)
 	}
 	d.notify()
-	c.schedule(now)
+	c.scheduleStep(now)
 }
 
-// importFailed ends a decode whose KV cache did not arrive.
-func (c *core) importFailed(now time.Time, d *decode, reason string) {
+// failImport frees a decode whose KV cache could not be imported.
+func (c *core) failImport(now time.Time, d *decode, reason string) {
 	if c.decodes[d.WorkID] != d {
 		return
 	}
@@ -104,18 +107,19 @@
 	c.freeDecode(now, d)
 }
 
-// stepDecodes runs the batch: at the end of each step every decode that was in
-// it since its start gets one token; those that came later join the next step.
+// stepDecodes completes the decode steps that are due. Each step adds one token
+// to every decode that was running at its start; decodes that start running
+// during a step join the next one.
 func (c *core) stepDecodes(now time.Time) {
 	for !c.nextStep.IsZero() && !c.nextStep.After(now) {
 		at := c.nextStep
 		active := 0
 		for _, d := range c.decodes {
-			if d.state != decodeRunning || !d.inStep {
+			if d.state != decodeRunning || !d.inCurrentStep {
 				continue
 			}
 			active++
-			if d.generate() {
+			if d.generateToken() {
 				c.finishDecode(at, d)
 			}
 			d.notify()
@@ -126,33 +130,34 @@
 		c.stats.Tokens += active
 		c.stats.MaxActive = max(c.stats.MaxActive, active)
 		c.nextStep = time.Time{}
-		c.schedule(makeUp(at, now, maxLagSteps*c.stepTime()))
+		c.scheduleStep(catchUpStart(at, now, maxCatchUpSteps*c.stepTime()))
 	}
 }
 
-// schedule fixes the time of the next step when something runs and none is set.
-func (c *core) schedule(now time.Time) {
-	c.promote()
+// scheduleStep starts the next decode step unless one is in progress or no
+// decode runs.
+func (c *core) scheduleStep(now time.Time) {
+	c.resumeWaiting()
 	if !c.nextStep.IsZero() {
 		return
 	}
 	for _, d := range c.decodes {
-		d.inStep = d.state == decodeRunning
+		d.inCurrentStep = d.state == decodeRunning
 	}
-	if c.count(decodeRunning) > 0 {
+	if c.countDecodes(decodeRunning) > 0 {
 		c.nextStep = now.Add(c.stepTime())
 	}
 }
 
-// promote gives free slots to resumed decodes, the highest priority first.
-func (c *core) promote() {
+// resumeWaiting gives free slots to resumed decodes, by priority and then by age.
+func (c *core) resumeWaiting() {
 	for c.slotsUsed() < c.cfg.Slots {
 		var best *decode
 		for _, d := range c.decodes {
 			if d.state != decodeWaiting {
 				continue
 			}
-			if best == nil || d.Priority > best.Priority || d.Priority == best.Priority && d.since.Before(best.since) {
+			if best == nil || d.Priority > best.Priority || d.Priority == best.Priority && d.createdAt.Before(best.createdAt) {
 				best = d
 			}
 		}
@@ -163,78 +168,83 @@
 	}
 }
 
-// pause frees the slot of a decode and keeps its memory.
+// pause frees the slot of a decode and keeps its KV memory. A decode that is
+// still importing pauses when the import finishes.
 func (c *core) pause(id engineapi.WorkID) engineapi.CancelReply {
 	found := false
 	for _, d := range c.decodes {
-		if !covers(id, d.WorkID) || d.state == decodeFinished || d.state == decodeReserved {
+		if !matchesAttempt(id, d.WorkID) || d.state == decodeFinished || d.state == decodeReserved {
 			continue
 		}
 		found = true
-		d.pauseWish = true
+		d.pauseRequested = true
 		if d.state == decodeRunning || d.state == decodeWaiting {
 			d.state = decodePaused
-			d.inStep = false
+			d.inCurrentStep = false
 		}
 	}
-	c.promote()
+	c.resumeWaiting()
 	return engineapi.CancelReply{Found: found, Incarnation: c.incarnation}
 }
 
-// resume lets a paused decode go on as soon as a slot is free.
+// resume continues a paused decode as soon as a slot is free.
 func (c *core) resume(now time.Time, id engineapi.WorkID) engineapi.CancelReply {
 	found := false
 	for _, d := range c.decodes {
-		if !covers(id, d.WorkID) || d.state == decodeFinished || d.state == decodeReserved {
+		if !matchesAttempt(id, d.WorkID) || d.state == decodeFinished || d.state == decodeReserved {
 			continue
 		}
 		found = true
-		d.pauseWish = false
+		d.pauseRequested = false
 		if d.state == decodePaused {
 			d.state = decodeWaiting
 		}
 	}
-	c.schedule(now)
+	c.scheduleStep(now)
 	return engineapi.CancelReply{Found: found, Incarnation: c.incarnation}
 }
 
-// finishDecode frees the slot and keeps the tokens and the memory for Linger.
+// finishDecode frees the slot of a complete decode. Its tokens and KV memory are
+// kept for Config.Linger.
 func (c *core) finishDecode(now time.Time, d *decode) {
 	d.state = decodeFinished
 	d.finishedAt = now
-	d.finish = finishReason(d)
+	d.finishReason = finishReasonOf(d)
 }
 
+// cancelDecode frees a decode. Its stream ends as cancelled unless it was complete.
 func (c *core) cancelDecode(now time.Time, d *decode) {
 	if d.state != decodeFinished {
-		d.finish = finishCancelled
+		d.finishReason = finishCancelled
 	}
 	c.freeDecode(now, d)
 }
 
-// freeDecode frees the memory of d and tells its readers.
+// freeDecode frees the slot and memory of d, cancels its import and wakes the
+// readers of its stream.
 func (c *core) freeDecode(now time.Time, d *decode) {
 	delete(c.decodes, d.WorkID)
-	if d.abort != nil {
-		d.abort()
+	if d.cancelImport != nil {
+		d.cancelImport()
 	}
 	d.state = decodeFinished
-	close(d.gone)
+	close(d.freed)
 	d.notify()
-	c.schedule(now)
+	c.scheduleStep(now)
 }
 
-// expireDecodes frees lingering streams and, when configured, reservations
-// whose hold has passed.
+// expireDecodes frees finished streams after Config.Linger and, with
+// Config.HonourHold, reservations whose hold time has passed.
 func (c *core) expireDecodes(now time.Time) {
 	for _, d := range c.decodes {
-		if t := c.decodeDeadline(d); !t.IsZero() && !t.After(now) {
+		if t := c.decodeExpiry(d); !t.IsZero() && !t.After(now) {
 			c.freeDecode(now, d)
 		}
 	}
 }
 
-func (c *core) decodeDeadline(d *decode) time.Time {
+// decodeExpiry returns when d is to be freed; zero means that no time is set.
+func (c *core) decodeExpiry(d *decode) time.Time {
 	switch d.state {
 	case decodeReserved:
 		return d.holdUntil
@@ -245,7 +255,8 @@
 	}
 }
 
-func (c *core) count(state decodeState) int {
+// countDecodes returns the number of decodes in a state.
+func (c *core) countDecodes(state decodeState) int {
 	n := 0
 	for _, d := range c.decodes {
 		if d.state == state {
@@ -255,6 +266,7 @@
 	return n
 }
 
+// slotsUsed returns the number of slots in use, including reserved ones.
 func (c *core) slotsUsed() int {
 	n := 0
 	for _, d := range c.decodes {
@@ -265,19 +277,20 @@
 	return n
 }
 
+// stepTime returns the time between tokens for the decodes that run now.
 func (c *core) stepTime() time.Duration {
-	step := c.cfg.step(c.count(decodeRunning))
+	step := c.cfg.step(c.countDecodes(decodeRunning))
 	if c.faults.SlowStep > 0 {
 		step = time.Duration(float64(step) * c.faults.SlowStep)
 	}
 	return step
 }
 
-// decodeLoad fills in the load of a decode engine. Active counts every slot
-// that is taken, reserved ones too; StepMS is the time of the step as it is now.
+// decodeLoad fills in the load of a decode engine. Active counts all slots in
+// use, including reserved ones; StepMS is the current time between tokens.
 func (c *core) decodeLoad(out *engineapi.Load) {
 	out.Slots = c.cfg.Slots
 	out.Active = c.slotsUsed()
-	out.Queued = c.count(decodeWaiting)
+	out.Queued = c.countDecodes(decodeWaiting)
 	out.StepMS = float64(c.stepTime()) / float64(time.Millisecond)
 }
--- a/internal/standin/engine/core_orders.go
+++ b/internal/standin/engine/core_orders.go
@@ -8,50 +8,54 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// item names what an order changes: the role, a model, or a model's adapter.
-type item string
+// orderTarget identifies what an order changes: "role", a model's name, or
+// "model/adapter".
+type orderTarget string
 
-const itemRole item = "role"
+const targetRole orderTarget = "role"
 
-func itemOf(o engineapi.Order) item {
+// targetOf returns the target of an order.
+func targetOf(o engineapi.Order) orderTarget {
 	switch o.Kind {
 	case engineapi.OrderLoadModel:
-		return item(o.Model)
+		return orderTarget(o.Model)
 	case engineapi.OrderLoadAdapter:
-		return item(o.Model + "/" + o.Adapter)
+		return orderTarget(o.Model + "/" + o.Adapter)
 	default:
-		return itemRole
+		return targetRole
 	}
 }
 
-// pending is an order that is being carried out.
-type pending struct {
+// pendingOrder is an accepted order that has not completed.
+type pendingOrder struct {
 	order    engineapi.Order
-	doneAt   time.Time
-	fetching bool // waits for the weight store
+	doneAt   time.Time // earliest time of completion
+	fetching bool      // the weights are still being read from the weight store
 }
 
-// configuration is what the engine serves and the orders that change it.
-type configuration struct {
-	cfg      *Config
-	role     string
-	models   map[string]string
-	adapters map[string]string
-	any      bool // serves every model: none was configured
-	pending  map[item]*pending
-	fences   map[item]uint64
-	fence    uint64
+// deployment is the engine's role, its loaded models and adapters, and the
+// pending orders that change them.
+type deployment struct {
+	cfg          *Config
+	role         string
+	models       map[string]string // versions by model
+	adapters     map[string]string // versions by "model/adapter"
+	anyModel     bool              // every model is served, because none is configured
+	pending      map[orderTarget]*pendingOrder
+	targetFences map[orderTarget]uint64 // highest fencing number accepted for each target
+	highestFence uint64                 // over all targets
 }
 
-func newConfiguration(cfg *Config) configuration {
-	c := configuration{
-		cfg:      cfg,
-		role:     cfg.Role,
-		models:   maps.Clone(cfg.Models),
-		adapters: maps.Clone(cfg.Adapters),
-		any:      len(cfg.Models) == 0,
-		pending:  make(map[item]*pending),
-		fences:   make(map[item]uint64),
+// newDeployment returns the deployment that cfg describes, without orders.
+func newDeployment(cfg *Config) deployment {
+	c := deployment{
+		cfg:          cfg,
+		role:         cfg.Role,
+		models:       maps.Clone(cfg.Models),
+		adapters:     maps.Clone(cfg.Adapters),
+		anyModel:     len(cfg.Models) == 0,
+		pending:      make(map[orderTarget]*pendingOrder),
+		targetFences: make(map[orderTarget]uint64),
 	}
 	if c.models == nil {
 		c.models = make(map[string]string)
@@ -62,8 +66,10 @@
 	return c
 }
 
-func (c *configuration) serves(model, adapter string) bool {
-	if c.any {
+// serves reports whether the model, and the adapter unless it is empty, are
+// loaded.
+func (c *deployment) serves(model, adapter string) bool {
+	if c.anyModel {
 		return true
 	}
 	if _, ok := c.models[model]; !ok {
@@ -76,26 +82,28 @@
 	return ok
 }
 
-// give takes an order. It returns the load to fetch from the weight store, if any.
-func (c *configuration) give(now time.Time, o engineapi.Order) (engineapi.OrderReply, *pending) {
-	key := itemOf(o)
-	if reason := orderFault(o); reason != "" {
-		return engineapi.OrderReply{Fence: c.fences[key], Reason: reason}, nil
-	}
-	if c.cfg.CheckFence && o.Fence < c.fences[key] {
-		return engineapi.OrderReply{Fence: c.fences[key], Reason: "fence is old"}, nil
-	}
-	c.fences[key] = max(c.fences[key], o.Fence)
-	c.fence = max(c.fence, o.Fence)
-	reply := engineapi.OrderReply{Accepted: true, Fence: c.fences[key]}
-	if p := c.pending[key]; p != nil && sameEnd(p.order, o) {
+// acceptOrder validates an order and makes it pending unless its target already
+// has the desired state. The returned order is nil unless its weights are to be
+// fetched from the weight store.
+func (c *deployment) acceptOrder(now time.Time, o engineapi.Order) (engineapi.OrderReply, *pendingOrder) {
+	key := targetOf(o)
+	if reason := validateOrder(o); reason != "" {
+		return engineapi.OrderReply{Fence: c.targetFences[key], Reason: reason}, nil
+	}
+	if c.cfg.CheckFence && o.Fence < c.targetFences[key] {
+		return engineapi.OrderReply{Fence: c.targetFences[key], Reason: "fence is old"}, nil
+	}
+	c.targetFences[key] = max(c.targetFences[key], o.Fence)
+	c.highestFence = max(c.highestFence, o.Fence)
+	reply := engineapi.OrderReply{Accepted: true, Fence: c.targetFences[key]}
+	if p := c.pending[key]; p != nil && sameDesiredState(p.order, o) {
 		return reply, nil
 	}
 	delete(c.pending, key)
-	if c.holds(o) {
+	if c.isApplied(o) {
 		return reply, nil
 	}
-	p := &pending{order: o, doneAt: now.Add(c.cfg.scaled(c.cfg.OrderTime))}
+	p := &pendingOrder{order: o, doneAt: now.Add(c.cfg.scaled(c.cfg.OrderTime))}
 	p.fetching = c.cfg.WeightStore != "" && o.Kind != engineapi.OrderSetRole
 	c.pending[key] = p
 	if !p.fetching {
@@ -104,8 +112,8 @@
 	return reply, p
 }
 
-// orderFault returns why an order is malformed, or "".
-func orderFault(o engineapi.Order) string {
+// validateOrder returns the reason why an order is invalid, or "".
+func validateOrder(o engineapi.Order) string {
 	switch o.Kind {
 	case engineapi.OrderLoadModel:
 		if o.Model == "" || o.Version == "" {
@@ -125,27 +133,28 @@
 	return ""
 }
 
-// sameEnd reports whether two orders of one item want the same end state.
-func sameEnd(a, b engineapi.Order) bool {
+// sameDesiredState reports whether two orders for the same target request the
+// same version and role.
+func sameDesiredState(a, b engineapi.Order) bool {
 	return a.Version == b.Version && a.Role == b.Role
 }
 
-// holds reports whether the end state that o wants is there already.
-func (c *configuration) holds(o engineapi.Order) bool {
+// isApplied reports whether the state that o requests is already reached.
+func (c *deployment) isApplied(o engineapi.Order) bool {
 	switch o.Kind {
 	case engineapi.OrderLoadModel:
 		return c.models[o.Model] == o.Version
 	case engineapi.OrderLoadAdapter:
-		return c.adapters[string(itemOf(o))] == o.Version
+		return c.adapters[string(targetOf(o))] == o.Version
 	default:
 		return c.role == o.Role
 	}
 }
 
-// fetched ends the fetch of p. A failed fetch drops the order: whoever gave it
-// reads the state back and gives it again.
-func (c *configuration) fetched(now time.Time, p *pending, ok bool) {
-	key := itemOf(p.order)
+// finishFetch records the end of the fetch of p's weights. A failed fetch drops
+// the order: its sender is expected to read the state and to send it again.
+func (c *deployment) finishFetch(now time.Time, p *pendingOrder, ok bool) {
+	key := targetOf(p.order)
 	if c.pending[key] != p {
 		return
 	}
@@ -154,11 +163,12 @@
 		return
 	}
 	p.fetching = false
-	c.finish(now)
+	c.applyCompleted(now)
 }
 
-// finish puts the orders that are done into force.
-func (c *configuration) finish(now time.Time) {
+// applyCompleted applies the pending orders whose time has passed and whose
+// weights are fetched.
+func (c *deployment) applyCompleted(now time.Time) {
 	for key, p := range c.pending {
 		if p.fetching || p.doneAt.After(now) {
 			continue
@@ -175,7 +185,9 @@
 	}
 }
 
-func (c *configuration) deadline() time.Time {
+// nextDeadline returns when the next pending order completes; zero means that
+// none waits for a time.
+func (c *deployment) nextDeadline() time.Time {
 	var next time.Time
 	for _, p := range c.pending {
 		if !p.fetching && (next.IsZero() || p.doneAt.Before(next)) {
@@ -185,14 +197,15 @@
 	return next
 }
 
-func (c *configuration) state(incarnation uint64) engineapi.State {
+// state returns the engine's state for the state API.
+func (c *deployment) state(incarnation uint64) engineapi.State {
 	out := engineapi.State{
 		Incarnation: incarnation,
 		Role:        c.role,
 		Models:      maps.Clone(c.models),
 		Adapters:    maps.Clone(c.adapters),
 		Loading:     []string{},
-		Fence:       c.fence,
+		Fence:       c.highestFence,
 	}
 	for key := range c.pending {
 		out.Loading = append(out.Loading, string(key))
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,12 +1,13 @@
-// Package engine is a stand-in for a model engine, for tests and trials. It
-// batches continuously, caches prompt prefixes in limited memory, honours
-// priorities, pauses, resumes and cancels streams, moves KV caches over a link
-// of limited rate, and reports its load and its cache late. Its answers are
-// those of package answer. Its constants and their sources are in constants.go.
+// Package engine simulates a model engine for tests and trials. The simulated
+// engine uses continuous batching, caches prompt prefixes in limited memory,
+// serves prompts by priority, can pause, resume and cancel streams, transfers KV
+// caches over a link of limited rate, and publishes its load and its cache events
+// with a delay. The generated tokens come from package answer. The constants and
+// the reasons for them are in constants.go.
 //
-// A decode does not stop when its connection closes: its stream can be read
-// again from any index, and its memory counts as held, until it is cancelled or
-// Linger has passed since its end.
+// A decode does not stop when its connection closes. Its stream can be read
+// again from any index, and its KV memory stays in use, until the decode is
+// cancelled or Config.Linger has passed since it finished.
 package engine
 
 import (
@@ -22,8 +23,8 @@
 	"github.com/corianderturn/corianderturn/internal/standin/fault"
 )
 
-// Engine runs a core: it serves the engine interface and wakes the core when
-// something is due. It is safe for concurrent use. Close ends it.
+// Engine serves the HTTP interface of package engineapi and advances its core at
+// the core's deadlines. It is safe for concurrent use. Close stops it.
 type Engine struct {
 	cfg    Config
 	faults *fault.Box[Faults]
@@ -39,7 +40,7 @@
 	core *core
 }
 
-// New starts an engine. It fails when the configuration is out of range.
+// New starts an engine. It returns an error if a setting is out of range.
 func New(cfg Config) (*Engine, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -52,23 +53,25 @@
 		cfg:    cfg,
 		faults: fault.NewBox[Faults](),
 		client: &http.Client{Transport: &http.Transport{}},
-		link:   rate.NewLimiter(rate.Limit(bytesPerSecond), max(1, int(bytesPerSecond*linkSlice))),
+		link:   rate.NewLimiter(rate.Limit(bytesPerSecond), max(1, int(bytesPerSecond*linkSliceSeconds))),
 		wake:   make(chan struct{}, 1),
 		rng:    rand.New(rand.NewPCG(cfg.Seed, 0)),
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.core = e.newCore()
-	e.wg.Go(e.run)
+	e.wg.Go(e.runTimers)
 	return e, nil
 }
 
 // newCore returns an empty core. Its incarnation does not come from the seeded
-// source: an engine that is started again with its old seed is another one.
+// source, because an engine that restarts with the same seed must have a new
+// incarnation.
 func (e *Engine) newCore() *core {
 	return newCore(time.Now(), &e.cfg, e.rng, rand.Uint64())
 }
 
-// Close ends the engine, cuts the calls in progress and waits for its goroutines.
+// Close stops the engine, aborts the calls in progress and waits for the engine's
+// goroutines.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.cancel()
@@ -77,7 +80,8 @@
 	e.client.CloseIdleConnections()
 }
 
-// spawn runs f in a goroutine that Close waits for; a closed engine runs nothing.
+// spawn runs f in a goroutine that Close waits for. It does nothing if the engine
+// is closed.
 func (e *Engine) spawn(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,23 +90,24 @@
 	}
 }
 
-// Crash drops everything the engine holds and cuts every call, as a restarted
-// process would; a new incarnation begins.
+// Crash simulates a crash and restart of the process: it drops all state but the
+// faults, aborts all calls in progress and begins a new incarnation.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(e.core.gone)
+	close(e.core.crashed)
 	for _, d := range e.core.decodes {
-		if d.abort != nil {
-			d.abort()
+		if d.cancelImport != nil {
+			d.cancelImport()
 		}
 	}
 	e.core = e.newCore()
 	e.core.faults = e.faults.Get()
 }
 
-// do brings the core up to date, runs f on it and wakes the timer loop.
-func (e *Engine) do(f func(now time.Time, c *core)) {
+// withCore advances the core to the current time, runs f on it with the mutex
+// held, and wakes runTimers, because f may have changed the next deadline.
+func (e *Engine) withCore(f func(now time.Time, c *core)) {
 	e.mu.Lock()
 	now := time.Now()
 	e.core.advance(now)
@@ -114,8 +119,8 @@
 	}
 }
 
-// run advances the core at each of its deadlines until the engine is closed.
-func (e *Engine) run() {
+// runTimers advances the core at each of its deadlines until Close.
+func (e *Engine) runTimers() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -128,7 +133,7 @@
 		e.mu.Lock()
 		now := time.Now()
 		e.core.advance(now)
-		timer.Reset(e.core.deadline().Sub(now))
+		timer.Reset(e.core.nextDeadline().Sub(now))
 		e.mu.Unlock()
 	}
 }
@@ -136,7 +141,7 @@
 // Stats returns the counters.
 func (e *Engine) Stats() Stats {
 	var out Stats
-	e.do(func(_ time.Time, c *core) {
+	e.withCore(func(_ time.Time, c *core) {
 		out = c.stats
 		out.Incarnation = c.incarnation
 		out.Held = len(c.prefills) + len(c.decodes)
@@ -146,22 +151,24 @@
 	return out
 }
 
-// SetFaults replaces the faults; times limits the calls hit, 0 means no limit.
+// SetFaults replaces the faults. They are cleared after they have affected the
+// given number of calls; 0 means that they stay.
 func (e *Engine) SetFaults(f Faults, times int) {
 	e.faults.Set(f, times)
 	e.faultsChanged()
 }
 
+// faultsChanged copies the current faults to the core.
 func (e *Engine) faultsChanged() {
-	e.do(func(_ time.Time, c *core) { c.faults = e.faults.Get() })
+	e.withCore(func(_ time.Time, c *core) { c.faults = e.faults.Get() })
 }
 
-// Control returns the fault control API; beside the common paths it has
+// Control returns the fault control API: the paths of package fault and
 // POST /crash.
 func (e *Engine) Control() http.Handler {
 	rt := fault.Router(e.faults, fault.Hooks{
 		Stats:   func() any { return e.Stats() },
-		Reset:   func() { e.do(func(_ time.Time, c *core) { c.stats = Stats{} }) },
+		Reset:   func() { e.withCore(func(_ time.Time, c *core) { c.stats = Stats{} }) },
 		Changed: e.faultsChanged,
 	})
 	rt.HandlerFunc(http.MethodPost, "/crash", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -24,9 +24,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bound is far above what any wait in these tests takes.
-const bound = 30 * time.Second
+// waitTimeout is much longer than any wait in these tests takes.
+const waitTimeout = 30 * time.Second
 
+// server is an engine behind an HTTP server on loopback.
 type server struct {
 	*Engine
 	addr string
@@ -36,7 +37,7 @@
 func newServer(t *testing.T, role string) server {
 	t.Helper()
 	cfg := DefaultConfig()
-	cfg.Role, cfg.TimeScale, cfg.PrefillTTL, cfg.Linger = role, 200, bound, bound
+	cfg.Role, cfg.TimeScale, cfg.PrefillTTL, cfg.Linger = role, 200, waitTimeout, waitTimeout
 	e, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -71,9 +72,9 @@
 	}
 }
 
-// read reads at most limit chunks and returns the error that ended it, io.EOF
-// for a clean end.
-func read(body io.Reader, limit int) ([]engineapi.Chunk, error) {
+// readChunks reads up to limit chunks. Its error is nil at the limit and io.EOF
+// if the stream ends without a connection error.
+func readChunks(body io.Reader, limit int) ([]engineapi.Chunk, error) {
 	var out []engineapi.Chunk
 	lines := bufio.NewReader(body)
 	for len(out) < limit {
@@ -90,8 +91,9 @@
 	return out, nil
 }
 
-// texts returns the tokens of chunks that are in order from an index on.
-func texts(t *testing.T, chunks []engineapi.Chunk, from int) []string {
+// tokenTexts returns the tokens of the chunks. It fails the test unless their
+// indexes are consecutive and begin with from.
+func tokenTexts(t *testing.T, chunks []engineapi.Chunk, from int) []string {
 	t.Helper()
 	var out []string
 	for _, c := range chunks {
@@ -99,7 +101,7 @@
 			continue
 		}
 		if c.Index != from+len(out) {
-			t.Fatalf("chunk %d where %d was due", c.Index, from+len(out))
+			t.Fatalf("chunk has index %d, want %d", c.Index, from+len(out))
 		}
 		out = append(out, c.Text)
 	}
@@ -115,11 +117,11 @@
 	return resp
 }
 
-// Symptom: a caller gets an answer with a hole, a repeat or another's tokens.
-// Sequence: the stream's connection is lost, the stream is read again from the
-// next index; then the engine restarts, and another attempt with the tokens
-// that were delivered goes on elsewhere.
-// Cause: tokens that depend on the connection or on the attempt.
+// Guards against tokens that depend on the connection or on the attempt, which
+// would give a client an answer with missing, repeated or wrong tokens. The test
+// closes the stream's connection and reads the stream again from the next index,
+// then crashes the engine and continues with a second attempt, whose prefill
+// includes the tokens delivered so far.
 func TestResumeAndPrefillAgainGiveTheSameAnswer(t *testing.T) {
 	pre, dec := newServer(t, RolePrefill), newServer(t, RoleDecode)
 	const maxTokens = 200
@@ -128,19 +130,19 @@
 	mustPost(t, dec.url+engineapi.PathReserve, engineapi.ReserveRequest{WorkID: first, Owner: owner, Model: "m"})
 	mustPost(t, pre.url+engineapi.PathPrefill, engineapi.PrefillRequest{WorkID: first, Owner: owner, Model: "m", Prompt: prompt})
 	resp := openDecode(t, dec, engineapi.DecodeRequest{WorkID: first, Owner: owner, Model: "m", Source: pre.addr, MaxTokens: maxTokens})
-	chunks, _ := read(resp.Body, 11)
+	chunks, _ := readChunks(resp.Body, 11)
 	resp.Body.Close()
-	got := texts(t, chunks, 0)
+	got := tokenTexts(t, chunks, 0)
 
 	resp, err := http.Get(fmt.Sprintf("%s%s?request=r&attempt=1&from=%d", dec.url, engineapi.PathStream, len(got)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	chunks, _ = read(resp.Body, 11)
-	got = append(got, texts(t, chunks, len(got))...)
+	chunks, _ = readChunks(resp.Body, 11)
+	got = append(got, tokenTexts(t, chunks, len(got))...)
 	dec.Crash()
-	if _, err := read(resp.Body, 10*maxTokens); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("a crash ended the stream with %v", err)
+	if _, err := readChunks(resp.Body, 10*maxTokens); err == nil || errors.Is(err, io.EOF) {
+		t.Errorf("a crash ended the stream with %v, want a connection error", err)
 	}
 	resp.Body.Close()
 
@@ -148,26 +150,25 @@
 	mustPost(t, pre.url+engineapi.PathPrefill, engineapi.PrefillRequest{WorkID: second, Owner: owner, Model: "m", Prompt: prompt, Generated: got})
 	resp = openDecode(t, dec, engineapi.DecodeRequest{WorkID: second, Owner: owner, Model: "m", Source: pre.addr, MaxTokens: maxTokens, FromIndex: len(got)})
 	defer resp.Body.Close()
-	chunks, err = read(resp.Body, 10*maxTokens)
+	chunks, err = readChunks(resp.Body, 10*maxTokens)
 	if !errors.Is(err, io.EOF) {
 		t.Fatalf("end of stream: %v", err)
 	}
-	got = append(got, texts(t, chunks, len(got))...)
+	got = append(got, tokenTexts(t, chunks, len(got))...)
 	if diff := cmp.Diff(answer.Text("m", "", prompt, maxTokens), strings.Join(got, "")); diff != "" {
-		t.Errorf("answer: %s", diff)
+		t.Errorf("answer (-want +got):\n%s", diff)
 	}
 	last := chunks[len(chunks)-1]
 	if !last.Done || last.Tokens != total || last.FinishReason != answer.FinishReason(total, maxTokens) {
 		t.Errorf("last chunk: %+v, want %d tokens", last, total)
 	}
 	if s := dec.Stats(); s.Held != 1 || s.SlotsUsed != 0 {
-		t.Errorf("a finished stream holds %d pieces and %d slots; want 1 and 0", s.Held, s.SlotsUsed)
+		t.Errorf("after the stream finished: %d decodes held and %d slots used; want 1 and 0", s.Held, s.SlotsUsed)
 	}
 }
 
-// Symptom: a wrong context goes unnoticed.
-// Sequence: an attempt is given generated tokens that are not the answer's.
-// Cause: a stand-in that looks only at their number.
+// Guards against an engine that checks only the number of the generated tokens
+// in a prefill request. Then a context with wrong tokens would not be noticed.
 func TestWrongContextGivesAnotherAnswer(t *testing.T) {
 	req := engineapi.PrefillRequest{Model: "m", Prompt: prompt}
 	right := req
@@ -175,7 +176,7 @@
 	wrong := req
 	wrong.Generated = []string{"?"}
 	if contextHash(right) != answer.HashPrompt(prompt) || contextHash(wrong) == answer.HashPrompt(prompt) {
-		t.Error("the generated tokens do not decide the answer")
+		t.Error("the answer does not depend on the generated tokens in the context")
 	}
 }
 
@@ -186,14 +187,14 @@
 		faults Faults
 		broken func(chunks []engineapi.Chunk, err error) bool
 	}{
-		{"none", Faults{}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && whole(c) }},
+		{"none", Faults{}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && isWholeAnswer(c) }},
 		{"cut", Faults{CutAfter: 5}, func(c []engineapi.Chunk, err error) bool { return !errors.Is(err, io.EOF) && len(c) == 5 }},
 		{"crossed", Faults{Garble: GarbleCrossed, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].RequestID != "r" && c[4].RequestID == "r" }},
 		{"older", Faults{Garble: GarbleOlder, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].Attempt == 0 }},
 		{"repeated", Faults{Garble: GarbleRepeated, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index }},
 		{"reordered", Faults{Garble: GarbleReordered, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index+1 }},
 		{"truncated", Faults{Garble: GarbleTruncated}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !c[len(c)-1].Done }},
-		{"skipped", Faults{Garble: GarbleSkipped, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !whole(c) }},
+		{"skipped", Faults{Garble: GarbleSkipped, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !isWholeAnswer(c) }},
 		{"bytes", Faults{Garble: GarbleBytes, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return !errors.Is(err, io.EOF) && len(c) == 5 }},
 		{"export cut", Faults{}, func(c []engineapi.Chunk, _ error) bool { return len(c) == 1 && c[0].Error != "" && !c[0].Done }},
 	}
@@ -206,7 +207,7 @@
 			pre.SetFaults(Faults{CutExport: tc.name == "export cut"}, 0)
 			resp := openDecode(t, dec, engineapi.DecodeRequest{WorkID: work, Owner: owner, Model: "m", Source: pre.addr, MaxTokens: maxTokens})
 			defer resp.Body.Close()
-			chunks, err := read(resp.Body, 10*maxTokens)
+			chunks, err := readChunks(resp.Body, 10*maxTokens)
 			if !tc.broken(chunks, err) {
 				t.Errorf("%d chunks, then %v: %+v", len(chunks), err, chunks)
 			}
@@ -214,8 +215,9 @@
 	}
 }
 
-// whole reports whether chunks are the test's whole answer.
-func whole(chunks []engineapi.Chunk) bool {
+// isWholeAnswer reports whether chunks are the complete answer to prompt with 40
+// tokens at most.
+func isWholeAnswer(chunks []engineapi.Chunk) bool {
 	text := ""
 	for _, c := range chunks {
 		text += c.Text
@@ -223,20 +225,19 @@
 	return text == answer.Text("m", "", prompt, 40) && chunks[len(chunks)-1].Done
 }
 
-// Symptom: a router believes that a cancel was not taken and gives up.
-// Sequence: the cancel takes effect, its reply is lost, it is sent again.
-// Cause: the lost reply; the repeat must be harmless and acknowledged.
+// Guards against a router that gives up on a cancel whose reply is lost. The
+// cancel has taken effect, so a repeated cancel must be acknowledged too.
 func TestLostCancelReply(t *testing.T) {
 	dec := newServer(t, RoleDecode)
-	mustPost(t, dec.url+engineapi.PathReserve, reserveOf(1))
+	mustPost(t, dec.url+engineapi.PathReserve, reserveRequest(1))
 	dec.SetFaults(Faults{LoseCancel: true}, 1)
-	req := engineapi.CancelRequest{WorkID: id(1)}
+	req := engineapi.CancelRequest{WorkID: workID(1)}
 	if resp, err := post(t, dec.url+engineapi.PathCancel, req); err == nil {
 		resp.Body.Close()
 		t.Fatal("the reply was not lost")
 	}
 	if held := dec.Stats().Held; held != 0 {
-		t.Errorf("%d pieces held after the cancel took effect", held)
+		t.Errorf("%d reservations held after the cancel took effect, want 0", held)
 	}
 	mustPost(t, dec.url+engineapi.PathCancel, req)
 }
@@ -247,7 +248,7 @@
 	defer control.Close()
 	before := dec.Stats().Incarnation
 	mustPost(t, control.URL+"/faults", map[string]any{"faults": Faults{Leaving: true}})
-	resp, err := post(t, dec.url+engineapi.PathReserve, reserveOf(1))
+	resp, err := post(t, dec.url+engineapi.PathReserve, reserveRequest(1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -263,15 +264,15 @@
 		}
 		resp.Body.Close()
 	}
-	mustPost(t, dec.url+engineapi.PathReserve, reserveOf(1))
+	mustPost(t, dec.url+engineapi.PathReserve, reserveRequest(1))
 	if dec.Stats().Incarnation == before {
-		t.Error("the incarnation did not change at the crash")
+		t.Error("the crash did not change the incarnation")
 	}
 }
 
-// Symptom: an order never shows in the engine's state.
-// Sequence: a load is ordered while the weight store is down, then again after.
-// Cause: the engine drops a load that it cannot fetch; it must take the repeat.
+// Guards against an order that is never applied. The engine drops an order whose
+// weights cannot be fetched while the weight store is down, so it must accept and
+// apply the same order when it is sent again.
 func TestOrderFetchesWeights(t *testing.T) {
 	store := weights.New(weights.Config{Rate: 1e9, Size: 1000})
 	defer store.Close()
@@ -292,11 +293,11 @@
 		e.Handler().ServeHTTP(resp, httptest.NewRequest(http.MethodPost, engineapi.PathOrders, bytes.NewReader(body)))
 		var state engineapi.State
 		waittest.Until(t, "the load ends", func() bool {
-			e.do(func(_ time.Time, c *core) { state = c.config.state(0) })
+			e.withCore(func(_ time.Time, c *core) { state = c.deployment.state(0) })
 			return len(state.Loading) == 0
 		})
 		if _, loaded := state.Adapters["m/a"]; loaded == down {
-			t.Errorf("store down %t: adapters %v", down, state.Adapters)
+			t.Errorf("weight store down %t: adapters %v", down, state.Adapters)
 		}
 	}
 }
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -1,59 +1,65 @@
 package engine
 
-// Garble names a way in which a stream's chunks are damaged.
+// Garble is a way to corrupt the chunks of a stream.
 type Garble string
 
-// The ways to damage a stream.
+// The ways to corrupt a stream.
 const (
-	// GarbleCrossed sends chunks under another request's id.
+	// GarbleCrossed sends chunks with the id of another request.
 	GarbleCrossed Garble = "crossed"
-	// GarbleOlder sends chunks under the attempt before.
+	// GarbleOlder sends chunks with the number of the previous attempt.
 	GarbleOlder Garble = "older-attempt"
 	// GarbleRepeated sends every chunk twice.
 	GarbleRepeated Garble = "repeated"
 	// GarbleReordered swaps neighbouring chunks.
 	GarbleReordered Garble = "reordered"
-	// GarbleTruncated ends the stream cleanly without its Done chunk.
+	// GarbleTruncated ends the stream without its Done chunk and without a
+	// connection error.
 	GarbleTruncated Garble = "truncated"
-	// GarbleSkipped leaves out one token.
+	// GarbleSkipped omits one token.
 	GarbleSkipped Garble = "skipped"
-	// GarbleBytes writes bytes that are not JSON.
+	// GarbleBytes writes bytes that are not valid JSON.
 	GarbleBytes Garble = "bytes"
 )
 
-// Faults are the faults that a test can set on an engine; the zero value is none.
+// Faults are the faults that a test can set on an engine. The zero value sets none.
 type Faults struct {
-	// Refuse answers reserve, prefill and decode with 503 and a Refusal.
+	// Refuse makes reserve, prefill and decode reply with 503 and a Refusal.
 	Refuse bool `json:"refuse,omitempty"`
-	// Delay holds the calls of these paths for DelayMS milliseconds before they
-	// take effect, even if their caller has gone away meanwhile.
+	// Delay delays calls to these paths by DelayMS milliseconds before they take
+	// effect. They take effect even if the client has disconnected meanwhile.
 	Delay   []string `json:"delay,omitempty"`
 	DelayMS int64    `json:"delay_ms,omitempty"`
-	// Stall accepts the calls of these paths and never answers them. The call
-	// itself has no effect.
+	// Stall accepts calls to these paths and never replies. The calls have no
+	// effect.
 	Stall []string `json:"stall,omitempty"`
-	// StallReply lets the calls of these paths take effect but never answers them.
+	// StallReply lets calls to these paths take effect and never replies.
 	StallReply []string `json:"stall_reply,omitempty"`
-	// CutReply lets the calls of these paths take effect and cuts the connection.
+	// CutReply lets calls to these paths take effect and closes the connection
+	// without a reply.
 	CutReply []string `json:"cut_reply,omitempty"`
-	// CutAfter cuts a stream's connection after so many chunks; 0 never does.
+	// CutAfter closes a stream's connection after this number of chunks; 0 means
+	// never.
 	CutAfter int `json:"cut_after,omitempty"`
-	// StallAfter stops writing a stream after so many chunks; 0 never does.
+	// StallAfter stops writing a stream after this number of chunks and keeps its
+	// connection open; 0 means never.
 	StallAfter int `json:"stall_after,omitempty"`
-	// Garble damages streams from chunk GarbleAfter on.
+	// Garble corrupts streams after GarbleAfter chunks.
 	Garble      Garble `json:"garble,omitempty"`
 	GarbleAfter int    `json:"garble_after,omitempty"`
-	// CutExport cuts an export before its end; StallExport stops it there.
+	// CutExport closes the connection of an export before its end. StallExport
+	// stops sending and keeps the connection open.
 	CutExport   bool `json:"cut_export,omitempty"`
 	StallExport bool `json:"stall_export,omitempty"`
-	// SlowStep multiplies the time between tokens when above 0.
+	// SlowStep multiplies the time between tokens if it is greater than 0.
 	SlowStep float64 `json:"slow_step,omitempty"`
-	// Leaving refuses new work as an engine that is going away does.
+	// Leaving refuses new work and reports that the engine is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// FreezeLoad keeps the polled load report as it is.
+	// FreezeLoad stops the updates of the polled load report.
 	FreezeLoad bool `json:"freeze_load,omitempty"`
-	// DropLoad cuts polls of the load.
+	// DropLoad closes the connections of load polls without a reply.
 	DropLoad bool `json:"drop_load,omitempty"`
-	// LoseCancel lets a cancel take effect and cuts its reply.
+	// LoseCancel lets a cancel take effect and closes the connection without a
+	// reply.
 	LoseCancel bool `json:"lose_cancel,omitempty"`
 }
--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -11,12 +11,12 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Handler returns the engine interface of package engineapi.
+// Handler returns the handler of the HTTP interface of package engineapi.
 func (e *Engine) Handler() http.Handler {
 	rt := httprouter.New()
 	handle := func(method, path string, h http.HandlerFunc) {
 		rt.HandlerFunc(method, path, func(w http.ResponseWriter, r *http.Request) {
-			e.stall(r, path)
+			e.delayOrStall(r, path)
 			h(w, r)
 		})
 	}
@@ -36,8 +36,9 @@
 	return rt
 }
 
-// hit reports whether a fault applies to this call and counts it.
-func (e *Engine) hit(match func(Faults) bool) bool {
+// hitFault reports whether the current faults satisfy match. If they do, it
+// counts the call against their limit.
+func (e *Engine) hitFault(match func(Faults) bool) bool {
 	_, ok := e.faults.Hit(match)
 	if ok {
 		e.faultsChanged()
@@ -45,40 +46,43 @@
 	return ok
 }
 
-// stall holds the call when its path is to be delayed or stalled before it
+// delayOrStall applies the faults Delay and Stall for the path, before the call
 // takes effect.
-func (e *Engine) stall(r *http.Request, path string) {
-	f, late := e.faults.Hit(func(f Faults) bool { return slices.Contains(f.Delay, path) })
-	if late {
+func (e *Engine) delayOrStall(r *http.Request, path string) {
+	f, delayed := e.faults.Hit(func(f Faults) bool { return slices.Contains(f.Delay, path) })
+	if delayed {
 		e.faultsChanged()
 		httpjson.Sleep(time.Duration(f.DelayMS)*time.Millisecond, e.ctx.Done())
 	}
-	if e.hit(func(f Faults) bool { return slices.Contains(f.Stall, path) }) {
+	if e.hitFault(func(f Faults) bool { return slices.Contains(f.Stall, path) }) {
 		httpjson.Stall(r, e.ctx.Done())
 	}
 }
 
-// reply answers a call that took effect, unless a fault loses the answer.
+// reply sends the reply to a call that took effect, unless the faults StallReply,
+// CutReply or LoseCancel withhold it.
 func (e *Engine) reply(w http.ResponseWriter, r *http.Request, status int, v any) {
 	path := r.URL.Path
-	if e.hit(func(f Faults) bool { return slices.Contains(f.StallReply, path) }) {
+	if e.hitFault(func(f Faults) bool { return slices.Contains(f.StallReply, path) }) {
 		httpjson.Stall(r, e.ctx.Done())
 	}
 	lost := func(f Faults) bool {
 		return slices.Contains(f.CutReply, path) || f.LoseCancel && path == engineapi.PathCancel
 	}
-	if e.hit(lost) {
+	if e.hitFault(lost) {
 		httpjson.Cut()
 	}
 	httpjson.Write(w, status, v)
 }
 
-// replyRefusal answers with a refusal and counts one that was a fault's.
+// replyRefusal sends a refusal. If the fault Refuse is set, the refusal counts
+// against its limit.
 func (e *Engine) replyRefusal(w http.ResponseWriter, r *http.Request, ref *refusal) {
-	e.hit(func(f Faults) bool { return f.Refuse })
+	e.hitFault(func(f Faults) bool { return f.Refuse })
 	e.reply(w, r, ref.status, ref.Refusal)
 }
 
+// serveReserve reserves a slot and KV memory for an attempt.
 func (e *Engine) serveReserve(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.ReserveRequest
 	if !httpjson.Read(w, r, &req) {
@@ -86,7 +90,7 @@
 	}
 	var ref *refusal
 	var out engineapi.ReserveReply
-	e.do(func(now time.Time, c *core) {
+	e.withCore(func(now time.Time, c *core) {
 		ref = c.reserve(now, req)
 		out.Load = c.load(now)
 	})
@@ -97,8 +101,8 @@
 	e.reply(w, r, http.StatusOK, out)
 }
 
-// servePrefill answers once the result is ready. The prefill goes on when the
-// caller goes away.
+// servePrefill replies once the result is ready. The prefill continues if the
+// client disconnects.
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.PrefillRequest
 	if !httpjson.Read(w, r, &req) {
@@ -107,9 +111,9 @@
 	var p *prefill
 	var ref *refusal
 	var crashed <-chan struct{}
-	e.do(func(now time.Time, c *core) {
+	e.withCore(func(now time.Time, c *core) {
 		p, ref = c.addPrefill(now, req)
-		crashed = c.gone
+		crashed = c.crashed
 	})
 	if ref != nil {
 		e.replyRefusal(w, r, ref)
@@ -117,7 +121,7 @@
 	}
 	select {
 	case <-p.ready:
-	case <-p.gone:
+	case <-p.freed:
 	case <-crashed:
 		httpjson.Cut()
 	case <-r.Context().Done():
@@ -128,19 +132,21 @@
 	e.replyPrefill(w, r, p)
 }
 
+// replyPrefill sends the reply for a prefill that is ready, or a refusal if it
+// was freed meanwhile.
 func (e *Engine) replyPrefill(w http.ResponseWriter, r *http.Request, p *prefill) {
 	var ref *refusal
 	var out engineapi.PrefillReply
-	e.do(func(now time.Time, c *core) {
+	e.withCore(func(now time.Time, c *core) {
 		if c.prefills[p.WorkID] != p {
 			ref = c.refuse(now, http.StatusConflict, "attempt was cancelled or has expired")
 			return
 		}
 		out = engineapi.PrefillReply{
-			PromptTokens: p.tokens,
-			CachedTokens: p.cached,
+			PromptTokens: p.promptTokens,
+			CachedTokens: p.cachedTokens,
 			KVBytes:      p.kvBytes,
-			ExpiresInMS:  p.expires.Sub(now).Milliseconds(),
+			ExpiresInMS:  p.expiresAt.Sub(now).Milliseconds(),
 			Load:         c.load(now),
 		}
 	})
@@ -151,78 +157,84 @@
 	e.reply(w, r, http.StatusOK, out)
 }
 
-// serveWork answers cancel, pause and resume.
-func (e *Engine) serveWork(w http.ResponseWriter, r *http.Request, f func(time.Time, *core, engineapi.WorkID) engineapi.CancelReply) {
+// serveAttemptCall serves the calls that take a CancelRequest: cancel, pause and
+// resume.
+func (e *Engine) serveAttemptCall(w http.ResponseWriter, r *http.Request, f func(time.Time, *core, engineapi.WorkID) engineapi.CancelReply) {
 	var req engineapi.CancelRequest
 	if !httpjson.Read(w, r, &req) {
 		return
 	}
 	var out engineapi.CancelReply
-	e.do(func(now time.Time, c *core) { out = f(now, c, req.WorkID) })
+	e.withCore(func(now time.Time, c *core) { out = f(now, c, req.WorkID) })
 	e.reply(w, r, http.StatusOK, out)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	e.serveWork(w, r, func(now time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
+	e.serveAttemptCall(w, r, func(now time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
 		return c.cancel(now, id)
 	})
 }
 
 func (e *Engine) servePause(w http.ResponseWriter, r *http.Request) {
-	e.serveWork(w, r, func(_ time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
+	e.serveAttemptCall(w, r, func(_ time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
 		return c.pause(id)
 	})
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
-	e.serveWork(w, r, func(now time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
+	e.serveAttemptCall(w, r, func(now time.Time, c *core, id engineapi.WorkID) engineapi.CancelReply {
 		return c.resume(now, id)
 	})
 }
 
+// serveHeld replies with the list of everything that uses KV memory.
 func (e *Engine) serveHeld(w http.ResponseWriter, r *http.Request) {
 	var out engineapi.HeldReply
-	e.do(func(now time.Time, c *core) { out = c.held(now) })
+	e.withCore(func(now time.Time, c *core) { out = c.held(now) })
 	e.reply(w, r, http.StatusOK, out)
 }
 
-// serveLoad answers with the last snapshot, which lags.
+// serveLoad replies with the load snapshot, which is up to Config.LoadLag old.
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
-	if e.hit(func(f Faults) bool { return f.DropLoad }) {
+	if e.hitFault(func(f Faults) bool { return f.DropLoad }) {
 		httpjson.Cut()
 	}
 	var out engineapi.Load
-	e.do(func(_ time.Time, c *core) { out = c.snapshot })
+	e.withCore(func(_ time.Time, c *core) { out = c.loadSnapshot })
 	e.reply(w, r, http.StatusOK, out)
 }
 
+// serveEvents replies with the published cache events from a sequence number on.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	from := uint64(max(0, httpjson.Int(r, "from", 0)))
 	var out engineapi.EventsReply
-	e.do(func(now time.Time, c *core) {
+	e.withCore(func(now time.Time, c *core) {
 		out.Incarnation = c.incarnation
 		out.Events, out.Next = c.cache.read(now, from)
 	})
 	e.reply(w, r, http.StatusOK, out)
 }
 
-// serveOrders answers 200 with Accepted false when it refuses an order.
+// serveOrders replies to every valid call with status 200; a refused order has
+// Accepted false in the reply.
 func (e *Engine) serveOrders(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.Order
 	if !httpjson.Read(w, r, &req) {
 		return
 	}
 	var out engineapi.OrderReply
-	var load *pending
-	e.do(func(now time.Time, c *core) { out, load = c.config.give(now, req) })
-	if load != nil {
-		e.spawn(func() { e.fetchWeights(load) })
+	var fetch *pendingOrder
+	e.withCore(func(now time.Time, c *core) { out, fetch = c.deployment.acceptOrder(now, req) })
+	if fetch != nil {
+		e.spawn(func() { e.fetchWeights(fetch) })
 	}
 	e.reply(w, r, http.StatusOK, out)
 }
 
+// serveState replies with the role, the loaded models and adapters, and the pending
+// orders.
 func (e *Engine) serveState(w http.ResponseWriter, r *http.Request) {
 	var out engineapi.State
-	e.do(func(_ time.Time, c *core) { out = c.config.state(c.incarnation) })
+	e.withCore(func(_ time.Time, c *core) { out = c.deployment.state(c.incarnation) })
 	e.reply(w, r, http.StatusOK, out)
 }
--- a/internal/standin/engine/idset.go
+++ b/internal/standin/engine/idset.go
@@ -2,41 +2,42 @@
 
 import "github.com/corianderturn/corianderturn/upstream/engineapi"
 
-// allAttempts stands for every attempt of a request.
+// allAttempts is the attempt number that stands for every attempt of a request.
 const allAttempts = -1
 
-// idSet remembers a bounded number of attempts and forgets the oldest first.
+// idSet is a set of attempts of limited size that evicts the oldest entry first.
 type idSet struct {
-	limit int
-	has   map[engineapi.WorkID]bool
-	order []engineapi.WorkID
+	limit          int
+	members        map[engineapi.WorkID]bool
+	insertionOrder []engineapi.WorkID
 }
 
 func newIDSet(limit int) *idSet {
-	return &idSet{limit: limit, has: make(map[engineapi.WorkID]bool)}
+	return &idSet{limit: limit, members: make(map[engineapi.WorkID]bool)}
 }
 
-// add remembers id; a negative attempt stands for every attempt.
+// add inserts id. A negative attempt stands for every attempt of the request.
 func (s *idSet) add(id engineapi.WorkID) {
 	if id.Attempt < 0 {
 		id.Attempt = allAttempts
 	}
-	if s.has[id] {
+	if s.members[id] {
 		return
 	}
-	if len(s.order) >= s.limit {
-		delete(s.has, s.order[0])
-		s.order = s.order[1:]
+	if len(s.insertionOrder) >= s.limit {
+		delete(s.members, s.insertionOrder[0])
+		s.insertionOrder = s.insertionOrder[1:]
 	}
-	s.has[id] = true
-	s.order = append(s.order, id)
+	s.members[id] = true
+	s.insertionOrder = append(s.insertionOrder, id)
 }
 
-// contains reports whether id or every attempt of its request is remembered.
+// contains reports whether the set has id, or the entry that stands for every attempt
+// of its request.
 func (s *idSet) contains(id engineapi.WorkID) bool {
-	if s.has[id] {
+	if s.members[id] {
 		return true
 	}
 	id.Attempt = allAttempts
-	return s.has[id]
+	return s.members[id]
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -11,6 +11,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
+// serveDecode starts a decode and streams its chunks. The import and the decode
+// continue if the client disconnects.
 func (e *Engine) serveDecode(w http.ResponseWriter, r *http.Request) {
 	var req engineapi.DecodeRequest
 	if !httpjson.Read(w, r, &req) {
@@ -20,10 +22,10 @@
 	var ref *refusal
 	var crashed <-chan struct{}
 	var importCtx context.Context
-	e.do(func(now time.Time, c *core) {
-		crashed = c.gone
+	e.withCore(func(now time.Time, c *core) {
+		crashed = c.crashed
 		if d, ref = c.startDecode(now, req); ref == nil {
-			importCtx, d.abort = context.WithCancel(e.ctx)
+			importCtx, d.cancelImport = context.WithCancel(e.ctx)
 		}
 	})
 	if ref != nil {
@@ -31,16 +33,16 @@
 		return
 	}
 	e.spawn(func() { e.importKV(importCtx, d) })
-	e.follow(w, r, d, req.FromIndex, crashed)
+	e.streamChunks(w, r, d, req.FromIndex, crashed)
 }
 
-// serveStream sends a stream again from an index on.
+// serveStream sends an existing stream again, from the index in the query on.
 func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request) {
-	id := queryID(r)
+	id := workIDFromQuery(r)
 	var d *decode
 	var crashed <-chan struct{}
-	e.do(func(_ time.Time, c *core) {
-		crashed = c.gone
+	e.withCore(func(_ time.Time, c *core) {
+		crashed = c.crashed
 		if d = c.decodes[id]; d != nil && d.state == decodeReserved {
 			d = nil
 		}
@@ -49,22 +51,22 @@
 		e.reply(w, r, http.StatusNotFound, engineapi.Refusal{Reason: "no such stream"})
 		return
 	}
-	e.follow(w, r, d, int(httpjson.Int(r, "from", 0)), crashed)
+	e.streamChunks(w, r, d, int(httpjson.Int(r, "from", 0)), crashed)
 }
 
-// follow writes the chunks of d from an index on until its end. It cuts the
-// connection when the engine crashes or closes.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, d *decode, from int, crashed <-chan struct{}) {
+// streamChunks writes the chunks of d from index from on until the stream ends. It
+// aborts the connection when the engine crashes or is closed.
+func (e *Engine) streamChunks(w http.ResponseWriter, r *http.Request, d *decode, from int, crashed <-chan struct{}) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
 	out := &chunkWriter{engine: e, w: w, rc: http.NewResponseController(w), r: r}
 	_ = out.rc.Flush()
-	pos := position{next: from}
+	pos := streamReader{nextIndex: from}
 	for {
 		var chunks []engineapi.Chunk
 		var changed <-chan struct{}
-		e.do(func(now time.Time, c *core) {
-			chunks = pos.take(now, c, d)
+		e.withCore(func(now time.Time, c *core) {
+			chunks = pos.nextChunks(now, c, d)
 			changed = d.changed
 		})
 		if !out.write(chunks) || pos.ended {
@@ -82,26 +84,26 @@
 	}
 }
 
-// position is how far one reader of a stream has come.
-type position struct {
-	next     int
-	imported bool
-	ended    bool
+// streamReader is the position of one client in a stream.
+type streamReader struct {
+	nextIndex int  // index of the next token to send
+	imported  bool // the chunk that reports the import has been returned
+	ended     bool // the last chunk has been returned
 }
 
-// take returns the chunks that are there for the reader and moves it on. A
-// stream that failed ends in a chunk with Error and without Done.
-func (p *position) take(now time.Time, c *core, d *decode) []engineapi.Chunk {
+// nextChunks returns the chunks that the client has not received yet and advances
+// the position. The last chunk of a failed stream has Error set and Done unset.
+func (p *streamReader) nextChunks(now time.Time, c *core, d *decode) []engineapi.Chunk {
 	var out []engineapi.Chunk
 	if d.imported && !p.imported {
 		p.imported = true
 		load := c.load(now)
-		out = append(out, engineapi.Chunk{WorkID: d.WorkID, Index: p.next, Imported: true, Load: &load})
+		out = append(out, engineapi.Chunk{WorkID: d.WorkID, Index: p.nextIndex, Imported: true, Load: &load})
 	}
-	p.next = max(p.next, d.FromIndex)
-	for ; p.next < d.next(); p.next++ {
-		chunk := engineapi.Chunk{WorkID: d.WorkID, Index: p.next, Text: d.tokens[p.next-d.FromIndex]}
-		if p.next%loadEvery == 0 {
+	p.nextIndex = max(p.nextIndex, d.FromIndex)
+	for ; p.nextIndex < d.nextIndex(); p.nextIndex++ {
+		chunk := engineapi.Chunk{WorkID: d.WorkID, Index: p.nextIndex, Text: d.tokens[p.nextIndex-d.FromIndex]}
+		if p.nextIndex%tokensPerLoadReport == 0 {
 			load := c.load(now)
 			chunk.Load = &load
 		}
@@ -112,79 +114,80 @@
 	}
 	p.ended = true
 	load := c.load(now)
-	last := engineapi.Chunk{WorkID: d.WorkID, Index: p.next, Load: &load}
+	last := engineapi.Chunk{WorkID: d.WorkID, Index: p.nextIndex, Load: &load}
 	if d.failure != "" {
 		last.Error = d.failure
 	} else {
-		last.Done, last.Tokens, last.FinishReason = true, d.next(), d.finish
+		last.Done, last.Tokens, last.FinishReason = true, d.nextIndex(), d.finishReason
 	}
 	return append(out, last)
 }
 
-// chunkWriter writes chunks and applies the faults of streams.
+// chunkWriter writes the chunks of one stream and applies the stream faults.
 type chunkWriter struct {
-	engine *Engine
-	w      io.Writer
-	rc     *http.ResponseController
-	r      *http.Request
-	n      int // chunks written
-	faults Faults
-	hit    bool
-	kept   *engineapi.Chunk // held back to be sent after its successor
+	engine   *Engine
+	w        io.Writer
+	rc       *http.ResponseController
+	r        *http.Request
+	written  int    // chunks written
+	faults   Faults // the faults that affect this stream, if faultHit is set
+	faultHit bool
+	heldBack *engineapi.Chunk // sent after the next chunk, for GarbleReordered
 }
 
-// write sends chunks and reports whether the stream may go on.
+// write sends chunks and reports whether the client still receives them.
 func (cw *chunkWriter) write(chunks []engineapi.Chunk) bool {
 	for _, c := range chunks {
-		cw.checkFaults()
+		cw.applyFaults()
 		for _, damaged := range cw.garble(c) {
 			if json.NewEncoder(cw.w).Encode(damaged) != nil {
 				return false
 			}
 		}
-		cw.n++
+		cw.written++
 	}
 	return cw.rc.Flush() == nil
 }
 
-// checkFaults cuts or stalls the stream when its fault has come. A stream that
-// was hit once keeps its fault.
-func (cw *chunkWriter) checkFaults() {
-	if !cw.hit {
-		cw.faults, cw.hit = cw.engine.faults.Hit(func(f Faults) bool {
-			return f.CutAfter > 0 && cw.n >= f.CutAfter ||
-				f.StallAfter > 0 && cw.n >= f.StallAfter ||
-				f.Garble != "" && cw.n >= f.GarbleAfter
+// applyFaults cuts or stalls the stream when it has reached the chunk at which a
+// fault begins. A stream keeps the first faults that affect it.
+func (cw *chunkWriter) applyFaults() {
+	if !cw.faultHit {
+		cw.faults, cw.faultHit = cw.engine.faults.Hit(func(f Faults) bool {
+			return f.CutAfter > 0 && cw.written >= f.CutAfter ||
+				f.StallAfter > 0 && cw.written >= f.StallAfter ||
+				f.Garble != "" && cw.written >= f.GarbleAfter
 		})
-		if cw.hit {
+		if cw.faultHit {
 			cw.engine.faultsChanged()
 		}
 	}
-	if !cw.hit {
+	if !cw.faultHit {
 		return
 	}
-	if cw.faults.CutAfter > 0 && cw.n >= cw.faults.CutAfter {
+	if cw.faults.CutAfter > 0 && cw.written >= cw.faults.CutAfter {
 		_ = cw.rc.Flush()
 		httpjson.Cut()
 	}
-	if cw.faults.StallAfter > 0 && cw.n >= cw.faults.StallAfter {
+	if cw.faults.StallAfter > 0 && cw.written >= cw.faults.StallAfter {
 		_ = cw.rc.Flush()
 		httpjson.Stall(cw.r, cw.engine.ctx.Done())
 	}
 }
 
-// garble returns what is sent in place of c.
+// garble returns the chunks to send in place of c. The fault GarbleBytes writes
+// its bytes itself.
 func (cw *chunkWriter) garble(c engineapi.Chunk) []engineapi.Chunk {
-	if !cw.hit || cw.n < cw.faults.GarbleAfter {
+	if !cw.faultHit || cw.written < cw.faults.GarbleAfter {
 		return []engineapi.Chunk{c}
 	}
 	switch cw.faults.Garble {
 	case GarbleCrossed:
 		c.RequestID = "crossed-" + c.RequestID
-		c.Text = foreign(c.Text)
+		c.Text = mismatchedToken(c.Text)
 	case GarbleOlder:
 		c.Attempt--
-		c.Text = foreign(c.Text)
+		c.Text = mismatchedToken(c.Text)
 	case GarbleRepeated:
 		return []engineapi.Chunk{c, c}
 	case GarbleReordered:
@@ -194,7 +197,7 @@
 			return nil
 		}
 	case GarbleSkipped:
-		if cw.n == cw.faults.GarbleAfter {
+		if cw.written == cw.faults.GarbleAfter {
 			return nil
 		}
 	case GarbleBytes:
@@ -204,25 +207,26 @@
 	return []engineapi.Chunk{c}
 }
 
-// foreign returns what another request or attempt has in the place of a token: a
-// router that takes it in shows a wrong answer.
-func foreign(text string) string {
+// mismatchedToken returns a replacement for a token that appears in no answer, so
+// that a router which accepts a chunk of another request or attempt delivers a
+// visibly wrong answer.
+func mismatchedToken(text string) string {
 	if text == "" {
 		return ""
 	}
 	return " ------"
 }
 
-// reorder holds every other token back until its successor has been sent.
+// reorder holds back every other token until the next chunk has been sent.
 func (cw *chunkWriter) reorder(c engineapi.Chunk) []engineapi.Chunk {
-	if cw.kept == nil && c.Text != "" {
-		cw.kept = &c
+	if cw.heldBack == nil && c.Text != "" {
+		cw.heldBack = &c
 		return nil
 	}
 	out := []engineapi.Chunk{c}
-	if cw.kept != nil {
-		out = append(out, *cw.kept)
-		cw.kept = nil
+	if cw.heldBack != nil {
+		out = append(out, *cw.heldBack)
+		cw.heldBack = nil
 	}
 	return out
 }
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -16,22 +16,24 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// HeaderKVBytes is the header of an export that gives the nominal size of the
-// KV cache. The body is small: it takes as long as that size takes at the
-// link's rate, one blank for each booked slice of the link, and ends in a short
-// JSON object that identifies the cache.
+// HeaderKVBytes is the header of an export that gives the nominal size of the KV
+// cache, in bytes. The body is much smaller: a space for each slice of the
+// nominal size, sent at the rate of the link, and then a JSON object that
+// describes the cache. The transfer thus takes as long as the nominal size would.
 const HeaderKVBytes = "X-Kv-Bytes"
 
-// maxExportBody bounds the body of an export, in bytes.
+// maxExportBody is the largest accepted body of an export, in bytes.
 const maxExportBody = 1 << 20
 
+// serveExport sends a ready prefill result. The result is freed once it is sent
+// completely.
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
-	id := queryID(r)
+	id := workIDFromQuery(r)
 	var p *prefill
-	var owner *core
+	var originCore *core
 	var status int
-	e.do(func(_ time.Time, c *core) {
-		owner = c
+	e.withCore(func(_ time.Time, c *core) {
+		originCore = c
 		p, status = c.beginExport(id)
 	})
 	if p == nil {
@@ -41,20 +43,21 @@
 	unsent := p.kvBytes
 	complete := false
 	defer func() {
-		e.do(func(now time.Time, _ *core) { owner.endExport(now, p, unsent, complete) })
+		e.withCore(func(now time.Time, _ *core) { originCore.endExport(now, p, unsent, complete) })
 	}()
 	w.Header().Set(HeaderKVBytes, strconv.FormatInt(p.kvBytes, 10))
 	w.WriteHeader(http.StatusOK)
-	e.pace(w, r, owner, p, &unsent)
-	if err := json.NewEncoder(w).Encode(p.export()); err != nil {
+	e.paceExport(w, r, originCore, p, &unsent)
+	if err := json.NewEncoder(w).Encode(p.descriptor()); err != nil {
 		return
 	}
 	complete = http.NewResponseController(w).Flush() == nil
 }
 
-// pace sends one blank for each slice of the link that the transfer books, and
-// cuts the connection when the result or the caller goes away.
-func (e *Engine) pace(w http.ResponseWriter, r *http.Request, owner *core, p *prefill, unsent *int64) {
+// paceExport sends one space for each slice of the link that the transfer
+// reserves. It aborts the connection when the result is freed or the client
+// disconnects. It subtracts what it has sent from *unsent.
+func (e *Engine) paceExport(w http.ResponseWriter, r *http.Request, originCore *core, p *prefill, unsent *int64) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(e.ctx, cancel)()
@@ -64,19 +67,19 @@
 		if err := e.link.WaitN(ctx, int(n)); err != nil {
 			httpjson.Cut()
 		}
-		gone := false
-		e.do(func(_ time.Time, c *core) {
-			gone = c != owner || c.prefills[p.WorkID] != p
-			owner.linkBytes -= n
+		aborted := false
+		e.withCore(func(_ time.Time, c *core) {
+			aborted = c != originCore || c.prefills[p.WorkID] != p
+			originCore.pendingExportBytes -= n
 		})
 		*unsent -= n
-		if gone {
+		if aborted {
 			httpjson.Cut()
 		}
-		if e.hit(func(f Faults) bool { return f.StallExport }) {
+		if e.hitFault(func(f Faults) bool { return f.StallExport }) {
 			httpjson.Stall(r, e.ctx.Done())
 		}
-		if e.hit(func(f Faults) bool { return f.CutExport }) {
+		if e.hitFault(func(f Faults) bool { return f.CutExport }) {
 			httpjson.Cut()
 		}
 		_, _ = io.WriteString(w, " ")
@@ -84,42 +87,44 @@
 	}
 }
 
-// importKV pulls the KV cache of d from its source, whatever becomes of the
-// connection that asked for the decode.
+// importKV fetches the KV cache of d from its source. It continues when the
+// connection that requested the decode closes.
 func (e *Engine) importKV(ctx context.Context, d *decode) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.ImportTimeout)
 	defer cancel()
-	kv, err := e.pull(ctx, d)
-	e.do(func(now time.Time, c *core) {
+	kv, err := e.fetchKV(ctx, d)
+	e.withCore(func(now time.Time, c *core) {
 		if err != nil {
-			c.importFailed(now, d, "import: "+err.Error())
+			c.failImport(now, d, "import: "+err.Error())
 			return
 		}
-		c.imported(now, d, kv)
+		c.finishImport(now, d, kv)
 	})
 }
 
-func (e *Engine) pull(ctx context.Context, d *decode) (export, error) {
+// fetchKV reads the descriptor of the KV cache of d from its source and checks
+// that it belongs to the attempt.
+func (e *Engine) fetchKV(ctx context.Context, d *decode) (kvDescriptor, error) {
 	query := url.Values{}
 	query.Set("request", d.RequestID)
 	query.Set("attempt", strconv.Itoa(d.Attempt))
 	from := url.URL{Scheme: "http", Host: d.Source, Path: engineapi.PathExport, RawQuery: query.Encode()}
-	body, err := e.get(ctx, from.String(), maxExportBody)
+	body, err := e.fetchBody(ctx, from.String(), maxExportBody)
 	if err != nil {
-		return export{}, err
+		return kvDescriptor{}, err
 	}
-	var kv export
+	var kv kvDescriptor
 	if err := json.Unmarshal(bytes.TrimSpace(body), &kv); err != nil {
-		return export{}, errors.Wrap(err, "truncated KV cache")
+		return kvDescriptor{}, errors.Wrap(err, "truncated KV cache")
 	}
 	if kv.WorkID != d.WorkID || kv.Model != d.Model || kv.Adapter != d.Adapter {
-		return export{}, errors.New("the KV cache is another attempt's")
+		return kvDescriptor{}, errors.New("the KV cache is another attempt's")
 	}
 	return kv, nil
 }
 
-// get reads a whole body of at most limit bytes.
-func (e *Engine) get(ctx context.Context, from string, limit int64) ([]byte, error) {
+// fetchBody requests a URL and returns the first limit bytes of its body.
+func (e *Engine) fetchBody(ctx context.Context, from string, limit int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, from, nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -137,20 +142,20 @@
 }
 
 // fetchWeights reads the weights that an order needs from the weight store.
-func (e *Engine) fetchWeights(p *pending) {
+func (e *Engine) fetchWeights(p *pendingOrder) {
 	name := p.order.Model
 	if p.order.Kind == engineapi.OrderLoadAdapter {
 		name = p.order.Adapter
 	}
 	from, err := url.JoinPath(e.cfg.WeightStore, "weights", url.PathEscape(name), url.PathEscape(p.order.Version))
 	if err == nil {
-		_, err = e.get(e.ctx, from, maxWeightBytes)
+		_, err = e.fetchBody(e.ctx, from, maxWeightBytes)
 	}
-	e.do(func(now time.Time, c *core) { c.config.fetched(now, p, err == nil) })
+	e.withCore(func(now time.Time, c *core) { c.deployment.finishFetch(now, p, err == nil) })
 }
 
-// queryID returns the attempt that a query names.
-func queryID(r *http.Request) engineapi.WorkID {
+// workIDFromQuery returns the attempt that the query of r identifies.
+func workIDFromQuery(r *http.Request) engineapi.WorkID {
 	return engineapi.WorkID{
 		RequestID: r.URL.Query().Get("request"),
 		Attempt:   int(httpjson.Int(r, "attempt", 0)),
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -7,10 +7,10 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// finishCancelled ends the stream of a cancelled attempt.
+// finishCancelled is the finish reason of a cancelled attempt.
 const finishCancelled = "cancelled"
 
-// prefillState says how far a prefill is.
+// prefillState is the state of a prefill.
 type prefillState int
 
 const (
@@ -19,41 +19,43 @@
 	prefillReady
 )
 
-// prefill is one prompt on a prefill engine, from its arrival until its result
-// was exported, expired or cancelled.
+// prefill is one prompt on a prefill engine, from its arrival until its result is
+// exported, has expired or is cancelled.
 type prefill struct {
 	engineapi.PrefillRequest
-	state    prefillState
-	since    time.Time
-	finishAt time.Time // while running
-	expires  time.Time // once ready
-	hash     answer.Hash
-	blocks   []uint64
-	tokens   int
-	cached   int
-	kvBytes  int64
-	exports  int           // transfers in progress; they keep an expired result alive
-	ready    chan struct{} // closed once ready
-	gone     chan struct{} // closed when the memory is freed
+	state         prefillState
+	createdAt     time.Time
+	finishAt      time.Time // set while running
+	expiresAt     time.Time // set once ready
+	promptHash    answer.Hash
+	prefixBlocks  []uint64 // hashes of the prompt's whole blocks
+	promptTokens  int      // with the generated tokens of earlier attempts
+	cachedTokens  int      // tokens found in the prefix cache
+	kvBytes       int64
+	activeExports int           // exports in progress; the result does not expire during one
+	ready         chan struct{} // closed once ready
+	freed         chan struct{} // closed when the memory is freed
 }
 
+// newPrefill returns a queued prefill with the given KV memory per token, in bytes.
 func newPrefill(now time.Time, req engineapi.PrefillRequest, kvPerToken int64) *prefill {
 	p := &prefill{
 		PrefillRequest: req,
-		since:          now,
-		hash:           contextHash(req),
-		blocks:         engineapi.PrefixBlocks(req.Model, req.Prompt),
-		tokens:         engineapi.CountTokens(req.Prompt) + len(req.Generated),
+		createdAt:      now,
+		promptHash:     contextHash(req),
+		prefixBlocks:   engineapi.PrefixBlocks(req.Model, req.Prompt),
+		promptTokens:   engineapi.CountTokens(req.Prompt) + len(req.Generated),
 		ready:          make(chan struct{}),
-		gone:           make(chan struct{}),
+		freed:          make(chan struct{}),
 	}
-	p.kvBytes = int64(p.tokens) * kvPerToken
+	p.kvBytes = int64(p.promptTokens) * kvPerToken
 	return p
 }
 
-// contextHash returns the prompt's hash, or another one when the generated
-// tokens are not those of the prompt's answer: a model that is given a wrong
-// context goes on with wrong tokens, and so does this one.
+// contextHash returns the hash of the prompt, or a different hash if the generated
+// tokens are not the beginning of the prompt's answer. A real model that is given
+// a wrong context continues with wrong tokens; the different hash has the same
+// effect.
 func contextHash(req engineapi.PrefillRequest) answer.Hash {
 	hash := answer.HashPrompt(req.Prompt)
 	for i, text := range req.Generated {
@@ -64,27 +66,30 @@
 	return hash
 }
 
-// export is the content of a KV cache as far as the decode engine needs it.
-type export struct {
+// kvDescriptor describes an exported KV cache. It is all that a decode engine
+// needs to continue the answer.
+type kvDescriptor struct {
 	engineapi.WorkID
 	Model      string      `json:"model"`
 	Adapter    string      `json:"adapter"`
 	PromptHash answer.Hash `json:"prompt_hash"`
-	Generated  int         `json:"generated"`
+	Generated  int         `json:"generated"` // number of generated tokens in the context
 	KVBytes    int64       `json:"kv_bytes"`
 }
 
-func (p *prefill) export() export {
-	return export{
+// descriptor returns the description of the KV cache that p produces.
+func (p *prefill) descriptor() kvDescriptor {
+	return kvDescriptor{
 		WorkID:     p.WorkID,
 		Model:      p.Model,
 		Adapter:    p.Adapter,
-		PromptHash: p.hash,
+		PromptHash: p.promptHash,
 		Generated:  len(p.Generated),
 		KVBytes:    p.kvBytes,
 	}
 }
 
+// held returns the entry of p in the list of held memory.
 func (p *prefill) held(now time.Time) engineapi.Held {
 	kind := engineapi.HeldPrefill
 	if p.state == prefillReady {
@@ -95,23 +100,23 @@
 		Owner:  p.Owner,
 		Kind:   kind,
 		Bytes:  p.kvBytes,
-		AgeMS:  now.Sub(p.since).Milliseconds(),
+		AgeMS:  now.Sub(p.createdAt).Milliseconds(),
 	}
 }
 
-// decodeState says how far a decode is.
+// decodeState is the state of a decode.
 type decodeState int
 
 const (
 	decodeReserved decodeState = iota
 	decodeImporting
 	decodeRunning
-	decodeWaiting // resumed, but no slot is free
+	decodeWaiting // resumed and waiting for a free slot
 	decodePaused
 	decodeFinished
 )
 
-// holdsSlot reports whether a decode in this state takes a slot of the batch.
+// holdsSlot reports whether a decode in this state uses a slot of the batch.
 func (s decodeState) holdsSlot() bool {
 	return s == decodeReserved || s == decodeImporting || s == decodeRunning
 }
@@ -119,51 +124,54 @@
 // decode is one reservation or stream on a decode engine.
 type decode struct {
 	engineapi.DecodeRequest
-	state      decodeState
-	since      time.Time
-	holdUntil  time.Time // of a reservation; zero means for ever
-	finishedAt time.Time
-	kvBytes    int64
-	imported   bool
-	pauseWish  bool // pause asked for while importing
-	inStep     bool // part of the step in progress
-	hash       answer.Hash
-	context    int // tokens generated before this attempt
-	end        int // length of the whole answer
-	tokens     []string
-	finish     string
-	failure    string
-	changed    chan struct{} // closed and replaced at each change
-	gone       chan struct{} // closed when the memory is freed
-	abort      func()        // ends the import; may be nil
+	state          decodeState
+	createdAt      time.Time
+	holdUntil      time.Time // expiry of a reservation; zero means none
+	finishedAt     time.Time
+	kvBytes        int64
+	imported       bool
+	pauseRequested bool // a decode that is importing pauses when the import finishes
+	inCurrentStep  bool // was running at the start of the current decode step
+	promptHash     answer.Hash
+	contextTokens  int // generated tokens that are part of the imported KV cache
+	endIndex       int // index after the last token of the answer
+	tokens         []string
+	finishReason   string
+	failure        string        // why the import failed; empty if it did not
+	changed        chan struct{} // closed and replaced at each change
+	freed          chan struct{} // closed when the memory is freed
+	cancelImport   func()        // nil before the import starts
 }
 
+// newDecode returns a decode in state decodeReserved.
 func newDecode(now time.Time, req engineapi.DecodeRequest) *decode {
 	return &decode{
 		DecodeRequest: req,
-		since:         now,
+		createdAt:     now,
 		changed:       make(chan struct{}),
-		gone:          make(chan struct{}),
+		freed:         make(chan struct{}),
 	}
 }
 
+// notify wakes the readers of the stream.
 func (d *decode) notify() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// generate adds the next token and reports whether the answer is complete.
-func (d *decode) generate() bool {
-	if n := d.next(); n < d.end {
-		at := n - d.FromIndex + d.context
-		d.tokens = append(d.tokens, answer.TokenOf(d.Model, d.Adapter, d.hash, at))
+// generateToken appends the next token and reports whether the answer is complete.
+func (d *decode) generateToken() bool {
+	if n := d.nextIndex(); n < d.endIndex {
+		at := n - d.FromIndex + d.contextTokens
+		d.tokens = append(d.tokens, answer.TokenOf(d.Model, d.Adapter, d.promptHash, at))
 	}
-	return d.next() >= d.end
+	return d.nextIndex() >= d.endIndex
 }
 
-// next returns the index of the next token to generate.
-func (d *decode) next() int { return d.FromIndex + len(d.tokens) }
+// nextIndex returns the index of the next token to generate.
+func (d *decode) nextIndex() int { return d.FromIndex + len(d.tokens) }
 
+// held returns the entry of d in the list of held memory.
 func (d *decode) held(now time.Time) engineapi.Held {
 	kind := engineapi.HeldDecode
 	if d.state == decodeReserved {
@@ -174,15 +182,17 @@
 		Owner:  d.Owner,
 		Kind:   kind,
 		Bytes:  d.kvBytes,
-		AgeMS:  now.Sub(d.since).Milliseconds(),
+		AgeMS:  now.Sub(d.createdAt).Milliseconds(),
 	}
 }
 
-// answerEnd returns the length of the whole answer that d is to give.
-func answerEnd(d *decode, kv export) int {
+// answerLength returns the number of tokens of the whole answer, including those
+// that earlier attempts generated.
+func answerLength(d *decode, kv kvDescriptor) int {
 	return answer.LengthOf(kv.PromptHash, d.MaxTokens)
 }
 
-func finishReason(d *decode) string {
-	return answer.FinishReason(d.end, d.MaxTokens)
+// finishReasonOf returns the finish reason of a decode that is complete.
+func finishReasonOf(d *decode) string {
+	return answer.FinishReason(d.endIndex, d.MaxTokens)
 }
