--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,6 +1,7 @@
-// Package fault holds the faults that a test sets on a stand-in and the control
-// API that sets them: POST and GET /faults, POST /reset and GET /stats. The
-// control listener is for loopback only and has no authentication.
+// Package fault stores the faults that a test injects into a simulated service,
+// and provides the control API that sets them: POST and GET /faults, POST /reset
+// and GET /stats. The control API has no authentication and must listen on
+// loopback only.
 package fault
 
 import (
@@ -12,45 +13,46 @@
 	"github.com/corianderturn/corianderturn/internal/standin/httpjson"
 )
 
-// The paths of the control API that every stand-in has.
+// The paths of the control API that all simulated services have.
 const (
-	PathFaults = "/faults" // POST and GET Faults, the stand-in's own type
-	PathReset  = "/reset"  // POST: no faults, zero statistics
-	PathStats  = "/stats"  // GET -> the stand-in's own statistics
+	PathFaults = "/faults" // POST and GET a Set with the service's type of faults
+	PathReset  = "/reset"  // POST; clears the faults and the statistics
+	PathStats  = "/stats"  // GET -> the service's statistics
 )
 
-// Box holds the current faults of type F. It is safe for concurrent use.
+// Box stores the current faults, of type F, and counts the calls that they affect.
+// It is safe for concurrent use.
 type Box[F any] struct {
 	mu      sync.Mutex
 	faults  F
-	hits    int
-	limit   int
-	changed chan struct{}
+	hits    int           // affected calls since the last Set
+	maxHits int           // the faults are cleared after this many hits; 0 means never
+	changed chan struct{} // closed and replaced at each change of the faults
 }
 
-// NewBox returns a Box without faults.
+// NewBox returns a Box with no faults set.
 func NewBox[F any]() *Box[F] {
 	return &Box[F]{changed: make(chan struct{})}
 }
 
-// Set replaces the faults. When limit is positive the faults are cleared after
-// that many calls were hit.
+// Set replaces the faults. If limit is positive, the faults are cleared after
+// they have affected that many calls.
 func (b *Box[F]) Set(faults F, limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.faults, b.limit, b.hits = faults, limit, 0
+	b.faults, b.maxHits, b.hits = faults, limit, 0
 	b.notify()
 }
 
-// Get returns the faults in force without counting a hit.
+// Get returns the current faults without counting a hit.
 func (b *Box[F]) Get() F {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// Hit reports whether match holds for the faults in force, counts it against
-// the limit, and returns the faults that applied.
+// Hit reports whether the current faults satisfy match. If they do, it returns
+// them and counts a hit against the limit given to Set.
 func (b *Box[F]) Hit(match func(F) bool) (F, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,9 +62,9 @@
 	}
 	faults := b.faults
 	b.hits++
-	if b.limit > 0 && b.hits >= b.limit {
+	if b.maxHits > 0 && b.hits >= b.maxHits {
 		var none F
-		b.faults, b.limit = none, 0
+		b.faults, b.maxHits = none, 0
 		b.notify()
 	}
 	return faults, true
@@ -75,14 +77,15 @@
 	return b.changed
 }
 
+// notify signals a change of the faults; b.mu must be held.
 func (b *Box[F]) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Hooks connect the control API to one stand-in.
+// Hooks are the functions by which the control API reaches a simulated service.
 type Hooks struct {
-	// Stats returns the statistics to show.
+	// Stats returns the statistics for GET /stats.
 	Stats func() any
 	// Reset zeroes the statistics.
 	Reset func()
@@ -93,11 +96,13 @@
 // Set is the body of POST /faults.
 type Set[F any] struct {
 	Faults F `json:"faults"`
-	// Times limits how many calls are hit; 0 means no limit.
+	// Times is the number of affected calls after which the faults are cleared; 0
+	// means that they stay.
 	Times int `json:"times"`
 }
 
-// Router returns the control API of a stand-in, to which it may add routes.
+// Router returns the control API of a simulated service, which may add routes to
+// it.
 func Router[F any](box *Box[F], hooks Hooks) *httprouter.Router {
 	rt := httprouter.New()
 	changed := func() {
