--- a/internal/standin/httpjson/httpjson.go
+++ b/internal/standin/httpjson/httpjson.go
@@ -1,5 +1,5 @@
-// Package httpjson reads and writes the JSON bodies of the stand-ins and breaks
-// their connections on purpose.
+// Package httpjson has the HTTP helpers of the simulated services: they read and
+// write JSON bodies, and stall or abort connections for fault injection.
 package httpjson
 
 import (
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// MaxBody bounds a request body, in bytes.
+// MaxBody is the largest accepted request body, in bytes.
 const MaxBody = 64 << 20
 
-// Read decodes the whole body of r into v. It answers 400 and returns false
-// when the body is malformed. Reading up to the end of the body lets the server
-// notice a caller that goes away later.
+// Read decodes the JSON body of r into v. If the body is invalid or too large, it
+// replies with 400 and returns false. It reads the body to its end, because the
+// HTTP server detects a disconnecting client only after that.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	if err == nil {
@@ -28,14 +28,14 @@
 	return true
 }
 
-// Write answers with v as JSON.
+// Write sends a reply with the given status and v as its JSON body.
 func Write(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Int returns a query parameter as a number, or def when it is absent or malformed.
+// Int returns a query parameter as a number, or def if it is absent or invalid.
 func Int(r *http.Request, name string, def int64) int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
@@ -44,14 +44,14 @@
 	return n
 }
 
-// Cut closes the connection of the current request without an answer, as a
-// crash or a broken link would. It does not return.
+// Cut aborts the connection of the current request, as a crash of the server or a
+// network failure would. It panics with http.ErrAbortHandler.
 func Cut() {
 	panic(http.ErrAbortHandler)
 }
 
-// Stall holds the request until its caller goes away or done is closed, then
-// cuts the connection. It does not return.
+// Stall blocks until the client of r disconnects or done is closed, and then
+// aborts the connection like Cut. It does not return.
 func Stall(r *http.Request, done <-chan struct{}) {
 	select {
 	case <-r.Context().Done():
@@ -60,7 +60,7 @@
 	Cut()
 }
 
-// Sleep waits for d, or less when done is closed first.
+// Sleep waits for d or until done is closed.
 func Sleep(d time.Duration, done <-chan struct{}) {
 	if d <= 0 {
 		return
