--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is a stand-in for the platform's list of live and leaving
-// instances, which lags behind what the control API sets.
+// Package instances simulates the platform's list of live and leaving instances.
+// A change that is set through the control API becomes visible after a delay.
 package instances
 
 import (
@@ -14,20 +14,23 @@
 	"github.com/corianderturn/corianderturn/internal/standin/httpjson"
 )
 
-// Config sets up a list. The kong tags make it the flags of `standin instances`.
+// Config configures an instance list. Package kong derives the flags of
+// `standin instances` from its fields and tags.
 type Config struct {
-	Lag time.Duration `help:"How long a change takes to show." default:"2s"`
+	Lag time.Duration `help:"Delay until a change becomes visible." default:"2s"`
 }
 
-// Faults are the faults that a test can set on a list; the zero value is none.
+// Faults are the faults that a test can set on an instance list. The zero value
+// sets none.
 type Faults struct {
-	// Down answers 503; Cut cuts the connection; Stall never answers.
+	// Down replies with 503. Cut closes the connection without a reply. Stall
+	// never replies.
 	Down  bool `json:"down,omitempty"`
 	Cut   bool `json:"cut,omitempty"`
 	Stall bool `json:"stall,omitempty"`
-	// Freeze keeps the list as it shows now.
+	// Freeze prevents pending changes from becoming visible.
 	Freeze bool `json:"freeze,omitempty"`
-	// DelayMS delays every answer, in milliseconds.
+	// DelayMS delays every reply, in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
 }
 
@@ -37,84 +40,90 @@
 	Changes int `json:"changes"`
 }
 
-// change is a list that shows from a time on.
+// change is a list that becomes visible at a later time.
 type change struct {
-	at   time.Time
-	list []infraapi.Instance
+	visibleAt time.Time
+	list      []infraapi.Instance
 }
 
-// Instances is safe for concurrent use. Close releases stalled calls.
+// Instances is a simulated instance list. It is safe for concurrent use. Close
+// aborts stalled calls.
 type Instances struct {
 	cfg    Config
 	faults *fault.Box[Faults]
 	closed chan struct{}
 
 	mu      sync.Mutex
-	shown   []infraapi.Instance
-	pending []change // in order of their times
+	visible []infraapi.Instance
+	pending []change // in order of visibleAt
 	stats   Stats
 }
 
 // New returns an empty list.
 func New(cfg Config) *Instances {
 	return &Instances{
-		cfg:    cfg,
-		faults: fault.NewBox[Faults](),
-		closed: make(chan struct{}),
-		shown:  []infraapi.Instance{},
+		cfg:     cfg,
+		faults:  fault.NewBox[Faults](),
+		closed:  make(chan struct{}),
+		visible: []infraapi.Instance{},
 	}
 }
 
-// Close cuts the calls that faults hold. Call it once.
+// Close aborts the calls that a fault stalls or delays. It must be called once.
 func (i *Instances) Close() { close(i.closed) }
 
-// Set replaces the list; it shows after the lag.
+// Set replaces the list. The new list becomes visible after Config.Lag.
 func (i *Instances) Set(list []infraapi.Instance) {
-	i.set(time.Now(), list)
+	i.setAt(time.Now(), list)
 }
 
-func (i *Instances) set(now time.Time, list []infraapi.Instance) {
+// setAt is Set at the time now.
+func (i *Instances) setAt(now time.Time, list []infraapi.Instance) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats.Changes++
-	i.pending = append(i.pending, change{at: now.Add(i.cfg.Lag), list: list})
+	i.pending = append(i.pending, change{visibleAt: now.Add(i.cfg.Lag), list: list})
 }
 
-// list returns the list as it shows at now.
-func (i *Instances) list(now time.Time, frozen bool) []infraapi.Instance {
+// visibleList counts a read and returns the list that is visible at now. If frozen
+// is set, pending changes stay invisible.
+func (i *Instances) visibleList(now time.Time, frozen bool) []infraapi.Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats.Reads++
-	for !frozen && len(i.pending) > 0 && !i.pending[0].at.After(now) {
-		i.shown = i.pending[0].list
+	for !frozen && len(i.pending) > 0 && !i.pending[0].visibleAt.After(now) {
+		i.visible = i.pending[0].list
 		i.pending = i.pending[1:]
 	}
-	return i.shown
+	return i.visible
 }
 
-// Handler returns the list interface of package infraapi.
+// Handler returns the handler of the instance list API of package infraapi.
 func (i *Instances) Handler() http.Handler {
 	rt := httprouter.New()
 	rt.HandlerFunc(http.MethodGet, infraapi.PathInstances, i.serveList)
 	return rt
 }
 
+// serveList applies the faults and replies with the visible list.
 func (i *Instances) serveList(w http.ResponseWriter, r *http.Request) {
 	httpjson.Sleep(time.Duration(i.faults.Get().DelayMS)*time.Millisecond, i.closed)
 	switch {
-	case i.hit(func(f Faults) bool { return f.Stall }):
+	case i.hitFault(func(f Faults) bool { return f.Stall }):
 		httpjson.Stall(r, i.closed)
-	case i.hit(func(f Faults) bool { return f.Cut }):
+	case i.hitFault(func(f Faults) bool { return f.Cut }):
 		httpjson.Cut()
-	case i.hit(func(f Faults) bool { return f.Down }):
+	case i.hitFault(func(f Faults) bool { return f.Down }):
 		http.Error(w, "the list is down", http.StatusServiceUnavailable)
 		return
 	}
-	list := i.list(time.Now(), i.faults.Get().Freeze)
+	list := i.visibleList(time.Now(), i.faults.Get().Freeze)
 	httpjson.Write(w, http.StatusOK, infraapi.InstancesReply{Instances: list})
 }
 
-func (i *Instances) hit(match func(Faults) bool) bool {
+// hitFault reports whether the current faults satisfy match. If they do, it counts
+// the call against their limit.
+func (i *Instances) hitFault(match func(Faults) bool) bool {
 	_, ok := i.faults.Hit(match)
 	return ok
 }
@@ -126,17 +135,19 @@
 	return i.stats
 }
 
-// SetFaults replaces the faults; times limits the calls hit, 0 means no limit.
+// SetFaults replaces the faults. They are cleared after they have affected the
+// given number of calls; 0 means that they stay.
 func (i *Instances) SetFaults(f Faults, times int) { i.faults.Set(f, times) }
 
+// reset clears the counters.
 func (i *Instances) reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats = Stats{}
 }
 
-// Control returns the fault control API; beside the common paths it has
-// POST /instances, whose body is a infraapi.InstancesReply.
+// Control returns the fault control API: the paths of package fault and
+// POST /instances, whose body is an infraapi.InstancesReply.
 func (i *Instances) Control() http.Handler {
 	rt := fault.Router(i.faults, fault.Hooks{
 		Stats: func() any { return i.Stats() },
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -14,8 +14,8 @@
 	first := []infraapi.Instance{{Name: "a", State: "live"}}
 	second := []infraapi.Instance{{Name: "a", State: "leaving"}}
 	i := New(Config{Lag: 2 * time.Second})
-	i.set(start, first)
-	i.set(start.Add(time.Second), second)
+	i.setAt(start, first)
+	i.setAt(start.Add(time.Second), second)
 	steps := []struct {
 		after  time.Duration
 		frozen bool
@@ -28,8 +28,8 @@
 		{time.Hour, false, second},
 	}
 	for _, s := range steps {
-		if diff := cmp.Diff(s.want, i.list(start.Add(s.after), s.frozen)); diff != "" {
-			t.Errorf("after %v: %s", s.after, diff)
+		if diff := cmp.Diff(s.want, i.visibleList(start.Add(s.after), s.frozen)); diff != "" {
+			t.Errorf("list after %v (-want +got):\n%s", s.after, diff)
 		}
 	}
 }
