--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -1,6 +1,6 @@
-// Package logsvc is a stand-in for the platform's append-only log, for tests and
-// trials. It keeps its streams in memory, trims them by count and age, and takes
-// a limited number of appends a second.
+// Package logsvc simulates the platform's append-only log for tests and trials. It
+// keeps its streams in memory, trims them by count and age, and limits the rate of
+// appends.
 package logsvc
 
 import (
@@ -19,47 +19,52 @@
 )
 
 const (
-	// DefaultAppendRate is the number of appends a second. Required: several hundred.
+	// DefaultAppendRate is the number of appends accepted per second. The users
+	// state several hundred for their own log.
 	DefaultAppendRate = 500
-	// maxRead and maxWait bound one read.
+	// maxRead is the largest number of records returned by one read.
 	maxRead = 1000
+	// maxWait is the longest time that one read waits for records.
 	maxWait = 30 * time.Second
-	// paramStream is the name of the stream in platformapi's paths.
+	// paramStream is the parameter for the name of the stream in the paths of
+	// package infraapi.
 	paramStream = "stream"
-	// retryAfterSeconds is the time to come back after a refused append.
+	// retryAfterSeconds is the Retry-After header of a refused append.
 	retryAfterSeconds = "1"
 )
 
-// Config sets up a log. The kong tags make it the flags of `standin log`.
+// Config configures a log. Package kong derives the flags of `standin log` from
+// its fields and tags.
 type Config struct {
-	AppendRate  float64       `help:"Appends a second." default:"500"`
-	RetainCount int           `help:"Records kept in a stream; 0 means no limit." default:"0"`
+	AppendRate  float64       `help:"Appends accepted per second." default:"500"`
+	RetainCount int           `help:"Largest number of records kept per stream; 0 means no limit." default:"0"`
 	RetainAge   time.Duration `help:"Age at which a record is dropped; 0 means never." default:"0s"`
 	// Now is the log's clock; nil means time.Now.
 	Now func() time.Time `kong:"-"`
 }
 
-// Faults are the faults that a test can set on a log; the zero value is none.
+// Faults are the faults that a test can set on a log. The zero value sets none.
 type Faults struct {
-	// Stream limits the faults to the streams whose names begin with it.
+	// Stream restricts the faults to the streams whose names have this prefix.
 	Stream string `json:"stream,omitempty"`
-	// Down answers 503; Cut cuts the connection before the call has any effect.
+	// Down replies with 503. Cut closes the connection before the call takes effect.
 	Down bool `json:"down,omitempty"`
 	Cut  bool `json:"cut,omitempty"`
-	// CutReads cuts the connections of reads alone.
+	// CutReads is like Cut, but for reads only.
 	CutReads bool `json:"cut_reads,omitempty"`
-	// DelayMS delays every call before its effect, in milliseconds. An append
-	// takes effect even if its caller has gone away meanwhile.
+	// DelayMS delays every call before it takes effect, in milliseconds. An append
+	// takes effect even if the client has disconnected meanwhile.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// LoseReply lets an append take effect and cuts the connection;
-	// StallReply lets it take effect and never answers.
+	// LoseReply lets an append take effect and closes the connection without a
+	// reply. StallReply lets it take effect and never replies.
 	LoseReply  bool `json:"lose_reply,omitempty"`
 	StallReply bool `json:"stall_reply,omitempty"`
-	// Duplicate records an append twice and answers with the first offset.
+	// Duplicate appends the records twice and replies with the first offset.
 	Duplicate bool `json:"duplicate,omitempty"`
 }
 
-func (f Faults) covers(name string) bool { return strings.HasPrefix(name, f.Stream) }
+// appliesTo reports whether the faults apply to the stream with the given name.
+func (f Faults) appliesTo(name string) bool { return strings.HasPrefix(name, f.Stream) }
 
 // Stats are the log's counters since its start or the last reset.
 type Stats struct {
@@ -67,30 +72,31 @@
 	Records   int           `json:"records"`
 	Bytes     int64         `json:"bytes"`
 	Reads     int           `json:"reads"`
-	Refused   int           `json:"refused"` // over the append rate
+	Refused   int           `json:"refused"` // appends above the append rate
 	PerStream []StreamStats `json:"streams"`
 }
 
-// StreamStats describes one stream.
+// StreamStats are the offsets of one stream.
 type StreamStats struct {
 	Name  string `json:"name"`
-	First uint64 `json:"first"`
-	Next  uint64 `json:"next"`
+	First uint64 `json:"first"` // offset of the oldest record kept
+	Next  uint64 `json:"next"`  // offset of the next record to be appended
 }
 
-// Log is safe for concurrent use. Close releases waiting and stalled calls.
+// Log is a simulated log. It is safe for concurrent use. Close aborts waiting and
+// stalled calls.
 type Log struct {
-	cfg    Config
-	faults *fault.Box[Faults]
-	rate   *rate.Limiter
-	closed chan struct{}
+	cfg     Config
+	faults  *fault.Box[Faults]
+	limiter *rate.Limiter
+	closed  chan struct{}
 
 	mu      sync.Mutex
 	streams map[string]*stream
 	stats   Stats
 }
 
-// New returns an empty log.
+// New returns an empty log. An append rate of 0 or less means the default.
 func New(cfg Config) *Log {
 	if cfg.AppendRate <= 0 {
 		cfg.AppendRate = DefaultAppendRate
@@ -101,16 +107,16 @@
 	return &Log{
 		cfg:     cfg,
 		faults:  fault.NewBox[Faults](),
-		rate:    rate.NewLimiter(rate.Limit(cfg.AppendRate), max(1, int(cfg.AppendRate))),
+		limiter: rate.NewLimiter(rate.Limit(cfg.AppendRate), max(1, int(cfg.AppendRate))),
 		closed:  make(chan struct{}),
 		streams: make(map[string]*stream),
 	}
 }
 
-// Close cuts the calls that wait. Call it once.
+// Close aborts waiting and stalled calls. It must be called once.
 func (l *Log) Close() { close(l.closed) }
 
-// Handler returns the log interface of package infraapi.
+// Handler returns the handler of the log API of package infraapi.
 func (l *Log) Handler() http.Handler {
 	rt := httprouter.New()
 	rt.POST(infraapi.PathAppend, func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
@@ -122,37 +128,40 @@
 	return rt
 }
 
-// outage applies the faults that come before a call, which is a read or an
-// append, has any effect. It reports whether the call was answered.
-func (l *Log) outage(w http.ResponseWriter, name string, read bool) bool {
-	if f := l.faults.Get(); f.covers(name) {
+// applyFaults applies the faults that delay or fail a read or an append before it
+// takes effect. It reports whether it has replied to the call.
+func (l *Log) applyFaults(w http.ResponseWriter, name string, read bool) bool {
+	if f := l.faults.Get(); f.appliesTo(name) {
 		httpjson.Sleep(time.Duration(f.DelayMS)*time.Millisecond, l.closed)
 	}
-	if l.hit(name, func(f Faults) bool { return f.Cut || read && f.CutReads }) {
+	if l.hitFault(name, func(f Faults) bool { return f.Cut || read && f.CutReads }) {
 		httpjson.Cut()
 	}
-	if l.hit(name, func(f Faults) bool { return f.Down }) {
+	if l.hitFault(name, func(f Faults) bool { return f.Down }) {
 		http.Error(w, "the log is down", http.StatusServiceUnavailable)
 		return true
 	}
 	return false
 }
 
-func (l *Log) hit(name string, match func(Faults) bool) bool {
-	_, ok := l.faults.Hit(func(f Faults) bool { return f.covers(name) && match(f) })
+// hitFault reports whether the current faults apply to the stream and satisfy
+// match. If they do, it counts the call against their limit.
+func (l *Log) hitFault(name string, match func(Faults) bool) bool {
+	_, ok := l.faults.Hit(func(f Faults) bool { return f.appliesTo(name) && match(f) })
 	return ok
 }
 
+// serveAppend applies the faults and the rate limit, and appends the records.
 func (l *Log) serveAppend(w http.ResponseWriter, r *http.Request, name string) {
 	var req infraapi.AppendRequest
-	if !httpjson.Read(w, r, &req) || l.outage(w, name, false) {
+	if !httpjson.Read(w, r, &req) || l.applyFaults(w, name, false) {
 		return
 	}
 	if len(req.Records) == 0 {
 		http.Error(w, "an append needs a record", http.StatusBadRequest)
 		return
 	}
-	if !l.rate.Allow() {
+	if !l.limiter.Allow() {
 		l.mu.Lock()
 		l.stats.Refused++
 		l.mu.Unlock()
@@ -161,19 +170,20 @@
 		return
 	}
 	offset := l.Append(name, req.Records...)
-	if l.hit(name, func(f Faults) bool { return f.Duplicate }) {
+	if l.hitFault(name, func(f Faults) bool { return f.Duplicate }) {
 		l.Append(name, req.Records...)
 	}
-	if l.hit(name, func(f Faults) bool { return f.StallReply }) {
+	if l.hitFault(name, func(f Faults) bool { return f.StallReply }) {
 		httpjson.Stall(r, l.closed)
 	}
-	if l.hit(name, func(f Faults) bool { return f.LoseReply }) {
+	if l.hitFault(name, func(f Faults) bool { return f.LoseReply }) {
 		httpjson.Cut()
 	}
 	httpjson.Write(w, http.StatusOK, infraapi.AppendReply{Offset: offset})
 }
 
-// Append adds records directly, past the rate and the faults.
+// Append appends records directly, without the rate limit and the faults. It
+// returns the offset of the first one.
 func (l *Log) Append(name string, records ...[]byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,8 +199,8 @@
 	return offset
 }
 
-// stream returns a stream, which exists as soon as it is named. Call it with
-// the mutex held.
+// stream returns the stream with the given name and creates it if necessary; l.mu
+// must be held.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
@@ -200,9 +210,11 @@
 	return s
 }
 
+// serveRead serves a long-poll read: it replies when records are available, when
+// the wait time is over, or when a fault is set that fails reads.
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request, name string) {
 	changed := l.faults.Changed()
-	if l.outage(w, name, true) {
+	if l.applyFaults(w, name, true) {
 		return
 	}
 	l.mu.Lock()
@@ -229,7 +241,7 @@
 			wait = 0
 		case <-changed:
 			changed = l.faults.Changed()
-			if l.outage(w, name, true) {
+			if l.applyFaults(w, name, true) {
 				return
 			}
 		case <-r.Context().Done():
@@ -240,17 +252,20 @@
 	}
 }
 
+// read trims a stream and reads from it. It also returns whether the offset was
+// trimmed, and a channel that is closed at the next append.
 func (l *Log) read(name string, from uint64, limit int) (infraapi.ReadReply, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
 	s.trim(l.cfg.Now(), l.cfg.RetainCount, l.cfg.RetainAge)
 	reply, trimmed := s.read(from, limit)
-	return reply, trimmed, s.grown
+	return reply, trimmed, s.appended
 }
 
-// Read waits for records from offset from on, past the faults, and returns as
-// the log's client does, without an error for records that were trimmed.
+// Read reads up to limit records from offset from on, without the faults, and
+// waits up to wait for them. It has the signature of the log client's Read, but
+// returns no error if the offset was trimmed.
 func (l *Log) Read(ctx context.Context, name string, from uint64, limit int, wait time.Duration) (infraapi.ReadReply, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -275,12 +290,12 @@
 	defer l.mu.Unlock()
 	out := l.stats
 	for name, s := range l.streams {
-		out.PerStream = append(out.PerStream, StreamStats{Name: name, First: s.first(), Next: s.next})
+		out.PerStream = append(out.PerStream, StreamStats{Name: name, First: s.firstOffset(), Next: s.nextOffset})
 	}
 	return out
 }
 
-// Trim drops all but the newest keep records of a stream.
+// Trim removes all but the newest keep records of a stream.
 func (l *Log) Trim(name string, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -288,33 +303,35 @@
 	s.records = s.records[max(0, len(s.records)-keep):]
 }
 
-// TrimBefore drops the records of a stream before an offset.
+// TrimBefore removes the records of a stream before an offset.
 func (l *Log) TrimBefore(name string, offset uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	if gone := int64(offset) - int64(s.first()); gone > 0 {
+	if gone := int64(offset) - int64(s.firstOffset()); gone > 0 {
 		s.records = s.records[min(int(gone), len(s.records)):]
 	}
 }
 
-// SetFaults replaces the faults; times limits the calls hit, 0 means no limit.
+// SetFaults replaces the faults. They are cleared after they have affected the
+// given number of calls; 0 means that they stay.
 func (l *Log) SetFaults(f Faults, times int) { l.faults.Set(f, times) }
 
+// reset clears the counters.
 func (l *Log) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stats = Stats{}
 }
 
-// TrimRequest is the body of POST /trim: the records before the offset Before of
-// Stream are dropped.
+// TrimRequest is the body of POST /trim. It removes the records of Stream before
+// the offset Before.
 type TrimRequest struct {
 	Stream string `json:"stream"`
 	Before uint64 `json:"before"`
 }
 
-// Control returns the fault control API; beside the common paths it has
+// Control returns the fault control API: the paths of package fault and
 // POST /trim.
 func (l *Log) Control() http.Handler {
 	rt := fault.Router(l.faults, fault.Hooks{
--- a/internal/standin/logsvc/logsvc_test.go
+++ b/internal/standin/logsvc/logsvc_test.go
@@ -19,14 +19,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bound is far above what any wait in these tests takes.
-const bound = 30 * time.Second
+// waitTimeout is much longer than any wait in these tests takes.
+const waitTimeout = 30 * time.Second
 
+// newClient returns a simulated log and a client that is connected to it.
 func newClient(t *testing.T, cfg Config) (*Log, *infra.LogClient) {
 	t.Helper()
 	l := New(cfg)
 	srv := httptest.NewServer(l.Handler())
-	hc := &http.Client{Transport: &http.Transport{}, Timeout: 2 * bound}
+	hc := &http.Client{Transport: &http.Transport{}, Timeout: 2 * waitTimeout}
 	t.Cleanup(func() {
 		l.Close()
 		hc.CloseIdleConnections()
@@ -35,7 +36,8 @@
 	return l, infra.NewLog(srv.URL, hc)
 }
 
-func records(r infraapi.ReadReply) []string {
+// formatRecords returns the records as "offset=data".
+func formatRecords(r infraapi.ReadReply) []string {
 	out := []string{}
 	for _, rec := range r.Records {
 		out = append(out, fmt.Sprintf("%d=%s", rec.Offset, rec.Data))
@@ -71,24 +73,24 @@
 		}
 		s.trim(start.Add(22*time.Second), tc.count, tc.age)
 		reply, trimmed := s.read(tc.from, 10)
-		if diff := cmp.Diff(tc.want, records(reply)); diff != "" || trimmed != tc.trimmed {
-			t.Errorf("%s: trimmed %t: %s", tc.name, trimmed, diff)
+		if diff := cmp.Diff(tc.want, formatRecords(reply)); diff != "" || trimmed != tc.trimmed {
+			t.Errorf("%s: trimmed %t; records (-want +got):\n%s", tc.name, trimmed, diff)
 		}
 		if diff := cmp.Diff([]uint64{0, 2, 3}, offsets); diff != "" || reply.Next != 4 {
-			t.Errorf("%s: offsets %s, next %d", tc.name, diff, reply.Next)
+			t.Errorf("%s: offsets (-want +got):\n%s\nnext offset %d, want 4", tc.name, diff, reply.Next)
 		}
 	}
 }
 
-// Symptom: a writer cannot tell whether its append took effect.
-// Sequence: the append is made under each fault, then the stream is read.
-// Cause: an outage before the effect, a reply lost after it, a record kept twice.
+// Checks the error and the effect of an append under each fault: an outage before
+// the append takes effect, a reply that is lost afterwards, and a duplicated
+// record.
 func TestAppendFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		faults  Faults
 		ok      bool
-		applied bool // NotApplied must not be claimed
+		applied bool // the append may have taken effect, so infra.NotApplied must be false
 		want    []string
 	}{
 		{"none", Faults{}, true, true, []string{"0=x"}},
@@ -104,11 +106,11 @@
 		l.SetFaults(tc.faults, 1)
 		_, err := client.Append(context.Background(), "s", []byte("x"))
 		if (err == nil) != tc.ok || infra.NotApplied(err) == tc.applied {
-			t.Errorf("%s: append: %v", tc.name, err)
+			t.Errorf("%s: append returned %v, which does not match the fault", tc.name, err)
 		}
 		l.SetFaults(Faults{}, 0)
 		reply, err := client.Read(context.Background(), "s", 0, 10, 0)
-		if diff := cmp.Diff(tc.want, records(reply)); diff != "" || err != nil {
+		if diff := cmp.Diff(tc.want, formatRecords(reply)); diff != "" || err != nil {
 			t.Errorf("%s: %v: %s", tc.name, err, diff)
 		}
 	}
@@ -121,7 +123,7 @@
 	}
 	reply, err := client.Read(context.Background(), "s", 1, 10, 0)
 	if !errors.Is(err, infra.ErrTrimmed) || reply.First != 3 || reply.Next != 5 {
-		t.Errorf("read below the first record: %v, %+v", err, reply)
+		t.Errorf("read before the first record returned %v, %+v; want ErrTrimmed, first offset 3 and next 5", err, reply)
 	}
 }
 
@@ -131,7 +133,7 @@
 		t.Fatal(err)
 	}
 	if _, err := client.Append(context.Background(), "s", []byte("x")); !infra.NotApplied(err) {
-		t.Errorf("append over the rate: %v", err)
+		t.Errorf("append above the rate returned %v, want an error that infra.NotApplied accepts", err)
 	}
 }
 
@@ -153,13 +155,13 @@
 		}
 		done := make(chan result, 1)
 		go func() {
-			reply, err := client.Read(context.Background(), "s", 0, 10, bound)
+			reply, err := client.Read(context.Background(), "s", 0, 10, waitTimeout)
 			done <- result{reply, err}
 		}()
 		waittest.Until(t, "the read waits", func() bool { return l.Stats().Reads > 0 })
 		tc.wake(l)
 		got := <-done
-		if diff := cmp.Diff(tc.want, records(got.reply)); diff != "" || (got.err == nil) != tc.ok {
+		if diff := cmp.Diff(tc.want, formatRecords(got.reply)); diff != "" || (got.err == nil) != tc.ok {
 			t.Errorf("%s: %v: %s", tc.name, got.err, diff)
 		}
 	}
--- a/internal/standin/logsvc/stream.go
+++ b/internal/standin/logsvc/stream.go
@@ -6,35 +6,35 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-// stream holds the records of one stream. It reads no clock and is not safe for
+// stream stores the records of one stream. It reads no clock and is not safe for
 // concurrent use.
 type stream struct {
-	next    uint64
-	records []infraapi.Record // consecutive offsets that end at next-1
-	grown   chan struct{}     // closed and replaced at each append
+	nextOffset uint64            // offset of the next record to be appended
+	records    []infraapi.Record // consecutive offsets, the last of which is nextOffset-1
+	appended   chan struct{}     // closed and replaced at each append
 }
 
 func newStream() *stream {
-	return &stream{grown: make(chan struct{})}
+	return &stream{appended: make(chan struct{})}
 }
 
-// append adds records at consecutive offsets and returns the first offset.
+// append appends records at consecutive offsets and returns the first offset.
 func (s *stream) append(now time.Time, records [][]byte) uint64 {
-	first := s.next
+	first := s.nextOffset
 	for _, data := range records {
-		s.records = append(s.records, infraapi.Record{Offset: s.next, Data: data, TimeMS: now.UnixMilli()})
-		s.next++
+		s.records = append(s.records, infraapi.Record{Offset: s.nextOffset, Data: data, TimeMS: now.UnixMilli()})
+		s.nextOffset++
 	}
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return first
 }
 
-// first returns the oldest offset that is kept.
-func (s *stream) first() uint64 { return s.next - uint64(len(s.records)) }
+// firstOffset returns the offset of the oldest record that is kept.
+func (s *stream) firstOffset() uint64 { return s.nextOffset - uint64(len(s.records)) }
 
-// trim drops the records that are beyond the count or older than the age; zero
-// means no limit.
+// trim removes the oldest records until at most count are left, and those older
+// than age. Zero means no limit.
 func (s *stream) trim(now time.Time, count int, age time.Duration) {
 	drop := 0
 	if count > 0 && len(s.records) > count {
@@ -49,17 +49,17 @@
 	s.records = s.records[drop:]
 }
 
-// read returns up to limit records from an offset on; trimmed says that the
-// offset is older than the oldest record kept.
+// read returns up to limit records from an offset on. If the offset is before the
+// oldest record kept, it returns no records and trimmed is true.
 func (s *stream) read(from uint64, limit int) (reply infraapi.ReadReply, trimmed bool) {
-	reply = infraapi.ReadReply{Records: []infraapi.Record{}, First: s.first(), Next: s.next}
-	if from < s.first() {
+	reply = infraapi.ReadReply{Records: []infraapi.Record{}, First: s.firstOffset(), Next: s.nextOffset}
+	if from < s.firstOffset() {
 		return reply, true
 	}
-	if from >= s.next {
+	if from >= s.nextOffset {
 		return reply, false
 	}
-	kept := s.records[from-s.first():]
+	kept := s.records[from-s.firstOffset():]
 	reply.Records = append(reply.Records, kept[:min(limit, len(kept))]...)
 	return reply, false
 }
