--- a/internal/standin/logtest/logtest.go
+++ b/internal/standin/logtest/logtest.go
@@ -1,4 +1,5 @@
-// Package logtest serves the log stand-in to tests in their own process.
+// Package logtest runs the simulated log of package logsvc inside the process of a
+// test.
 package logtest
 
 import (
@@ -10,14 +11,15 @@
 	"github.com/corianderturn/corianderturn/internal/standin/logsvc"
 )
 
-// Service is a log that a test steers, behind its address and its client.
+// Service is a simulated log that a test controls, with its base URL and a client
+// for it.
 type Service struct {
 	*logsvc.Log
 	URL    string
 	Client *infra.LogClient
 }
 
-// Start serves a log until the test ends.
+// Start runs a log on a loopback HTTP server until the test ends.
 func Start(t testing.TB, cfg logsvc.Config) *Service {
 	t.Helper()
 	l := logsvc.New(cfg)
