--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package service is a stand-in for a plain service, for tests and trials. GET
-// and HEAD are look-ups, answered from the path alone; every other method
-// executes. It honours no idempotency key, so that a call that was sent twice
-// is executed twice and shows in its executions.
+// Package service simulates a plain HTTP service for tests and trials. GET and
+// HEAD requests are look-ups, whose answer depends only on the path; a request
+// with any other method is executed and recorded. The service ignores idempotency
+// keys, so a request that is sent twice is recorded as two executions.
 package service
 
 import (
@@ -21,63 +21,73 @@
 )
 
 const (
-	// DefaultSlots bounds the calls in progress.
+	// DefaultSlots is the number of calls that may be in progress.
 	DefaultSlots = 64
-	// MaxExecutions bounds the executions that are listed; all are counted.
+	// MaxExecutions is the number of executions that are listed; all are counted.
 	MaxExecutions = 1 << 17
-	// HeaderLoad is the answer header that reports the load.
+	// HeaderLoad is the response header with the load of the service.
 	HeaderLoad = "X-Load"
-	// HeaderLimit is the answer header that names a rate limit.
+	// HeaderLimit is the response header with the service's rate limit, in requests
+	// per second.
 	HeaderLimit = "X-Rate-Limit"
-	// HeaderKey is the caller's idempotency key, which the service only records.
+	// HeaderKey is the request header with the client's idempotency key, which the
+	// service only records.
 	HeaderKey = "Idempotency-Key"
-	// HeaderRequestID is the request's id, which the service repeats in its answer.
+	// HeaderRequestID is the request header with the id of the request. The service
+	// repeats it in the response.
 	HeaderRequestID = "X-Request-Id"
-	// pathLoad, beside engineapi.PathLoad, is not the service's own.
+	// pathLoad returns the load, as does engineapi.PathLoad. All other paths are
+	// look-ups or executions.
 	pathLoad = "/load"
 )
 
-// Config sets up a service. The kong tags make it the flags of `standin service`.
+// Config configures a service. Package kong derives the flags of
+// `standin service` from its fields and tags.
 type Config struct {
-	Slots int           `help:"Calls that may be in progress." default:"64"`
+	Slots int           `help:"Number of calls that may be in progress." default:"64"`
 	Work  time.Duration `help:"Time that an execution takes." default:"0s"`
 }
 
-// Faults are the faults that a test can set on a service; the zero value is none.
+// Faults are the faults that a test can set on a service. The zero value sets none.
 type Faults struct {
-	// Refuse answers 503 with a Refusal and does nothing.
+	// Refuse replies with 503 and a Refusal and does not execute the call.
 	Refuse bool `json:"refuse,omitempty"`
-	// Leaving does the same and says that the service is going away.
+	// Leaving refuses calls like Refuse and reports that the service is shutting
+	// down.
 	Leaving bool `json:"leaving,omitempty"`
-	// StallBefore holds a call before it has any effect, StallAfter after it.
+	// StallBefore never replies to a call and does not execute it; StallAfter
+	// executes it and then never replies.
 	StallBefore bool `json:"stall_before,omitempty"`
 	StallAfter  bool `json:"stall_after,omitempty"`
-	// CutBefore cuts the connection before the call has any effect, CutAfter after it.
+	// CutBefore closes the connection before the call is executed, CutAfter
+	// afterwards.
 	CutBefore bool `json:"cut_before,omitempty"`
 	CutAfter  bool `json:"cut_after,omitempty"`
-	// Crossed answers under another request's id.
+	// Crossed replies with the id of another request.
 	Crossed bool `json:"crossed,omitempty"`
-	// Fail executes and then answers 500.
+	// Fail executes the call and then replies with 500.
 	Fail bool `json:"fail,omitempty"`
-	// DelayMS delays every answer, in milliseconds.
+	// DelayMS delays the reply to every call that is not refused, in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// Limit is the rate limit that every answer names, in requests a second; 0 is none.
+	// Limit is the rate limit that every reply reports, in requests per second; 0
+	// means that none is reported.
 	Limit float64 `json:"limit,omitempty"`
 }
 
-// Lookup is the answer to a look-up. It depends on the path alone.
+// Lookup is the answer to a look-up. It depends only on the path.
 type Lookup struct {
 	Path  string `json:"path"`
 	Value string `json:"value"`
 }
 
-// Confirmation is the answer to an execution. Its number is unique for each execution.
+// Confirmation is the answer to an execution. Its Confirmation field is unique for
+// each execution.
 type Confirmation struct {
 	Confirmation string `json:"confirmation"`
 	Path         string `json:"path"`
 }
 
-// Execution is one call that took effect.
+// Execution is one call that was executed.
 type Execution struct {
 	Confirmation string `json:"confirmation"`
 	RequestID    string `json:"request_id"`
@@ -87,14 +97,14 @@
 	BodyHash     uint64 `json:"body_hash"`
 }
 
-// Executions lists the calls that took effect, the oldest first. Total counts
-// also those that are no longer listed.
+// Executions lists the calls that were executed, the oldest first. Total also
+// counts those beyond the first MaxExecutions, which are not listed.
 type Executions struct {
 	Total      int         `json:"total"`
 	Executions []Execution `json:"executions"`
 }
 
-// ByKey returns how many of the listed executions carried an idempotency key.
+// ByKey returns the number of listed executions with the given idempotency key.
 func (e Executions) ByKey(key string) int {
 	n := 0
 	for _, x := range e.Executions {
@@ -110,22 +120,23 @@
 	Lookups    int `json:"lookups"`
 	Executions int `json:"executions"`
 	Refusals   int `json:"refusals"`
-	Active     int `json:"active"`
+	Active     int `json:"active"` // calls in progress now
 }
 
-// Service is safe for concurrent use. Close releases stalled calls.
+// Service is a simulated service. It is safe for concurrent use. Close aborts
+// stalled calls.
 type Service struct {
 	cfg         Config
 	faults      *fault.Box[Faults]
 	incarnation uint64
-	leaving     bool // the last load told so
+	lastLeaving bool // Leaving of the last load report
 	closed      chan struct{}
 
-	mu    sync.Mutex
-	stats Stats
-	list  []Execution
-	total int
-	seq   uint64
+	mu              sync.Mutex
+	stats           Stats
+	executions      []Execution
+	totalExecutions int
+	seq             uint64 // sequence number of the last load report
 }
 
 // New returns a service.
@@ -141,11 +152,12 @@
 	}
 }
 
-// Close cuts the calls that faults hold. Call it once.
+// Close aborts the calls that a fault stalls. It must be called once.
 func (s *Service) Close() { close(s.closed) }
 
-// Handler returns the service itself: every path is its own but /load and the
-// engines' path of the same meaning, for pollers that treat all upstreams alike.
+// Handler returns the handler of the service. It serves the load under /load and
+// under engineapi.PathLoad, for pollers that treat services like engines, and
+// look-ups and executions under every other path.
 func (s *Service) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == pathLoad || r.URL.Path == engineapi.PathLoad {
@@ -156,19 +168,20 @@
 	})
 }
 
+// serve serves a look-up or an execution.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, httpjson.MaxBody))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.enter() {
+	if !s.acquireSlot() {
 		s.refuse(w)
 		return
 	}
-	defer s.leave()
-	s.before(r)
-	s.identify(w, r)
+	defer s.releaseSlot()
+	s.applyFaultsBefore(r)
+	s.setRequestID(w, r)
 	faults := s.faults.Get()
 	httpjson.Sleep(time.Duration(faults.DelayMS)*time.Millisecond, s.closed)
 	if r.Method == http.MethodGet || r.Method == http.MethodHead {
@@ -177,17 +190,18 @@
 	}
 	httpjson.Sleep(s.cfg.Work, s.closed)
 	confirmation := s.execute(r, body)
-	s.after(r)
+	s.applyFaultsAfter(r)
 	status := http.StatusOK
-	if s.hit(func(f Faults) bool { return f.Fail }) {
+	if s.hitFault(func(f Faults) bool { return f.Fail }) {
 		status = http.StatusInternalServerError
 	}
-	s.answer(w, status, confirmation)
+	s.writeAnswer(w, status, confirmation)
 }
 
-// enter takes a slot unless the service is full or is to refuse.
-func (s *Service) enter() bool {
-	refuse := s.hit(func(f Faults) bool { return f.Refuse || f.Leaving })
+// acquireSlot takes a slot. It returns false if all slots are in use or a fault
+// refuses the call.
+func (s *Service) acquireSlot() bool {
+	refuse := s.hitFault(func(f Faults) bool { return f.Refuse || f.Leaving })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if refuse || s.stats.Active >= s.cfg.Slots {
@@ -198,65 +212,72 @@
 	return true
 }
 
-// identify repeats the request's id in the answer, so that a caller can check
-// that the answer is its own.
-func (s *Service) identify(w http.ResponseWriter, r *http.Request) {
+// setRequestID copies the request's id to the response, so that a client can check
+// that the response belongs to its request.
+func (s *Service) setRequestID(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderRequestID)
 	if id == "" {
 		return
 	}
-	if s.hit(func(f Faults) bool { return f.Crossed }) {
+	if s.hitFault(func(f Faults) bool { return f.Crossed }) {
 		id = "crossed-" + id
 	}
 	w.Header().Set(HeaderRequestID, id)
 }
 
-func (s *Service) leave() {
+// releaseSlot frees the slot of a call that has ended.
+func (s *Service) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Active--
 }
 
+// refuse replies with 503 and a Refusal.
 func (s *Service) refuse(w http.ResponseWriter) {
 	load := s.Load()
 	body := engineapi.Refusal{Reason: "no capacity", Leaving: load.Leaving, Load: load}
 	if load.Leaving {
 		body.Reason = "leaving"
 	}
-	s.answer(w, http.StatusServiceUnavailable, body)
+	s.writeAnswer(w, http.StatusServiceUnavailable, body)
 }
 
-// before applies the faults that come before a call has any effect.
-func (s *Service) before(r *http.Request) {
-	if s.hit(func(f Faults) bool { return f.StallBefore }) {
+// applyFaultsBefore applies the faults that stall or abort a call before it is
+// executed.
+func (s *Service) applyFaultsBefore(r *http.Request) {
+	if s.hitFault(func(f Faults) bool { return f.StallBefore }) {
 		httpjson.Stall(r, s.closed)
 	}
-	if s.hit(func(f Faults) bool { return f.CutBefore }) {
+	if s.hitFault(func(f Faults) bool { return f.CutBefore }) {
 		httpjson.Cut()
 	}
 }
 
-// after applies the faults that lose the answer of a call that took effect.
-func (s *Service) after(r *http.Request) {
-	if s.hit(func(f Faults) bool { return f.StallAfter }) {
+// applyFaultsAfter applies the faults that withhold the reply to a call that was
+// executed.
+func (s *Service) applyFaultsAfter(r *http.Request) {
+	if s.hitFault(func(f Faults) bool { return f.StallAfter }) {
 		httpjson.Stall(r, s.closed)
 	}
-	if s.hit(func(f Faults) bool { return f.CutAfter }) {
+	if s.hitFault(func(f Faults) bool { return f.CutAfter }) {
 		httpjson.Cut()
 	}
 }
 
-func (s *Service) hit(match func(Faults) bool) bool {
+// hitFault reports whether the current faults satisfy match. If they do, it counts
+// the call against their limit.
+func (s *Service) hitFault(match func(Faults) bool) bool {
 	_, ok := s.faults.Hit(match)
 	return ok
 }
 
+// lookup counts and answers a look-up.
 func (s *Service) lookup(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.stats.Lookups++
 	s.mu.Unlock()
-	s.after(r)
-	s.answer(w, http.StatusOK, LookupOf(r.URL.Path))
+	s.applyFaultsAfter(r)
+	s.writeAnswer(w, http.StatusOK, LookupOf(r.URL.Path))
 }
 
 // LookupOf returns the answer to a look-up of path.
@@ -264,26 +285,28 @@
 	return Lookup{Path: path, Value: fmt.Sprintf("%016x", xxhash.Sum64String(path))}
 }
 
+// execute records an execution and returns its confirmation.
 func (s *Service) execute(r *http.Request, body []byte) Confirmation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.total++
+	s.totalExecutions++
 	s.stats.Executions++
 	x := Execution{
-		Confirmation: fmt.Sprintf("%016x-%d", s.incarnation, s.total),
+		Confirmation: fmt.Sprintf("%016x-%d", s.incarnation, s.totalExecutions),
 		RequestID:    r.Header.Get(HeaderRequestID),
 		Key:          r.Header.Get(HeaderKey),
 		Method:       r.Method,
 		Path:         r.URL.Path,
 		BodyHash:     xxhash.Sum64(body),
 	}
-	if len(s.list) < MaxExecutions {
-		s.list = append(s.list, x)
+	if len(s.executions) < MaxExecutions {
+		s.executions = append(s.executions, x)
 	}
 	return Confirmation{Confirmation: x.Confirmation, Path: x.Path}
 }
 
-func (s *Service) answer(w http.ResponseWriter, status int, v any) {
+// writeAnswer sends v as JSON, with the load and the rate limit in the headers.
+func (s *Service) writeAnswer(w http.ResponseWriter, status int, v any) {
 	l := s.Load()
 	w.Header().Set(HeaderLoad, fmt.Sprintf("active=%d slots=%d leaving=%t incarnation=%d seq=%d",
 		l.Active, l.Slots, l.Leaving, l.Incarnation, l.Seq))
@@ -293,17 +316,17 @@
 	httpjson.Write(w, status, v)
 }
 
-// Load returns the service's load now. A service that told of its leaving and does
-// not leave any more is a new life of it: no service takes its leaving back, and
-// daemons may believe it for as long as the life lasts.
+// Load returns the current load under a new sequence number. When the fault
+// Leaving is removed, a new incarnation begins: Leaving is final within an
+// incarnation, and daemons may rely on it until the incarnation changes.
 func (s *Service) Load() engineapi.Load {
 	leaving := s.faults.Get().Leaving
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving && !leaving {
+	if s.lastLeaving && !leaving {
 		s.incarnation, s.seq = rand.Uint64(), 0
 	}
-	s.leaving = leaving
+	s.lastLeaving = leaving
 	s.seq++
 	return engineapi.Load{
 		Incarnation: s.incarnation,
@@ -314,11 +337,11 @@
 	}
 }
 
-// Executions returns the calls that took effect.
+// Executions returns the calls that were executed since the start or the last reset.
 func (s *Service) Executions() Executions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Executions{Total: s.total, Executions: append([]Execution{}, s.list...)}
+	return Executions{Total: s.totalExecutions, Executions: append([]Execution{}, s.executions...)}
 }
 
 // Stats returns the counters.
@@ -328,17 +351,19 @@
 	return s.stats
 }
 
-// SetFaults replaces the faults; times limits the calls hit, 0 means no limit.
+// SetFaults replaces the faults. They are cleared after they have affected the
+// given number of calls; 0 means that they stay.
 func (s *Service) SetFaults(f Faults, times int) { s.faults.Set(f, times) }
 
+// reset clears the executions and the counters, except that of the calls in progress.
 func (s *Service) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats = Stats{Active: s.stats.Active}
-	s.list, s.total = nil, 0
+	s.executions, s.totalExecutions = nil, 0
 }
 
-// Control returns the fault control API; beside the common paths it has
+// Control returns the fault control API: the paths of package fault and
 // GET /executions.
 func (s *Service) Control() http.Handler {
 	rt := fault.Router(s.faults, fault.Hooks{
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -16,7 +16,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func call(t *testing.T, url, method, path, key string) (*http.Response, error) {
+// sendRequest sends a request with an idempotency key and a request id derived from
+// it.
+func sendRequest(t *testing.T, url, method, path, key string) (*http.Response, error) {
 	t.Helper()
 	req, err := http.NewRequest(method, url+path, strings.NewReader("{}"))
 	if err != nil {
@@ -24,14 +26,13 @@
 	}
 	req.Header.Set(HeaderKey, key)
 	req.Header.Set(HeaderRequestID, "id-"+key)
-	// Without a GetBody net/http cannot send the call again by itself.
+	// Without GetBody, net/http cannot retry the request by itself.
 	req.GetBody = nil
 	return http.DefaultClient.Do(req)
 }
 
-// Symptom: a confirmation is missing although the order was taken, or two exist.
-// Sequence: a call is made under each fault, then the executions are counted.
-// Cause: whether the fault came before or after the execution.
+// Checks how often a call is executed under each fault. A fault before the
+// execution must prevent it; a fault after it only withholds the confirmation.
 func TestExecutionsUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -53,7 +54,7 @@
 		s := New(Config{})
 		srv := httptest.NewServer(s.Handler())
 		s.SetFaults(tc.faults, 1)
-		resp, err := call(t, srv.URL, tc.method, "/orders/7", "k")
+		resp, err := sendRequest(t, srv.URL, tc.method, "/orders/7", "k")
 		status := 0
 		if err == nil {
 			status = resp.StatusCode
@@ -76,7 +77,7 @@
 	defer http.DefaultClient.CloseIdleConnections()
 	numbers := map[string]bool{}
 	for range 2 {
-		resp, err := call(t, srv.URL, http.MethodPost, "/orders", "k")
+		resp, err := sendRequest(t, srv.URL, http.MethodPost, "/orders", "k")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,9 +96,8 @@
 	}
 }
 
-// Symptom: a caller waits for ever, and nobody knows whether its order was taken.
-// Sequence: a call stalls before or after it executes; the service then closes.
-// Cause: an answer that never comes says nothing about the execution.
+// Checks the faults that stall a call before or after its execution: the client
+// gets no reply until the service is closed, and only StallAfter executes the call.
 func TestStalls(t *testing.T) {
 	for runs, faults := range []Faults{{StallBefore: true}, {StallAfter: true}} {
 		s := New(Config{})
@@ -105,17 +105,17 @@
 		s.SetFaults(faults, 1)
 		done := make(chan error, 1)
 		go func() {
-			resp, err := call(t, srv.URL, http.MethodPost, "/orders", "k")
+			resp, err := sendRequest(t, srv.URL, http.MethodPost, "/orders", "k")
 			if err == nil {
 				resp.Body.Close()
 			}
 			done <- err
 		}()
-		// The fault is gone once the call has reached it.
+		// The fault is limited to one call, so it is cleared when the call reaches it.
 		waittest.Until(t, "the call reaches the fault", func() bool { return s.faults.Get() == (Faults{}) })
 		select {
 		case err := <-done:
-			t.Errorf("%+v: answered with %v", faults, err)
+			t.Errorf("%+v: call ended with %v before the service was closed", faults, err)
 		default:
 		}
 		got := s.Executions().Total
@@ -146,26 +146,26 @@
 	}
 }
 
-// Symptom: a daemon sends nothing to services that work, for as long as it lives.
-// Sequence: services refuse calls as leaving; one daemon hears it and tells the others;
-// the fault is taken away.
-// Cause: a stand-in that took its leaving back within one life, which no daemon believes.
+// Guards against services that get no requests although they accept them again. A
+// daemon that learns that a service is leaving, from the service or from another
+// daemon, sends it no requests until the service begins a new incarnation. So the
+// simulated service must begin one when the fault Leaving is removed.
 func TestLeavingEndsWithALife(t *testing.T) {
 	s := New(Config{Slots: 7})
 	defer s.Close()
 	first := s.Load()
 	s.SetFaults(Faults{Leaving: true}, 0)
 	if l := s.Load(); !l.Leaving || l.Incarnation != first.Incarnation {
-		t.Errorf("leaving: %+v, before %+v", l, first)
+		t.Errorf("load with the fault set: %+v, before: %+v", l, first)
 	}
 	s.SetFaults(Faults{}, 0)
 	if l := s.Load(); l.Leaving || l.Incarnation == first.Incarnation {
-		t.Errorf("back: %+v, before %+v", l, first)
+		t.Errorf("load after the fault was removed: %+v, first: %+v", l, first)
 	}
 }
 
 func TestLookupsDependOnThePathAlone(t *testing.T) {
 	if diff := cmp.Diff(LookupOf("/a"), LookupOf("/a")); diff != "" || LookupOf("/a").Value == LookupOf("/b").Value {
-		t.Error("look-ups of one path differ or of two paths agree", diff)
+		t.Error("look-ups of one path differ, or look-ups of two paths are equal", diff)
 	}
 }
