--- a/internal/standin/site/account.go
+++ b/internal/standin/site/account.go
@@ -6,124 +6,137 @@
 	"time"
 )
 
-// Run is one request that an upstream began to work on.
+// Run is one request that an upstream began to execute.
 type Run struct {
-	Upstream string
+	Upstream string // name of the upstream
 	Body     string
-	// From is the id of the last event that the caller had.
+	// From is the Last-Event-Id of the request: the last event that the client
+	// had received before.
 	From string
-	// Team is the name that the request bore, and At when it ran.
+	// Team is the name of the team in the request's header.
 	Team string
-	At   time.Time
+	// At is when the execution began.
+	At time.Time
 }
 
-// Repeat is an arrival at a service beyond the first of its request.
+// Repeat is an arrival of a request that had arrived at an upstream before.
 type Repeat struct {
 	At      time.Time
 	Service string
 }
 
-// Account tells what ran and what arrived, by request id. It is safe for concurrent use.
+// Account records which requests arrived at the upstreams and which were executed.
+// It is safe for concurrent use.
 type Account struct {
 	site *Site
 	mu   sync.Mutex
 	runs map[string][]Run
-	// seen says which requests arrived, and prompts of which a prompt was accepted.
-	seen, prompts map[string]bool
-	repeats       []Repeat
-	// reaches and ends are by the body of a request.
-	reaches, ends map[string][]time.Time
-	// keyed are the requests, prompts among them, with which a key came.
-	keyed []string
+	// arrived has the ids of the requests that arrived, and prompts the ids of those
+	// with a prefill that was accepted.
+	arrived, prompts map[string]bool
+	repeats          []Repeat
+	// reachTimes has the times at which requests reached an upstream that did not
+	// reject them, and endTimes those at which requests crashed an upstream, both by
+	// the body of the request.
+	reachTimes, endTimes map[string][]time.Time
+	// idsWithKey has the ids of the requests and prefills that reached an upstream
+	// with a client's API key.
+	idsWithKey []string
 }
 
 func newAccount(s *Site) *Account {
-	return &Account{site: s, runs: map[string][]Run{}, seen: map[string]bool{}, prompts: map[string]bool{}, reaches: map[string][]time.Time{}, ends: map[string][]time.Time{}}
+	return &Account{site: s, runs: map[string][]Run{}, arrived: map[string]bool{}, prompts: map[string]bool{}, reachTimes: map[string][]time.Time{}, endTimes: map[string][]time.Time{}}
 }
 
-func (a *Account) ran(id string, run Run) {
+// recordRun records that an upstream begins to execute a request.
+func (a *Account) recordRun(id string, run Run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	run.At = time.Now()
 	a.runs[id] = append(a.runs[id], run)
 }
 
-// gotKey notes that a caller's key reached an upstream.
-func (a *Account) gotKey(id string) {
+// recordKey records that a request reached an upstream with a client's API key.
+func (a *Account) recordKey(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.keyed = append(a.keyed, id)
+	a.idsWithKey = append(a.idsWithKey, id)
 }
 
-// Keyed returns the requests with which a caller's key reached an upstream.
+// Keyed returns the ids of the requests and prefills that reached an upstream with a
+// client's API key, which daemons are to remove.
 func (a *Account) Keyed() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.keyed)
+	return slices.Clone(a.idsWithKey)
 }
 
-// reached notes that a request reached an upstream that did not reject it.
-func (a *Account) reached(body string) {
+// recordReach records that a request or a prefill with this body reached an upstream
+// that did not reject it.
+func (a *Account) recordReach(body string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.reaches[body] = append(a.reaches[body], time.Now())
+	a.reachTimes[body] = append(a.reachTimes[body], time.Now())
 }
 
-// ended notes that an upstream ended under a request.
-func (a *Account) ended(body string) {
+// recordEnd records that a request with this body crashed an upstream.
+func (a *Account) recordEnd(body string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ends[body] = append(a.ends[body], time.Now())
+	a.endTimes[body] = append(a.endTimes[body], time.Now())
 }
 
-// Ends returns when upstreams ended under requests with a body, and Reaches when such
-// requests reached upstreams, prompts too.
+// Ends returns the times at which requests with this body crashed an upstream.
 func (a *Account) Ends(body string) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.ends[body])
+	return slices.Clone(a.endTimes[body])
 }
 
-// Reaches returns when requests with a body reached upstreams; see Ends.
+// Reaches returns the times at which requests and prefills with this body reached an
+// upstream that did not reject them.
 func (a *Account) Reaches(body string) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.reaches[body])
+	return slices.Clone(a.reachTimes[body])
 }
 
-// arrived counts an arrival, also of a request that is rejected.
-func (a *Account) arrived(id, service string) {
+// recordArrival records the arrival of a request, whether or not it is rejected.
+func (a *Account) recordArrival(id, service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.count(id, service)
+	a.countArrival(id, service)
 }
 
-// read counts a prompt that an engine accepts; the first of a request is no arrival.
-func (a *Account) read(id, service string) {
+// recordPrompt records a prefill that an engine accepts. The first prefill of a
+// request does not count as an arrival, but each further one does.
+func (a *Account) recordPrompt(id, service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.prompts[id] {
-		a.count(id, service)
+		a.countArrival(id, service)
 	}
 	a.prompts[id] = true
 }
 
-// count notes an arrival; a.mu is held.
-func (a *Account) count(id, service string) {
-	if a.seen[id] {
+// countArrival records an arrival, as a repeat unless it is the first of the
+// request; a.mu must be held.
+func (a *Account) countArrival(id, service string) {
+	if a.arrived[id] {
 		a.repeats = append(a.repeats, Repeat{At: time.Now(), Service: service})
 	}
-	a.seen[id] = true
+	a.arrived[id] = true
 }
 
-// Runs returns the runs of a request.
+// Runs returns the executions of a request, in the order in which they began.
 func (a *Account) Runs(id string) []Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.runs[id])
 }
 
-// Repeats returns the arrivals beyond the first of each request, in their order.
+// Repeats returns all arrivals except the first one of each request, in order of
+// time.
 func (a *Account) Repeats() []Repeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/site/fatal_test.go
+++ b/internal/standin/site/fatal_test.go
@@ -7,10 +7,9 @@
 	"github.com/corianderturn/corianderturn/internal/waittest"
 )
 
-// Symptom: a soak ends with a panic, as the upstream that is to be replaced is not there.
-// Sequence: two requests that end upstreams run on one upstream, and come to the point at which
-// they end it one right after the other.
-// Cause: an upstream that had ended already was said to end once more.
+// Guards against a second report of the same crash, which makes a soak test panic
+// because the upstream that it is to replace no longer exists. It happens if two
+// requests that crash their upstream run on one upstream at the same time.
 func TestUpstreamEndsOnce(t *testing.T) {
 	s, err := New()
 	if err != nil {
@@ -26,13 +25,13 @@
 		s.SetFatal(body, func(u *Upstream) { ended <- u })
 	}
 	for _, body := range []string{"a", "b"} {
-		if !s.end(u, body) || len(s.Account.Ends(body)) != 1 {
-			t.Errorf("%s does not end it", body)
+		if !s.crashIfFatal(u, body) || len(s.Account.Ends(body)) != 1 {
+			t.Errorf("body %q did not crash the upstream once", body)
 		}
 	}
-	waittest.Receive(t, "it is said to have ended", ended)
-	s.Close() // waits for what is told
+	waittest.Receive(t, "the crash is reported", ended)
+	s.Close() // waits for the calls of the crash function
 	if len(ended) > 0 {
-		t.Error("it is said to have ended twice")
+		t.Error("the crash was reported twice")
 	}
 }
--- a/internal/standin/site/limit.go
+++ b/internal/standin/site/limit.go
@@ -8,70 +8,74 @@
 	"time"
 )
 
-// The rule by which users judge what an upstream that names a limit gets: in any LimitWindow,
-// limitExcess times what the limit allows and limitSlack requests besides, from LimitContact
-// after it first named it.
+// The users' acceptance rule for the rate limits of upstreams: from LimitContact after
+// an upstream first reports a limit, it may get in any LimitWindow at most
+// limitTolerance times the requests that the limit allows, plus limitBurst.
 const (
-	LimitWindow  = 4 * time.Second
-	LimitContact = 3 * time.Second
-	limitExcess  = 1.5
-	limitSlack   = 5.0
+	LimitWindow    = 4 * time.Second
+	LimitContact   = 3 * time.Second
+	limitTolerance = 1.5
+	limitBurst     = 5.0 // requests
 )
 
-// rateLimit is what an upstream says of its limit, and what reached it. It is safe for
-// concurrent use.
+// rateLimit is the rate limit that an upstream reports, and the requests that have
+// reached the upstream. It is safe for concurrent use.
 type rateLimit struct {
-	mu   sync.Mutex
-	text string // empty for none
-	// arrivals are those of requests and prompts, whatever became of them.
+	mu          sync.Mutex
+	headerValue string // value of the Server-Limit header; empty if no limit is reported
+	// arrivals has all requests and prefills that arrived, including rejected ones.
 	arrivals []Arrival
 }
 
-// NameLimit makes the upstream name a limit in all its answers from now on, in requests a
-// second.
+// NameLimit makes the upstream report a limit in all its responses from now on, in
+// requests per second.
 func (u *Upstream) NameLimit(perSecond float64) {
 	u.NameLimitAs(strconv.FormatFloat(perSecond, 'g', -1, 64))
 }
 
-// NameLimitAs is NameLimit with any text; an empty one ends the limit.
+// NameLimitAs is like NameLimit, but with any text as the value of the header, valid
+// or not. An empty text ends the limit.
 func (u *Upstream) NameLimitAs(text string) {
 	u.limit.mu.Lock()
 	defer u.limit.mu.Unlock()
-	u.limit.text = text
+	u.limit.headerValue = text
 }
 
-// arrived counts a request and lets its answer name the limit.
-func (l *rateLimit) arrived(w http.ResponseWriter, r *http.Request) {
+// recordArrival records the arrival of a request or a prefill, and adds the limit to
+// the headers of every response.
+func (l *rateLimit) recordArrival(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.text != "" {
-		w.Header().Set("Server-Limit", l.text)
+	if l.headerValue != "" {
+		w.Header().Set("Server-Limit", l.headerValue)
 	}
 	if r.Header.Get("Attempt-Id") != "" {
 		l.arrivals = append(l.arrivals, Arrival{ID: r.Header.Get("Attempt-Id"), At: time.Now()})
 	}
 }
 
-// Arrival is a request that reached an upstream, or its prompt.
+// Arrival is the arrival of a request or of its prefill at an upstream.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// LimitAllows returns how many requests a limit allows in any LimitWindow.
+// LimitAllows returns the largest number of requests in any LimitWindow that the
+// acceptance rule allows for a limit.
 func LimitAllows(perSecond float64) float64 {
-	return limitExcess*perSecond*LimitWindow.Seconds() + limitSlack
+	return limitTolerance*perSecond*LimitWindow.Seconds() + limitBurst
 }
 
-// Requests returns the requests and prompts that reached the upstream, in their order.
+// Requests returns the requests and prefills that reached the upstream, in order of
+// time.
 func (u *Upstream) Requests() []Arrival {
 	u.limit.mu.Lock()
 	defer u.limit.mu.Unlock()
 	return slices.Clone(u.limit.arrivals)
 }
 
-// Overrun returns the most requests of any LimitWindow that begins after a time, and how many
-// a limit allows in one.
+// Overrun returns the largest number of requests in any LimitWindow that begins no
+// earlier than after, and the number that LimitAllows returns for the limit.
 func (u *Upstream) Overrun(after time.Time, perSecond float64) (most int, allowed float64) {
 	list := u.Requests()
 	allowed = LimitAllows(perSecond)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -10,86 +10,89 @@
 	"github.com/pkg/errors"
 )
 
-// The names in the configuration of a site.
+// The host, path prefixes and services in the configuration that Configure writes.
 const (
 	Host        = "a.example"
-	PathDraft   = "/draft/"  // stream; resumable
-	PathOnce    = "/letter/" // stream; may run once
-	PathOrder   = "/order/"  // may run once
+	PathDraft   = "/draft/"  // resumable stream
+	PathOnce    = "/letter/" // stream that must be executed at most once
+	PathOrder   = "/order/"  // non-idempotent; must be executed at most once
 	PathLookUp  = "/slot/"   // idempotent
 	EngineSet   = "llm"
 	PlainSet    = "app"
 	engineSlots = 8
 )
 
-// Site is a store and upstreams on loopback. Close ends it.
+// Site runs a store and upstreams on loopback. Close stops them.
 type Site struct {
 	Store   *Store
 	Account *Account
 
 	mu        sync.Mutex
 	upstreams map[string]*Upstream
-	// fatal are the bodies of requests that end each upstream that runs them, and onEnd is
-	// told of an upstream that ended.
-	fatal     map[string]bool
-	onEnd     func(u *Upstream)
-	teams     []any // of the next version
-	servers   []*http.Server
-	closed    bool
-	storeAddr string
-	wg        sync.WaitGroup
+	// fatalBodies has the bodies of the requests that crash an upstream. onCrash is
+	// called for each upstream that has crashed.
+	fatalBodies map[string]bool
+	onCrash     func(u *Upstream)
+	teams       []any // teams of the next version of the configuration
+	servers     []*http.Server
+	closed      bool
+	storeAddr   string
+	wg          sync.WaitGroup
 }
 
-// ErrClosed says that a site was closed before an upstream was added.
+// ErrClosed is returned by Add on a closed site.
 var ErrClosed = errors.New("the site is closed")
 
-// New starts a site with a store and no upstream.
+// New starts a site with a store and no upstreams.
 func New() (*Site, error) {
-	s := &Site{Store: NewStore(), upstreams: map[string]*Upstream{}, fatal: map[string]bool{}}
+	s := &Site{Store: NewStore(), upstreams: map[string]*Upstream{}, fatalBodies: map[string]bool{}}
 	s.Account = newAccount(s)
 	var err error
 	_, s.storeAddr, err = s.listen(s.Store)
 	return s, err
 }
 
-// SetFatal makes requests with a body end each upstream that runs them, as the process of
-// a replica that crashes: its port is closed, and its connections without an answer. onEnd
-// is told of each on a goroutine of its own; it may start others in its place.
-func (s *Site) SetFatal(body string, onEnd func(u *Upstream)) {
+// SetFatal makes requests with this body crash each upstream that executes them: the
+// upstream closes its port, and its connections without a response. onCrash replaces
+// the function given before; it is called once per crashed upstream, on its own
+// goroutine, and may add a replacement.
+func (s *Site) SetFatal(body string, onCrash func(u *Upstream)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fatal[body], s.onEnd = true, onEnd
+	s.fatalBodies[body], s.onCrash = true, onCrash
 }
 
-// end ends an upstream if a request is fatal to it. Two that run there together both do;
-// it is told once.
-func (s *Site) end(u *Upstream, body string) bool {
+// crashIfFatal crashes an upstream if the body of a request is fatal, and reports
+// whether it is. If several such requests run on one upstream, the crash is recorded
+// for each of them, but onCrash is called once.
+func (s *Site) crashIfFatal(u *Upstream, body string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.fatal[body] {
+	if !s.fatalBodies[body] {
 		return false
 	}
-	s.Account.ended(body)
-	if u.gone {
+	s.Account.recordEnd(body)
+	if u.crashed {
 		return true
 	}
-	u.gone = true
+	u.crashed = true
 	if err := u.server.Close(); err != nil {
-		panic(err) // a mistake of this file
+		panic(err) // a bug in this package
 	}
-	if onEnd := s.onEnd; onEnd != nil && !s.closed {
+	if onCrash := s.onCrash; onCrash != nil && !s.closed {
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			onEnd(u)
+			onCrash(u)
 		}()
 	}
 	return true
 }
 
-// StoreAddress returns where the store listens.
+// StoreAddress returns the address at which the store listens.
 func (s *Site) StoreAddress() string { return s.storeAddr }
 
+// listen serves h on a free loopback port until Close.
 func (s *Site) listen(h http.Handler) (*http.Server, string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,24 +103,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		_ = ln.Close() // nobody has it
+		_ = ln.Close() // its address was not returned to anyone
 		return nil, "", ErrClosed
 	}
 	s.servers = append(s.servers, server)
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
-		_ = server.Serve(ln) // it ends with Close
+		_ = server.Serve(ln) // returns after server.Close
 	}()
 	return server, ln.Addr().String(), nil
 }
 
-// Add starts an upstream and registers it. Role is "prefill" or "decode" for an
-// engine and empty for a plain service.
+// Add starts an upstream and registers it. The role is "prefill" or "decode" for an
+// engine and empty for a plain service. A stream has the given number of events,
+// with pause between them; with 0 events the upstream sends a single response.
 func (s *Site) Add(name, zone, role string, events int, pause time.Duration) (*Upstream, error) {
 	u := &Upstream{
 		Name: name, Service: PlainSet, Zone: zone, Events: events, Pause: pause,
-		account: s.Account, role: role, holds: map[string]time.Time{}, handles: map[string]time.Time{},
+		account: s.Account, role: role, reservations: map[string]time.Time{}, kvHandles: map[string]time.Time{},
 	}
 	if role != "" {
 		u.Service = EngineSet
@@ -134,24 +138,26 @@
 	return u, nil
 }
 
-// AddAnother starts an upstream like one that ended, under a new name.
+// AddAnother withdraws the registration of a crashed upstream and starts one with
+// the same settings under a new name.
 func (s *Site) AddAnother(u *Upstream, name string) (*Upstream, error) {
 	s.Withdraw(u.Name)
 	return s.Add(name, u.Zone, u.Role(), u.Events, u.Pause)
 }
 
-// Register writes an upstream's registration.
+// Register writes an upstream's registration, with the given state, to the store.
 func (s *Site) Register(u *Upstream, state string) {
 	s.Store.Put(TopicUpstreams, u.Name, map[string]any{
-		"service": u.Service, "address": u.registered(), "zone": u.Zone, "version": "v1", "slots": engineSlots, "state": state, "cold_left_ms": 0, "stage": u.Role(), "seq_no": 1,
+		"service": u.Service, "address": u.registeredAddress(), "zone": u.Zone, "version": "v1", "slots": engineSlots, "state": state, "cold_left_ms": 0, "stage": u.Role(), "seq_no": 1,
 	})
 }
 
-// Withdraw takes an upstream's registration back; it goes on serving.
+// Withdraw removes an upstream's registration from the store. The upstream still
+// serves requests.
 func (s *Site) Withdraw(name string) { s.Store.Put(TopicUpstreams, name, nil) }
 
-// Configure writes a version of the configuration. Extra routes are idempotent ones
-// to the plain services, by their prefix.
+// Configure writes a version of the configuration to the store. Each extra prefix
+// adds an idempotent route to the plain services.
 func (s *Site) Configure(version int, extra ...string) {
 	route := func(name, prefix, kind, service string, timeout, target int) map[string]any {
 		return map[string]any{
@@ -188,21 +194,22 @@
 	})
 }
 
-// take frees the result of a prefill that a decode engine has fetched.
-func (s *Site) take(source string) {
+// releaseHandle frees a prefill result that a decode engine has fetched. The source
+// has the form address/handle.
+func (s *Site) releaseHandle(source string) {
 	addr, handle, _ := strings.Cut(source, "/")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
-		if u.address == addr || u.registered() == addr {
+		if u.address == addr || u.registeredAddress() == addr {
 			u.mu.Lock()
-			delete(u.handles, handle)
+			delete(u.kvHandles, handle)
 			u.mu.Unlock()
 		}
 	}
 }
 
-// Close ends the site.
+// Close stops the store and the upstreams, and waits for calls of onCrash.
 func (s *Site) Close() {
 	s.mu.Lock()
 	servers := s.servers
@@ -214,15 +221,15 @@
 	s.wg.Wait()
 }
 
-// Lives says whether an upstream has not ended.
+// Lives reports whether the upstream with this name exists and has not crashed.
 func (s *Site) Lives(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.upstreams[name]
-	return u != nil && !u.gone
+	return u != nil && !u.crashed
 }
 
-// Upstream returns an upstream by its name; nil when there is none.
+// Upstream returns the upstream with this name, or nil if there is none.
 func (s *Site) Upstream(name string) *Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -1,7 +1,8 @@
-// Package site is a stand-in for the users' platform, for tests and trials: its
-// store, model engines and plain services on loopback, speaking its published
-// protocol, with faults that a test switches on and off. It keeps account of what
-// ran, by the id of each request, and judges nothing.
+// Package site simulates the users' platform for tests and trials: its store, model
+// engines and plain services on loopback, which use the platform's published
+// protocol and have faults that a test can set. The package records which requests
+// arrived and which were executed, by request id; checking the records is up to the
+// test.
 package site
 
 import (
@@ -16,31 +17,36 @@
 	"time"
 )
 
-// The feeds of the store.
+// TopicConfig has the versions of the configuration and TopicUpstreams the
+// registrations of the upstreams. In topics whose name begins with "keyed.", every
+// record has a key.
 const (
 	TopicConfig    = "keyed.op"
 	TopicUpstreams = "keyed.servers"
 )
 
-// Store is the platform's log, as far as daemons use it.
+// Store implements the part of the platform's log that daemons use.
 type Store struct {
 	mu      sync.Mutex
 	topics  map[string]*topic
-	changed chan struct{} // closed and replaced by each append
+	changed chan struct{} // closed and replaced at each append
 	down    bool
-	// owner holds the one part that is dealt out, heard is when it last joined.
-	owner      string
-	heard      time.Time
-	generation uint64
-	calls      int
+	// partOwner is the member of the consumer group that is assigned the group's only
+	// part, and ownerSeenAt is the time of its last join.
+	partOwner   string
+	ownerSeenAt time.Time
+	generation  uint64 // of the group; grows when the part's owner changes or leaves
+	calls       int
 }
 
+// topic is one topic of the store. The offset of a record is its index in records.
 type topic struct {
-	records []rec
-	first   int // offset of the first record that is kept
+	records []storeRecord
+	first   int // offset of the oldest record that can be read
 }
 
-type rec struct {
+// storeRecord is one record of a topic.
+type storeRecord struct {
 	key   string
 	value []byte
 }
@@ -56,25 +62,26 @@
 	if value != nil {
 		var err error
 		if raw, err = json.Marshal(value); err != nil {
-			panic(err) // a mistake of the test
+			panic(err) // a bug in the test
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topics[name]
-	t.records = append(t.records, rec{key, raw})
+	t.records = append(t.records, storeRecord{key, raw})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetDown makes the store refuse every call.
+// SetDown sets whether the store replies to every call with 503.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// DropHistory deletes all records but the newest of each key.
+// DropHistory deletes all records for reads by offset. The newest record of each key
+// can still be read by log-newest.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +90,7 @@
 	}
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made to the store, including failed ones.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,11 +123,12 @@
 	}
 }
 
-// append takes the records of daemons; a topic is made by its first use.
+// append serves log-append: it appends records of daemons to a topic, which is
+// created at its first use. Each record is preceded by its length.
 func (s *Store) append(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the daemon broke off
+		return // the daemon closed the connection
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +140,7 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		t.records = append(t.records, rec{value: body[lengthBytes:n]})
+		t.records = append(t.records, storeRecord{value: body[lengthBytes:n]})
 		body = body[n:]
 	}
 	close(s.changed)
@@ -140,7 +148,8 @@
 	writeJSON(w, map[string]any{"offset": first, "end_offset": len(t.records)})
 }
 
-// topic returns a topic; s.mu is held.
+// topic returns the topic with this name and creates it if necessary; s.mu must be
+// held.
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
@@ -150,13 +159,15 @@
 	return t
 }
 
-// newestItem is the newest record of a key.
+// newestItem is the newest record of a key, in a reply to log-newest.
 type newestItem struct {
 	Key    string `json:"key"`
 	Value  []byte `json:"value"`
 	Offset int    `json:"offset"`
 }
 
+// newest serves log-newest: the newest record of each key of a topic, without
+// withdrawn keys.
 func (s *Store) newest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,6 +189,8 @@
 	writeJSON(w, map[string]any{"items": items, "has_more": false, "end_offset": len(t.records)})
 }
 
+// read serves log-read: it returns the records from an offset on and waits for them
+// if there are none yet.
 func (s *Store) read(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.Atoi(q.Get("from"))
@@ -188,7 +201,7 @@
 		body, status, changed := s.records(q.Get("topic"), from)
 		if status != http.StatusOK {
 			w.WriteHeader(status)
-			_, _ = w.Write(body) // the daemon is gone then
+			_, _ = w.Write(body) // fails only if the daemon has disconnected
 			return
 		}
 		if len(body) > offsetsBytes || wait == 0 {
@@ -205,13 +218,15 @@
 	}
 }
 
-// offsetsBytes is the size of the two numbers before the records, and lengthBytes that of the
-// number before each.
+// offsetsBytes is the size of the two offsets before the records in a reply to
+// log-read, and lengthBytes is the size of the length before each record.
 const (
 	offsetsBytes = 16
 	lengthBytes  = 4
 )
 
+// records returns the body and status of a reply to log-read, and a channel that is
+// closed at the next append.
 func (s *Store) records(name string, from int) (body []byte, status int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,17 +250,19 @@
 	return body, http.StatusOK, s.changed
 }
 
-type joinCall struct {
+// joinRequest is the body of log-join and log-leave.
+type joinRequest struct {
 	Member     string `json:"member"`
 	Topics     []string
 	TTLMillis  int64 `json:"ttl_ms"`
 	Generation uint64
 }
 
-// join deals the one part out to whoever joins first, and again once its owner has
-// been silent.
+// join serves log-join: it assigns the group's only part to the first member that
+// joins. If the owner has not joined again within the time to live, the part goes to
+// the next member that joins.
 func (s *Store) join(w http.ResponseWriter, r *http.Request) {
-	var c joinCall
+	var c joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -253,28 +270,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if s.owner == "" || now.Sub(s.heard) > time.Duration(c.TTLMillis)*time.Millisecond {
-		s.owner = c.Member
+	if s.partOwner == "" || now.Sub(s.ownerSeenAt) > time.Duration(c.TTLMillis)*time.Millisecond {
+		s.partOwner = c.Member
 		s.generation++
 	}
 	parts := [][]any{}
-	if s.owner == c.Member {
-		s.heard = now
+	if s.partOwner == c.Member {
+		s.ownerSeenAt = now
 		parts = append(parts, []any{"orders", 0, 0})
 	}
 	writeJSON(w, map[string]any{"generation": s.generation, "parts": parts})
 }
 
+// leave serves log-leave: it releases the part if the member owns it.
 func (s *Store) leave(w http.ResponseWriter, r *http.Request) {
-	var c joinCall
+	var c joinRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.owner == c.Member {
-		s.owner = ""
+	if s.partOwner == c.Member {
+		s.partOwner = ""
 		s.generation++
 	}
 	writeJSON(w, map[string]any{})
@@ -282,5 +300,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the daemon is gone then
+	_ = json.NewEncoder(w).Encode(v) // fails only if the daemon has disconnected
 }
--- a/internal/standin/site/team.go
+++ b/internal/standin/site/team.go
@@ -7,16 +7,17 @@
 	headerTeam = "Tenant-Name"
 )
 
-// Team is one that the configuration knows.
+// Team is a team in the configuration of a site.
 type Team struct {
 	Name string
-	Keys []string
-	// Rate and Burst limit its requests, by their number; a Rate of 0 does not.
+	Keys []string // API keys
+	// Rate limits the team's requests, in requests per second, and Burst is the
+	// number of requests that may exceed it at once. A Rate of 0 means no limit.
 	Rate, Burst float64
 }
 
-// SetTeams sets the teams of the versions that are configured from now on. Without any,
-// requests need no key.
+// SetTeams sets the teams of the versions that later calls of Configure write. If
+// there are no teams, requests need no API key.
 func (s *Site) SetTeams(list ...Team) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +29,8 @@
 	}
 }
 
-// SetKey gives a request a caller's key, and the name of a team that the caller claims.
+// SetKey sets a client's API key on a request, and the name of the team to which the
+// client claims to belong, unless it is empty.
 func SetKey(req *http.Request, key, claims string) {
 	req.Header.Set(headerKey, "Bearer "+key)
 	if claims != "" {
--- a/internal/standin/site/upstream.go
+++ b/internal/standin/site/upstream.go
@@ -11,121 +11,128 @@
 	"time"
 )
 
-// Faults of one upstream; the zero value is none.
+// Faults are the faults of one upstream. The zero value sets none.
 type Faults struct {
-	// Dark answers nothing until the caller leaves.
+	// Dark accepts every call and never replies.
 	Dark bool
-	// Shed refuses requests, truthfully: they are not run.
+	// Shed refuses requests with 503 and the header Not-Executed. They are not
+	// executed.
 	Shed bool
-	// Reset runs a request and breaks the connection off in place of an answer.
+	// Reset executes a request and closes the connection without a response.
 	Reset bool
-	// Status, when set, is the answer of requests that ran.
+	// Status, if not 0, is the status of the response to executed requests.
 	Status int
-	// Cut breaks a stream off after so many events; 0 lets it end.
+	// Cut closes the connection of a stream after this number of events; 0 means
+	// never.
 	Cut int
-	// Misplaced answers for another upstream at the same address.
+	// Misplaced rejects every call with 421, as if another upstream now had the
+	// address.
 	Misplaced bool
-	// LapsedHandles refuses every result of a prefill.
+	// LapsedHandles refuses requests that refer to a prefill result, as if the result
+	// had expired.
 	LapsedHandles bool
 	// Full refuses reservations.
 	Full bool
 }
 
-// heldTime is how long a reservation or the result of a prefill is held at most.
-const heldTime = 3 * time.Second
+// holdTTL is the time to live of a reservation or a prefill result.
+const holdTTL = 3 * time.Second
 
-// Upstream is one engine or plain service.
+// Upstream is a simulated engine or plain service.
 type Upstream struct {
 	Name    string
 	Service string
 	Zone    string
-	// Events is how many events a stream has, and Pause the time between two.
+	// Events is the number of events of a stream; 0 means a response without a
+	// stream. Pause is the time between two events.
 	Events int
 	Pause  time.Duration
 
-	account *Account
-	limit   rateLimit
-	server  *http.Server
-	gone    bool // it ended; its site's lock guards this
-	mu      sync.Mutex
-	role    string
-	faults  Faults
-	holds   map[string]time.Time // until when
-	handles map[string]time.Time
-	next    int
-	orders  uint64
-	active  int
-	address string
-	// public is the address that is registered, when that of something in between.
-	public string
+	account      *Account
+	limit        rateLimit
+	server       *http.Server
+	crashed      bool // guarded by the mutex of the site
+	mu           sync.Mutex
+	role         string
+	faults       Faults
+	reservations map[string]time.Time // expiry by id
+	kvHandles    map[string]time.Time // expiry of prefill results by id
+	lastID       int                  // number in the last id given out
+	roleChanges  uint64               // number of orders applied
+	active       int
+	address      string
+	// publicAddress is the address to register instead of address, if not empty, for
+	// example that of a proxy in front of the upstream.
+	publicAddress string
 }
 
-// SetFaults changes the faults.
+// SetFaults replaces the faults.
 func (u *Upstream) SetFaults(f Faults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-// Held returns how many reservations and results of prefills are held for nobody.
+// Held returns the number of reservations and of prefill results that are neither
+// used nor freed nor expired.
 func (u *Upstream) Held() (reservations, handles int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	for _, held := range []map[string]time.Time{u.holds, u.handles} {
+	for _, held := range []map[string]time.Time{u.reservations, u.kvHandles} {
 		for id, until := range held {
 			if now.After(until) {
 				delete(held, id)
 			}
 		}
 	}
-	return len(u.holds), len(u.handles)
+	return len(u.reservations), len(u.kvHandles)
 }
 
-// Active returns how many requests run now.
+// Active returns the number of requests in progress.
 func (u *Upstream) Active() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.active
 }
 
-// Role returns the role of an engine.
+// Role returns the role of an engine, which is empty for a plain service.
 func (u *Upstream) Role() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.role
 }
 
-// SetPublic makes the upstream known by another address than its own from its next
-// registration on.
+// SetPublic sets the address for the next registration of the upstream, for example
+// that of a proxy.
 func (u *Upstream) SetPublic(address string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.public = address
+	u.publicAddress = address
 }
 
-// registered returns the address under which it is known.
-func (u *Upstream) registered() string {
+// registeredAddress returns the address to register for the upstream.
+func (u *Upstream) registeredAddress() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.public != "" {
-		return u.public
+	if u.publicAddress != "" {
+		return u.publicAddress
 	}
 	return u.address
 }
 
-// Address returns where the upstream listens.
+// Address returns the address at which the upstream listens.
 func (u *Upstream) Address() string { return u.address }
 
 // ServeHTTP implements http.Handler.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the daemon broke off
+		return // the daemon closed the connection
 	}
-	u.limit.arrived(w, r)
+	u.limit.recordArrival(w, r)
 	if r.Header.Get(headerKey) != "" {
-		u.account.gotKey(r.Header.Get("Attempt-Id"))
+		u.account.recordKey(r.Header.Get("Attempt-Id"))
 	}
 	u.mu.Lock()
 	f := u.faults
@@ -135,63 +142,69 @@
 		panic(http.ErrAbortHandler)
 	}
 	if want := r.Header.Get("Expect-Instance"); f.Misplaced || want != "" && want != u.Name {
-		u.rejected(r)
+		u.recordRejected(r)
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	switch {
 	case r.URL.Path == "/corianderturn/hold-take":
-		u.reserve(w, f)
+		u.serveReserve(w, f)
 	case strings.HasPrefix(r.URL.Path, "/corianderturn/hold-drop/"), strings.HasPrefix(r.URL.Path, "/corianderturn/kv-handle/"):
-		u.free(w, r)
+		u.serveRelease(w, r)
 	case r.URL.Path == "/corianderturn/report":
-		u.report(w)
+		u.serveReport(w)
 	case r.URL.Path == "/corianderturn/order":
-		u.order(w, body)
+		u.serveOrder(w, body)
 	case r.Header.Get("Serving-Stage") == "prefill":
-		u.prefill(w, r, body)
+		u.servePrefill(w, r, body)
 	default:
-		u.run(w, r, body, f)
+		u.serveRequest(w, r, body, f)
 	}
 }
 
-func (u *Upstream) name() string {
-	u.next++
-	return u.Name + "-" + strconv.Itoa(u.next)
+// newID returns a new id of a reservation or a prefill result; u.mu must be held.
+func (u *Upstream) newID() string {
+	u.lastID++
+	return u.Name + "-" + strconv.Itoa(u.lastID)
 }
 
-func (u *Upstream) reserve(w http.ResponseWriter, f Faults) {
+// serveReserve reserves a slot for at most holdTTL.
+func (u *Upstream) serveReserve(w http.ResponseWriter, f Faults) {
 	if f.Full {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	u.mu.Lock()
-	id := u.name()
-	u.holds[id] = time.Now().Add(heldTime)
+	id := u.newID()
+	u.reservations[id] = time.Now().Add(holdTTL)
 	u.mu.Unlock()
 	writeJSON(w, map[string]any{"hold": id})
 }
 
-func (u *Upstream) free(w http.ResponseWriter, r *http.Request) {
+// serveRelease frees a reservation or a prefill result.
+func (u *Upstream) serveRelease(w http.ResponseWriter, r *http.Request) {
 	id := r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:]
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, hold := u.holds[id]; !hold && u.handles[id].IsZero() {
+	if _, hold := u.reservations[id]; !hold && u.kvHandles[id].IsZero() {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	delete(u.holds, id)
-	delete(u.handles, id)
+	delete(u.reservations, id)
+	delete(u.kvHandles, id)
 }
 
-func (u *Upstream) report(w http.ResponseWriter) {
+// serveReport replies with the role and the load of an engine.
+func (u *Upstream) serveReport(w http.ResponseWriter) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	writeJSON(w, map[string]any{"stage": u.role, "busy": false, "seq_no": u.orders, "active_reqs": u.active})
+	writeJSON(w, map[string]any{"stage": u.role, "busy": false, "seq_no": u.roleChanges, "active_reqs": u.active})
 }
 
-func (u *Upstream) order(w http.ResponseWriter, body []byte) {
+// serveOrder changes the role of an engine, unless the order expects another number
+// of earlier changes.
+func (u *Upstream) serveOrder(w http.ResponseWriter, body []byte) {
 	var c struct {
 		Stage    string  `json:"stage"`
 		Expected *uint64 `json:"expected"`
@@ -202,51 +215,54 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if c.Expected != nil && *c.Expected != u.orders {
+	if c.Expected != nil && *c.Expected != u.roleChanges {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
 	u.role = c.Stage
-	u.orders++
+	u.roleChanges++
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// rejected counts a request that is not worked on; the calls that engines have besides bear
-// no id of a request.
-func (u *Upstream) rejected(r *http.Request) {
+// recordRejected records the arrival of a request that is rejected. Calls without a
+// request id, such as reports and orders, are not recorded.
+func (u *Upstream) recordRejected(r *http.Request) {
 	if id := r.Header.Get("Attempt-Id"); id != "" {
-		u.account.arrived(id, u.Service)
+		u.account.recordArrival(id, u.Service)
 	}
 }
 
-func (u *Upstream) prefill(w http.ResponseWriter, r *http.Request, body []byte) {
-	u.account.reached(string(body))
-	u.account.read(r.Header.Get("Attempt-Id"), u.Service)
+// servePrefill accepts a prompt and replies with the handle of its prefill result.
+func (u *Upstream) servePrefill(w http.ResponseWriter, r *http.Request, body []byte) {
+	u.account.recordReach(string(body))
+	u.account.recordPrompt(r.Header.Get("Attempt-Id"), u.Service)
 	u.mu.Lock()
-	id := u.name()
-	u.handles[id] = time.Now().Add(heldTime)
+	id := u.newID()
+	u.kvHandles[id] = time.Now().Add(holdTTL)
 	u.mu.Unlock()
 	w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 	writeJSON(w, map[string]any{"kv_handle": id, "tokens": 100, "version": 1})
 }
 
-// refuse promises that a request was not run.
-func refuse(w http.ResponseWriter) {
+// writeNotExecuted replies with 503 and the header that guarantees that the request
+// was not executed.
+func writeNotExecuted(w http.ResponseWriter) {
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (u *Upstream) run(w http.ResponseWriter, r *http.Request, body []byte, f Faults) {
+// serveRequest executes a request and sends its response, subject to the faults.
+func (u *Upstream) serveRequest(w http.ResponseWriter, r *http.Request, body []byte, f Faults) {
 	id := r.Header.Get("Attempt-Id")
 	if f.Shed || r.Header.Get("Kv-Source") != "" && f.LapsedHandles {
-		u.rejected(r)
-		refuse(w)
+		u.recordRejected(r)
+		writeNotExecuted(w)
 		return
 	}
-	u.account.arrived(id, u.Service)
-	u.account.reached(string(body))
+	u.account.recordArrival(id, u.Service)
+	u.account.recordReach(string(body))
 	u.mu.Lock()
-	delete(u.holds, r.Header.Get("Kv-Hold"))
+	delete(u.reservations, r.Header.Get("Kv-Hold"))
 	u.active++
 	u.mu.Unlock()
 	defer func() {
@@ -254,11 +270,11 @@
 		u.active--
 		u.mu.Unlock()
 	}()
-	u.account.ran(id, Run{Upstream: u.Name, Body: string(body), From: r.Header.Get("Last-Event-Id"), Team: r.Header.Get(headerTeam)})
+	u.account.recordRun(id, Run{Upstream: u.Name, Body: string(body), From: r.Header.Get("Last-Event-Id"), Team: r.Header.Get(headerTeam)})
 	if source := r.Header.Get("Kv-Source"); source != "" {
-		u.account.site.take(source)
+		u.account.site.releaseHandle(source)
 	}
-	if f.Reset || u.account.site.end(u, string(body)) {
+	if f.Reset || u.account.site.crashIfFatal(u, string(body)) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Attempt-Id", id)
@@ -272,23 +288,23 @@
 		_, _ = fmt.Fprintf(w, "answer to %s", id)
 		return
 	}
-	u.stream(w, r, f)
+	u.streamEvents(w, r, f)
 }
 
-// stream writes the events behind the last one that the caller has.
-func (u *Upstream) stream(w http.ResponseWriter, r *http.Request, f Faults) {
+// streamEvents writes the events after the one in the request's Last-Event-Id.
+func (u *Upstream) streamEvents(w http.ResponseWriter, r *http.Request, f Faults) {
 	first, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for i := first + 1; i <= u.Events; i++ {
 		if f.Cut > 0 && i-first > f.Cut {
-			_, _ = io.WriteString(w, "id: ") // in the middle of an event
+			_, _ = io.WriteString(w, "id: ") // the beginning of an event
 			_ = rc.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, Event(r.Header.Get("Attempt-Id"), i))
 		if rc.Flush() != nil {
-			return // the daemon broke off
+			return // the daemon closed the connection
 		}
 		select {
 		case <-r.Context().Done():
@@ -298,10 +314,11 @@
 	}
 }
 
-// Event returns the bytes of one event of a request's stream.
+// Event returns event number i of the stream for a request, as sent; numbers start
+// at 1.
 func Event(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", i, id, i) }
 
-// Stream returns the bytes of a whole stream of n events.
+// Stream returns a complete stream of n events, as sent.
 func Stream(id string, n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
