--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the platform's weight store: it sends
-// deterministic bytes at a rate that all its readers share.
+// Package weights simulates the platform's weight store for tests and trials. It
+// sends deterministic bytes at a rate that all readers share.
 package weights
 
 import (
@@ -20,27 +20,33 @@
 )
 
 const (
-	// DefaultRate is in bytes per second, small enough for tests.
+	// DefaultRate is the total rate of all reads, in bytes per second. It is small
+	// enough for tests.
 	DefaultRate = 8 << 20
-	// DefaultSize is in bytes, small enough for tests.
+	// DefaultSize is the size of one set of weights, in bytes. It is small enough
+	// for tests.
 	DefaultSize = 1 << 20
-	// sliceBytes is how much is sent at once, in bytes.
-	sliceBytes = 16 << 10
+	// chunkBytes is the size of one write, in bytes.
+	chunkBytes = 16 << 10
 )
 
-// Config sets up a store. The kong tags make it the flags of `standin weights`.
+// Config configures a weight store. Package kong derives the flags of
+// `standin weights` from its fields and tags.
 type Config struct {
 	Rate float64 `help:"Rate shared by all readers, in bytes per second." default:"8388608"`
 	Size int64   `help:"Size of one set of weights, in bytes." default:"1048576"`
 }
 
-// Faults are the faults that a test can set on a store; the zero value is none.
+// Faults are the faults that a test can set on a weight store. The zero value sets
+// none.
 type Faults struct {
-	// Down answers 503; Cut cuts the connection half way; Stall never answers.
+	// Down replies with 503. Cut closes the connection after half of the bytes.
+	// Stall never replies.
 	Down  bool `json:"down,omitempty"`
 	Cut   bool `json:"cut,omitempty"`
 	Stall bool `json:"stall,omitempty"`
-	// DelayMS delays every answer, in milliseconds; Slow divides the rate when above 0.
+	// DelayMS delays every reply, in milliseconds. Slow divides the rate if it is
+	// greater than 0.
 	DelayMS int64   `json:"delay_ms,omitempty"`
 	Slow    float64 `json:"slow,omitempty"`
 }
@@ -51,18 +57,19 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// Weights is safe for concurrent use. Close releases the calls in progress.
+// Weights is a simulated weight store. It is safe for concurrent use. Close aborts
+// the calls in progress.
 type Weights struct {
-	cfg    Config
-	faults *fault.Box[Faults]
-	rate   *rate.Limiter
-	ctx    context.Context
-	cancel context.CancelFunc
-	reads  atomic.Int64
-	bytes  atomic.Int64
+	cfg     Config
+	faults  *fault.Box[Faults]
+	limiter *rate.Limiter
+	ctx     context.Context
+	cancel  context.CancelFunc
+	reads   atomic.Int64
+	bytes   atomic.Int64
 }
 
-// New returns a store.
+// New returns a weight store. A rate or size of 0 or less means the default.
 func New(cfg Config) *Weights {
 	if cfg.Rate <= 0 {
 		cfg.Rate = DefaultRate
@@ -71,22 +78,22 @@
 		cfg.Size = DefaultSize
 	}
 	w := &Weights{
-		cfg:    cfg,
-		faults: fault.NewBox[Faults](),
-		rate:   rate.NewLimiter(rate.Limit(cfg.Rate), sliceBytes),
+		cfg:     cfg,
+		faults:  fault.NewBox[Faults](),
+		limiter: rate.NewLimiter(rate.Limit(cfg.Rate), chunkBytes),
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
 }
 
-// Close cuts the calls in progress.
+// Close aborts the calls in progress.
 func (s *Weights) Close() { s.cancel() }
 
-// Handler returns the store interface of package infraapi.
+// Handler returns the handler of the weight store API of package infraapi.
 func (s *Weights) Handler() http.Handler {
 	rt := httprouter.New()
 	rt.GET(infraapi.PathWeights, func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		s.serve(w, r, ps.ByName("model")+"@"+ps.ByName("version"))
+		s.serveWeights(w, r, ps.ByName("model")+"@"+ps.ByName("version"))
 	})
 	rt.HEAD(infraapi.PathWeights, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		w.Header().Set("Content-Length", strconv.FormatInt(s.cfg.Size, 10))
@@ -94,17 +101,18 @@
 	return rt
 }
 
-func (s *Weights) serve(w http.ResponseWriter, r *http.Request, name string) {
+// serveWeights applies the faults and sends the weights that name identifies.
+func (s *Weights) serveWeights(w http.ResponseWriter, r *http.Request, name string) {
 	faults := s.faults.Get()
 	httpjson.Sleep(time.Duration(faults.DelayMS)*time.Millisecond, s.ctx.Done())
 	cut := false
 	switch {
-	case s.hit(func(f Faults) bool { return f.Stall }):
+	case s.hitFault(func(f Faults) bool { return f.Stall }):
 		httpjson.Stall(r, s.ctx.Done())
-	case s.hit(func(f Faults) bool { return f.Down }):
+	case s.hitFault(func(f Faults) bool { return f.Down }):
 		http.Error(w, "the store is down", http.StatusServiceUnavailable)
 		return
-	case s.hit(func(f Faults) bool { return f.Cut }):
+	case s.hitFault(func(f Faults) bool { return f.Cut }):
 		cut = true
 	}
 	s.reads.Add(1)
@@ -113,17 +121,18 @@
 	s.send(w, r, name, cut)
 }
 
-// send writes the bytes of name at the shared rate; cut ends half way.
+// send writes the bytes of the weights called name at the shared rate. If cut is
+// set, it aborts the connection after half of them.
 func (s *Weights) send(w http.ResponseWriter, r *http.Request, name string, cut bool) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(s.ctx, cancel)()
 	src := rand.NewChaCha8([32]byte{})
-	src.Seed(seedOf(name))
-	buf := make([]byte, sliceBytes)
+	src.Seed(seedFromName(name))
+	buf := make([]byte, chunkBytes)
 	for left := s.cfg.Size; left > 0; {
 		n := min(left, int64(len(buf)))
-		if s.rate.WaitN(ctx, int(n)) != nil || cut && left <= s.cfg.Size/2 {
+		if s.limiter.WaitN(ctx, int(n)) != nil || cut && left <= s.cfg.Size/2 {
 			httpjson.Cut()
 		}
 		_, _ = src.Read(buf[:n])
@@ -135,8 +144,8 @@
 	}
 }
 
-// seedOf returns a seed that depends on the name alone.
-func seedOf(name string) [32]byte {
+// seedFromName returns a seed that depends only on the name.
+func seedFromName(name string) [32]byte {
 	var seed [32]byte
 	sum := xxhash.Sum64String(name)
 	for i := range 8 {
@@ -145,7 +154,9 @@
 	return seed
 }
 
-func (s *Weights) hit(match func(Faults) bool) bool {
+// hitFault reports whether the current faults satisfy match. If they do, it counts
+// the call against their limit.
+func (s *Weights) hitFault(match func(Faults) bool) bool {
 	_, ok := s.faults.Hit(match)
 	return ok
 }
@@ -155,18 +166,20 @@
 	return Stats{Reads: s.reads.Load(), Bytes: s.bytes.Load()}
 }
 
-// SetFaults replaces the faults; times limits the calls hit, 0 means no limit.
+// SetFaults replaces the faults. They are cleared after they have affected the
+// given number of calls; 0 means that they stay.
 func (s *Weights) SetFaults(f Faults, times int) {
 	s.faults.Set(f, times)
-	s.applySlow()
+	s.updateRate()
 }
 
-func (s *Weights) applySlow() {
+// updateRate sets the shared rate from the configuration and the fault Slow.
+func (s *Weights) updateRate() {
 	limit := s.cfg.Rate
 	if slow := s.faults.Get().Slow; slow > 0 {
 		limit /= slow
 	}
-	s.rate.SetLimit(rate.Limit(limit))
+	s.limiter.SetLimit(rate.Limit(limit))
 }
 
 // Control returns the fault control API.
@@ -177,6 +190,6 @@
 			s.reads.Store(0)
 			s.bytes.Store(0)
 		},
-		Changed: s.applySlow,
+		Changed: s.updateRate,
 	})
 }
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -12,9 +12,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Symptom: an upstream serves weights that are cut short.
-// Sequence: weights are read whole, then under each fault.
-// Cause: a connection that ends half way must show as an error to the reader.
+// Guards against an upstream that serves truncated weights: a connection that is
+// closed before the end must cause an error at the reader.
 func TestFaults(t *testing.T) {
 	const size = 100_000
 	s := New(Config{Rate: 1e9, Size: size})
@@ -35,18 +34,18 @@
 	again, _, _ := get("/weights/m/v1")
 	other, _, _ := get("/weights/m/v2")
 	if err != nil || len(whole) != size || !bytes.Equal(whole, again) || bytes.Equal(whole, other) {
-		t.Errorf("%d bytes, %v; versions must differ and repeats agree", len(whole), err)
+		t.Errorf("read %d bytes, error %v; want equal bytes for the same version and different ones for another", len(whole), err)
 	}
 	s.SetFaults(Faults{Cut: true}, 1)
 	if body, _, err := get("/weights/m/v1"); err == nil {
-		t.Errorf("a cut read of %d bytes went unnoticed", len(body))
+		t.Errorf("read of %d bytes ended without an error on a closed connection", len(body))
 	}
 	s.SetFaults(Faults{Down: true}, 1)
 	if _, status, _ := get("/weights/m/v1"); status != http.StatusServiceUnavailable {
-		t.Errorf("status %d while down", status)
+		t.Errorf("status %d while down, want 503", status)
 	}
 	s.SetFaults(Faults{Slow: 1000}, 0)
-	if got := s.rate.Limit(); got != 1e6 {
+	if got := s.limiter.Limit(); got != 1e6 {
 		t.Errorf("rate %v while slow, want 1e6", got)
 	}
 }
