--- a/internal/experiment/arms.go
+++ b/internal/experiment/arms.go
@@ -6,19 +6,25 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Arm is one policy under comparison, selected by the bundle.
+// Arm is one of the alternatives under comparison: a policy, possibly with parts of it
+// switched off.
 type Arm struct {
 	Name string
-	// Policy is the bundle's policy name; Disable lists the parts switched off.
-	Policy   string
-	Disable  []string
+	// Policy is the policy's name in the bundle; Disable lists the parts that are
+	// switched off.
+	Policy  string
+	Disable []string
+	// Baseline is set for the policies that the project's own policy is compared
+	// with.
 	Baseline bool
 }
 
-// Ours is the name of the arm with the whole policy.
+// Ours is the name of the arm with the project's own policy, reserve, with every
+// part switched on.
 const Ours = "reserve"
 
-// Arms returns our policy and the baselines, in the order of reports.
+// Arms returns the arm with the project's own policy and the baselines, in the
+// order in which reports list them.
 func Arms() []Arm {
 	return []Arm{
 		{Name: Ours, Policy: "reserve"},
@@ -27,7 +33,8 @@
 	}
 }
 
-// Ablations returns our policy with one part switched off at a time.
+// Ablations returns arms with the project's own policy, each with another part
+// switched off.
 func Ablations() []Arm {
 	var out []Arm
 	for _, part := range []string{"decode-first", "headroom", "prefix", "early-refusal", "queue"} {
@@ -36,16 +43,17 @@
 	return out
 }
 
-// Apply returns the policy settings of the arm, the rest as in base.
+// Apply returns a copy of base with the policy name and the disabled parts of the
+// arm.
 func (a Arm) Apply(base bundle.PolicyConfig) bundle.PolicyConfig {
 	base.Name = a.Policy
 	base.Disable = slices.Clone(a.Disable)
 	return base
 }
 
-// rotated returns the arms in another order for each repeat, so that none is
-// always the first or the last.
-func rotated(arms []Arm, by int) []Arm {
-	by %= len(arms)
-	return slices.Concat(arms[by:], arms[:by])
+// rotateArms returns the arms rotated by offset places. The repeat's number is the
+// offset, so that no arm is always measured first or last.
+func rotateArms(arms []Arm, offset int) []Arm {
+	offset %= len(arms)
+	return slices.Concat(arms[offset:], arms[:offset])
 }
--- a/internal/experiment/bed.go
+++ b/internal/experiment/bed.go
@@ -8,62 +8,69 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// Node is one process of a bed.
+// Node is one process of a Bed.
 type Node struct {
 	Name       string
 	DataCentre string
-	// Role is the pool's role for engines and services, empty for daemons.
+	// Role is the role of the pool that an engine or service belongs to; it is
+	// empty for daemons and the log.
 	Role bundle.PoolRole
-	// URL is the base URL of its own interface; Control that of a stand-in's
-	// fault control or of a daemon's metrics.
+	// URL is the base URL for clients. Control is the base URL of a stand-in's
+	// control API, which has its statistics and faults, or the URL of a daemon's
+	// metrics.
 	URL     string
 	Control string
 	PID     int
 }
 
-// Bed is a fleet of running processes that a measurement drives.
+// Bed is a fleet of running processes on which measurements are taken.
 type Bed interface {
 	Daemons() []Node
 	Engines() []Node
 	Services() []Node
-	// Log is the platform's log.
+	// Log returns the platform's log service.
 	Log() Node
-	// Teams returns the callers with their keys.
+	// Teams returns the teams in whose name load is sent, with their bearer keys.
 	Teams() []loadgen.Team
-	// Bundle returns a copy of the bundle that was rolled last.
+	// Bundle returns a copy of the bundle that was published last.
 	Bundle() *bundle.Bundle
-	// Roll publishes b and waits until every daemon has it in force.
+	// Roll publishes b and waits until it is in force on every daemon.
 	Roll(ctx context.Context, b *bundle.Bundle) error
-	// Kill ends a process at once; Restart starts it again in its old place.
+	// Kill ends a process without a graceful shutdown. Restart starts a killed
+	// process again at the same client address.
 	Kill(ctx context.Context, name string) error
 	Restart(ctx context.Context, name string) error
-	// CutDataCentre cuts a data centre from the others and from the platform until heal is called.
+	// CutDataCentre cuts the connections of a data centre's daemons to the daemons
+	// of other data centres and to the platform until heal is called.
 	CutDataCentre(ctx context.Context, dataCentre string) (heal func(context.Context) error, err error)
-	// CutPlatform makes the log, the instance list and the weight store
-	// unreachable until heal is called.
+	// CutPlatform cuts every daemon's connections to the log, the instance list and
+	// the weight store until heal is called.
 	CutPlatform(ctx context.Context) (heal func(context.Context) error, err error)
-	// Close ends every process.
+	// Close kills every process.
 	Close()
 }
 
-// Size describes the fleet of a bed.
+// Size says how many data centres and processes of each sort a fleet has.
 type Size struct {
 	DataCentres int
 	Daemons     int
-	Prefill     int
-	Decode      int
-	Services    int
-	// Teams is how many teams the bundle names.
+	// Prefill and Decode are the numbers of prefill and decode engines; Services
+	// is the number of replicas of the plain service.
+	Prefill  int
+	Decode   int
+	Services int
+	// Teams is the number of teams in the bundle.
 	Teams int
-	// Scale divides the engines' step, prefill and link times, their lags and the
-	// life of a prefill result.
+	// Scale is the time scale. It divides the engines' step, prefill and link
+	// times, the delays of their load reports and cache events, and the lifetime
+	// of a prefill result.
 	Scale float64
 }
 
-// StartBed starts a bed of a size with the programs in the folder bin.
+// StartBed starts a fleet of size s with the programs in the folder bin.
 type StartBed func(ctx context.Context, bin string, s Size) (Bed, error)
 
-// scaled divides a duration by a time scale.
-func scaled(d time.Duration, scale float64) time.Duration {
+// divideByScale returns d divided by the time scale.
+func divideByScale(d time.Duration, scale float64) time.Duration {
 	return time.Duration(float64(d) / scale)
 }
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -10,31 +10,37 @@
 )
 
 const (
-	// capacitySample is how many requests are drawn to learn a workload's mean cost.
+	// capacitySample is the number of requests that are generated to estimate a
+	// workload's mean cost, capacitySeed the seed of the generator.
 	capacitySample = 4000
 	capacitySeed   = 99
-	// PeakOccupancy is the share of decode slots in use at the peak, which is
-	// "nearly full".
+	// PeakOccupancy is the share of decode slots in use at the peak rate: the slots
+	// are nearly full.
 	PeakOccupancy = 0.95
 )
 
-// Capacity is what a workload costs and what a fleet of stand-ins can carry.
+// Capacity holds the mean cost of a workload's requests and the arrival rates that
+// a fleet of stand-ins can serve.
 type Capacity struct {
-	// DecodeTokens and PrefillTokens are the means of one arrival of the mix.
+	// DecodeTokens and PrefillTokens are the mean numbers of answer and prompt
+	// tokens of one arrival. Calls of plain services count with 0 tokens.
 	DecodeTokens  float64 `json:"decode_tokens_per_arrival"`
 	PrefillTokens float64 `json:"prefill_tokens_per_arrival"`
-	// DecodeRate and PrefillRate are the arrivals a second that would keep every
-	// decode slot, and every prefill engine, busy without caching.
+	// DecodeRate is the arrival rate that keeps every decode slot busy, and
+	// PrefillRate the one that keeps every prefill engine busy without cached
+	// prefixes; both are in arrivals a second.
 	DecodeRate  float64 `json:"decode_arrivals_per_s"`
 	PrefillRate float64 `json:"prefill_arrivals_per_s"`
-	// PeakRate is the arrivals a second that keep PeakOccupancy of the slots busy.
+	// PeakRate is the arrivals a second that keep a share of PeakOccupancy of the
+	// decode slots busy.
 	PeakRate float64 `json:"peak_arrivals_per_s"`
 }
 
-// CapacityOf computes the capacity from the stand-in's constants: every slot of
-// a batch gives a token each step, which grows from StepBase to StepFull, and a
-// prefill engine computes one prompt token each PrefillPerToken, all divided by
-// scale.
+// CapacityOf computes the capacity from the engine stand-in's constants. A decode
+// engine generates one token for each occupied slot in each step, and a step takes
+// from DefaultStepBase, with no slot occupied, to DefaultStepFull, with all slots
+// occupied. A prefill engine computes one prompt token in DefaultPrefillPerToken.
+// The scale divides all these times.
 func CapacityOf(w loadgen.Workload, prefill, decode int, scale float64) (Capacity, error) {
 	w.Rate = 1
 	if len(w.Teams) == 0 {
@@ -44,20 +50,20 @@
 	if err != nil {
 		return Capacity{}, err
 	}
-	var c Capacity
+	var capacity Capacity
 	for range capacitySample {
-		s := gen.Next()
-		if !s.Kind.Completion() {
+		spec := gen.Next()
+		if !spec.Kind.Completion() {
 			continue
 		}
-		c.DecodeTokens += float64(answer.AnswerLength(s.Prompt, s.MaxTokens)) / capacitySample
-		c.PrefillTokens += float64(engineapi.CountTokens(s.Prompt)) / capacitySample
+		capacity.DecodeTokens += float64(answer.AnswerLength(spec.Prompt, spec.MaxTokens)) / capacitySample
+		capacity.PrefillTokens += float64(engineapi.CountTokens(spec.Prompt)) / capacitySample
 	}
-	perSecond := func(each time.Duration) float64 { return scale / each.Seconds() }
+	perSecond := func(interval time.Duration) float64 { return scale / interval.Seconds() }
 	slots := float64(decode * engine.DefaultSlots)
-	c.DecodeRate = slots * perSecond(engine.DefaultStepFull) / c.DecodeTokens
+	capacity.DecodeRate = slots * perSecond(engine.DefaultStepFull) / capacity.DecodeTokens
 	peakStep := engine.DefaultStepBase + time.Duration(PeakOccupancy*float64(engine.DefaultStepFull-engine.DefaultStepBase))
-	c.PeakRate = PeakOccupancy * slots * perSecond(peakStep) / c.DecodeTokens
-	c.PrefillRate = float64(prefill) * perSecond(engine.DefaultPrefillPerToken) / c.PrefillTokens
-	return c, nil
+	capacity.PeakRate = PeakOccupancy * slots * perSecond(peakStep) / capacity.DecodeTokens
+	capacity.PrefillRate = float64(prefill) * perSecond(engine.DefaultPrefillPerToken) / capacity.PrefillTokens
+	return capacity, nil
 }
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -6,19 +6,23 @@
 	"github.com/corianderturn/corianderturn/internal/plotting"
 )
 
-func (r *Results) value(c Cell, f Figure) plotting.Value {
+// meanWithRange returns the mean, minimum and maximum of a figure over the repeats
+// of a cell.
+func (r *Results) meanWithRange(c Cell, f Figure) plotting.Value {
 	s := r.Samples.Spread(c, f)
 	return plotting.Value{Mean: s.Mean, Min: s.Min, Max: s.Max}
 }
 
-func (r *Results) charts(dir string, firm FirmResults) error {
+// writeCharts writes the charts of one deployment into dir: a line chart of goodput
+// over the arrival rate, and bar charts by load and by fault.
+func (r *Results) writeCharts(dir string, firm FirmResults) error {
 	file := func(name string) string { return filepath.Join(dir, firm.Name+"-"+name+".svg") }
 	var lines []plotting.Series
 	for _, arm := range Arms() {
 		s := plotting.Series{Name: arm.Name}
-		for _, load := range loadShare {
+		for _, load := range loadLevels {
 			s.Points = append(s.Points, plotting.Point{
-				X: load.share * firm.Capacity.PeakRate, Value: r.value(Cell{Firm: firm.Name, Load: load.name, Arm: arm.Name}, Goodput),
+				X: load.share * firm.Capacity.PeakRate, Value: r.meanWithRange(Cell{Firm: firm.Name, Load: load.name, Arm: arm.Name}, Goodput),
 			})
 		}
 		lines = append(lines, s)
@@ -27,30 +31,34 @@
 		return err
 	}
 	for name, f := range map[string]Figure{"wasted": WastedPrefill, "urgent": UrgentFirst95} {
-		if err := r.barsByLoad(file(name), firm.Name, f); err != nil {
+		if err := r.writeLoadBars(file(name), firm.Name, f); err != nil {
 			return err
 		}
 	}
-	return r.barsByFault(file("faults"), firm.Name)
+	return r.writeFaultBars(file("faults"), firm.Name)
 }
 
-func (r *Results) barsByLoad(path, firm string, f Figure) error {
+// writeLoadBars writes a bar chart of a figure with a group for each load and a bar
+// for each arm.
+func (r *Results) writeLoadBars(path, firm string, f Figure) error {
 	var names []string
 	var groups []plotting.Group
 	for _, arm := range Arms() {
 		names = append(names, arm.Name)
 	}
-	for _, load := range loadShare {
+	for _, load := range loadLevels {
 		g := plotting.Group{Name: load.name}
 		for _, arm := range Arms() {
-			g.Values = append(g.Values, r.value(Cell{Firm: firm, Load: load.name, Arm: arm.Name}, f))
+			g.Values = append(g.Values, r.meanWithRange(Cell{Firm: firm, Load: load.name, Arm: arm.Name}, f))
 		}
 		groups = append(groups, g)
 	}
 	return plotting.Bars(path, plotting.Axes{Title: firm, Y: string(f)}, names, groups)
 }
 
-func (r *Results) barsByFault(path, firm string) error {
+// writeFaultBars writes a bar chart of the goodput at the peak with a group for no
+// fault and for each fault. Only the first two arms are measured under faults.
+func (r *Results) writeFaultBars(path, firm string) error {
 	arms := Arms()[:2]
 	groups := []plotting.Group{{Name: "none"}}
 	for _, fault := range Faults() {
@@ -64,7 +72,7 @@
 			if i == 0 {
 				fault = ""
 			}
-			groups[i].Values = append(groups[i].Values, r.value(Cell{Firm: firm, Load: LoadPeak, Fault: fault, Arm: arm.Name}, Goodput))
+			groups[i].Values = append(groups[i].Values, r.meanWithRange(Cell{Firm: firm, Load: LoadPeak, Fault: fault, Arm: arm.Name}, Goodput))
 		}
 	}
 	return plotting.Bars(path, plotting.Axes{Title: firm + " at the peak", Y: string(Goodput)}, names, groups)
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -14,84 +14,90 @@
 	"github.com/corianderturn/corianderturn/internal/standin/fault"
 )
 
-// healBound bounds how long a fault may take to be undone.
-const healBound = 20 * time.Second
+// healTimeout limits the time for undoing a fault.
+const healTimeout = 20 * time.Second
 
-// Fault is something that fails during a segment and is undone after it.
+// Fault is a failure that is injected during a segment and undone at its end.
 type Fault struct {
 	Name string
-	// Begin starts the fault; the function it returns undoes it.
-	Begin func(ctx context.Context, b *bench) (heal func(context.Context) error, err error)
+	// Begin injects the fault and returns a function that undoes it.
+	Begin func(ctx context.Context, r *runner) (heal func(context.Context) error, err error)
 }
 
-// Faults returns the faults that are measured.
+// Faults returns the faults under which arms are compared.
 func Faults() []Fault {
 	return []Fault{
 		{"replica killed", killReplica},
 		{"data centre cut", cutDataCentre},
 		{"platform down", cutPlatform},
-		{"load reports stale", freezeLoad},
+		{"load reports stale", freezeLoadReports},
 	}
 }
 
-// inject begins the fault a while into the measured time, undoes it when ctx
-// ends, and returns a note when either failed.
-func (b *bench) inject(ctx context.Context, f *Fault) string {
-	delay := b.o.Warmup + time.Duration(faultAt*float64(b.o.Segment))
+// injectFault injects the fault after a share of faultStartShare of the measured
+// time, undoes it when ctx ends, and returns an error message for the sample's Note,
+// or "" if both succeeded.
+func (r *runner) injectFault(ctx context.Context, f *Fault) string {
+	delay := r.opts.Warmup + time.Duration(faultStartShare*float64(r.opts.Segment))
 	select {
 	case <-ctx.Done():
-		return f.Name + ": the segment ended first"
+		return f.Name + ": the segment ended before the fault was injected"
 	case <-time.After(delay):
 	}
-	heal, err := f.Begin(ctx, b)
+	heal, err := f.Begin(ctx, r)
 	if err != nil {
 		return f.Name + ": " + err.Error()
 	}
 	<-ctx.Done()
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), healBound)
+	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), healTimeout)
 	defer cancel()
 	if err := heal(bounded); err != nil {
-		return f.Name + ", undoing it: " + err.Error()
+		return f.Name + ": undo: " + err.Error()
 	}
 	return ""
 }
 
-// killReplica kills one decode engine.
-func killReplica(ctx context.Context, b *bench) (func(context.Context) error, error) {
-	for _, n := range b.bed.Engines() {
+// killReplica kills the first decode engine; undoing it starts the engine again.
+func killReplica(ctx context.Context, r *runner) (func(context.Context) error, error) {
+	for _, n := range r.bed.Engines() {
 		if n.Role == bundle.RoleDecode {
-			restart := func(ctx context.Context) error { return b.bed.Restart(ctx, n.Name) }
-			return restart, b.bed.Kill(ctx, n.Name)
+			restart := func(ctx context.Context) error { return r.bed.Restart(ctx, n.Name) }
+			return restart, r.bed.Kill(ctx, n.Name)
 		}
 	}
-	return nil, errors.New("no decode engine")
+	return nil, errors.New("the fleet has no decode engine")
 }
 
-func cutDataCentre(ctx context.Context, b *bench) (func(context.Context) error, error) {
-	daemons := b.bed.Daemons()
-	return b.bed.CutDataCentre(ctx, daemons[len(daemons)-1].DataCentre)
+// cutDataCentre cuts off the data centre of the last daemon.
+func cutDataCentre(ctx context.Context, r *runner) (func(context.Context) error, error) {
+	daemons := r.bed.Daemons()
+	return r.bed.CutDataCentre(ctx, daemons[len(daemons)-1].DataCentre)
 }
 
-func cutPlatform(ctx context.Context, b *bench) (func(context.Context) error, error) {
-	return b.bed.CutPlatform(ctx)
+func cutPlatform(ctx context.Context, r *runner) (func(context.Context) error, error) {
+	return r.bed.CutPlatform(ctx)
 }
 
-// freezeLoad makes every engine repeat its last load report.
-func freezeLoad(ctx context.Context, b *bench) (func(context.Context) error, error) {
-	heal := func(ctx context.Context) error { return b.setFaults(ctx, engine.Faults{}) }
-	return heal, b.setFaults(ctx, engine.Faults{FreezeLoad: true})
+// freezeLoadReports makes every engine repeat its last load report, so that daemons
+// route by stale load.
+func freezeLoadReports(ctx context.Context, r *runner) (func(context.Context) error, error) {
+	heal := func(ctx context.Context) error { return r.setEngineFaults(ctx, engine.Faults{}) }
+	return heal, r.setEngineFaults(ctx, engine.Faults{FreezeLoad: true})
 }
 
-func (b *bench) setFaults(ctx context.Context, f engine.Faults) error {
-	for _, n := range b.bed.Engines() {
-		if err := b.post(ctx, n.Control+fault.PathFaults, fault.Set[engine.Faults]{Faults: f}); err != nil {
+// setEngineFaults sets the faults of every engine stand-in; the zero value clears
+// them.
+func (r *runner) setEngineFaults(ctx context.Context, f engine.Faults) error {
+	for _, n := range r.bed.Engines() {
+		if err := r.postJSON(ctx, n.Control+fault.PathFaults, fault.Set[engine.Faults]{Faults: f}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (b *bench) post(ctx context.Context, url string, v any) error {
+// postJSON sends v to a stand-in's control API and fails unless the status is 2xx.
+func (r *runner) postJSON(ctx context.Context, url string, v any) error {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return errors.WithStack(err)
@@ -100,7 +106,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	resp, err := b.hc.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return errors.WithStack(err)
 	}
--- a/internal/experiment/figures_test.go
+++ b/internal/experiment/figures_test.go
@@ -19,7 +19,8 @@
 	}{
 		{"exact", []XY{{1, 5}, {2, 7}, {3, 9}, {4, 11}}, Fit{Slope: 2, Intercept: 3, R2: 1}},
 		{"flat", []XY{{1, 4}, {2, 4}, {5, 4}}, Fit{Intercept: 4, R2: 1}},
-		// Residuals +1, -1, -1, +1 on x = 0..3: 4 / (4-2) / 5 is the slope's variance.
+		// The residuals are +1, -1, -1, +1 at x = 0..3: the sum of their squares is 4,
+		// that of the deviations of x is 5, and the slope's variance is 4 / (4-2) / 5.
 		{"scattered", []XY{{0, 1}, {1, 0}, {2, 1}, {3, 4}}, Fit{Slope: 1, Intercept: 0, SlopeError: math.Sqrt(0.4), R2: 5.0 / 9}},
 	}
 	for _, tc := range tests {
@@ -35,7 +36,7 @@
 		})
 	}
 	if _, err := FitLine([]XY{{1, 1}, {1, 2}, {2, 3}, {2, 4}}); err == nil {
-		t.Error("two different sizes were fitted")
+		t.Error("FitLine succeeded with only two different values of X")
 	}
 }
 
@@ -54,13 +55,14 @@
 	}
 }
 
-// sample returns a segment with a goodput and a wasted share.
-func sample(arm string, repeat, good, wasted int) Sample {
+// testSample returns a sample with a goodput of good completions a second, of which 5
+// are urgent, and a share of wasted/1000 wasted prompt tokens.
+func testSample(arm string, repeat, good, wasted int) Sample {
 	return Sample{
 		Cell: Cell{Firm: "f", Load: "peak", Arm: arm}, Repeat: repeat,
 		Engines: EngineWork{Prefills: 40, PrefillTokens: 1000, WastedTokens: wasted},
 		Report: &loadgen.Report{
-			Measured: time.Second, Steady: loadgen.Section{Goodput: 1e6}, // with look-ups, which do not count
+			Measured: time.Second, Steady: loadgen.Section{Goodput: 1e6}, // includes look-ups, which are not part of Goodput
 			Kinds:               []loadgen.Section{{Name: "draft", Goodput: float64(good - 5)}, {Name: "short", Goodput: 5}},
 			AnsweredCompletions: 28, CancelledCompletions: 2,
 			Classes: []loadgen.Section{{Name: "urgent", FirstToken: loadgen.Quantiles{P95: float64(1000 / good)}}},
@@ -70,13 +72,13 @@
 
 func TestVerdictUsesTheBestBaseline(t *testing.T) {
 	l := Samples{
-		sample(Ours, 1, 30, 10), sample(Ours, 2, 50, 20),
-		sample("least-loaded", 1, 20, 300), sample("least-loaded", 2, 20, 300),
-		sample("round-robin", 1, 10, 60), sample("round-robin", 2, 10, 60),
-		sample("without prefix", 1, 500, 0), // an ablation is no baseline
+		testSample(Ours, 1, 30, 10), testSample(Ours, 2, 50, 20),
+		testSample("least-loaded", 1, 20, 300), testSample("least-loaded", 2, 20, 300),
+		testSample("round-robin", 1, 10, 60), testSample("round-robin", 2, 10, 60),
+		testSample("without prefix", 1, 500, 0), // an ablation, not a baseline
 	}
-	other := sample(Ours, 1, 900, 0)
-	other.Fault = "replica killed" // nor is another cell's figure ours
+	other := testSample(Ours, 1, 900, 0)
+	other.Fault = "replica killed" // another cell, which the verdict must not use
 	l = append(l, other)
 	got := VerdictOf(l, "f", "peak")
 	want := Verdict{Firm: "f", Goodput: 2, WastedPrefill: 0.25, UrgentP95: 26.5 / 50}
@@ -108,10 +110,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// One token each: 60 slots / 45 ms, and 100 prompt tokens of 0.1 ms on two
-	// engines, four times as fast.
+	// Answers have one token, of which 60 slots generate 60 in each step of 45 ms.
+	// Prompts have 100 tokens of 0.1 ms each, which two engines compute. The time
+	// scale of 4 makes both four times as fast.
 	want := Capacity{DecodeTokens: 1, PrefillTokens: 100, DecodeRate: 4 * 60 / 0.045, PrefillRate: 4 * 2 / 0.01}
-	want.PeakRate = 4 * 60 * 0.95 / 0.04425 // 57 slots busy, a step is 30 ms + 0.95 * 15 ms
+	want.PeakRate = 4 * 60 * 0.95 / 0.04425 // 0.95 of the 60 slots are 57 busy slots; a step takes 30 ms + 0.95 * 15 ms
 	if d := cmp.Diff(want, c, cmpopts.EquateApprox(1e-9, 0)); d != "" {
 		t.Error(d)
 	}
@@ -120,7 +123,7 @@
 func TestRotation(t *testing.T) {
 	seen := map[string]bool{}
 	for i := range 3 {
-		order := rotated(Arms(), i)
+		order := rotateArms(Arms(), i)
 		if len(order) != 3 || seen[order[0].Name] {
 			t.Fatalf("rotation %d: %v", i, order)
 		}
--- a/internal/experiment/firms.go
+++ b/internal/experiment/firms.go
@@ -8,19 +8,21 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// Firm is one of the two deployments that the router was designed for.
+// Firm is one of the two deployments that the router was designed for, named after
+// the firm that runs it.
 type Firm struct {
 	Name string
 	Size Size
-	// GoodputWeight and WastedPrefillWeight go into its bundle.
+	// GoodputWeight and WastedPrefillWeight are the weights of goodput and of wasted
+	// prefill in the policy settings of the deployment's bundle.
 	GoodputWeight       float64
 	WastedPrefillWeight float64
 }
 
-// Firms returns the deployments at their sizes of today. Given are the
-// data centres, the drafting replicas (14 and 9), the plain-service replicas and
-// the entry instances; how the drafting replicas split into prefill and decode
-// is not, nor are the weights' values; their order is.
+// Firms returns the deployments at their present sizes. The requirements give the
+// numbers of data centres, engines (14 and 9), plain-service replicas and instances.
+// They don't give the split of the engines into prefill and decode, which is chosen
+// here. Of the two weights they give only which one is larger, not the values.
 func Firms() []Firm {
 	return []Firm{
 		{
@@ -34,32 +36,34 @@
 	}
 }
 
-// The latency targets of both classes, as the callers set them.
+// The latency targets that callers set, which are the same for both classes: the
+// time to the first token and the mean gap between tokens.
 const (
-	firstToken    = 970 * time.Millisecond
-	betweenTokens = 57 * time.Millisecond
+	firstTokenTarget    = 970 * time.Millisecond
+	betweenTokensTarget = 57 * time.Millisecond
 )
 
-// TargetsAt returns the latency targets divided by the time scale.
+// TargetsAt returns the latency targets of both classes, divided by the time scale.
 func TargetsAt(scale float64) loadgen.Targets {
-	t := loadgen.Target{FirstToken: scaled(firstToken, scale), BetweenTokens: scaled(betweenTokens, scale)}
+	t := loadgen.Target{FirstToken: divideByScale(firstTokenTarget, scale), BetweenTokens: divideByScale(betweenTokensTarget, scale)}
 	return loadgen.Targets{Urgent: t, Draft: t}
 }
 
-// setNames takes the model, the service and its paths from the bed's bundle.
-func setNames(w *loadgen.Workload) {
+// setTestbedNames sets the model, the service and the service's paths of a workload
+// to those of the bundle that package testbed writes.
+func setTestbedNames(w *loadgen.Workload) {
 	w.Model = testbed.Model
 	w.Service = testbed.ServiceName
 	w.LookupPath = "/status"
 	w.SubmitPath = testbed.NonIdempotentPath
 }
 
-// WorkloadOf returns the mix that the firms are measured with: prompts from tens to
-// tens of thousands of tokens, answers long enough that decode slots fill up before
-// prefill engines do.
+// WorkloadOf returns the workload for measuring the deployments. Prompts have from
+// tens to tens of thousands of tokens; answers are long enough for the decode slots
+// to fill up before the prefill engines do.
 func WorkloadOf(teams []loadgen.Team) loadgen.Workload {
 	w := loadgen.DefaultWorkload()
-	setNames(&w)
+	setTestbedNames(&w)
 	w.Teams = teams
 	w.DraftPrompt = loadgen.Sizes{Median: 400, Sigma: 1.0, Min: 40, Max: 24_000}
 	w.DraftTokens = loadgen.Sizes{Median: 110, Sigma: 0.25, Min: 40, Max: 170}
@@ -67,8 +71,8 @@
 	return w
 }
 
-// setTargets writes the latency targets into the classes of a bundle.
-func setTargets(b *bundle.Bundle, t loadgen.Targets) {
+// setLatencyTargets sets the latency targets of every class of a bundle.
+func setLatencyTargets(b *bundle.Bundle, t loadgen.Targets) {
 	for class, target := range b.Classes {
 		want := t.Of(class)
 		target.FirstTokenMillis = want.FirstToken.Milliseconds()
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -7,10 +7,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// minFitPoints is the least number of points that give a slope and its error.
+// minFitPoints is the minimum number of points with different X for estimating a
+// slope and its standard error.
 const minFitPoints = 3
 
-// XY is one measured point.
+// XY is one measured point: the value X of the varied parameter and the cost Y.
 type XY struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -27,7 +28,8 @@
 	Points []XY    `json:"points"`
 }
 
-// FitLine fits a line. The points must have at least three different X.
+// FitLine fits a line by least squares. It fails if the points have fewer than three
+// different values of X.
 func FitLine(points []XY) (Fit, error) {
 	x, y := make([]float64, len(points)), make([]float64, len(points))
 	distinct := map[float64]bool{}
@@ -36,21 +38,21 @@
 		distinct[p.X] = true
 	}
 	if len(distinct) < minFitPoints {
-		return Fit{}, errors.Errorf("%d different sizes, at least %d are needed", len(distinct), minFitPoints)
+		return Fit{}, errors.Errorf("the points have %d different sizes, at least %d are needed", len(distinct), minFitPoints)
 	}
 	f := Fit{Points: points}
 	f.Intercept, f.Slope = stat.LinearRegression(x, y, nil, false)
 	f.R2 = stat.RSquared(x, y, nil, f.Intercept, f.Slope)
-	if math.IsNaN(f.R2) { // all Y are equal: the line is exact
+	if math.IsNaN(f.R2) { // all Y are equal, so that the line is exact
 		f.R2 = 1
 	}
-	var residual float64
+	var squaredResiduals float64
 	for _, p := range points {
-		d := p.Y - f.Intercept - f.Slope*p.X
-		residual += d * d
+		residual := p.Y - f.Intercept - f.Slope*p.X
+		squaredResiduals += residual * residual
 	}
 	n := float64(len(points))
 	sxx := stat.Variance(x, nil) * (n - 1)
-	f.SlopeError = math.Sqrt(residual / (n - 2) / sxx)
+	f.SlopeError = math.Sqrt(squaredResiduals / (n - 2) / sxx)
 	return f, nil
 }
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -12,7 +12,8 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// The loads, as shares of the peak rate.
+// The names of the loads. The first three are relative to the peak rate, see
+// loadLevels; the last is the urgent requests of LoadPast without its drafts.
 const (
 	LoadBelow = "below"
 	LoadPeak  = "peak"
@@ -20,37 +21,42 @@
 	LoadIdle  = "urgent alone"
 )
 
-// loadShare is the arrival rate of each load relative to the peak.
-var loadShare = []struct {
+// loadLevels lists the loads with all kinds of requests; share is the arrival rate
+// divided by the peak rate.
+var loadLevels = []struct {
 	name  string
 	share float64
 }{{LoadBelow, 0.5}, {LoadPeak, 1}, {LoadPast, 1.4}}
 
-// MeasureOptions describe a measurement.
+// MeasureOptions are the options of Measure.
 type MeasureOptions struct {
-	// Bin is the folder with the programs and Out the folder of the report.
+	// Bin is the folder with the programs and Out the folder for the report.
 	Bin string
 	Out string
-	// Runs is how often each cell is repeated.
+	// Runs is the number of repeats of each cell.
 	Runs int
+	// Seed seeds the arrivals and requests; each repeat adds its number to it.
 	Seed uint64
-	// Segment is the measured time of one arm under one load, after Warmup.
+	// Segment is the measured time of one segment, which follows its Warmup.
 	Segment time.Duration
 	Warmup  time.Duration
 	// Timeout is the deadline of one request.
-	Timeout     time.Duration
+	Timeout time.Duration
+	// MaxInFlight limits the concurrent requests of the load generator.
 	MaxInFlight int
 	// Scale divides the engines' times and the latency targets, so that a short
-	// run holds many requests.
+	// segment serves many requests.
 	Scale float64
-	// Firms limits the run to some deployments; none means all.
+	// Firms names the deployments to measure; if it is empty, all are measured.
 	Firms []string
-	// Start starts the processes; Progress gets a line for each segment.
+	// Start starts the fleet of a deployment. A line for each segment is written to
+	// Progress.
 	Start    StartBed
 	Progress io.Writer
 }
 
-// uniqueName returns a name that no earlier run has used, of constant length.
+// uniqueName returns a run name for the load generator. It contains the time, so
+// that no earlier run has the same name, and has a constant length.
 func (o MeasureOptions) uniqueName() string {
 	return fmt.Sprintf("m%019d", time.Now().UnixNano())
 }
@@ -69,18 +75,20 @@
 	Verdicts []Verdict     `json:"-"`
 }
 
-// FirmResults are the figures of one deployment that belong to no sample.
+// FirmResults are the figures of one deployment that are not measured by a segment.
 type FirmResults struct {
 	Name     string           `json:"name"`
 	Size     Size             `json:"size"`
 	Capacity Capacity         `json:"capacity"`
 	Workload loadgen.Workload `json:"workload"`
 	Overhead Overhead         `json:"overhead"`
-	Note     string           `json:"note,omitempty"`
+	// Note is the error that stopped the measurement of the deployment or of its
+	// overhead, if any.
+	Note string `json:"note,omitempty"`
 }
 
-// Measure runs the measurement, writes the report and returns the figures. What
-// was measured before an error or the end of ctx is written all the same.
+// Measure measures the deployments, writes the report and returns the figures. When
+// ctx ends or a segment fails, the segments measured so far are still written.
 func Measure(ctx context.Context, o MeasureOptions) (*Results, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, errors.WithStack(err)
@@ -95,10 +103,11 @@
 		}
 	}
 	res.Took = time.Since(res.Started)
-	res.judge()
+	res.computeVerdicts()
 	return res, res.Write(o.Out)
 }
 
+// selected reports whether a deployment is to be measured.
 func (o MeasureOptions) selected(firm string) bool {
 	for _, name := range o.Firms {
 		if name == firm {
@@ -108,17 +117,19 @@
 	return len(o.Firms) == 0
 }
 
-// judge computes the verdicts from the samples.
-func (r *Results) judge() {
+// computeVerdicts computes the verdict of each deployment from the samples.
+func (r *Results) computeVerdicts() {
 	r.Verdicts = nil
 	for _, f := range r.Firms {
 		r.Verdicts = append(r.Verdicts, VerdictOf(r.Samples, f.Name, LoadPeak))
 	}
 }
 
-// Verdict returns the last line of the measurement.
+// Verdict returns the combined verdict of all deployments.
 func (r *Results) Verdict() Verdict { return Combine(r.Verdicts) }
 
+// measureFirm starts the fleet of a deployment, measures the overhead of a daemon
+// and all segments, and appends their samples to samples.
 func measureFirm(ctx context.Context, o MeasureOptions, f Firm, samples *Samples) FirmResults {
 	out := FirmResults{Name: f.Name, Size: f.Size}
 	bed, err := o.Start(ctx, o.Bin, f.Size)
@@ -127,31 +138,33 @@
 		return out
 	}
 	defer bed.Close()
-	b := &bench{o: o, firm: f, bed: bed, hc: loadgen.NewClient(o.MaxInFlight), targets: TargetsAt(o.Scale)}
-	defer b.hc.CloseIdleConnections()
+	r := &runner{opts: o, firm: f, bed: bed, client: loadgen.NewClient(o.MaxInFlight), targets: TargetsAt(o.Scale)}
+	defer r.client.CloseIdleConnections()
 	out.Workload = WorkloadOf(bed.Teams())
 	out.Capacity, err = CapacityOf(out.Workload, f.Size.Prefill, f.Size.Decode, o.Scale)
 	if err != nil {
 		out.Note = err.Error()
 		return out
 	}
-	if out.Overhead, err = b.overhead(ctx); err != nil {
+	if out.Overhead, err = r.measureOverhead(ctx); err != nil {
 		out.Note = "overhead: " + err.Error()
 	}
-	for _, s := range plan(o, f, out.Workload, out.Capacity.PeakRate) {
+	for _, s := range planSegments(o, f, out.Workload, out.Capacity.PeakRate) {
 		if ctx.Err() != nil {
 			break
 		}
-		sample := b.run(ctx, s)
+		sample := r.runSegment(ctx, s)
 		*samples = append(*samples, sample)
-		progress(o.Progress, sample)
+		printProgress(o.Progress, sample)
 	}
 	return out
 }
 
-// plan lists the segments of a firm: the arms interleaved under each load, our
-// policy with urgent requests alone, the ablations at the peak, and the faults.
-func plan(o MeasureOptions, f Firm, w loadgen.Workload, peak float64) []segment {
+// planSegments returns the segments of a deployment in the order of their runs. Each
+// repeat has every arm under each load, the project's own policy with urgent
+// requests only, the ablations at the peak, and the first two arms under each fault.
+// peak is in arrivals a second.
+func planSegments(o MeasureOptions, f Firm, w loadgen.Workload, peak float64) []segment {
 	var out []segment
 	add := func(repeat int, arm Arm, load string, rate float64, fault *Fault) {
 		s := segment{cell: Cell{Firm: f.Name, Load: load, Arm: arm.Name}, repeat: repeat, arm: arm, workload: w, fault: fault}
@@ -162,17 +175,17 @@
 		out = append(out, s)
 	}
 	for repeat := range o.Runs {
-		for _, load := range loadShare {
-			for _, arm := range rotated(Arms(), repeat) {
+		for _, load := range loadLevels {
+			for _, arm := range rotateArms(Arms(), repeat) {
 				add(repeat, arm, load.name, peak*load.share, nil)
 			}
 		}
-		out = append(out, idle(f, w, peak, repeat))
-		for _, arm := range rotated(Ablations(), repeat) {
+		out = append(out, urgentOnlySegment(f, w, peak, repeat))
+		for _, arm := range rotateArms(Ablations(), repeat) {
 			add(repeat, arm, LoadPeak, peak, nil)
 		}
 		for _, fault := range Faults() {
-			for _, arm := range rotated(Arms()[:2], repeat) {
+			for _, arm := range rotateArms(Arms()[:2], repeat) {
 				add(repeat, arm, LoadPeak, peak, &fault)
 			}
 		}
@@ -180,15 +193,18 @@
 	return out
 }
 
-// idle is our policy under the urgent requests of the load past the peak, without drafts.
-func idle(f Firm, w loadgen.Workload, peak float64, repeat int) segment {
-	whole := w.Mix.Total()
+// urgentOnlySegment returns a segment of the project's own policy under the urgent
+// requests of the highest load without its drafts. The rate is reduced by the share
+// of drafts, so that urgent requests arrive as often as under that load.
+func urgentOnlySegment(f Firm, w loadgen.Workload, peak float64, repeat int) segment {
+	totalShare := w.Mix.Total()
 	w.Mix.Draft = 0
-	w.Rate = peak * loadShare[len(loadShare)-1].share * w.Mix.Total() / whole
+	w.Rate = peak * loadLevels[len(loadLevels)-1].share * w.Mix.Total() / totalShare
 	return segment{cell: Cell{Firm: f.Name, Load: LoadIdle, Arm: Ours}, repeat: repeat, arm: Arms()[0], workload: w}
 }
 
-func progress(w io.Writer, s Sample) {
+// printProgress writes one line about a finished segment.
+func printProgress(w io.Writer, s Sample) {
 	name := s.Firm + " " + s.Load + " " + s.Arm
 	if s.Fault != "" {
 		name += " (" + s.Fault + ")"
--- a/internal/experiment/observe.go
+++ b/internal/experiment/observe.go
@@ -15,7 +15,8 @@
 	"github.com/corianderturn/corianderturn/internal/standin/logsvc"
 )
 
-// The daemons' metrics that are read; see docs for their meaning.
+// The daemons' metrics that are read: bytes and frames of the connections between
+// daemons, called control traffic.
 const (
 	metricControlIn  = "corianderturn_control_received_bytes_total"
 	metricControlOut = "corianderturn_control_sent_bytes_total"
@@ -23,24 +24,26 @@
 	metricFramesOut  = "corianderturn_control_sent_frames_total"
 )
 
-// maxMetrics bounds a metrics page, in bytes.
-const maxMetrics = 8 << 20
+// maxMetricsBytes is the maximum number of bytes that are read of a metrics page.
+const maxMetricsBytes = 8 << 20
 
-// Usage is what one daemon has used since it started.
+// Usage is the resource usage of one daemon. The counters start with the process.
 type Usage struct {
+	// At is the time of the reading.
 	At         time.Time
-	ControlIn  float64 // bytes from peers
-	ControlOut float64
-	FramesIn   float64
-	FramesOut  float64
-	CPU        float64 // seconds of one core
-	Resident   float64 // bytes, now
-	// Before and After are what the process had read and written, on all its
-	// sockets and files, just before and just after its metrics were read.
+	ControlIn  float64 // bytes received from other daemons
+	ControlOut float64 // bytes sent to other daemons
+	FramesIn   float64 // frames received from other daemons
+	FramesOut  float64 // frames sent to other daemons
+	CPU        float64 // processor time in core-seconds
+	Resident   float64 // resident memory at the time of the reading, in bytes
+	// Before and After are the process's I/O counters just before and just after its
+	// metrics were read.
 	Before, After IO
 }
 
-// IO is what the kernel counted for a process, in bytes.
+// IO holds the kernel's counters of the bytes that a process has read and written,
+// on all its sockets and files.
 type IO struct{ Read, Written float64 }
 
 func readIO(p procfs.Proc) (IO, error) {
@@ -48,66 +51,76 @@
 	return IO{Read: float64(io.RChar), Written: float64(io.WChar)}, errors.WithStack(err)
 }
 
-// LogUse is what the log service has done since it started.
+// LogUse holds the counters of the log service since its start.
 type LogUse struct {
 	Appends, Records, Reads int
 	Bytes                   int64
 }
 
-// Rates are the means over the daemons that lived through a window.
+// Rates holds the mean resource usage of one daemon during a window, over the
+// daemons whose process ran through the window, and the usage of the log.
 type Rates struct {
-	Daemons    int     `json:"daemons"`
+	// Daemons is the number of daemons that the means are over.
+	Daemons int `json:"daemons"`
+	// ControlIn, ControlOut and Messages are the traffic between daemons; Messages
+	// counts received and sent frames.
 	ControlIn  float64 `json:"control_in_bytes_per_s"`
 	ControlOut float64 `json:"control_out_bytes_per_s"`
 	Messages   float64 `json:"messages_per_s"`
-	CPU        float64 `json:"cores"`
-	Resident   float64 `json:"resident_bytes"`
-	// AllIn and AllOut are all bytes of the process, callers' and upstreams'
-	// included, without those of the measurement itself.
+	// CPU is the mean number of busy cores, Resident the resident memory at the end
+	// of the window.
+	CPU      float64 `json:"cores"`
+	Resident float64 `json:"resident_bytes"`
+	// AllIn and AllOut count all bytes that the process read and wrote, including
+	// the traffic of callers and upstreams but not the reading of its metrics.
 	AllIn  float64 `json:"all_in_bytes_per_s"`
 	AllOut float64 `json:"all_out_bytes_per_s"`
-	// LogAppends, LogReads and LogBytes are of the whole fleet.
+	// LogAppends, LogReads and LogBytes are the load on the log by the whole fleet.
 	LogAppends float64 `json:"log_appends_per_s"`
 	LogReads   float64 `json:"log_reads_per_s"`
 	LogBytes   float64 `json:"log_bytes_per_s"`
 }
 
-// observation is one reading of a whole fleet.
-type observation struct {
+// fleetReading is the usage of every daemon and of the log at one time.
+type fleetReading struct {
 	at     time.Time
-	daemon map[int]Usage // by process id, so that a restarted daemon is another one
+	daemon map[int]Usage // by process id, so that a restarted daemon has a new entry
 	log    LogUse
 }
 
-// observer reads the daemons' metrics, the kernel's accounts and the log's counters.
-type observer struct {
-	bed Bed
-	hc  *http.Client
+// fleetObserver reads the daemons' metrics, the kernel's counters of their processes
+// and the log's statistics.
+type fleetObserver struct {
+	bed    Bed
+	client *http.Client
 }
 
-func (o observer) read(ctx context.Context) (observation, error) {
-	out := observation{at: time.Now(), daemon: map[int]Usage{}}
-	var failed error
+// read returns a reading of the daemons that could be read. It fails if there are
+// none or the log's statistics can't be read.
+func (o fleetObserver) read(ctx context.Context) (fleetReading, error) {
+	out := fleetReading{at: time.Now(), daemon: map[int]Usage{}}
+	var lastErr error
 	for _, d := range o.bed.Daemons() {
-		u, err := o.usage(ctx, d)
-		if err != nil { // it may be between two lives; Rates.Daemons shows how many were read
-			failed = errors.Wrap(err, d.Name)
+		u, err := o.readUsage(ctx, d)
+		if err != nil { // it may be restarting; Rates.Daemons shows how many daemons were read
+			lastErr = errors.Wrap(err, d.Name)
 			continue
 		}
 		out.daemon[d.PID] = u
 	}
 	if len(out.daemon) == 0 {
-		return out, failed
+		return out, lastErr
 	}
 	var st logsvc.Stats
-	if err := loadgen.GetJSON(ctx, o.hc, o.bed.Log().Control+"/stats", &st); err != nil {
+	if err := loadgen.GetJSON(ctx, o.client, o.bed.Log().Control+"/stats", &st); err != nil {
 		return out, err
 	}
 	out.log = LogUse{Appends: st.Appends, Records: st.Records, Reads: st.Reads, Bytes: st.Bytes}
 	return out, nil
 }
 
-func (o observer) usage(ctx context.Context, d Node) (Usage, error) {
+// readUsage reads the usage of one daemon.
+func (o fleetObserver) readUsage(ctx context.Context, d Node) (Usage, error) {
 	u := Usage{At: time.Now()}
 	proc, err := procfs.NewProc(d.PID)
 	if err != nil {
@@ -116,7 +129,7 @@
 	if u.Before, err = readIO(proc); err != nil {
 		return u, err
 	}
-	page, err := o.metrics(ctx, d.Control)
+	page, err := o.fetchMetrics(ctx, d.Control)
 	if err != nil {
 		return u, err
 	}
@@ -131,7 +144,7 @@
 		{metricFramesIn, &u.FramesIn}, {metricFramesOut, &u.FramesOut},
 	} {
 		value, ok := page[m.name]
-		if !ok { // a cost of nothing would look measured
+		if !ok { // a missing metric must not be reported as a cost of 0
 			return u, errors.Errorf("the daemon has no metric %s", m.name)
 		}
 		*m.to = value
@@ -148,13 +161,13 @@
 	return u, nil
 }
 
-// metrics returns the sum of each counter of a metrics page over its labels.
-func (o observer) metrics(ctx context.Context, url string) (map[string]float64, error) {
+// fetchMetrics fetches a metrics page and parses it with parseMetrics.
+func (o fleetObserver) fetchMetrics(ctx context.Context, url string) (map[string]float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	resp, err := o.hc.Do(req)
+	resp, err := o.client.Do(req)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -162,14 +175,16 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("%s: status %d", url, resp.StatusCode)
 	}
-	return parseCounters(io.LimitReader(resp.Body, maxMetrics))
+	return parseMetrics(io.LimitReader(resp.Body, maxMetricsBytes))
 }
 
-func parseCounters(r io.Reader) (map[string]float64, error) {
+// parseMetrics parses a page in the Prometheus text format and returns the value of
+// each counter and gauge, summed over its label sets, by name.
+func parseMetrics(r io.Reader) (map[string]float64, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(r)
 	if err != nil {
-		return nil, errors.Wrap(err, "metrics")
+		return nil, errors.Wrap(err, "parse metrics")
 	}
 	out := map[string]float64{}
 	for name, f := range families {
@@ -180,32 +195,33 @@
 	return out, nil
 }
 
-// ratesBetween returns the means over the daemons that are in both observations.
-func ratesBetween(a, b observation) Rates {
+// ratesBetween returns the rates between two readings of a fleet. A daemon that is
+// not in both of them is left out.
+func ratesBetween(before, after fleetReading) Rates {
 	var r Rates
-	for pid, now := range b.daemon {
-		was, ok := a.daemon[pid]
+	for pid, last := range after.daemon {
+		first, ok := before.daemon[pid]
 		if !ok {
 			continue
 		}
-		seconds := now.At.Sub(was.At).Seconds()
+		seconds := last.At.Sub(first.At).Seconds()
 		r.Daemons++
-		r.ControlIn += (now.ControlIn - was.ControlIn) / seconds
-		r.ControlOut += (now.ControlOut - was.ControlOut) / seconds
-		r.Messages += (now.FramesIn - was.FramesIn + now.FramesOut - was.FramesOut) / seconds
-		r.CPU += (now.CPU - was.CPU) / seconds
-		r.Resident += now.Resident
-		r.AllIn += (now.Before.Read - was.After.Read) / seconds
-		r.AllOut += (now.Before.Written - was.After.Written) / seconds
+		r.ControlIn += (last.ControlIn - first.ControlIn) / seconds
+		r.ControlOut += (last.ControlOut - first.ControlOut) / seconds
+		r.Messages += (last.FramesIn - first.FramesIn + last.FramesOut - first.FramesOut) / seconds
+		r.CPU += (last.CPU - first.CPU) / seconds
+		r.Resident += last.Resident
+		r.AllIn += (last.Before.Read - first.After.Read) / seconds
+		r.AllOut += (last.Before.Written - first.After.Written) / seconds
 	}
 	if n := float64(r.Daemons); n > 0 {
 		for _, v := range []*float64{&r.ControlIn, &r.ControlOut, &r.Messages, &r.CPU, &r.Resident, &r.AllIn, &r.AllOut} {
 			*v /= n
 		}
 	}
-	seconds := b.at.Sub(a.at).Seconds()
-	r.LogAppends = float64(b.log.Appends-a.log.Appends) / seconds
-	r.LogReads = float64(b.log.Reads-a.log.Reads) / seconds
-	r.LogBytes = float64(b.log.Bytes-a.log.Bytes) / seconds
+	seconds := after.at.Sub(before.at).Seconds()
+	r.LogAppends = float64(after.log.Appends-before.log.Appends) / seconds
+	r.LogReads = float64(after.log.Reads-before.log.Reads) / seconds
+	r.LogBytes = float64(after.log.Bytes-before.log.Bytes) / seconds
 	return r
 }
--- a/internal/experiment/observe_test.go
+++ b/internal/experiment/observe_test.go
@@ -18,32 +18,33 @@
 corianderturn_first_token_seconds_sum 1
 corianderturn_first_token_seconds_count 1
 `
-	got, err := parseCounters(strings.NewReader(page))
+	got, err := parseMetrics(strings.NewReader(page))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got[metricControlOut] != 12 {
 		t.Errorf("sum over labels %v, want 12", got[metricControlOut])
 	}
-	if _, err := parseCounters(strings.NewReader("no metrics {")); err == nil {
-		t.Error("a garbled page was read")
+	if _, err := parseMetrics(strings.NewReader("no metrics {")); err == nil {
+		t.Error("parseMetrics accepted a malformed page")
 	}
 }
 
 func TestRatesBetween(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	before := observation{at: at(10), log: LogUse{Appends: 10}, daemon: map[int]Usage{
+	before := fleetReading{at: at(10), log: LogUse{Appends: 10}, daemon: map[int]Usage{
 		1: {At: at(10), ControlIn: 100, CPU: 1, Resident: 5, Before: IO{Read: 1}, After: IO{Read: 100}},
 		2: {At: at(10), ControlIn: 0, CPU: 2, Resident: 5},
 		3: {At: at(10), ControlIn: 900, CPU: 9},
 	}}
-	after := observation{at: at(14), log: LogUse{Appends: 50}, daemon: map[int]Usage{
+	after := fleetReading{at: at(14), log: LogUse{Appends: 50}, daemon: map[int]Usage{
 		1: {At: at(14), ControlIn: 500, CPU: 2, Resident: 10, Before: IO{Read: 500}, After: IO{Read: 900}},
 		2: {At: at(12), ControlIn: 600, CPU: 3, Resident: 30},
-		4: {At: at(14), ControlIn: 1}, // process 3 was restarted as 4
+		4: {At: at(14), ControlIn: 1}, // the daemon of process 3 was restarted as process 4
 	}}
-	// 100 and 300 B/s, 0.25 and 0.5 cores: a reading counts over its own time.
-	// What the page itself cost, 99 bytes at the one end and 400 at the other, is left out.
+	// The two daemons received 100 and 300 B/s and used 0.25 and 0.5 cores, each over
+	// the time between its own readings of 4 s and 2 s. The I/O of reading the metrics,
+	// 99 bytes in the first reading and 400 in the last, is not counted.
 	want := Rates{Daemons: 2, ControlIn: 200, AllIn: 50, CPU: 0.375, Resident: 20, LogAppends: 10}
 	if d := cmp.Diff(want, ratesBetween(before, after), cmpopts.EquateApprox(0, 1e-9)); d != "" {
 		t.Error(d)
@@ -51,18 +52,18 @@
 }
 
 func TestSlopesStayWithinBounds(t *testing.T) {
-	for _, v := range varied() {
+	for _, v := range sizeSweeps() {
 		if len(v.points) < 4 {
-			t.Errorf("%s has %d points, at least 4 are needed", v.name, len(v.points))
+			t.Errorf("%s has %d points, want at least 4", v.name, len(v.points))
 		}
 		for _, x := range v.points {
-			s := v.size(x)
+			s := v.fleetSize(x)
 			if s.Prefill < 1 || s.Decode < 1 || s.Daemons < 1 || s.Services < 1 {
 				t.Errorf("%s at %g: %+v", v.name, x, s)
 			}
 		}
 	}
-	if err := within(Size{Decode: maxProcesses}); err == nil {
-		t.Error("a fleet past the bound of processes was allowed")
+	if err := checkLimits(Size{Decode: maxProcesses}); err == nil {
+		t.Error("checkLimits accepted a fleet with too many processes")
 	}
 }
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -15,14 +15,17 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// Overhead compares plain-service calls through a daemon with direct ones.
+// Overhead holds the latencies of plain-service calls that went directly to a replica
+// and of calls through a daemon.
 type Overhead struct {
+	// Calls is the number of calls of each sort.
 	Calls  int               `json:"calls"`
 	Direct loadgen.Quantiles `json:"direct"`
 	Daemon loadgen.Quantiles `json:"daemon"`
 }
 
-// Added returns the difference of the 99th percentiles, in milliseconds.
+// Added returns the latency that the daemon adds, as the difference of the two 99th
+// percentiles in milliseconds. It is NaN if nothing was measured.
 func (o Overhead) Added() float64 {
 	if o.Calls == 0 {
 		return math.NaN()
@@ -30,31 +33,34 @@
 	return o.Daemon.P99 - o.Direct.P99
 }
 
-// overheadCalls is how many calls of each sort are made, one after the other.
+// overheadCalls is the number of direct calls and the number of calls through a
+// daemon; all are made one after the other.
 const overheadCalls = 3000
 
-// overhead times look-ups of one service replica by turns directly and through a
-// daemon of the same data centre, on an idle fleet.
-func (b *bench) overhead(ctx context.Context) (Overhead, error) {
-	if err := b.prepare(ctx, Arms()[0]); err != nil {
+// measureOverhead times look-ups on an idle fleet, alternately directly at a replica
+// of the plain service and through a daemon of the same data centre.
+func (r *runner) measureOverhead(ctx context.Context) (Overhead, error) {
+	if err := r.prepare(ctx, Arms()[0]); err != nil {
 		return Overhead{}, err
 	}
-	daemon, service := b.bed.Daemons()[0], b.bed.Services()[0]
-	team := b.bed.Teams()[0]
-	direct, through := loadgen.NewTimer(), loadgen.NewTimer()
+	daemon, service := r.bed.Daemons()[0], r.bed.Services()[0]
+	team := r.bed.Teams()[0]
+	direct, throughDaemon := loadgen.NewTimer(), loadgen.NewTimer()
 	for i := range overheadCalls {
 		path := fmt.Sprintf("/status/overhead-%d", i)
-		if err := b.timed(ctx, direct, service.URL+path, team); err != nil {
+		if err := r.timeGet(ctx, direct, service.URL+path, team); err != nil {
 			return Overhead{}, err
 		}
-		if err := b.timed(ctx, through, daemon.URL+"/services/"+testbed.ServiceName+path, team); err != nil {
+		if err := r.timeGet(ctx, throughDaemon, daemon.URL+"/services/"+testbed.ServiceName+path, team); err != nil {
 			return Overhead{}, err
 		}
 	}
-	return Overhead{Calls: overheadCalls, Direct: direct.Quantiles(), Daemon: through.Quantiles()}, nil
+	return Overhead{Calls: overheadCalls, Direct: direct.Quantiles(), Daemon: throughDaemon.Quantiles()}, nil
 }
 
-func (b *bench) timed(ctx context.Context, t *loadgen.Timer, url string, team loadgen.Team) error {
+// timeGet sends a GET request with the team's key and records the time until the
+// body has been read.
+func (r *runner) timeGet(ctx context.Context, t *loadgen.Timer, url string, team loadgen.Team) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.WithStack(err)
@@ -62,7 +68,7 @@
 	req.Header.Set("Authorization", "Bearer "+team.Key)
 	req.Header.Set("X-Class", string(bundle.Urgent))
 	start := time.Now()
-	resp, err := b.hc.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return errors.WithStack(err)
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -12,22 +12,30 @@
 	"github.com/pkg/errors"
 )
 
-// The files of a measurement's folder.
+// The files with the raw figures and the report in the folder of a measurement.
 const (
 	FileRaw    = "measure.json"
 	FileReport = "README.md"
 )
 
-// Goals of the project, as ratios or bounds.
+// The goals of the project.
 const (
-	goalGoodput       = 1.5
-	goalWasted        = 0.01
-	goalWastedRatio   = 0.1
-	goalUrgentRatio   = 1.2
-	goalOverheadMilli = 1.0
+	// goalGoodput is the minimum ratio of goodput at the peak to the best baseline's.
+	goalGoodput = 1.5
+	// goalWastedShare is the share of wasted prompt tokens at the peak that must not
+	// be reached; goalWastedRatio is its maximum ratio to the best baseline's share.
+	goalWastedShare = 0.01
+	goalWastedRatio = 0.1
+	// goalUrgentRatio is the maximum ratio of the 95th percentile of the urgent time
+	// to first token under LoadPast to that under the same urgent requests without
+	// drafts.
+	goalUrgentRatio = 1.2
+	// goalOverheadMillis is the overhead of a daemon at the 99th percentile that must
+	// not be reached.
+	goalOverheadMillis = 1.0
 )
 
-// Write writes the raw figures, the report and its charts into a folder.
+// Write writes the raw figures, the report and its charts into the folder dir.
 func (r *Results) Write(dir string) error {
 	if err := writeJSON(filepath.Join(dir, FileRaw), r); err != nil {
 		return err
@@ -35,6 +43,7 @@
 	return r.Render(dir)
 }
 
+// writeJSON writes v as indented JSON with a final newline.
 func writeJSON(path string, v any) error {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -43,7 +52,7 @@
 	return errors.WithStack(os.WriteFile(path, append(raw, '\n'), 0o644))
 }
 
-// ReadResults reads the raw figures of a folder.
+// ReadResults reads the raw figures from the folder dir and computes the verdicts.
 func ReadResults(dir string) (*Results, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, FileRaw))
 	if err != nil {
@@ -53,11 +62,11 @@
 	if err := json.Unmarshal(raw, r); err != nil {
 		return nil, errors.Wrap(err, FileRaw)
 	}
-	r.judge()
+	r.computeVerdicts()
 	return r, nil
 }
 
-// Render writes the report and its charts into a folder.
+// Render writes the report and its charts into the folder dir.
 func (r *Results) Render(dir string) error {
 	f, err := os.Create(filepath.Join(dir, FileReport))
 	if err != nil {
@@ -66,26 +75,28 @@
 	defer f.Close()
 	r.writeReport(f)
 	for _, firm := range r.Firms {
-		if err := r.charts(dir, firm); err != nil {
+		if err := r.writeCharts(dir, firm); err != nil {
 			return errors.Wrap(err, firm.Name)
 		}
 	}
 	return errors.WithStack(f.Close())
 }
 
+// writeReport writes the whole report as Markdown.
 func (r *Results) writeReport(w io.Writer) {
-	p := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
-	p("# Measurement of %s\n", r.Started.Format("2006-01-02 15:04 UTC"))
-	p("`make measure`, %d repeats of each cell, seed %d, segments of %s after a warm-up of %s, time scale %g, %s in all.",
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
+	printf("# Measurement of %s\n", r.Started.Format("2006-01-02 15:04 UTC"))
+	printf("`make measure`, %d repeats of each cell, seed %d, segments of %s after a warm-up of %s, time scale %g, %s in all.",
 		r.Runs, r.Seed, r.Segment, r.Warmup, r.Scale, r.Took.Round(1e9))
-	p("%s", method)
+	printf("%s", methodText)
 	for _, f := range r.Firms {
 		r.writeFirm(w, f)
 	}
-	p("\n`%s`", r.Verdict())
+	printf("\n`%s`", r.Verdict())
 }
 
-const method = `
+// methodText is the section of the report that explains how figures are measured.
+const methodText = `
 Real daemons and stand-ins as processes on loopback. Arrivals are open-loop, Poisson and seeded: every arm of a repeat
 meets the same requests at the same times, and the arms take turns in another order in each repeat. A figure is the mean
 over the repeats with the lowest and the highest in brackets.
@@ -104,15 +115,16 @@
 - The time scale divides the engines' times, their lags and the latency targets alike; network and daemons are not scaled,
   so that their share of each latency is too large by that factor.`
 
+// writeFirm writes the section of one deployment: goals, tables, notes and charts.
 func (r *Results) writeFirm(w io.Writer, f FirmResults) {
-	p := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
-	p("\n## %s\n", f.Name)
-	p("%d data centres, %d daemons, %d prefill and %d decode engines, %d replicas of a plain service. An arrival costs %.0f decode and "+
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
+	printf("\n## %s\n", f.Name)
+	printf("%d data centres, %d daemons, %d prefill and %d decode engines, %d replicas of a plain service. An arrival costs %.0f decode and "+
 		"%.0f prefill tokens in the mean; the peak is %.1f arrivals/s (prefill engines alone would carry %.1f/s).",
 		f.Size.DataCentres, f.Size.Daemons, f.Size.Prefill, f.Size.Decode, f.Size.Services,
 		f.Capacity.DecodeTokens, f.Capacity.PrefillTokens, f.Capacity.PeakRate, f.Capacity.PrefillRate)
 	if f.Note != "" {
-		p("\n**Not whole:** %s", f.Note)
+		printf("\n**Not whole:** %s", f.Note)
 	}
 	r.writeGoals(w, f)
 	for _, load := range []string{LoadPeak, LoadBelow, LoadPast, LoadIdle} {
@@ -122,16 +134,20 @@
 		r.writeTable(w, LoadPeak+", "+fault.Name, r.cells(f.Name, LoadPeak, fault.Name))
 	}
 	r.writeNotes(w, f.Name)
-	p("\n![Goodput](%s-goodput.svg)\n![Wasted prefill](%s-wasted.svg)\n![Urgent](%s-urgent.svg)\n![Faults](%s-faults.svg)",
+	printf("\n![Goodput](%s-goodput.svg)\n![Wasted prefill](%s-wasted.svg)\n![Urgent](%s-urgent.svg)\n![Faults](%s-faults.svg)",
 		f.Name, f.Name, f.Name, f.Name)
 }
 
+// cells returns the measured cells of a deployment under a load and fault, one for
+// each arm; an empty fault means none.
 func (r *Results) cells(firm, load, fault string) []Cell {
 	return slices.DeleteFunc(r.Samples.Cells(), func(c Cell) bool {
 		return c.Firm != firm || c.Load != load || c.Fault != fault
 	})
 }
 
+// writeGoals writes a table with the measured value of each goal and whether it is
+// met. A value that was not measured meets no goal.
 func (r *Results) writeGoals(w io.Writer, f FirmResults) {
 	v := VerdictOf(r.Samples, f.Name, LoadPeak)
 	cell := func(load string) Cell { return Cell{Firm: f.Name, Load: load, Arm: Ours} }
@@ -143,12 +159,12 @@
 		met          bool
 	}{
 		{"goodput at the peak at least 1.5 times the best baseline", fmt.Sprintf("x%.2f", v.Goodput), v.Goodput >= goalGoodput},
-		{"wasted prefill under 1%", fmt.Sprintf("%.2f%%", 100*wasted.Mean), wasted.N > 0 && wasted.Mean < goalWasted},
+		{"wasted prefill under 1%", fmt.Sprintf("%.2f%%", 100*wasted.Mean), wasted.N > 0 && wasted.Mean < goalWastedShare},
 		{"wasted prefill at most a tenth of the best baseline's", fmt.Sprintf("x%.2f", v.WastedPrefill), v.WastedPrefill <= goalWastedRatio},
 		{"urgent p95 first token with drafts saturating within 1.2 times its value without drafts", fmt.Sprintf("x%.2f", urgent), urgent <= goalUrgentRatio},
 		{"the same for urgent completions alone", fmt.Sprintf("x%.2f", short), short <= goalUrgentRatio},
 		{"overhead of the daemon under 1 ms at the 99th percentile", fmt.Sprintf("%.2f ms (direct %.2f ms, through a daemon %.2f ms)",
-			f.Overhead.Added(), f.Overhead.Direct.P99, f.Overhead.Daemon.P99), f.Overhead.Added() < goalOverheadMilli},
+			f.Overhead.Added(), f.Overhead.Direct.P99, f.Overhead.Daemon.P99), f.Overhead.Added() < goalOverheadMillis},
 	}
 	_, _ = fmt.Fprintln(w, "\n| goal | measured | met |\n|---|---|---|")
 	for _, row := range rows {
@@ -160,6 +176,8 @@
 	}
 }
 
+// writeTable writes a table with a row for each figure and a column for each cell. It
+// writes nothing if there are no cells.
 func (r *Results) writeTable(w io.Writer, title string, cells []Cell) {
 	if len(cells) == 0 {
 		return
@@ -178,7 +196,8 @@
 	}
 }
 
-// writeNotes lists what went wrong, and the refusals of our policy at the peak.
+// writeNotes lists the errors of segments, the requests that ended in a fault of the
+// system, and the refusals by the project's own policy.
 func (r *Results) writeNotes(w io.Writer, firm string) {
 	for _, s := range r.Samples {
 		if s.Firm != firm {
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -9,21 +9,21 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// TestPlanIsPaired checks that every arm of a repeat meets each load and that
-// only the fault cells have a fault.
+// TestPlanIsPaired checks that each repeat has one segment for every cell, that is every
+// arm under each load, and that only the segments of fault cells have a fault.
 func TestPlanIsPaired(t *testing.T) {
 	f := Firms()[0]
 	seen := map[Cell]int{}
-	for _, s := range plan(MeasureOptions{Runs: 2}, f, WorkloadOf(nil), 100) {
+	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, WorkloadOf(nil), 100) {
 		seen[s.cell]++
 		if (s.fault != nil) != (s.cell.Fault != "") {
 			t.Errorf("%v: fault %v", s.cell, s.fault)
 		}
 		if s.cell.Load == LoadIdle && (s.workload.Mix.Draft != 0 || s.workload.Rate >= 140) {
-			t.Errorf("urgent requests alone: %v at %v/s", s.workload.Mix, s.workload.Rate)
+			t.Errorf("the segment with urgent requests only has the mix %v at %v/s", s.workload.Mix, s.workload.Rate)
 		}
 	}
-	want := 3*3 + 1 + 5 + 4*2 // arms by loads, urgent alone, ablations, arms by faults
+	want := 3*3 + 1 + 5 + 4*2 // arms times loads, urgent requests only, ablations, faults times two arms
 	if len(seen) != want {
 		t.Errorf("%d cells, want %d", len(seen), want)
 	}
@@ -40,11 +40,11 @@
 		Runs: 2, Scale: 1,
 		Firms: []FirmResults{{Name: "f", Capacity: Capacity{PeakRate: 100}, Overhead: Overhead{Calls: 1, Daemon: loadgen.Quantiles{P99: 0.5}}}},
 		Samples: Samples{
-			sample(Ours, 0, 40, 5), sample("least-loaded", 0, 20, 100), sample("round-robin", 0, 10, 200),
+			testSample(Ours, 0, 40, 5), testSample("least-loaded", 0, 20, 100), testSample("round-robin", 0, 10, 200),
 			{Cell: Cell{Firm: "f", Load: "peak", Arm: "broken"}, Note: "did not start"},
 		},
 	}
-	res.judge()
+	res.computeVerdicts()
 	if err := res.Write(dir); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -7,7 +7,8 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// Cell names what one segment measures. Its repeats have the same Cell.
+// Cell identifies the conditions of a segment: deployment, load, fault and arm. The
+// repeats of a segment have the same Cell.
 type Cell struct {
 	Firm  string `json:"firm"`
 	Load  string `json:"load"`
@@ -15,35 +16,46 @@
 	Arm   string `json:"arm"`
 }
 
-// Sample is one segment: one arm under one load, once.
+// Sample holds the figures of one segment, which is a single run of the load
+// generator under the conditions of its Cell.
 type Sample struct {
 	Cell
+	// Repeat is the number of the repeat, from 0.
 	Repeat int `json:"repeat"`
-	// Rate is the arrivals a second that were scheduled.
-	Rate    float64         `json:"rate"`
-	Engines EngineWork      `json:"engines"`
-	Report  *loadgen.Report `json:"report"`
-	// Note says what went wrong with the segment itself, if anything did.
+	// Rate is the scheduled arrival rate in requests a second.
+	Rate    float64    `json:"rate"`
+	Engines EngineWork `json:"engines"`
+	// Report is the load generator's report, nil if the segment could not be run.
+	Report *loadgen.Report `json:"report"`
+	// Note is the error of running the segment or of its fault, if any.
 	Note string `json:"note,omitempty"`
 }
 
-// EngineWork is what the engines did during one segment.
+// EngineWork holds the increases of the engines' counters during one segment, summed
+// over all engines.
 type EngineWork struct {
-	Prefills      int `json:"prefills"`
+	Prefills int `json:"prefills"`
+	// PrefillTokens counts the prompt tokens that were computed, CachedTokens those
+	// that were found in the prefix cache.
 	PrefillTokens int `json:"prefill_tokens"`
 	CachedTokens  int `json:"cached_tokens"`
-	// WastedTokens were computed for a result that no decode engine imported.
+	// WastedTokens counts the prompt tokens computed for prefill results that no
+	// decode engine imported.
 	WastedTokens int `json:"wasted_tokens"`
-	Expired      int `json:"expired"`
-	Refusals     int `json:"refusals"`
-	Decodes      int `json:"decodes"`
-	Tokens       int `json:"tokens"`
+	// Expired counts prefill results that were freed at the end of their lifetime.
+	Expired  int `json:"expired"`
+	Refusals int `json:"refusals"`
+	// Decodes counts the started decodes and Tokens the generated tokens.
+	Decodes int `json:"decodes"`
+	Tokens  int `json:"tokens"`
 }
 
-// Figure is one measured quantity of a sample.
+// Figure is the name of a quantity that is measured in every sample, as reports
+// print it.
 type Figure string
 
-// The figures of the reports.
+// The figures of the reports. "First" stands for the time to the first token, "Gap"
+// for the time between tokens, and the number for the percentile.
 const (
 	Goodput        Figure = "goodput, completions/s within both targets"
 	GoodputStrict  Figure = "goodput by the 95th percentile of gaps"
@@ -72,7 +84,7 @@
 	DroppedCount   Figure = "dropped by the load generator"
 )
 
-// Figures lists the figures in the order of reports.
+// Figures returns the figures in the order in which reports list them.
 func Figures() []Figure {
 	return []Figure{
 		Goodput, GoodputStrict, GoodDrafts, GoodShorts, GoodCalls, WastedPrefill, UnfinishedWork,
@@ -82,7 +94,7 @@
 	}
 }
 
-// Value returns a figure of the sample.
+// Value returns a figure of the sample, whose Report must not be nil.
 func (s Sample) Value(f Figure) float64 {
 	r := s.Report
 	urgent, draft := r.Class(bundle.Urgent), r.Class(bundle.Draft)
@@ -100,7 +112,7 @@
 	case WastedPrefill:
 		return share(s.Engines.WastedTokens, s.Engines.PrefillTokens)
 	case UnfinishedWork:
-		return s.unfinished()
+		return s.unfinishedShare()
 	case UrgentFirst50:
 		return urgent.FirstToken.P50
 	case UrgentFirst95:
@@ -141,13 +153,15 @@
 	return 0
 }
 
-// unfinished is the share of prefills whose decode did not finish. A completion
-// whose caller went away counts as finished, since no router could know.
-func (s Sample) unfinished() float64 {
+// unfinishedShare returns the share of prefills whose decode did not finish. A
+// completion that its caller cancelled counts as finished, since no router can foresee
+// the cancellation.
+func (s Sample) unfinishedShare() float64 {
 	finished := s.Report.AnsweredCompletions + s.Report.CancelledCompletions
 	return share(max(s.Engines.Prefills-finished, 0), s.Engines.Prefills)
 }
 
+// share returns part divided by whole, or 0 if whole is 0.
 func share(part, whole int) float64 {
 	if whole == 0 {
 		return 0
@@ -155,10 +169,11 @@
 	return float64(part) / float64(whole)
 }
 
-// Samples are the segments of one run.
+// Samples are the samples of one measurement, in the order of their runs.
 type Samples []Sample
 
-// Spread sums up a figure over the repeats of a cell.
+// Spread summarizes a figure over the repeats of a cell. Segments that could not be
+// run are left out.
 func (l Samples) Spread(c Cell, f Figure) Spread {
 	var values []float64
 	for _, s := range l {
@@ -169,7 +184,8 @@
 	return NewSpread(values)
 }
 
-// Cells returns the cells in the order in which they were first measured.
+// Cells returns the different cells of the samples, in the order of their first
+// sample.
 func (l Samples) Cells() []Cell {
 	var out []Cell
 	for _, s := range l {
--- a/internal/experiment/segment.go
+++ b/internal/experiment/segment.go
@@ -14,40 +14,42 @@
 )
 
 const (
-	// idleBound is how long engines may take to free everything between two segments.
-	idleBound = 15 * time.Second
-	idlePoll  = 50 * time.Millisecond
-	// faultAt is the part of the measured time after which a fault begins.
-	faultAt = 0.25
+	// idleTimeout limits the wait for engines to become idle between two segments.
+	idleTimeout      = 15 * time.Second
+	idlePollInterval = 50 * time.Millisecond
+	// faultStartShare is the share of the measured time after which a fault is
+	// injected.
+	faultStartShare = 0.25
 )
 
-// segment is one arm under one load, once.
+// segment is one run of the load generator to be made: an arm under a load, with or
+// without a fault.
 type segment struct {
 	cell     Cell
 	repeat   int
 	arm      Arm
 	workload loadgen.Workload
-	fault    *Fault
+	fault    *Fault // nil for none
 }
 
-// bench is one running bed with what is measured on it.
-type bench struct {
-	o       MeasureOptions
+// runner runs the segments of one deployment on its running fleet.
+type runner struct {
+	opts    MeasureOptions
 	firm    Firm
 	bed     Bed
-	hc      *http.Client
+	client  *http.Client
 	targets loadgen.Targets
 }
 
-// run measures one segment. A segment that could not be run keeps its error as
-// a note, so that the report shows the hole.
-func (b *bench) run(ctx context.Context, s segment) Sample {
+// runSegment runs one segment and returns its sample. If the segment could not be
+// run, the error is the sample's Note, so that the report shows that it is missing.
+func (r *runner) runSegment(ctx context.Context, s segment) Sample {
 	out := Sample{Cell: s.cell, Repeat: s.repeat, Rate: s.workload.Rate}
-	if err := b.prepare(ctx, s.arm); err != nil {
+	if err := r.prepare(ctx, s.arm); err != nil {
 		out.Note = err.Error()
 		return out
 	}
-	before, err := b.engineWork(ctx)
+	before, err := r.engineStats(ctx)
 	if err != nil {
 		out.Note = err.Error()
 		return out
@@ -55,9 +57,9 @@
 	var wg conc.WaitGroup
 	faultCtx, stop := context.WithCancel(ctx)
 	if s.fault != nil {
-		wg.Go(func() { out.Note = b.inject(faultCtx, s.fault) })
+		wg.Go(func() { out.Note = r.injectFault(faultCtx, s.fault) })
 	}
-	report, err := loadgen.Run(ctx, b.options(s))
+	report, err := loadgen.Run(ctx, r.loadOptions(s))
 	stop()
 	wg.Wait()
 	if err != nil {
@@ -65,67 +67,71 @@
 		return out
 	}
 	out.Report = report
-	after, err := b.engineWork(ctx)
+	after, err := r.engineStats(ctx)
 	if err != nil {
 		out.Note = err.Error()
 	}
-	out.Engines = after.since(before)
+	out.Engines = after.workSince(before)
 	return out
 }
 
-func (b *bench) options(s segment) loadgen.Options {
+// loadOptions returns the load generator's options for a segment. The seed depends
+// on the repeat alone, so that every arm of a repeat gets the same requests.
+func (r *runner) loadOptions(s segment) loadgen.Options {
 	var daemons, controls []string
-	for _, d := range b.bed.Daemons() {
+	for _, d := range r.bed.Daemons() {
 		daemons = append(daemons, d.URL)
 	}
-	for _, n := range b.bed.Services() {
+	for _, n := range r.bed.Services() {
 		controls = append(controls, n.Control)
 	}
 	return loadgen.Options{
-		Daemons: daemons, Workload: s.workload, Seed: b.o.Seed + uint64(s.repeat),
-		Name:     b.o.uniqueName(),
-		Duration: b.o.Warmup + b.o.Segment, Warmup: b.o.Warmup,
-		MaxInFlight: b.o.MaxInFlight, Timeout: b.o.Timeout, Replay: true,
-		Targets: b.targets, Client: b.hc,
-		Executions: loadgen.ServiceExecutions(b.hc, controls),
+		Daemons: daemons, Workload: s.workload, Seed: r.opts.Seed + uint64(s.repeat),
+		Name:     r.opts.uniqueName(),
+		Duration: r.opts.Warmup + r.opts.Segment, Warmup: r.opts.Warmup,
+		MaxInFlight: r.opts.MaxInFlight, Timeout: r.opts.Timeout, Replay: true,
+		Targets: r.targets, Client: r.client,
+		Executions: loadgen.ServiceExecutions(r.client, controls),
 	}
 }
 
-// prepare rolls the arm's bundle and waits until the fleet is idle.
-func (b *bench) prepare(ctx context.Context, arm Arm) error {
-	next := b.bed.Bundle()
+// prepare publishes a bundle with the arm's policy, waits until it is in force on
+// every daemon and then until the engines are idle.
+func (r *runner) prepare(ctx context.Context, arm Arm) error {
+	next := r.bed.Bundle()
 	next.Policy = arm.Apply(next.Policy)
-	next.Policy.GoodputWeight = b.firm.GoodputWeight
-	next.Policy.WastedPrefillWeight = b.firm.WastedPrefillWeight
-	setTargets(next, b.targets)
-	if err := b.bed.Roll(ctx, next); err != nil {
-		return errors.Wrap(err, "roll")
+	next.Policy.GoodputWeight = r.firm.GoodputWeight
+	next.Policy.WastedPrefillWeight = r.firm.WastedPrefillWeight
+	setLatencyTargets(next, r.targets)
+	if err := r.bed.Roll(ctx, next); err != nil {
+		return errors.Wrap(err, "publish bundle")
 	}
-	return b.waitIdle(ctx)
+	return r.waitIdle(ctx)
 }
 
-// waitIdle waits until no engine holds anything of the segment before.
-func (b *bench) waitIdle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, idleBound)
+// waitIdle waits until no engine holds work of the previous segment.
+func (r *runner) waitIdle(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	for {
-		held, err := b.held(ctx)
+		held, err := r.heldWork(ctx)
 		if err == nil && held == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("engines still hold %d pieces of work after %s (last error: %v)", held, idleBound, err)
-		case <-time.After(idlePoll):
+			return errors.Errorf("engines still hold %d prefills and decodes after %s (last error: %v)", held, idleTimeout, err)
+		case <-time.After(idlePollInterval):
 		}
 	}
 }
 
-func (b *bench) held(ctx context.Context) (int, error) {
+// heldWork returns the number of prefills and decodes that all engines hold.
+func (r *runner) heldWork(ctx context.Context) (int, error) {
 	sum := 0
-	for _, n := range b.bed.Engines() {
+	for _, n := range r.bed.Engines() {
 		var st engine.Stats
-		if err := loadgen.GetJSON(ctx, b.hc, n.Control+"/stats", &st); err != nil {
+		if err := loadgen.GetJSON(ctx, r.client, n.Control+"/stats", &st); err != nil {
 			return sum, err
 		}
 		sum += st.Held
@@ -133,12 +139,12 @@
 	return sum, nil
 }
 
-// engineWork adds up the engines' counters by engine and incarnation.
-func (b *bench) engineWork(ctx context.Context) (work workByEngine, err error) {
-	work = workByEngine{}
-	for _, n := range b.bed.Engines() {
+// engineStats reads the statistics of every engine.
+func (r *runner) engineStats(ctx context.Context) (work statsByIncarnation, err error) {
+	work = statsByIncarnation{}
+	for _, n := range r.bed.Engines() {
 		var st engine.Stats
-		if err := loadgen.GetJSON(ctx, b.hc, n.Control+"/stats", &st); err != nil {
+		if err := loadgen.GetJSON(ctx, r.client, n.Control+"/stats", &st); err != nil {
 			return work, err
 		}
 		work[fmt.Sprintf("%s/%d", n.Name, st.Incarnation)] = st
@@ -146,23 +152,25 @@
 	return work, nil
 }
 
-// workByEngine holds the counters of each life of each engine.
-type workByEngine map[string]engine.Stats
+// statsByIncarnation maps "name/incarnation" of an engine to its statistics. The
+// incarnation changes when an engine restarts, which resets its counters.
+type statsByIncarnation map[string]engine.Stats
 
-// since returns what was done after before. The work of an engine that was
-// killed in between is lost with its counters.
-func (w workByEngine) since(before workByEngine) EngineWork {
+// workSince returns the increase of the counters since before, summed over the
+// engines. The work of an engine that was killed in between is missing, since its
+// counters ended with its process.
+func (w statsByIncarnation) workSince(before statsByIncarnation) EngineWork {
 	var out EngineWork
-	for life, st := range w {
-		was := before[life]
-		out.Prefills += st.Prefills - was.Prefills
-		out.PrefillTokens += st.PrefillTokens - was.PrefillTokens
-		out.CachedTokens += st.CachedTokens - was.CachedTokens
-		out.WastedTokens += st.WastedTokens - was.WastedTokens
-		out.Expired += st.Expired - was.Expired
-		out.Refusals += st.Refusals - was.Refusals
-		out.Decodes += st.Decodes - was.Decodes
-		out.Tokens += st.Tokens - was.Tokens
+	for incarnation, st := range w {
+		earlier := before[incarnation]
+		out.Prefills += st.Prefills - earlier.Prefills
+		out.PrefillTokens += st.PrefillTokens - earlier.PrefillTokens
+		out.CachedTokens += st.CachedTokens - earlier.CachedTokens
+		out.WastedTokens += st.WastedTokens - earlier.WastedTokens
+		out.Expired += st.Expired - earlier.Expired
+		out.Refusals += st.Refusals - earlier.Refusals
+		out.Decodes += st.Decodes - earlier.Decodes
+		out.Tokens += st.Tokens - earlier.Tokens
 	}
 	return out
 }
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -14,28 +14,33 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// The bounds of a run of Slopes; past them it stops.
+// Slopes starts no fleet of more than maxProcesses processes, and none while more than
+// a share of maxMemoryShare of the machine's memory is in use.
 const (
 	maxMemoryShare = 0.5
 	maxProcesses   = 200
 )
 
-// SlopesOptions describe a run of Slopes.
+// SlopesOptions are the options of Slopes.
 type SlopesOptions struct {
+	// Bin is the folder with the programs and Out the folder for the results.
 	Bin string
 	Out string
-	// Settle is how long a point runs before it is measured, Window how long it
-	// is measured.
+	// Settle is the time that a point runs before its measurement, Window the
+	// measured time.
 	Settle time.Duration
 	Window time.Duration
-	Seed   uint64
-	// Sizes limits the run to some sizes; none means all.
-	Sizes    []string
+	// Seed seeds the arrivals and requests.
+	Seed uint64
+	// Sizes names the parameters to vary; if it is empty, all are varied.
+	Sizes []string
+	// Start starts a fleet. The results of each parameter are written to Progress.
 	Start    StartBed
 	Progress io.Writer
 }
 
-// SlopeResults are the raw figures of one run of Slopes.
+// SlopeResults are the results of one run of Slopes: its duration, the options that
+// it used and the results of each varied parameter.
 type SlopeResults struct {
 	Started time.Time     `json:"started"`
 	Took    time.Duration `json:"took_ns"`
@@ -44,33 +49,40 @@
 	Sizes   []SizeResult  `json:"sizes"`
 }
 
-// SizeResult is what was measured while one size varied.
+// SizeResult holds the points and fits of one varied parameter, which the results call
+// a size.
 type SizeResult struct {
 	Name string `json:"name"`
-	// Unit says what one more of the size is.
-	Unit   string      `json:"unit"`
+	// Unit is the unit of the parameter, such as "daemon in the data centre".
+	Unit string `json:"unit"`
+	// Fixed describes the rest of the fleet and of the load, which does not vary.
 	Fixed  string      `json:"fixed"`
 	Points []SizePoint `json:"points"`
 	Fits   []FigureFit `json:"fits"`
-	Notes  []string    `json:"notes,omitempty"`
+	// Notes are errors and remarks of the measurement.
+	Notes []string `json:"notes,omitempty"`
 }
 
-// SizePoint is one point: the size that was set and what it cost.
+// SizePoint is one measured point: a value of the parameter and the cost at it.
 type SizePoint struct {
-	// Size is the size as measured where it is a rate, and as set otherwise.
+	// Size is the value of the parameter: the measured value if it is a rate, and the
+	// requested one otherwise.
 	Size  float64 `json:"size"`
 	Rates Rates   `json:"rates"`
 }
 
-// FigureFit is the fitted cost of one more unit.
+// FigureFit is the fitted line of one cost. Its slope is the cost of one more unit of
+// the parameter.
 type FigureFit struct {
+	// Figure is the name of the cost and Unit its unit.
 	Figure string `json:"figure"`
 	Unit   string `json:"unit"`
 	Fit    Fit    `json:"fit"`
 }
 
-// rateFigures are the costs that are fitted.
-var rateFigures = []struct {
+// fittedFigures lists the costs that are fitted; of returns a cost from the rates of
+// a point.
+var fittedFigures = []struct {
 	name, unit string
 	of         func(Rates) float64
 }{
@@ -86,25 +98,27 @@
 	{"log bytes of the fleet", "B/s", func(r Rates) float64 { return r.LogBytes }},
 }
 
-// Slopes varies one size at a time, fits the costs and writes the raw figures
-// and a table. What was measured before an error is written all the same.
+// Slopes varies one parameter at a time, fits the costs and writes the raw figures
+// and a table. An error while a parameter is measured becomes one of its notes; the
+// points that were measured are still fitted and written.
 func Slopes(ctx context.Context, o SlopesOptions) (*SlopeResults, error) {
 	if err := os.MkdirAll(o.Out, 0o755); err != nil {
 		return nil, errors.WithStack(err)
 	}
 	res := &SlopeResults{Started: time.Now().UTC(), Settle: o.Settle, Window: o.Window}
-	for _, v := range varied() {
-		if ctx.Err() != nil || !o.selected(v.name) {
+	for _, sweep := range sizeSweeps() {
+		if ctx.Err() != nil || !o.selected(sweep.name) {
 			continue
 		}
-		size := o.vary(ctx, v)
+		size := o.measureSize(ctx, sweep)
 		res.Sizes = append(res.Sizes, size)
-		size.write(o.Progress)
+		size.writeTable(o.Progress)
 	}
 	res.Took = time.Since(res.Started)
-	return res, res.write(o.Out)
+	return res, res.writeFiles(o.Out)
 }
 
+// selected reports whether the parameter with this name is to be varied.
 func (o SlopesOptions) selected(name string) bool {
 	for _, s := range o.Sizes {
 		if s == name {
@@ -114,55 +128,57 @@
 	return len(o.Sizes) == 0
 }
 
-// vary measures the points of one size.
-func (o SlopesOptions) vary(ctx context.Context, v variation) SizeResult {
-	out := SizeResult{Name: v.name, Unit: v.unit, Fixed: v.fixed}
+// measureSize measures the points of one parameter and fits its costs. It starts one
+// fleet for all points, or one for each point if the sweep needs that.
+func (o SlopesOptions) measureSize(ctx context.Context, sweep sizeSweep) SizeResult {
+	out := SizeResult{Name: sweep.name, Unit: sweep.unit, Fixed: sweep.fixed}
 	var bed Bed
 	defer func() {
 		if bed != nil {
 			bed.Close()
 		}
 	}()
-	for _, x := range v.points {
-		size := v.size(x)
-		if err := within(size); err != nil {
-			out.Notes = append(out.Notes, fmt.Sprintf("stopped before %g: %v", x, err))
+	for _, x := range sweep.points {
+		size := sweep.fleetSize(x)
+		if err := checkLimits(size); err != nil {
+			out.Notes = append(out.Notes, fmt.Sprintf("stopped before the point %g: %v", x, err))
 			break
 		}
-		if bed == nil || v.fresh {
+		if bed == nil || sweep.freshFleet {
 			if bed != nil {
 				bed.Close()
 			}
 			var err error
 			if bed, err = o.Start(ctx, o.Bin, size); err != nil {
 				bed = nil
-				out.Notes = append(out.Notes, fmt.Sprintf("start for %g: %v", x, err))
+				out.Notes = append(out.Notes, fmt.Sprintf("start the fleet for the point %g: %v", x, err))
 				break
 			}
 		}
-		p, notes, err := o.point(ctx, v, bed, x)
+		p, notes, err := o.measurePoint(ctx, sweep, bed, x)
 		out.Notes = append(out.Notes, notes...)
 		if err != nil {
-			out.Notes = append(out.Notes, fmt.Sprintf("at %g: %v", x, err))
+			out.Notes = append(out.Notes, fmt.Sprintf("at the point %g: %v", x, err))
 			continue
 		}
 		out.Points = append(out.Points, p)
 	}
-	out.fit()
+	out.fitFigures()
 	return out
 }
 
-// point applies the drive of one point and measures it. The notes are the drive's.
-func (o SlopesOptions) point(ctx context.Context, v variation, bed Bed, x float64) (SizePoint, []string, error) {
+// measurePoint measures the point x of a sweep and returns it with the sweep's notes.
+func (o SlopesOptions) measurePoint(ctx context.Context, sweep sizeSweep, bed Bed, x float64) (SizePoint, []string, error) {
 	hc := loadgen.NewClient(slopesInFlight)
 	defer hc.CloseIdleConnections()
-	d := &drive{o: o, bed: bed, hc: hc, observer: observer{bed: bed, hc: hc}}
-	rates, size, err := v.drive(ctx, d, x)
-	return SizePoint{Size: size, Rates: rates}, d.notes, err
+	p := &pointRun{opts: o, bed: bed, client: hc, observer: fleetObserver{bed: bed, client: hc}}
+	rates, size, err := sweep.measure(ctx, p, x)
+	return SizePoint{Size: size, Rates: rates}, p.notes, err
 }
 
-func (s *SizeResult) fit() {
-	for _, f := range rateFigures {
+// fitFigures fits a line to each cost. A cost that can't be fitted becomes a note.
+func (s *SizeResult) fitFigures() {
+	for _, f := range fittedFigures {
 		points := make([]XY, len(s.Points))
 		for i, p := range s.Points {
 			points[i] = XY{p.Size, f.of(p.Rates)}
@@ -176,10 +192,11 @@
 	}
 }
 
-// within says whether a fleet of a size stays within the bounds.
-func within(s Size) error {
+// checkLimits returns an error if a fleet of size s would have too many processes or
+// if too much of the machine's memory is in use.
+func checkLimits(s Size) error {
 	if n := s.Daemons + s.Prefill + s.Decode + s.Services + platformProcesses; n > maxProcesses {
-		return errors.Errorf("%d processes, the bound is %d", n, maxProcesses)
+		return errors.Errorf("the fleet needs %d processes, the limit is %d", n, maxProcesses)
 	}
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -190,7 +207,7 @@
 		return errors.WithStack(err)
 	}
 	if m.MemAvailable == nil || m.MemTotal == nil {
-		return errors.New("the machine's memory is not known")
+		return errors.New("the kernel does not report the total and available memory")
 	}
 	if free := float64(*m.MemAvailable) / float64(*m.MemTotal); free < 1-maxMemoryShare {
 		return errors.Errorf("%.0f%% of the machine's memory is in use", 100*(1-free))
@@ -198,13 +215,14 @@
 	return nil
 }
 
-func (s SizeResult) write(w io.Writer) {
+// writeTable writes the fits and notes of one parameter as text.
+func (s SizeResult) writeTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "\n%s, %d points, %s\n", s.Name, len(s.Points), s.Fixed)
 	for _, f := range s.Fits {
-		_, _ = fmt.Fprintf(w, "  %-26s %12s ± %s %s per %s (at none %s, R² %.2f); points", f.Figure, number(f.Fit.Slope),
-			number(f.Fit.SlopeError), f.Unit, s.Unit, number(f.Fit.Intercept), f.Fit.R2)
+		_, _ = fmt.Fprintf(w, "  %-26s %12s ± %s %s per %s (at none %s, R² %.2f); points", f.Figure, formatNumber(f.Fit.Slope),
+			formatNumber(f.Fit.SlopeError), f.Unit, s.Unit, formatNumber(f.Fit.Intercept), f.Fit.R2)
 		for _, p := range f.Fit.Points {
-			_, _ = fmt.Fprintf(w, " %s:%s", number(p.X), number(p.Y))
+			_, _ = fmt.Fprintf(w, " %s:%s", formatNumber(p.X), formatNumber(p.Y))
 		}
 		_, _ = fmt.Fprintln(w)
 	}
@@ -213,13 +231,15 @@
 	}
 }
 
-// FileSlopes and FileSlopesTable are the files of a run's folder.
+// FileSlopes and FileSlopesTable are the files with the raw figures and the table in
+// the folder of a run of Slopes.
 const (
 	FileSlopes      = "slopes.json"
 	FileSlopesTable = "slopes.txt"
 )
 
-func (r *SlopeResults) write(dir string) error {
+// writeFiles writes the raw figures and the table into the folder dir.
+func (r *SlopeResults) writeFiles(dir string) error {
 	if err := writeJSON(filepath.Join(dir, FileSlopes), r); err != nil {
 		return err
 	}
@@ -231,7 +251,7 @@
 	_, _ = fmt.Fprintf(f, "Run of %s, %s in all; each point is measured for %s after %s.\n",
 		r.Started.Format("2006-01-02 15:04 UTC"), r.Took.Round(time.Second), r.Window, r.Settle)
 	for _, s := range r.Sizes {
-		s.write(f)
+		s.writeTable(f)
 	}
 	return errors.WithStack(f.Close())
 }
--- a/internal/experiment/slopes_sizes.go
+++ b/internal/experiment/slopes_sizes.go
@@ -15,34 +15,41 @@
 )
 
 const (
-	// slopesInFlight bounds the requests at once of one point.
+	// slopesInFlight limits the concurrent requests of one point.
 	slopesInFlight = 2000
-	// platformProcesses is how many processes the platform's stand-ins are at most.
+	// platformProcesses is the maximum number of processes of the platform's
+	// stand-ins in a fleet.
 	platformProcesses = 3
 	// requestTimeout is the deadline of one request.
 	requestTimeout = 30 * time.Second
-	// streamTokens is the length of the answers of the tokens size.
+	// streamTokens is the maximum number of tokens of an answer in the sweep of the
+	// parameter "tokens".
 	streamTokens = 200
 )
 
-// variation is one size that is varied, and what drives it.
-type variation struct {
+// sizeSweep describes how one parameter is varied.
+type sizeSweep struct {
+	// name, unit and fixed become the fields of SizeResult.
 	name, unit, fixed string
-	points            []float64
-	// fresh says that each point needs a fleet of its own.
-	fresh bool
-	size  func(x float64) Size
-	// drive brings the size about for the settling time and the window, and
-	// returns the rates and the size as measured.
-	drive func(ctx context.Context, d *drive, x float64) (Rates, float64, error)
+	// points are the values of the parameter, in its unit.
+	points []float64
+	// freshFleet is set if each point needs a newly started fleet.
+	freshFleet bool
+	// fleetSize returns the size of the fleet for the value x of the parameter.
+	fleetSize func(x float64) Size
+	// measure sets the parameter to x for the settling time and the window, and
+	// returns the rates in the window and the measured value of the parameter.
+	measure func(ctx context.Context, p *pointRun, x float64) (Rates, float64, error)
 }
 
-// baseSize is the small fleet on which one size at a time is varied.
+// baseSize returns the size of the small fleet from which every sweep starts.
 func baseSize() Size {
 	return Size{DataCentres: 1, Daemons: 3, Prefill: 1, Decode: 2, Services: 1, Teams: 4, Scale: 1}
 }
 
-func sized(change func(s *Size, x int)) func(float64) Size {
+// baseSizeWith returns a function for sizeSweep.fleetSize that applies change to the
+// base size.
+func baseSizeWith(change func(s *Size, x int)) func(float64) Size {
 	return func(x float64) Size {
 		s := baseSize()
 		change(&s, int(x))
@@ -50,95 +57,99 @@
 	}
 }
 
-func varied() []variation {
-	fixed := sized(func(*Size, int) {})
+// sizeSweeps returns the sweeps in the order in which they run.
+func sizeSweeps() []sizeSweep {
+	fixed := baseSizeWith(func(*Size, int) {})
 	const base = "1 data centre, 3 daemons, 3 engines, 1 service, 4 teams"
-	return []variation{
-		{name: "daemons", unit: "daemon in the data centre", fixed: "no requests; 3 engines, 1 service, 4 teams", points: []float64{2, 6, 12, 24}, fresh: true,
-			size: sized(func(s *Size, x int) { s.Daemons = x }), drive: quiet},
-		{name: "replicas", unit: "replica", fixed: "no requests; 3 daemons, 4 teams", points: []float64{4, 12, 24, 48}, fresh: true,
-			size: sized(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 - 1 }), drive: quiet},
-		{name: "busy replicas", unit: "replica with 5 short completions/s", fixed: "a completion as often as replicas allow; 3 daemons, 4 teams", points: []float64{4, 8, 16, 28}, fresh: true,
-			size: sized(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 }), drive: busy},
-		{name: "requests", unit: "look-up/s at a daemon", fixed: base, points: []float64{20, 60, 120, 240}, size: fixed, drive: lookups},
+	return []sizeSweep{
+		{name: "daemons", unit: "daemon in the data centre", fixed: "no requests; 3 engines, 1 service, 4 teams", points: []float64{2, 6, 12, 24}, freshFleet: true,
+			fleetSize: baseSizeWith(func(s *Size, x int) { s.Daemons = x }), measure: measureWithoutLoad},
+		{name: "replicas", unit: "replica", fixed: "no requests; 3 daemons, 4 teams", points: []float64{4, 12, 24, 48}, freshFleet: true,
+			fleetSize: baseSizeWith(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 - 1 }), measure: measureWithoutLoad},
+		{name: "busy replicas", unit: "replica with 5 short completions/s", fixed: "a completion as often as replicas allow; 3 daemons, 4 teams", points: []float64{4, 8, 16, 28}, freshFleet: true,
+			fleetSize: baseSizeWith(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 }), measure: measureBusyReplicas},
+		{name: "requests", unit: "look-up/s at a daemon", fixed: base, points: []float64{20, 60, 120, 240}, fleetSize: fixed, measure: measureLookups},
 		{name: "tokens", unit: "token/s at a daemon", fixed: "3 daemons, 6 engines, 1 service, 4 teams; streams of about 150 tokens", points: []float64{50, 150, 300, 500},
-			size: sized(func(s *Size, _ int) { s.Prefill, s.Decode = 2, 4 }), drive: tokens},
-		{name: "teams", unit: "team in the bundle", fixed: base + ", no requests", points: []float64{10, 400, 1600, 6400}, size: fixed, drive: teams},
-		{name: "changes", unit: "bundle change/s", fixed: base + ", no requests", points: []float64{0.2, 0.5, 1, 2}, size: fixed, drive: changes},
-		{name: "claims", unit: "claim/s of the fleet", fixed: base, points: []float64{5, 15, 30, 60}, size: fixed, drive: claims},
+			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Prefill, s.Decode = 2, 4 }), measure: measureTokens},
+		{name: "teams", unit: "team in the bundle", fixed: base + ", no requests", points: []float64{10, 400, 1600, 6400}, fleetSize: fixed, measure: measureTeams},
+		{name: "changes", unit: "bundle change/s", fixed: base + ", no requests", points: []float64{0.2, 0.5, 1, 2}, fleetSize: fixed, measure: measureBundleChanges},
+		{name: "claims", unit: "claim/s of the fleet", fixed: base, points: []float64{5, 15, 30, 60}, fleetSize: fixed, measure: measureClaims},
 		{name: "claims of a large fleet", unit: "claim/s of the fleet", fixed: "24 daemons, of which 2 read a shard; 3 engines, 1 service, 4 teams", points: []float64{5, 15, 30, 60},
-			size: sized(func(s *Size, _ int) { s.Daemons = 24 }), drive: claims},
+			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Daemons = 24 }), measure: measureClaims},
 		{name: "restarts", unit: "daemon restart/s in the data centre", fixed: "no requests; 6 daemons, 3 engines, 1 service, 4 teams", points: []float64{0, 0.1, 0.25, 0.5},
-			size: sized(func(s *Size, _ int) { s.Daemons = 6 }), drive: restarts},
+			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Daemons = 6 }), measure: measureRestarts},
 	}
 }
 
-// drive is one point in progress.
-type drive struct {
-	o        SlopesOptions
+// pointRun is the state of the measurement of one point.
+type pointRun struct {
+	opts     SlopesOptions
 	bed      Bed
-	hc       *http.Client
-	observer observer
-	// notes are what the drive has to say beside the rates.
+	client   *http.Client
+	observer fleetObserver
+	// notes are remarks on the point, which become notes of the SizeResult.
 	notes []string
 }
 
-// window measures for the window after the settling time.
-func (d *drive) window(ctx context.Context) (Rates, error) {
-	if !clock.Sleep(ctx, d.o.Settle) {
+// measureWindow waits for the settling time and returns the rates in the window.
+func (p *pointRun) measureWindow(ctx context.Context) (Rates, error) {
+	if !clock.Sleep(ctx, p.opts.Settle) {
 		return Rates{}, ctx.Err()
 	}
-	before, err := d.observer.read(ctx)
+	before, err := p.observer.read(ctx)
 	if err != nil {
 		return Rates{}, err
 	}
-	if !clock.Sleep(ctx, d.o.Window) {
+	if !clock.Sleep(ctx, p.opts.Window) {
 		return Rates{}, ctx.Err()
 	}
-	after, err := d.observer.read(ctx)
+	after, err := p.observer.read(ctx)
 	if err != nil {
 		return Rates{}, err
 	}
 	return ratesBetween(before, after), nil
 }
 
-// during measures while work runs in the background; work ends with its context.
-func (d *drive) during(ctx context.Context, work func(context.Context) error) (Rates, error) {
+// measureDuring returns the rates in the window while work runs in the background. It
+// cancels the context of work at the end of the window and waits for work to return.
+func (p *pointRun) measureDuring(ctx context.Context, work func(context.Context) error) (Rates, error) {
 	ctx, stop := context.WithCancel(ctx)
 	var wg conc.WaitGroup
-	var failed error
-	wg.Go(func() { failed = work(ctx) })
-	rates, err := d.window(ctx)
+	var workErr error
+	wg.Go(func() { workErr = work(ctx) })
+	rates, err := p.measureWindow(ctx)
 	stop()
 	wg.Wait()
-	if err == nil && !errors.Is(failed, context.Canceled) {
-		err = failed
+	if err == nil && !errors.Is(workErr, context.Canceled) {
+		err = workErr
 	}
 	return rates, err
 }
 
-func quiet(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	r, err := d.window(ctx)
+// measureWithoutLoad measures the fleet without requests.
+func measureWithoutLoad(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	r, err := p.measureWindow(ctx)
 	return r, x, err
 }
 
-// load sends a mix at a rate for the length of the point and returns the rates
-// beside the load's own report.
-func (d *drive) load(ctx context.Context, rate float64, shape func(*loadgen.Workload)) (Rates, *loadgen.Report, error) {
+// measureUnderLoad runs the load generator at rate arrivals a second for the settling
+// time and the window, with the default workload as changed by shape. It returns the
+// rates in the window and the load generator's report on the whole time.
+func (p *pointRun) measureUnderLoad(ctx context.Context, rate float64, shape func(*loadgen.Workload)) (Rates, *loadgen.Report, error) {
 	w := loadgen.DefaultWorkload()
-	setNames(&w)
-	w.Rate, w.Teams, w.RepeatShare, w.CancelShare = rate, d.bed.Teams(), 0, 0
+	setTestbedNames(&w)
+	w.Rate, w.Teams, w.RepeatShare, w.CancelShare = rate, p.bed.Teams(), 0, 0
 	shape(&w)
 	var daemons []string
-	for _, n := range d.bed.Daemons() {
+	for _, n := range p.bed.Daemons() {
 		daemons = append(daemons, n.URL)
 	}
 	var rep *loadgen.Report
-	rates, err := d.during(ctx, func(context.Context) error {
+	rates, err := p.measureDuring(ctx, func(context.Context) error {
 		var err error
 		rep, err = loadgen.Run(ctx, loadgen.Options{
-			Daemons: daemons, Workload: w, Seed: d.o.Seed, Name: fmt.Sprintf("s%019d", time.Now().UnixNano()),
-			Duration: d.o.Settle + d.o.Window, MaxInFlight: slopesInFlight, Timeout: requestTimeout, Client: d.hc,
+			Daemons: daemons, Workload: w, Seed: p.opts.Seed, Name: fmt.Sprintf("s%019d", time.Now().UnixNano()),
+			Duration: p.opts.Settle + p.opts.Window, MaxInFlight: slopesInFlight, Timeout: requestTimeout, Client: p.client,
 			Targets: TargetsAt(1),
 		})
 		return err
@@ -146,36 +157,42 @@
 	return rates, rep, err
 }
 
-// answered returns the answers a second of a load.
-func (d *drive) answered(rep *loadgen.Report) float64 {
-	return float64(rep.All.Count(loadgen.Answered)) / (d.o.Settle + d.o.Window).Seconds()
+// answerRate returns the answered requests a second.
+func (p *pointRun) answerRate(rep *loadgen.Report) float64 {
+	return float64(rep.All.Count(loadgen.Answered)) / (p.opts.Settle + p.opts.Window).Seconds()
 }
 
-func lookups(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	n := float64(len(d.bed.Daemons()))
-	r, rep, err := d.load(ctx, x*n, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Lookup: 1} })
+// measureLookups sends look-ups at a rate of x a second to each daemon. The measured
+// value is the rate of answered look-ups a daemon.
+func measureLookups(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	n := float64(len(p.bed.Daemons()))
+	r, rep, err := p.measureUnderLoad(ctx, x*n, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Lookup: 1} })
 	if err != nil {
 		return r, x, err
 	}
-	return r, d.answered(rep) / n, nil
+	return r, p.answerRate(rep) / n, nil
 }
 
-// busy keeps every replica at work, so that its load changes all the time.
-func busy(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
+// measureBusyReplicas sends short completions at a rate of 5 a second for each of x
+// replicas, so that the load of every replica changes all the time. The measured value
+// is the number of replicas that corresponds to the rate of answers.
+func measureBusyReplicas(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	const perReplica = 5
-	r, rep, err := d.load(ctx, x*perReplica, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Short: 1} })
+	r, rep, err := p.measureUnderLoad(ctx, x*perReplica, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Short: 1} })
 	if err != nil {
 		return r, x, err
 	}
-	return r, d.answered(rep) / perReplica, nil
+	return r, p.answerRate(rep) / perReplica, nil
 }
 
-// tokens counts the tokens that callers got in the window's load; the answers in
-// progress at its ends make it a little uneven, which the fit's spread shows.
-func tokens(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	n := float64(len(d.bed.Daemons()))
+// measureTokens streams answers at a rate of x tokens a second from each daemon. The
+// measured value is the rate of tokens a daemon that callers received. It varies a little with
+// the answers that are in progress when the load starts and ends; the standard error
+// of the slope includes this.
+func measureTokens(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	n := float64(len(p.bed.Daemons()))
 	const meanAnswer = 0.75 * streamTokens
-	r, rep, err := d.load(ctx, x*n/meanAnswer, func(w *loadgen.Workload) {
+	r, rep, err := p.measureUnderLoad(ctx, x*n/meanAnswer, func(w *loadgen.Workload) {
 		w.Mix, w.StreamShare, w.SharedShare = loadgen.Mix{Draft: 1}, 1, 0
 		w.DraftTokens = loadgen.Sizes{Median: streamTokens, Min: streamTokens, Max: streamTokens}
 		w.DraftPrompt = loadgen.Sizes{Median: 50, Min: 50, Max: 50}
@@ -183,91 +200,97 @@
 	if err != nil {
 		return r, x, err
 	}
-	return r, float64(rep.TokensSeen) / (d.o.Settle + d.o.Window).Seconds() / n, nil
+	return r, float64(rep.TokensSeen) / (p.opts.Settle + p.opts.Window).Seconds() / n, nil
 }
 
-func claims(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	r, rep, err := d.load(ctx, x, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Submit: 1} })
+// measureClaims sends non-idempotent calls of the plain service at a rate of x a
+// second to the whole fleet; each needs a claim of its idempotency key. The measured
+// value is the rate of answered calls.
+func measureClaims(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	r, rep, err := p.measureUnderLoad(ctx, x, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Submit: 1} })
 	if err != nil {
 		return r, x, err
 	}
-	return r, d.answered(rep), nil
+	return r, p.answerRate(rep), nil
 }
 
-// teams rolls a bundle with as many more teams as make x.
-func teams(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	b := d.bed.Bundle()
+// measureTeams publishes a bundle with x teams and measures the idle fleet.
+func measureTeams(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	b := p.bed.Bundle()
 	for i := len(b.Teams); i < int(x); i++ {
 		b.Teams[fmt.Sprintf("team-%05d", i)] = bundle.Team{
 			Weight: 1, Class: bundle.Draft, KeyDigests: []string{fmt.Sprintf("%064x", i)},
 		}
 	}
-	if err := d.bed.Roll(ctx, b); err != nil {
+	if err := p.bed.Roll(ctx, b); err != nil {
 		return Rates{}, x, err
 	}
-	r, err := d.window(ctx)
+	r, err := p.measureWindow(ctx)
 	return r, float64(len(b.Teams)), err
 }
 
-// changes rolls x small changes a second.
-func changes(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
-	rolled := 0
+// measureBundleChanges publishes a bundle with a small change up to x times a second.
+// Each waits until the change before is in force on every daemon, so that the measured
+// rate may be lower.
+func measureBundleChanges(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
+	published := 0
 	var slowest time.Duration
 	start := time.Now()
-	r, err := d.during(ctx, func(ctx context.Context) error {
-		every := time.NewTicker(time.Duration(float64(time.Second) / x))
-		defer every.Stop()
+	r, err := p.measureDuring(ctx, func(ctx context.Context) error {
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / x))
+		defer ticker.Stop()
 		for ctx.Err() == nil {
-			b := d.bed.Bundle()
-			b.Policy.RetryBudget = 0.1 + 0.001*float64(rolled%50)
-			began := time.Now()
-			if err := d.bed.Roll(ctx, b); err != nil {
-				if ctx.Err() != nil { // the window ended during the roll
+			b := p.bed.Bundle()
+			b.Policy.RetryBudget = 0.1 + 0.001*float64(published%50)
+			publishStart := time.Now()
+			if err := p.bed.Roll(ctx, b); err != nil {
+				if ctx.Err() != nil { // the window ended before the change was in force
 					return nil
 				}
 				return err
 			}
-			rolled++
-			slowest = max(slowest, time.Since(began))
+			published++
+			slowest = max(slowest, time.Since(publishStart))
 			select {
 			case <-ctx.Done():
-			case <-every.C:
+			case <-ticker.C:
 			}
 		}
 		return nil
 	})
-	d.notes = append(d.notes, fmt.Sprintf("at %g: the slowest of %d changes was in force everywhere after %s",
-		x, rolled, slowest.Round(time.Millisecond)))
-	return r, float64(rolled) / time.Since(start).Seconds(), err
+	p.notes = append(p.notes, fmt.Sprintf("at %g: the slowest of %d changes was in force everywhere after %s",
+		x, published, slowest.Round(time.Millisecond)))
+	return r, float64(published) / time.Since(start).Seconds(), err
 }
 
-// restarts kills and starts daemons in turn, all but the first, which is
-// measured with every other that lived through the window.
-func restarts(ctx context.Context, d *drive, x float64) (Rates, float64, error) {
+// measureRestarts kills and restarts daemons of the second half of the fleet in turn,
+// x a second. The rates are those of the daemons that were not restarted during the
+// window.
+func measureRestarts(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	if x == 0 {
-		return quiet(ctx, d, x)
+		return measureWithoutLoad(ctx, p, x)
 	}
-	names := d.bed.Daemons()[len(d.bed.Daemons())/2:]
-	done := 0
+	restarted := p.bed.Daemons()[len(p.bed.Daemons())/2:]
+	restarts := 0
 	start := time.Now()
-	r, err := d.during(ctx, func(ctx context.Context) error {
-		every := time.NewTicker(time.Duration(float64(time.Second) / x))
-		defer every.Stop()
+	r, err := p.measureDuring(ctx, func(ctx context.Context) error {
+		ticker := time.NewTicker(time.Duration(float64(time.Second) / x))
+		defer ticker.Stop()
 		for ctx.Err() == nil {
-			name := names[done%len(names)].Name
-			if err := d.bed.Kill(ctx, name); err != nil {
+			name := restarted[restarts%len(restarted)].Name
+			if err := p.bed.Kill(ctx, name); err != nil {
 				return err
 			}
-			if err := d.bed.Restart(context.WithoutCancel(ctx), name); err != nil {
+			if err := p.bed.Restart(context.WithoutCancel(ctx), name); err != nil {
 				return err
 			}
-			done++
+			restarts++
 			select {
 			case <-ctx.Done():
-			case <-every.C:
+			case <-ticker.C:
 			}
 		}
 		return nil
 	})
-	return r, float64(done) / time.Since(start).Seconds(), err
+	return r, float64(restarts) / time.Since(start).Seconds(), err
 }
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -8,17 +8,19 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Spread sums up one figure over the repeats of a cell.
+// Spread holds summary statistics of a figure over the repeats of a cell.
 type Spread struct {
+	// N is the number of repeats that were measured.
 	N    int     `json:"n"`
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
 	Max  float64 `json:"max"`
-	// SD is the sample's standard deviation, 0 for a single repeat.
+	// SD is the sample standard deviation, 0 for a single repeat.
 	SD float64 `json:"sd"`
 }
 
-// NewSpread sums up values; no values give a Spread with N 0.
+// NewSpread returns the summary statistics of values, which are all 0 if there are no
+// values.
 func NewSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
@@ -30,19 +32,21 @@
 	return s
 }
 
-// String gives the mean and the range.
+// String returns the mean with the minimum and maximum in brackets, or "-" if nothing
+// was measured.
 func (s Spread) String() string {
 	switch s.N {
 	case 0:
 		return "-"
 	case 1:
-		return number(s.Mean)
+		return formatNumber(s.Mean)
 	}
-	return fmt.Sprintf("%s (%s to %s)", number(s.Mean), number(s.Min), number(s.Max))
+	return fmt.Sprintf("%s (%s to %s)", formatNumber(s.Mean), formatNumber(s.Min), formatNumber(s.Max))
 }
 
-// number prints three significant digits or whole numbers.
-func number(v float64) string {
+// formatNumber formats v as a whole number from 100 on and with three significant
+// digits below.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == 0:
 		return "0"
@@ -54,8 +58,8 @@
 	return fmt.Sprintf("%.2e", v)
 }
 
-// Ratio compares ours with the baseline's mean. It is NaN when either was not
-// measured, 1 when both are 0, and +Inf when only the baseline is.
+// Ratio returns the mean of ours divided by the baseline's. It is NaN if either was
+// not measured, 1 if both means are 0, and +Inf if only the baseline's is 0.
 func Ratio(ours, baseline Spread) float64 {
 	switch {
 	case ours.N == 0 || baseline.N == 0:
--- a/internal/experiment/state_test.go
+++ b/internal/experiment/state_test.go
@@ -17,17 +17,21 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// The design size of docs/CAPACITY.md.
+// The size of the largest deployment that the daemons are designed for, as in
+// docs/CAPACITY.md.
 const (
 	designDaemons     = 370
 	designReplicas    = 12000
 	designDataCentres = 8
 	designTeams       = 6400
 	designModels      = 18
-	// designKeys are the keys of one of 64 shards in an hour at 970 claims/s.
+	// designKeys is the number of idempotency keys that one of 64 shards holds: those of
+	// an hour at 970 claims/s.
 	designKeys = 970 * 3600 / 64
 )
 
+// designBundle returns a bundle with the teams, models, pools and upstreams of the
+// design size. A quarter of the upstreams are prefill engines, the rest decode engines.
 func designBundle() *bundle.Bundle {
 	b := &bundle.Bundle{
 		Models: map[string]bundle.Model{}, Pools: map[string]bundle.Pool{},
@@ -54,6 +58,7 @@
 	return b
 }
 
+// designMembers returns a member table with a heartbeat of every daemon.
 func designMembers() any {
 	now := time.Unix(1000, 0)
 	t := members.NewTable(members.Config{Node: wire.NodeID{Instance: "entry-000", Incarnation: 1}, DataCentre: "dc-0"}, now)
@@ -67,9 +72,9 @@
 	return t
 }
 
-// designBoard has prefix sets for the prefill replicas of the given number of
-// data centres.
-func designBoard(centres int) any {
+// designBoard returns a board and its snapshot. The board has a load report of every
+// upstream, and prefix sets of the prefill engines in the given number of data centres.
+func designBoard(dataCentres int) any {
 	b, now := board.New(board.Config{}), time.Unix(1000, 0)
 	v := &bundle.Version{Number: 1, Bundle: designBundle()}
 	b.SetVersion(now, v)
@@ -77,13 +82,14 @@
 		b.ApplyReport(now, name, engineapi.Load{}, 0)
 		var dc int
 		_, _ = fmt.Sscanf(u.DataCentre, "dc-%d", &dc)
-		if u.Pool[0] == 'p' && dc < centres {
+		if u.Pool[0] == 'p' && dc < dataCentres {
 			b.RecordPrefill(now, name, board.PrefillResult{Prefix: []uint64{1}})
 		}
 	}
 	return []any{b, b.Snapshot(now)}
 }
 
+// designIndex returns the claims index of one shard with designKeys claims.
 func designIndex() any {
 	x := keys.NewIndex(keys.IndexConfig{Lifetime: time.Hour, MaxKeys: 2 * designKeys, AnswerBytes: 4 << 20})
 	for i := range designKeys {
@@ -100,7 +106,8 @@
 	return x
 }
 
-// BenchmarkState reports the live heap of what a daemon keeps at the design size.
+// BenchmarkState reports the live heap, in MB, of the data that a daemon holds in memory
+// at the design size.
 func BenchmarkState(b *testing.B) {
 	for _, s := range []struct {
 		name string
@@ -125,6 +132,8 @@
 	}
 }
 
+// liveHeap returns the bytes of live heap objects. The second collection frees objects
+// whose finalizers ran after the first.
 func liveHeap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -23,66 +23,71 @@
 )
 
 const (
-	// rollBound is how long a version may take to be in force on every daemon.
-	rollBound = 20 * time.Second
-	rollPoll  = 20 * time.Millisecond
+	// rollTimeout limits the wait for a bundle version to be in force on every daemon.
+	rollTimeout      = 20 * time.Second
+	rollPollInterval = 20 * time.Millisecond
 
 	metricBundleNumber = "corianderturn_bundle_number"
 	pathMetrics        = "/metrics"
 	pathReady          = "/readyz"
 )
 
-// fleet is a Bed on package testbed. Its methods are safe for concurrent use.
-type fleet struct {
+// testbedFleet implements Bed with the processes that package testbed starts. Its
+// methods are safe for concurrent use.
+type testbedFleet struct {
 	dir      string
 	size     Size
 	teams    []loadgen.Team
-	observer observer
+	observer fleetObserver
 
 	mu     sync.Mutex
-	f      *testbed.Fleet
+	fleet  *testbed.Fleet
 	bundle *bundle.Bundle
 }
 
-// StartTestbed implements StartBed.
+// StartTestbed starts a fleet with package testbed, in a temporary folder. It is a
+// StartBed.
 func StartTestbed(ctx context.Context, bin string, s Size) (Bed, error) {
 	dir, err := os.MkdirTemp("", "corianderturn-bed-")
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	b := &fleet{dir: dir, size: s}
-	b.observer = observer{bed: b, hc: http.DefaultClient}
+	b := &testbedFleet{dir: dir, size: s}
+	b.observer = fleetObserver{bed: b, client: http.DefaultClient}
 	bed := testbed.New(bin, dir)
-	if b.f, err = testbed.StartFleet(ctx, bed, layout(s)); err != nil {
+	if b.fleet, err = testbed.StartFleet(ctx, bed, testbedLayout(s)); err != nil {
 		bed.Close()
 		return nil, err
 	}
-	if err := b.begin(ctx); err != nil {
+	if err := b.startDaemons(ctx); err != nil {
 		b.Close()
 		return nil, err
 	}
 	return b, nil
 }
 
-func layout(s Size) testbed.Layout {
-	l := testbed.Layout{Daemons: s.Daemons, Prefill: s.Prefill, Decode: s.Decode, Services: s.Services}
+// testbedLayout returns the layout of a fleet, with the engines' delays and lifetimes
+// divided by the time scale.
+func testbedLayout(s Size) testbed.Layout {
+	out := testbed.Layout{Daemons: s.Daemons, Prefill: s.Prefill, Decode: s.Decode, Services: s.Services}
 	for i := range s.DataCentres {
-		l.DataCentres = append(l.DataCentres, fmt.Sprintf("dc-%d", i))
+		out.DataCentres = append(out.DataCentres, fmt.Sprintf("dc-%d", i))
 	}
 	flags := []string{
 		"--time-scale=" + strconv.FormatFloat(s.Scale, 'g', -1, 64),
-		"--prefill-ttl=" + scaled(engine.DefaultPrefillTTL, s.Scale).String(),
-		"--load-lag=" + scaled(engine.DefaultLoadLag, s.Scale).String(),
-		"--event-delay=" + scaled(engine.DefaultEventDelay, s.Scale).String(),
-		"--linger=" + scaled(engine.DefaultLinger, s.Scale).String(),
+		"--prefill-ttl=" + divideByScale(engine.DefaultPrefillTTL, s.Scale).String(),
+		"--load-lag=" + divideByScale(engine.DefaultLoadLag, s.Scale).String(),
+		"--event-delay=" + divideByScale(engine.DefaultEventDelay, s.Scale).String(),
+		"--linger=" + divideByScale(engine.DefaultLinger, s.Scale).String(),
 	}
-	l.PrefillFlags, l.DecodeFlags = flags, flags
-	return l
+	out.PrefillFlags, out.DecodeFlags = flags, flags
+	return out
 }
 
-// begin starts the daemons and rolls the first version.
-func (b *fleet) begin(ctx context.Context) error {
-	first := b.f.Bundle()
+// startDaemons starts the daemons and publishes the first bundle version, with the
+// teams of the fleet and with link rates multiplied by the time scale.
+func (b *testbedFleet) startDaemons(ctx context.Context) error {
+	first := b.fleet.Bundle()
 	for name, p := range first.Pools {
 		p.LinkBytesPerSecond = int64(float64(p.LinkBytesPerSecond) * b.size.Scale)
 		first.Pools[name] = p
@@ -94,18 +99,18 @@
 		first.Teams[t.Name] = bundle.Team{KeyDigests: []string{hex.EncodeToString(digest[:])}, Weight: 1, Class: bundle.Draft}
 		b.teams = append(b.teams, t)
 	}
-	if err := b.f.StartDaemons(ctx); err != nil {
+	if err := b.fleet.StartDaemons(ctx); err != nil {
 		return err
 	}
 	return b.Roll(ctx, first)
 }
 
 // Daemons implements Bed.
-func (b *fleet) Daemons() []Node {
+func (b *testbedFleet) Daemons() []Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Node
-	for _, d := range b.f.Daemons {
+	for _, d := range b.fleet.Daemons {
 		url := "http://" + d.CallersAddress
 		out = append(out, Node{Name: d.Name, DataCentre: d.DataCentre, URL: url, Control: url + pathMetrics, PID: d.PID()})
 	}
@@ -113,40 +118,41 @@
 }
 
 // Engines implements Bed.
-func (b *fleet) Engines() []Node {
-	return append(b.upstreams(testbed.PoolPrefill, bundle.RolePrefill), b.upstreams(testbed.PoolDecode, bundle.RoleDecode)...)
+func (b *testbedFleet) Engines() []Node {
+	return append(b.poolNodes(testbed.PoolPrefill, bundle.RolePrefill), b.poolNodes(testbed.PoolDecode, bundle.RoleDecode)...)
 }
 
 // Services implements Bed.
-func (b *fleet) Services() []Node { return b.upstreams(testbed.PoolService, bundle.RoleService) }
+func (b *testbedFleet) Services() []Node { return b.poolNodes(testbed.PoolService, bundle.RoleService) }
 
-func (b *fleet) upstreams(pool string, role bundle.PoolRole) []Node {
+// poolNodes returns the upstreams of a pool as nodes with the given role.
+func (b *testbedFleet) poolNodes(pool string, role bundle.PoolRole) []Node {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Node
-	for _, u := range b.f.Pool(pool) {
+	for _, upstream := range b.fleet.Pool(pool) {
 		out = append(out, Node{
-			Name: u.Name, DataCentre: u.DataCentre, Role: role, URL: "http://" + u.Listen, Control: "http://" + u.Control, PID: u.PID(),
+			Name: upstream.Name, DataCentre: upstream.DataCentre, Role: role, URL: "http://" + upstream.Listen, Control: "http://" + upstream.Control, PID: upstream.PID(),
 		})
 	}
 	return out
 }
 
 // Log implements Bed.
-func (b *fleet) Log() Node {
-	return Node{Name: "log", URL: "http://" + b.f.Log.Listen, Control: "http://" + b.f.Log.Control, PID: b.f.Log.PID()}
+func (b *testbedFleet) Log() Node {
+	return Node{Name: "log", URL: "http://" + b.fleet.Log.Listen, Control: "http://" + b.fleet.Log.Control, PID: b.fleet.Log.PID()}
 }
 
 // Teams implements Bed.
-func (b *fleet) Teams() []loadgen.Team { return b.teams }
+func (b *testbedFleet) Teams() []loadgen.Team { return b.teams }
 
 // Bundle implements Bed.
-func (b *fleet) Bundle() *bundle.Bundle {
+func (b *testbedFleet) Bundle() *bundle.Bundle {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	data, err := bundle.EncodeBundle(b.bundle)
 	if err != nil {
-		panic(err) // it was encoded before it was rolled
+		panic(err) // the bundle could be encoded when it was published
 	}
 	c, err := bundle.DecodeBundle(data)
 	if err != nil {
@@ -156,12 +162,12 @@
 }
 
 // Roll implements Bed.
-func (b *fleet) Roll(ctx context.Context, next *bundle.Bundle) error {
+func (b *testbedFleet) Roll(ctx context.Context, next *bundle.Bundle) error {
 	if err := bundle.Validate(next); err != nil {
 		return err
 	}
 	b.mu.Lock()
-	number, err := b.f.Publisher.Publish(ctx, next)
+	number, err := b.fleet.Publisher.Publish(ctx, next)
 	if err == nil {
 		b.bundle = next
 	}
@@ -169,33 +175,35 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, rollBound)
+	ctx, cancel := context.WithTimeout(ctx, rollTimeout)
 	defer cancel()
 	for _, d := range b.Daemons() {
-		if err := b.await(ctx, d, number); err != nil {
+		if err := b.waitInForce(ctx, d, number); err != nil {
 			return errors.Wrap(err, d.Name)
 		}
 	}
 	return nil
 }
 
-// await waits until a daemon is ready and has version number in force.
-func (b *fleet) await(ctx context.Context, d Node, number uint64) error {
+// waitInForce waits until a daemon is ready and the bundle version with this number, or
+// a later one, is in force on it.
+func (b *testbedFleet) waitInForce(ctx context.Context, d Node, number uint64) error {
 	for {
-		page, err := b.observer.metrics(ctx, d.Control)
+		page, err := b.observer.fetchMetrics(ctx, d.Control)
 		if err == nil && page[metricBundleNumber] >= float64(number) {
-			err = b.ready(ctx, d)
+			err = b.checkReady(ctx, d)
 			if err == nil {
 				return nil
 			}
 		}
-		if !clock.Sleep(ctx, rollPoll) {
-			return errors.Errorf("version %d is not in force, it has %g (%v)", number, page[metricBundleNumber], err)
+		if !clock.Sleep(ctx, rollPollInterval) {
+			return errors.Errorf("bundle version %d is not in force, the daemon reports version %g (last error: %v)", number, page[metricBundleNumber], err)
 		}
 	}
 }
 
-func (b *fleet) ready(ctx context.Context, d Node) error {
+// checkReady returns an error unless a daemon's readiness check succeeds.
+func (b *testbedFleet) checkReady(ctx context.Context, d Node) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.URL+pathReady, nil)
 	if err != nil {
 		return errors.WithStack(err)
@@ -206,40 +214,40 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.New("not ready")
+		return errors.New("the daemon is not ready")
 	}
 	return nil
 }
 
 // Kill implements Bed.
-func (b *fleet) Kill(_ context.Context, name string) error {
+func (b *testbedFleet) Kill(_ context.Context, name string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := b.daemon(name); i >= 0 {
-		b.f.Daemons[i].Kill()
+	if i := b.daemonIndex(name); i >= 0 {
+		b.fleet.Daemons[i].Kill()
 		return nil
 	}
-	if u := b.upstream(name); u != nil {
+	if u := b.findUpstream(name); u != nil {
 		u.Kill()
 		return nil
 	}
-	return errors.Errorf("no process %s", name)
+	return errors.Errorf("no process is named %s", name)
 }
 
-// Restart implements Bed. An upstream takes its old address again, and with
-// another control address.
-func (b *fleet) Restart(ctx context.Context, name string) error {
+// Restart implements Bed. An upstream gets its old client address again but another
+// control address.
+func (b *testbedFleet) Restart(ctx context.Context, name string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if i := b.daemon(name); i >= 0 {
-		return b.f.StartDaemon(ctx, i)
+	if i := b.daemonIndex(name); i >= 0 {
+		return b.fleet.StartDaemon(ctx, i)
 	}
-	u := b.upstream(name)
+	u := b.findUpstream(name)
 	if u == nil {
-		return errors.Errorf("no process %s", name)
+		return errors.Errorf("no process is named %s", name)
 	}
 	args := slices.DeleteFunc(slices.Clone(u.Args), func(a string) bool { return strings.HasPrefix(a, "--listen=") })
-	p, err := b.f.Start(ctx, name, testbed.ProgramStandIn, append(args, "--listen="+u.Listen)...)
+	p, err := b.fleet.Start(ctx, name, testbed.ProgramStandIn, append(args, "--listen="+u.Listen)...)
 	if err != nil {
 		return err
 	}
@@ -247,12 +255,14 @@
 	return nil
 }
 
-func (b *fleet) daemon(name string) int {
-	return slices.IndexFunc(b.f.Daemons, func(d *testbed.Daemon) bool { return d.Name == name })
+// daemonIndex returns the index of a daemon in b.fleet.Daemons, or -1.
+func (b *testbedFleet) daemonIndex(name string) int {
+	return slices.IndexFunc(b.fleet.Daemons, func(d *testbed.Daemon) bool { return d.Name == name })
 }
 
-func (b *fleet) upstream(name string) *testbed.Upstream {
-	for _, u := range b.f.Upstreams {
+// findUpstream returns the upstream with a name, or nil.
+func (b *testbedFleet) findUpstream(name string) *testbed.Upstream {
+	for _, u := range b.fleet.Upstreams {
 		if u.Name == name {
 			return u
 		}
@@ -260,38 +270,39 @@
 	return nil
 }
 
-// CutDataCentre implements Bed. The engines of other data centres stay within
-// reach: only the connections between daemons and to the platform are cut.
-func (b *fleet) CutDataCentre(_ context.Context, dataCentre string) (func(context.Context) error, error) {
-	set := func(m testbed.Mode) {
+// CutDataCentre implements Bed. It cuts only the connections between daemons and to
+// the platform; the engines of all data centres stay reachable.
+func (b *testbedFleet) CutDataCentre(_ context.Context, dataCentre string) (func(context.Context) error, error) {
+	setMode := func(m testbed.Mode) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for _, other := range b.f.Layout.DataCentres {
+		for _, other := range b.fleet.Layout.DataCentres {
 			if other != dataCentre {
-				b.f.SetPeers(dataCentre, other, m)
+				b.fleet.SetPeers(dataCentre, other, m)
 			}
 		}
-		b.f.SetPlatform(dataCentre, m)
+		b.fleet.SetPlatform(dataCentre, m)
 	}
-	set(testbed.Cut)
-	return func(context.Context) error { set(testbed.Open); return nil }, nil
+	setMode(testbed.Cut)
+	return func(context.Context) error { setMode(testbed.Open); return nil }, nil
 }
 
 // CutPlatform implements Bed.
-func (b *fleet) CutPlatform(context.Context) (func(context.Context) error, error) {
-	set := func(m testbed.Mode) {
+func (b *testbedFleet) CutPlatform(context.Context) (func(context.Context) error, error) {
+	setMode := func(m testbed.Mode) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for _, dc := range b.f.Layout.DataCentres {
-			b.f.SetPlatform(dc, m)
+		for _, dc := range b.fleet.Layout.DataCentres {
+			b.fleet.SetPlatform(dc, m)
 		}
 	}
-	set(testbed.Cut)
-	return func(context.Context) error { set(testbed.Open); return nil }, nil
+	setMode(testbed.Cut)
+	return func(context.Context) error { setMode(testbed.Open); return nil }, nil
 }
 
-// Close implements Bed. The daemons' settings and logs go with it.
-func (b *fleet) Close() {
-	b.f.Close()
+// Close implements Bed. It also deletes the folder with the daemons' settings and
+// logs.
+func (b *testbedFleet) Close() {
+	b.fleet.Close()
 	_ = os.RemoveAll(b.dir)
 }
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -10,9 +10,9 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// TestSegmentOnProcesses runs one short segment against real processes: a figure
-// that is read from the wrong place would be 0 here, and one replica is killed
-// and started again under load, as the faults do.
+// TestSegmentOnProcesses runs one short segment against real processes, during which a
+// replica is killed and restarted. It guards against figures that are read from a wrong
+// metric or counter, which would be 0.
 func TestSegmentOnProcesses(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -25,38 +25,38 @@
 		t.Fatal(err)
 	}
 	defer bed.Close()
-	b := &bench{
-		o:    MeasureOptions{Seed: 1, Segment: time.Second, Warmup: 200 * time.Millisecond, Timeout: 30 * time.Second, MaxInFlight: 500},
-		firm: Firms()[0], bed: bed, hc: loadgen.NewClient(500), targets: TargetsAt(2),
+	r := &runner{
+		opts: MeasureOptions{Seed: 1, Segment: time.Second, Warmup: 200 * time.Millisecond, Timeout: 30 * time.Second, MaxInFlight: 500},
+		firm: Firms()[0], bed: bed, client: loadgen.NewClient(500), targets: TargetsAt(2),
 	}
-	defer b.hc.CloseIdleConnections()
+	defer r.client.CloseIdleConnections()
 	w := WorkloadOf(bed.Teams())
 	w.Rate, w.CancelShare = 30, 0
 	killed := Faults()[0]
-	got := b.run(ctx, segment{cell: Cell{Arm: Ours}, arm: Arms()[0], workload: w, fault: &killed})
+	got := r.runSegment(ctx, segment{cell: Cell{Arm: Ours}, arm: Arms()[0], workload: w, fault: &killed})
 	if got.Note != "" || got.Report == nil {
-		t.Fatalf("not measured: %s", got.Note)
+		t.Fatalf("the segment was not measured: %s", got.Note)
 	}
 	if !got.Report.Held() {
 		t.Errorf("faults %+v, ledger %+v", got.Report.Faults, got.Report.Ledger)
 	}
 	if got.Report.AnsweredCompletions == 0 || got.Engines.Prefills == 0 || got.Engines.PrefillTokens == 0 || got.Report.Ledger.Keys == 0 {
-		t.Errorf("nothing was counted: %+v, %+v", got.Engines, got.Report.Ledger)
+		t.Errorf("a counter is 0: engines %+v, ledger %+v", got.Engines, got.Report.Ledger)
 	}
-	if p := bed.Bundle().Policy; p.Name != Ours || p.GoodputWeight != b.firm.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
-		t.Errorf("the arm's bundle was not rolled: %+v", p)
+	if p := bed.Bundle().Policy; p.Name != Ours || p.GoodputWeight != r.firm.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
+		t.Errorf("the arm's policy or targets are not in the published bundle: policy %+v", p)
 	}
-	o := observer{bed: bed, hc: b.hc}
+	o := fleetObserver{bed: bed, client: r.client}
 	seen, err := o.read(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, u := range seen.daemon {
 		if u.ControlIn == 0 || u.FramesOut == 0 || u.Resident == 0 {
-			t.Errorf("a daemon's account is empty: %+v", u)
+			t.Errorf("a counter of a daemon is 0: %+v", u)
 		}
 	}
 	if len(seen.daemon) != 2 || seen.log.Appends == 0 {
-		t.Errorf("%d daemons and %d appends were read", len(seen.daemon), seen.log.Appends)
+		t.Errorf("read %d daemons and %d log appends, want 2 daemons and some appends", len(seen.daemon), seen.log.Appends)
 	}
 }
--- a/internal/experiment/verdict.go
+++ b/internal/experiment/verdict.go
@@ -5,26 +5,29 @@
 	"math"
 )
 
-// Verdict compares our policy with the best baseline at the peak. Each ratio is
-// ours divided by the baseline's that did best in that figure.
+// Verdict compares the project's own policy with the baselines in one deployment. Each
+// ratio is the own policy's mean divided by that of the baseline that is best in this
+// figure.
 type Verdict struct {
 	Firm          string  `json:"firm"`
 	Goodput       float64 `json:"goodput"`
 	WastedPrefill float64 `json:"wasted_prefill"`
-	UrgentP95     float64 `json:"urgent_p95"`
+	// UrgentP95 is the ratio of the 95th percentiles of the urgent time to first
+	// token.
+	UrgentP95 float64 `json:"urgent_p95"`
 }
 
-// VerdictOf compares at the given load, without faults.
-func VerdictOf(l Samples, firm, load string) Verdict {
+// VerdictOf returns the verdict of a deployment under the given load without faults.
+func VerdictOf(samples Samples, firm, load string) Verdict {
 	ratio := func(f Figure, better func(a, b float64) bool) float64 {
 		var best Spread
 		for _, arm := range Arms() {
-			s := l.Spread(Cell{Firm: firm, Load: load, Arm: arm.Name}, f)
+			s := samples.Spread(Cell{Firm: firm, Load: load, Arm: arm.Name}, f)
 			if arm.Baseline && s.N > 0 && (best.N == 0 || better(s.Mean, best.Mean)) {
 				best = s
 			}
 		}
-		return Ratio(l.Spread(Cell{Firm: firm, Load: load, Arm: Ours}, f), best)
+		return Ratio(samples.Spread(Cell{Firm: firm, Load: load, Arm: Ours}, f), best)
 	}
 	higher := func(a, b float64) bool { return a > b }
 	lower := func(a, b float64) bool { return a < b }
@@ -36,14 +39,14 @@
 	}
 }
 
-// Combine returns the geometric mean of the verdicts of several firms.
-func Combine(list []Verdict) Verdict {
-	mean := func(of func(Verdict) float64) float64 {
+// Combine returns the geometric means of the ratios over several deployments.
+func Combine(verdicts []Verdict) Verdict {
+	mean := func(ratio func(Verdict) float64) float64 {
 		var sum float64
-		for _, v := range list {
-			sum += math.Log(of(v))
+		for _, v := range verdicts {
+			sum += math.Log(ratio(v))
 		}
-		return math.Exp(sum / float64(len(list)))
+		return math.Exp(sum / float64(len(verdicts)))
 	}
 	return Verdict{
 		Firm:          "all",
@@ -53,7 +56,7 @@
 	}
 }
 
-// String returns the last line of a measurement.
+// String formats the verdict as the last line that a measurement prints.
 func (v Verdict) String() string {
 	return fmt.Sprintf("measure: goodput x%.2f wasted-prefill x%.2f urgent-p95 x%.2f", v.Goodput, v.WastedPrefill, v.UrgentP95)
 }
