--- a/internal/plotting/plotting.go
+++ b/internal/plotting/plotting.go
@@ -11,59 +11,64 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The sizes of a chart.
+// The dimensions of a chart. A bar is barWidth wide, or less if all bars together would
+// be wider than maxBarsWidth.
 const (
-	width    = 18 * vg.Centimeter
-	height   = 10 * vg.Centimeter
-	barWidth = 8 * vg.Millimeter
-	barsMax  = 13 * vg.Centimeter
-	// headroom leaves place for the legend above the highest value.
-	headroom = 1.25
+	width        = 18 * vg.Centimeter
+	height       = 10 * vg.Centimeter
+	barWidth     = 8 * vg.Millimeter
+	maxBarsWidth = 13 * vg.Centimeter
+	// legendHeadroom is the height of the vertical axis divided by the highest bar; the
+	// space above the bars is for the legend.
+	legendHeadroom = 1.25
 )
 
-// Value is one measured figure with the lowest and highest of its repeats.
+// Value is the mean of a figure over its repeats, with the minimum and maximum.
 type Value struct {
 	Mean, Min, Max float64
 }
 
-// Point is a Value at a place on the horizontal axis.
+// Point is a Value at position X of the horizontal axis.
 type Point struct {
 	X float64
 	Value
 }
 
-// Series is a named list of points, in the order of X.
+// Series is one line of a line chart, with its points in the order of X.
 type Series struct {
 	Name   string
 	Points []Point
 }
 
-// Axes name a chart and its axes.
+// Axes holds the title of a chart and the labels of its axes.
 type Axes struct {
 	Title, X, Y string
 }
 
-// Group is one cluster of bars, with a value for each bar name of the chart.
+// Group is a group of adjacent bars with the label Name. It has one value for each of
+// the chart's bar names, in their order.
 type Group struct {
 	Name   string
 	Values []Value
 }
 
-// Lines writes an SVG line chart with error bars to path.
+// Lines writes an SVG line chart to path. Error bars span the minimum and maximum of
+// each point.
 func Lines(path string, axes Axes, series []Series) error {
-	p := newPlot(axes)
+	chart := newPlot(axes)
 	for i, s := range series {
-		if err := addLine(p, i, s); err != nil {
+		if err := addLine(chart, i, s); err != nil {
 			return errors.Wrap(err, s.Name)
 		}
 	}
-	return save(p, path)
+	return save(chart, path)
 }
 
-// Bars writes an SVG bar chart to path: one cluster a group, one bar a name.
+// Bars writes an SVG bar chart of means to path. The bars with the same name have the
+// same colour and one entry in the legend.
 func Bars(path string, axes Axes, names []string, groups []Group) error {
-	p := newPlot(axes)
-	each := min(barWidth, barsMax/vg.Length(max(len(names)*len(groups), 1)))
+	chart := newPlot(axes)
+	eachWidth := min(barWidth, maxBarsWidth/vg.Length(max(len(names)*len(groups), 1)))
 	labels := make([]string, len(groups))
 	for i, g := range groups {
 		labels[i] = g.Name
@@ -73,34 +78,36 @@
 		for j, g := range groups {
 			values[j] = g.Values[i].Mean
 		}
-		bars, err := plotter.NewBarChart(values, each)
+		bars, err := plotter.NewBarChart(values, eachWidth)
 		if err != nil {
 			return errors.Wrap(err, name)
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
-		bars.Offset = each * (vg.Length(i) - vg.Length(len(names)-1)/2)
-		p.Add(bars)
-		p.Legend.Add(name, bars)
+		bars.Offset = eachWidth * (vg.Length(i) - vg.Length(len(names)-1)/2)
+		chart.Add(bars)
+		chart.Legend.Add(name, bars)
 	}
-	p.NominalX(labels...)
-	p.Y.Min = 0
-	p.Y.Max *= headroom
-	return save(p, path)
+	chart.NominalX(labels...)
+	chart.Y.Min = 0
+	chart.Y.Max *= legendHeadroom
+	return save(chart, path)
 }
 
+// newPlot returns an empty chart with a grid and the legend at the top.
 func newPlot(axes Axes) *plot.Plot {
-	p := plot.New()
-	p.Title.Text = axes.Title
-	p.X.Label.Text = axes.X
-	p.Y.Label.Text = axes.Y
-	p.BackgroundColor = color.White
-	p.Legend.Top = true
-	p.Add(plotter.NewGrid())
-	return p
+	chart := plot.New()
+	chart.Title.Text = axes.Title
+	chart.X.Label.Text = axes.X
+	chart.Y.Label.Text = axes.Y
+	chart.BackgroundColor = color.White
+	chart.Legend.Top = true
+	chart.Add(plotter.NewGrid())
+	return chart
 }
 
-func addLine(p *plot.Plot, i int, s Series) error {
+// addLine adds series number i with its error bars and its entry in the legend.
+func addLine(chart *plot.Plot, i int, s Series) error {
 	line, points, err := plotter.NewLinePoints(means(s.Points))
 	if err != nil {
 		return err
@@ -108,16 +115,17 @@
 	line.Color = plotutil.Color(i)
 	points.Color = plotutil.Color(i)
 	points.Shape = plotutil.Shape(i)
-	errs, err := plotter.NewYErrorBars(spread(s.Points))
+	errorBars, err := plotter.NewYErrorBars(errorBarPoints(s.Points))
 	if err != nil {
 		return err
 	}
-	errs.Color = plotutil.Color(i)
-	p.Add(line, points, errs)
-	p.Legend.Add(s.Name, line, points)
+	errorBars.Color = plotutil.Color(i)
+	chart.Add(line, points, errorBars)
+	chart.Legend.Add(s.Name, line, points)
 	return nil
 }
 
+// means returns the points without their minimum and maximum.
 func means(points []Point) plotter.XYs {
 	out := make(plotter.XYs, len(points))
 	for i, pt := range points {
@@ -126,14 +134,17 @@
 	return out
 }
 
-// ranges joins points with their error bars.
-type ranges struct {
+// pointsWithErrors implements the interfaces that plotter.NewYErrorBars requires: points
+// and the lengths of their error bars.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func spread(points []Point) ranges {
-	r := ranges{XYs: means(points), YErrors: make(plotter.YErrors, len(points))}
+// errorBarPoints converts points for plotter.NewYErrorBars, which takes the distances of
+// the minimum and maximum from the mean.
+func errorBarPoints(points []Point) pointsWithErrors {
+	r := pointsWithErrors{XYs: means(points), YErrors: make(plotter.YErrors, len(points))}
 	for i, pt := range points {
 		r.YErrors[i].Low = pt.Mean - pt.Min
 		r.YErrors[i].High = pt.Max - pt.Mean
@@ -141,6 +152,7 @@
 	return r
 }
 
-func save(p *plot.Plot, path string) error {
-	return errors.Wrap(p.Save(width, height, path), path)
+// save writes the chart to path in the format that the file extension names.
+func save(chart *plot.Plot, path string) error {
+	return errors.Wrap(chart.Save(width, height, path), path)
 }
--- a/internal/plotting/plotting_test.go
+++ b/internal/plotting/plotting_test.go
@@ -37,17 +37,18 @@
 			text := svgText(t, path)
 			for _, want := range append(tc.legend, "Goodput", "answers/s") {
 				if !strings.Contains(text, want) {
-					t.Errorf("the chart does not show %q", want)
+					t.Errorf("the chart lacks the text %q", want)
 				}
 			}
 		})
 	}
 	if err := Lines(filepath.Join(t.TempDir(), "no", "dir.svg"), axes, series); err == nil {
-		t.Error("a chart that cannot be written was reported as written")
+		t.Error("Lines succeeded with a path in a folder that does not exist")
 	}
 }
 
-// svgText returns all the text of an SVG file and fails when it is not well-formed.
+// svgText returns the character data of an SVG file. It fails the test if the XML is not
+// well-formed.
 func svgText(t *testing.T, path string) string {
 	t.Helper()
 	f, err := os.Open(path)
