--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -10,10 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// Bed starts processes and links and ends all that it started. It is safe for
-// concurrent use.
+// Bed manages the processes and links of one test environment; Close ends all of
+// them. It is safe for concurrent use.
 type Bed struct {
-	// Bin is the folder of the built programs, Dir that of outputs and settings.
+	// Bin is the directory of the built programs, Dir the directory for their
+	// output and settings files.
 	Bin string
 	Dir string
 
@@ -22,12 +23,13 @@
 	links []*Link
 }
 
-// New returns a bed for the programs in bin; dir must exist.
+// New returns a Bed that runs programs from bin and writes files to dir, which
+// must exist.
 func New(bin, dir string) *Bed {
 	return &Bed{Bin: bin, Dir: dir}
 }
 
-// Build compiles the named programs of this module into a folder.
+// Build compiles the named programs of this module into the directory bin.
 func Build(ctx context.Context, bin string, programs ...string) error {
 	args := []string{"build", "-o", bin + string(filepath.Separator)}
 	for _, name := range programs {
@@ -37,7 +39,8 @@
 	return errors.Wrapf(err, "build: %s", out)
 }
 
-// Start runs a program of the bed and waits, while ctx lasts, for its ready line.
+// Start runs a program from Bin as a process called name and waits for its ready
+// line. It fails when ctx ends first.
 func (b *Bed) Start(ctx context.Context, name, program string, args ...string) (*Process, error) {
 	p, err := start(ctx, Spec{Name: name, Program: filepath.Join(b.Bin, program), Args: args}, b.Dir)
 	if err != nil {
@@ -49,15 +52,16 @@
 	return p, nil
 }
 
-// Processes returns what was started, the ended ones too.
+// Processes returns all processes started so far, including those that have ended.
 func (b *Bed) Processes() []*Process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.procs)
 }
 
-// Link adds a link to a target; see newLink.
-func (b *Bed) Link(target string, identify identify) (*Link, error) {
+// Link starts a Link that forwards connections to target. identify may be nil;
+// see identifyFunc.
+func (b *Bed) Link(target string, identify identifyFunc) (*Link, error) {
 	l, err := newLink(target, identify)
 	if err != nil {
 		return nil, err
@@ -68,7 +72,8 @@
 	return l, nil
 }
 
-// Close kills every process, frozen ones too, and closes the links.
+// Close kills all processes, including frozen ones, in reverse order of their
+// start, and closes the links.
 func (b *Bed) Close() {
 	b.mu.Lock()
 	procs, links := b.procs, b.links
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -15,46 +15,49 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// The programs a fleet runs.
+// The programs that a Fleet runs.
 const (
 	ProgramDaemon  = "corianderturn"
 	ProgramStandIn = "standin"
 )
 
-// Upstream is one running engine or plain service.
+// Upstream is a running stand-in for an engine or a plain service.
 type Upstream struct {
 	*Process
 	Pool       string
 	DataCentre string
 }
 
-// Daemon is one entry instance; its process changes when it is started again,
-// its addresses do not.
+// Daemon is one entry instance. When it is restarted, Process is replaced and the
+// addresses stay the same.
 type Daemon struct {
 	*Process
 	Name       string
 	DataCentre string
-	// CallersAddress is where callers reach the daemon, AdminAddress its
-	// administration listener, whose bearer token is in AdminToken.
+	// CallersAddress is the address of the listener for callers, AdminAddress that
+	// of the administration listener, which requires the bearer token AdminToken.
 	CallersAddress string
 	AdminAddress   string
 	AdminToken     string
-	// SettingsFile is what the daemon reads at its start.
+	// SettingsFile is the path of the daemon's settings.
 	SettingsFile string
 
-	peers *Link // stands before the daemon's peer listener
+	peerLink *Link // forwards to the daemon's peer listener
 }
 
-// platformLinks are one data centre's connections to the platform.
+// platformLinks are the links through which one data centre reaches the platform's
+// services.
 type platformLinks struct{ log, instances, weights *Link }
 
+// set sets the mode of all three links.
 func (p platformLinks) set(m Mode) {
 	for _, l := range []*Link{p.log, p.instances, p.weights} {
 		l.Set("", m)
 	}
 }
 
-// Fleet is a running Layout. Its exported methods are for one goroutine.
+// Fleet is a running Layout. Its own methods, unlike those of Bed, are not safe for
+// concurrent use.
 type Fleet struct {
 	*Bed
 	Layout    Layout
@@ -66,12 +69,12 @@
 	// Publisher signs and publishes bundles with keys that the daemons trust.
 	Publisher *Publisher
 
-	platform map[string]platformLinks
+	platform map[string]platformLinks // by data centre
 }
 
 // StartFleet starts the platform and the upstreams of a layout and writes the
-// daemons' settings; StartDaemons starts the daemons. When it fails, Bed.Close
-// ends what was started.
+// daemons' settings files. It starts no daemons; see StartDaemons. After an error,
+// the caller must close bed to end the processes that were started.
 func StartFleet(ctx context.Context, bed *Bed, layout Layout) (*Fleet, error) {
 	f := &Fleet{Bed: bed, Layout: layout, platform: make(map[string]platformLinks)}
 	if err := f.startPlatform(ctx); err != nil {
@@ -101,6 +104,8 @@
 	return f, f.ListInstances(ctx)
 }
 
+// startPlatform starts the stand-ins for the log, the instance list and the weight
+// store, and the links to them, one set for each data centre.
 func (f *Fleet) startPlatform(ctx context.Context) error {
 	standIns := []struct {
 		to      **Process
@@ -135,6 +140,7 @@
 	return nil
 }
 
+// addDaemon reserves the addresses of daemon n without starting it.
 func (f *Fleet) addDaemon(n int) error {
 	d := &Daemon{
 		Name:       fmt.Sprintf("entry-%d", n),
@@ -152,32 +158,33 @@
 	if d.AdminAddress, err = FreeAddress(); err != nil {
 		return err
 	}
-	if d.peers, err = f.Link(peers, peerDataCentre); err != nil {
+	if d.peerLink, err = f.Link(peers, peerDataCentre); err != nil {
 		return err
 	}
 	f.Daemons = append(f.Daemons, d)
 	return nil
 }
 
-// settingsOf returns the settings of daemon n.
+// settingsOf returns the settings of daemon n, which reaches the platform and its
+// peers through links.
 func (f *Fleet) settingsOf(n int) *settings.Settings {
 	d := f.Daemons[n]
 	links := f.platform[d.DataCentre]
 	s := settings.Defaults()
 	s.Instance = settings.Instance{Name: d.Name, DataCentre: d.DataCentre}
 	s.Callers.Listen = d.CallersAddress
-	s.Peers.Listen = d.peers.target
-	s.Peers.Advertise = d.peers.Address()
+	s.Peers.Listen = d.peerLink.target
+	s.Peers.Advertise = d.peerLink.Address()
 	for _, other := range f.Daemons {
 		if other != d {
-			s.Peers.Seeds = append(s.Peers.Seeds, other.peers.Address())
+			s.Peers.Seeds = append(s.Peers.Seeds, other.peerLink.Address())
 		}
 	}
 	s.Admin.Listen = d.AdminAddress
 	s.Admin.TokenFile = d.tokenFile()
 	s.Platform.LogURL = "http://" + links.log.Address()
 	s.Platform.InstancesURL = "http://" + links.instances.Address()
-	s.Bundle.Authors, s.Bundle.Reviewers = f.Publisher.trusted()
+	s.Bundle.Authors, s.Bundle.Reviewers = f.Publisher.trustedKeys()
 	if f.Layout.Settings != nil {
 		f.Layout.Settings(n, s)
 	}
@@ -198,7 +205,7 @@
 	return errors.WithStack(os.WriteFile(d.SettingsFile, data, 0o600))
 }
 
-// StartDaemons starts every daemon that does not run.
+// StartDaemons starts every daemon that is not running.
 func (f *Fleet) StartDaemons(ctx context.Context) error {
 	for n, d := range f.Daemons {
 		if d.Process != nil && d.Running() {
@@ -211,7 +218,7 @@
 	return nil
 }
 
-// StartDaemon starts daemon n, also again after its end.
+// StartDaemon starts or restarts daemon n, which must not be running.
 func (f *Fleet) StartDaemon(ctx context.Context, n int) error {
 	d := f.Daemons[n]
 	p, err := f.Start(ctx, d.Name, ProgramDaemon, "serve", d.SettingsFile)
@@ -233,7 +240,7 @@
 	return out
 }
 
-// Bundle returns a bundle that names every upstream as serving.
+// Bundle returns a bundle that lists every upstream with the state serving.
 func (f *Fleet) Bundle() *bundle.Bundle {
 	b := newBundle()
 	for _, u := range f.Upstreams {
@@ -248,8 +255,9 @@
 	return b
 }
 
-// ListInstances sets the instance list to the fleet; the names in leaving are
-// listed as leaving.
+// ListInstances replaces the platform's instance list with the daemons and
+// upstreams of the fleet. Those named in leaving get the state leaving, the others
+// the state live.
 func (f *Fleet) ListInstances(ctx context.Context, leaving ...string) error {
 	var list []infraapi.Instance
 	add := func(kind infraapi.InstanceKind, name, dc, address string) {
@@ -260,7 +268,7 @@
 		list = append(list, infraapi.Instance{Name: name, Kind: kind, DataCentre: dc, Address: address, State: state})
 	}
 	for _, d := range f.Daemons {
-		add(infraapi.KindEntry, d.Name, d.DataCentre, d.peers.Address())
+		add(infraapi.KindEntry, d.Name, d.DataCentre, d.peerLink.Address())
 	}
 	for _, u := range f.Upstreams {
 		add(infraapi.KindUpstream, u.Name, u.DataCentre, u.Listen)
@@ -268,19 +276,19 @@
 	return f.Instances.Post(ctx, infraapi.PathInstances, infraapi.InstancesReply{Instances: list})
 }
 
-// SetPlatform opens, cuts or stalls a data centre's connections to the log, the
-// instance list and the weight store.
+// SetPlatform sets the mode of a data centre's connections to the log, the instance
+// list and the weight store.
 func (f *Fleet) SetPlatform(dataCentre string, m Mode) { f.platform[dataCentre].set(m) }
 
-// SetPeers opens, cuts or stalls the connections between the daemons of two
-// data centres, in both directions.
+// SetPeers sets the mode of the connections between the daemons of two data
+// centres, whichever side opened them.
 func (f *Fleet) SetPeers(a, b string, m Mode) {
 	for _, d := range f.Daemons {
 		switch d.DataCentre {
 		case a:
-			d.peers.Set(b, m)
+			d.peerLink.Set(b, m)
 		case b:
-			d.peers.Set(a, m)
+			d.peerLink.Set(a, m)
 		}
 	}
 }
--- a/internal/testbed/layout.go
+++ b/internal/testbed/layout.go
@@ -11,7 +11,7 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// The names in the bundle that Layout.Bundle writes.
+// Names in the bundle that Fleet.Bundle returns.
 const (
 	Model       = "drafter"
 	ServiceName = "status"
@@ -20,32 +20,35 @@
 	PoolPrefill = "prefill"
 	PoolDecode  = "decode"
 	PoolService = "service"
-	// NonIdempotentPath is the prefix below the service whose writes run at most once.
+	// NonIdempotentPath is the prefix of the service's paths whose requests are not
+	// idempotent and must be executed at most once.
 	NonIdempotentPath = "/orders"
 )
 
-// Layout says what a fleet consists of. Daemons and upstreams are dealt over
-// the data centres in turn.
+// Layout describes the processes of a fleet. Daemons and the upstreams of each pool
+// are assigned to the data centres in round-robin order.
 type Layout struct {
 	DataCentres []string
 	Daemons     int
 	Prefill     int
 	Decode      int
 	Services    int
-	// Flags added to those of the stand-ins.
+	// Additional command-line flags of the stand-ins.
 	PrefillFlags   []string
 	DecodeFlags    []string
 	ServiceFlags   []string
 	LogFlags       []string
 	InstancesFlags []string
 	WeightsFlags   []string
-	// Settings changes a daemon's settings before they are written; it may be nil.
+	// Settings may change the settings of daemon n before they are written to its
+	// file. It may be nil.
 	Settings func(n int, s *settings.Settings)
 }
 
+// dataCentre returns the data centre of the n-th daemon or upstream of a pool.
 func (l Layout) dataCentre(n int) string { return l.DataCentres[n%len(l.DataCentres)] }
 
-// upstreamSpec is one upstream to start.
+// upstreamSpec describes one upstream to start.
 type upstreamSpec struct {
 	name       string
 	pool       string
@@ -54,6 +57,7 @@
 	flags      []string
 }
 
+// upstreams returns the upstreams of all pools.
 func (l Layout) upstreams() []upstreamSpec {
 	kinds := []struct {
 		pool    string
@@ -80,14 +84,14 @@
 	return out
 }
 
-// keyDigest returns a bearer key as bundles hold it.
+// keyDigest returns the digest by which a bundle identifies a bearer key.
 func keyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// newBundle returns a bundle without upstreams, which tests change as they need.
-// Its sizes are the stand-ins'.
+// newBundle returns a bundle without upstreams, as a base that tests modify. Slots,
+// rates and sizes equal the stand-ins' defaults.
 func newBundle() *bundle.Bundle {
 	link := int64(engine.DefaultLinkRate)
 	return &bundle.Bundle{
--- a/internal/testbed/link.go
+++ b/internal/testbed/link.go
@@ -13,28 +13,30 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// Mode says what a link does with the connections of one source.
+// Mode is how a Link treats the connections of one source.
 type Mode int
 
-// The modes. A cut link closes its connections, as a refused route does; a
-// stalled one keeps them and moves no byte, as a black hole does.
+// The modes. Open forwards data. Cut closes existing connections and refuses new
+// ones. Stalled keeps connections open but forwards no data, as a network that
+// drops all packets does.
 const (
 	Open Mode = iota
 	Cut
 	Stalled
 )
 
-// identify reads the source's name from the first bytes of a connection; it may
-// be nil for a link that treats all sources alike.
-type identify func(io.Reader) (string, error)
+// identifyFunc reads the name of a connection's source from the first bytes that
+// the source sends. A Link without one treats all connections alike.
+type identifyFunc func(io.Reader) (string, error)
 
-// helloBytes bounds the first frame of a connection between daemons.
-const helloBytes = 64 << 10
+// maxHelloBytes is the maximum size of the first frame of a connection between
+// daemons.
+const maxHelloBytes = 64 << 10
 
-// peerDataCentre identifies a connection between daemons by the data centre
-// that its Hello names.
+// peerDataCentre identifies the source of a connection between daemons by the data
+// centre in its Hello message.
 func peerDataCentre(r io.Reader) (string, error) {
-	e, _, err := wire.NewReader(r, helloBytes).Read()
+	e, _, err := wire.NewReader(r, maxHelloBytes).Read()
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
@@ -43,55 +45,57 @@
 	return hello.DataCentre, errors.WithStack(err)
 }
 
-// Link forwards TCP connections to a target, and cuts or stalls them by their
-// source. It is safe for concurrent use. Close ends it.
+// Link is a TCP proxy that forwards connections to a target and can cut or stall
+// those of a source, to simulate network faults. It is safe for concurrent use and
+// must be closed.
 type Link struct {
 	target   string
-	identify identify
+	identify identifyFunc
 	listener net.Listener
 	wg       conc.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	modes   map[string]Mode
-	changed chan struct{} // closed and replaced at each change of the modes
-	pairs   map[*pair]bool
+	mu           sync.Mutex
+	closed       bool
+	modes        map[string]Mode // by source; Open when missing
+	modesChanged chan struct{}   // closed and replaced when modes or closed changes
+	sessions     map[*session]bool
 }
 
-// pair is a connection and its continuation to the target.
-type pair struct {
+// session is a connection from a source and, once dialled, the connection to the
+// target that it is forwarded to.
+type session struct {
 	source string
 	conns  []net.Conn
 }
 
-func (p *pair) close() {
-	for _, c := range p.conns {
+func (s *session) close() {
+	for _, c := range s.conns {
 		c.Close()
 	}
 }
 
-// newLink starts a link on a free loopback port.
-func newLink(target string, identify identify) (*Link, error) {
+// newLink starts a Link that listens on a free loopback port.
+func newLink(target string, identify identifyFunc) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	l := &Link{
-		target:   target,
-		identify: identify,
-		listener: listener,
-		modes:    make(map[string]Mode),
-		changed:  make(chan struct{}),
-		pairs:    make(map[*pair]bool),
+		target:       target,
+		identify:     identify,
+		listener:     listener,
+		modes:        make(map[string]Mode),
+		modesChanged: make(chan struct{}),
+		sessions:     make(map[*session]bool),
 	}
 	l.wg.Go(l.accept)
 	return l, nil
 }
 
-// Address returns the address that stands for the target's.
+// Address returns the address that sources connect to instead of the target's.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set changes the mode for a source; a link without identify has the one source "".
+// Set changes the mode of a source. Without an identifyFunc, the only source is "".
 func (l *Link) Set(source string, m Mode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,29 +104,31 @@
 	if m != Cut {
 		return
 	}
-	for p := range l.pairs {
-		if p.source == source {
-			p.close()
+	for s := range l.sessions {
+		if s.source == source {
+			s.close()
 		}
 	}
 }
 
-// Close ends the link and its connections.
+// Close closes the listener and all connections and waits until forwarding has
+// ended.
 func (l *Link) Close() {
 	l.listener.Close()
 	l.mu.Lock()
 	l.closed = true
-	for p := range l.pairs {
-		p.close()
+	for s := range l.sessions {
+		s.close()
 	}
 	l.notify()
 	l.mu.Unlock()
 	l.wg.Wait()
 }
 
+// notify wakes the goroutines in awaitOpen. The caller holds mu.
 func (l *Link) notify() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.modesChanged)
+	l.modesChanged = make(chan struct{})
 }
 
 func (l *Link) accept() {
@@ -137,77 +143,80 @@
 	}
 }
 
-// serve forwards one connection until either side ends it. The target sees
-// nothing of a connection whose source is cut or stalled when it comes.
+// serve forwards one connection until either side closes it. No connection to the
+// target is opened while the source is cut or stalled.
 func (l *Link) serve(conn net.Conn) {
-	p := &pair{conns: []net.Conn{conn}}
-	defer l.drop(p)
-	if !l.keep(p, "") {
+	s := &session{conns: []net.Conn{conn}}
+	defer l.unregister(s)
+	if !l.register(s, "") {
 		return
 	}
-	var seen bytes.Buffer
+	var consumed bytes.Buffer
 	source := ""
 	if l.identify != nil {
 		var err error
-		if source, err = l.identify(io.TeeReader(conn, &seen)); err != nil {
+		if source, err = l.identify(io.TeeReader(conn, &consumed)); err != nil {
 			return
 		}
 	}
-	if !l.keep(p, source) || !l.pass(p) {
+	if !l.register(s, source) || !l.awaitOpen(s) {
 		return
 	}
-	up, err := net.DialTimeout("tcp", l.target, dialTimeout)
+	targetConn, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
 		return
 	}
 	l.mu.Lock()
-	p.conns = append(p.conns, up)
+	s.conns = append(s.conns, targetConn)
 	l.mu.Unlock()
-	if !l.keep(p, source) {
+	if !l.register(s, source) {
 		return
 	}
 	var wg conc.WaitGroup
-	wg.Go(func() { l.copy(p, up, io.MultiReader(&seen, conn)) })
-	wg.Go(func() { l.copy(p, conn, up) })
+	wg.Go(func() { l.copy(s, targetConn, io.MultiReader(&consumed, conn)) })
+	wg.Go(func() { l.copy(s, conn, targetConn) })
 	wg.Wait()
 }
 
-// dialTimeout bounds a connection to a target, which is on loopback.
+// dialTimeout is the timeout for connecting to a target, which is on loopback.
 const dialTimeout = 5 * time.Second
 
-// keep registers p under its source; a closed link or a cut source refuses it.
-func (l *Link) keep(p *pair, source string) bool {
+// register adds s under its source. It returns false when the link is closed or the
+// source is cut.
+func (l *Link) register(s *session, source string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.source = source
-	if l.closed || l.identified(p) && l.modes[source] == Cut {
+	s.source = source
+	if l.closed || l.identified(s) && l.modes[source] == Cut {
 		return false
 	}
-	l.pairs[p] = true
+	l.sessions[s] = true
 	return true
 }
 
-// identified reports whether the source of p is known by now.
-func (l *Link) identified(p *pair) bool { return l.identify == nil || p.source != "" }
+// identified reports whether the source of s has been determined.
+func (l *Link) identified(s *session) bool { return l.identify == nil || s.source != "" }
 
-func (l *Link) drop(p *pair) {
+// unregister closes the connections of s and removes it.
+func (l *Link) unregister(s *session) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.close()
-	delete(l.pairs, p)
+	s.close()
+	delete(l.sessions, s)
 }
 
-// copyBytes is how much is forwarded at once, in bytes.
-const copyBytes = 32 << 10
+// copyBufferBytes is the size of the buffer for one direction of a session.
+const copyBufferBytes = 32 << 10
 
-// copy forwards one direction and ends both when it ends.
-func (l *Link) copy(p *pair, to io.Writer, from io.Reader) {
-	defer p.close()
-	buf := make([]byte, copyBytes)
+// copy forwards data in one direction until either side ends, and then closes both
+// connections of s.
+func (l *Link) copy(s *session, to io.Writer, from io.Reader) {
+	defer s.close()
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !l.pass(p) {
+			if !l.awaitOpen(s) {
 				return
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
@@ -220,11 +229,12 @@
 	}
 }
 
-// pass waits while the source of p is stalled; it returns false when p is to end.
-func (l *Link) pass(p *pair) bool {
+// awaitOpen waits while the source of s is stalled. It returns false when s must be
+// closed because its source is cut or the link is closed.
+func (l *Link) awaitOpen(s *session) bool {
 	for {
 		l.mu.Lock()
-		mode, closed, changed := l.modes[p.source], l.closed, l.changed
+		mode, closed, changed := l.modes[s.source], l.closed, l.modesChanged
 		l.mu.Unlock()
 		switch {
 		case closed || mode == Cut:
--- a/internal/testbed/port.go
+++ b/internal/testbed/port.go
@@ -8,39 +8,40 @@
 	"github.com/pkg/errors"
 )
 
-// The ports that FreeAddress tries lie below those that the kernel hands out
-// for port 0 and for outgoing connections, so that no such use takes the port
-// between the try and the program's own listen.
+// FreeAddress chooses ports below the kernel's ephemeral range, from which ports
+// are assigned to outgoing connections and to listeners on port 0. Otherwise such a
+// port could be assigned to another socket before the program listens on it.
 const (
-	lowestPort  = 15000
-	highestPort = 31999
-	portTries   = 100
+	minPort         = 15000
+	maxPort         = 31999
+	maxPortAttempts = 100
 )
 
 var loopback = [4]byte{127, 0, 0, 1}
 
-// FreeAddress returns a loopback address that nobody listens on, for a program
-// whose address others must know before it runs. It gives none out twice, and
-// none that another process's FreeAddress gave out.
+// FreeAddress returns a loopback address with an unused port, for a program whose
+// address must be configured elsewhere before it starts. An address is never
+// returned twice, nor returned by two processes that run at the same time.
 func FreeAddress() (string, error) {
-	for range portTries {
-		port := lowestPort + rand.IntN(highestPort-lowestPort+1)
-		if hold(port) == nil {
+	for range maxPortAttempts {
+		port := minPort + rand.IntN(maxPort-minPort+1)
+		if reservePort(port) == nil {
 			return fmt.Sprintf("127.0.0.1:%d", port), nil
 		}
 	}
 	return "", errors.New("no free port")
 }
 
-// hold reserves a port until this process ends.
+// reservePort reserves a port until this process ends. It fails when the port is
+// reserved or in use.
 //
-// What goes wrong without it: beds of several test binaries run at once, and a
-// second one takes the port before the program of the first listens. One would
-// notice "address already in use" of a daemon now and then. The kernel refuses a
-// bind without SO_REUSEADDR to a port that any socket is bound to, listening or
-// not; so a socket that stays bound keeps other beds away. SO_REUSEADDR, set
-// after the bind, lets the program itself listen, since Go's listeners set it too.
-func hold(port int) error {
+// Without the reservation, test binaries that run in parallel could choose the same
+// port before either program listens, and one of them would fail with "address
+// already in use". reservePort binds a socket and never closes it: the kernel
+// refuses to bind a second socket without SO_REUSEADDR to the port, whether or not
+// the first one listens. SO_REUSEADDR is set after the bind, so that the intended
+// program can listen, as Go's listeners also set it.
+func reservePort(port int) error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return errors.Wrap(err, "socket")
--- a/internal/testbed/port_test.go
+++ b/internal/testbed/port_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// Symptom: a daemon of a test ends with "address already in use".
-// Sequence: two beds are given addresses before either's daemon listens; the
-// daemon ends and starts again.
-// Cause: an address that is only looked at, not held.
+// Guards against a daemon that fails with "address already in use" because another
+// Bed was given the same address before the daemon listened, or between its end and
+// its restart.
 func TestFreeAddressIsHeld(t *testing.T) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -18,15 +17,15 @@
 	_, text, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(text)
 	for range 2 {
-		if hold(port) == nil {
-			t.Error("the address was given out again")
+		if reservePort(port) == nil {
+			t.Error("a reserved port was reserved again")
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			t.Fatalf("its own program cannot listen: %v", err)
+			t.Fatalf("listen on a reserved port: %v", err)
 		}
-		if hold(port) == nil {
-			t.Error("the address was given out while it is listened on")
+		if reservePort(port) == nil {
+			t.Error("a port with a listener was reserved")
 		}
 		l.Close()
 	}
--- a/internal/testbed/publish.go
+++ b/internal/testbed/publish.go
@@ -13,20 +13,21 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// publishTimeout bounds one append, in a publisher's client.
+// publishTimeout is the timeout of one append to the log.
 const publishTimeout = 10 * time.Second
 
-// Publisher drafts, signs and publishes bundle versions, each a snapshot on the
-// one before, with keys of its own. It is not safe for concurrent use.
+// Publisher drafts, signs and publishes versions of a bundle with its own author
+// and reviewer keys. Each version is a snapshot whose parent is the version
+// published before. It is not safe for concurrent use.
 type Publisher struct {
 	author   bundle.Key
 	reviewer bundle.Key
 	log      *infra.LogClient
 	stream   string
-	parent   *bundle.Record
+	parent   *bundle.Record // last published version; nil before the first
 }
 
-// NewPublisher returns a publisher that appends to the log at logURL.
+// NewPublisher returns a Publisher with new keys that appends to the log at logURL.
 func NewPublisher(logURL string) (*Publisher, error) {
 	author, err := bundle.GenerateKey("author")
 	if err != nil {
@@ -44,15 +45,16 @@
 	}, nil
 }
 
-// trusted returns the public keys as settings hold them.
-func (p *Publisher) trusted() (authors, reviewers map[string]string) {
+// trustedKeys returns the public keys in the format of the settings.
+func (p *Publisher) trustedKeys() (authors, reviewers map[string]string) {
 	text := func(k bundle.Key) map[string]string {
 		return map[string]string{k.ID: bundle.FormatPublicKey(k.Public())}
 	}
 	return text(p.author), text(p.reviewer)
 }
 
-// Sign returns the signed record of the next version, unpublished.
+// Sign returns the signed and reviewed record of the next version without
+// publishing it.
 func (p *Publisher) Sign(b *bundle.Bundle) (*bundle.Record, error) {
 	payload, err := bundle.EncodeBundle(b)
 	if err != nil {
@@ -74,7 +76,7 @@
 	return bundle.DecodeRecord(signed)
 }
 
-// Publish appends the next version and returns its number.
+// Publish appends the next version to the log and returns its number.
 func (p *Publisher) Publish(ctx context.Context, b *bundle.Bundle) (uint64, error) {
 	record, err := p.Sign(b)
 	if err != nil {
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -20,8 +20,8 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// bound is far above what any wait in these tests takes.
-const bound = time.Minute
+// testTimeout is far longer than any wait in a test that passes.
+const testTimeout = time.Minute
 
 var bin string
 
@@ -46,11 +46,12 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
+// testFleet starts the platform and the upstreams of a layout, without daemons.
 func testFleet(t *testing.T, l Layout) *Fleet {
 	t.Helper()
 	bed := New(bin, t.TempDir())
@@ -81,20 +82,20 @@
 	if err := p.Freeze(ctx); err != nil {
 		t.Fatal(err)
 	}
-	answered := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		var stats service.Stats
-		answered <- p.Stats(ctx, &stats)
+		result <- p.Stats(ctx, &stats)
 	}()
-	staysSilent(t, answered)
+	requireNoReply(t, result)
 	if err := p.Thaw(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-answered; err != nil {
-		t.Errorf("after the thaw: %v", err)
+	if err := <-result; err != nil {
+		t.Errorf("request to a process that was frozen: %v", err)
 	}
 	if err := p.Terminate(ctx); err != nil || p.Running() {
-		t.Errorf("end on SIGTERM: %v\n%s", err, p.Tail())
+		t.Errorf("exit on SIGTERM: %v\n%s", err, p.Tail())
 	}
 }
 
@@ -106,14 +107,13 @@
 		t.Fatalf("a stand-in with a bad flag started: %v", err)
 	}
 	if want := "Slots"; !strings.Contains(err.Error(), want) {
-		t.Errorf("error %q does not show the output", err)
+		t.Errorf("error %q does not contain the process's output", err)
 	}
 }
 
-// Symptom: a fleet's daemons refuse their settings or its bundle.
-// Sequence: a fleet's settings are read as the daemon does, and two versions of
-// its bundle as a chain with the settings' keys does.
-// Cause: settings or bundles of the testbed that fell behind the product's.
+// Guards against settings and bundles that the daemons would reject because their
+// format has changed. The settings files are loaded as a daemon loads them, and two
+// versions of the bundle are verified with the keys in the settings.
 func TestFleetFitsTheProduct(t *testing.T) {
 	ctx := testContext(t)
 	f := testFleet(t, Layout{DataCentres: []string{"dc1", "dc2"}, Daemons: 3, Prefill: 1, Decode: 2, Services: 1, InstancesFlags: []string{"--lag=0s"}})
@@ -160,14 +160,13 @@
 	}
 	list, err := infra.NewInstances(s.Platform.InstancesURL, nil).List(ctx)
 	if err != nil || len(list) != 7 {
-		t.Errorf("%d instances are listed, want 7: %v", len(list), err)
+		t.Errorf("%d instances listed, want 7: %v", len(list), err)
 	}
 }
 
-// Symptom: a partition in a test cuts too much, too little, or heals by itself.
-// Sequence: the connections of one data centre to the platform are cut, then
-// stalled, then opened.
-// Cause: a link that ignores its mode or its source.
+// Guards against links that ignore their mode or source, so that a simulated
+// partition affects the wrong data centre or none. The connections of one data
+// centre to the platform are cut, stalled and opened again.
 func TestPlatformCut(t *testing.T) {
 	ctx := testContext(t)
 	f := testFleet(t, Layout{DataCentres: []string{"dc1", "dc2"}, Daemons: 2})
@@ -180,24 +179,24 @@
 		t.Errorf("with dc1 cut: dc1 %v, dc2 %v", cut, open)
 	}
 	f.SetPlatform("dc1", Stalled)
-	answered := make(chan error, 1)
-	go func() { answered <- read(0) }()
+	result := make(chan error, 1)
+	go func() { result <- read(0) }()
 	if err := read(1); err != nil {
 		t.Errorf("with dc1 stalled: dc2 %v", err)
 	}
-	staysSilent(t, answered)
+	requireNoReply(t, result)
 	f.SetPlatform("dc1", Open)
-	if err := <-answered; err != nil {
-		t.Errorf("a call that was stalled: %v", err)
+	if err := <-result; err != nil {
+		t.Errorf("a call stalled until the link was opened: %v", err)
 	}
 }
 
-// staysSilent fails the test when an answer comes that must not come.
-func staysSilent(t *testing.T, answered <-chan error) {
+// requireNoReply fails the test when a result arrives within 50 ms.
+func requireNoReply(t *testing.T, result <-chan error) {
 	t.Helper()
 	select {
-	case err := <-answered:
-		t.Fatalf("answered while it must not: %v", err)
+	case err := <-result:
+		t.Fatalf("unexpected reply: %v", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
@@ -214,8 +213,8 @@
 	}
 	defer link.Close()
 	link.Set("dc2", Cut)
-	for dc, want := range map[string]bool{"dc1": true, "dc2": false} {
-		frame, err := wire.Encode(wire.Envelope{Type: wire.TypeHello}, wire.Hello{DataCentre: dc}, helloBytes)
+	for dc, open := range map[string]bool{"dc1": true, "dc2": false} {
+		frame, err := wire.Encode(wire.Envelope{Type: wire.TypeHello}, wire.Hello{DataCentre: dc}, maxHelloBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -226,22 +225,22 @@
 		if _, err := conn.Write(frame.Bytes()); err != nil {
 			t.Fatal(err)
 		}
-		if want {
+		if open {
 			up, err := target.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
 			got := make([]byte, len(frame.Bytes()))
 			if _, err := io.ReadFull(up, got); err != nil || !cmp.Equal(got, frame.Bytes()) {
-				t.Errorf("%s: the first frame arrived as %x: %v", dc, got, err)
+				t.Errorf("%s: the target received %x as the first frame: %v", dc, got, err)
 			}
 			link.Set(dc, Cut)
 			if _, err := up.Read(got); err == nil {
-				t.Errorf("%s: the cut left the connection open", dc)
+				t.Errorf("%s: the connection is still open after the cut", dc)
 			}
 			up.Close()
 		} else if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%s: a cut connection brought a byte", dc)
+			t.Errorf("%s: data received on a cut connection", dc)
 		}
 		conn.Close()
 		frame.Release()
