--- a/internal/certtest/certtest.go
+++ b/internal/certtest/certtest.go
@@ -1,5 +1,6 @@
-// Package certtest makes certificates for the TLS tests of listeners. Each is
-// self-signed, for 127.0.0.1, and its own authority.
+// Package certtest creates certificates for tests of TLS listeners. Each is
+// self-signed, is valid for 127.0.0.1 for an hour and serves as its own certificate
+// authority.
 package certtest
 
 import (
@@ -18,8 +19,8 @@
 	"time"
 )
 
-// Config returns a configuration that shows and trusts a new certificate. It
-// does not ask the other side for one.
+// Config returns a configuration for servers and clients that presents a new
+// certificate and trusts it. A server with it does not request client certificates.
 func Config(t testing.TB) *tls.Config {
 	t.Helper()
 	der, private := selfSigned(t)
@@ -36,8 +37,8 @@
 	}
 }
 
-// Write writes a new certificate and its private key and returns the paths of
-// the two PEM files.
+// Write writes a new certificate and its private key to two PEM files in temporary
+// directories of the test and returns their paths.
 func Write(t testing.TB) (cert, key string) {
 	t.Helper()
 	der, private := selfSigned(t)
@@ -45,9 +46,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return write(t, "cert.pem", "CERTIFICATE", der), write(t, "key.pem", "PRIVATE KEY", pkcs8)
+	return writePEM(t, "cert.pem", "CERTIFICATE", der), writePEM(t, "key.pem", "PRIVATE KEY", pkcs8)
 }
 
+// selfSigned returns a new certificate in DER encoding and its private key.
 func selfSigned(t testing.TB) (der []byte, private *ecdsa.PrivateKey) {
 	t.Helper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -65,7 +67,9 @@
 	return der, private
 }
 
-func write(t testing.TB, name, kind string, der []byte) (path string) {
+// writePEM writes one PEM block of the type kind to a file in a new temporary
+// directory.
+func writePEM(t testing.TB, name, kind string, der []byte) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
