--- a/internal/waittest/waittest.go
+++ b/internal/waittest/waittest.go
@@ -1,4 +1,5 @@
-// Package waittest waits in tests for what other goroutines bring about.
+// Package waittest lets tests wait, with a timeout, for the effects of other
+// goroutines.
 package waittest
 
 import (
@@ -7,33 +8,33 @@
 )
 
 const (
-	// bound is far above what any wait takes in a run that passes, so that no
-	// test fails because the machine is slow.
-	bound = 30 * time.Second
-	// pause is the time between two looks.
-	pause = time.Millisecond
+	// timeout is far longer than any wait takes in a test that passes, so that tests
+	// do not fail on slow machines.
+	timeout = 30 * time.Second
+	// pollInterval is the time between two calls of the condition.
+	pollInterval = time.Millisecond
 )
 
-// Until returns once ok holds, and fails the test with what it waited for when
-// ok does not come to hold.
+// Until polls ok until it returns true and fails the test after timeout. what names
+// the condition in the failure message.
 func Until(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(bound); !ok(); time.Sleep(pause) {
+	for end := time.Now().Add(timeout); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("never happened: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// Receive returns what comes from ch, or its zero value when ch is closed, and
-// fails the test with what it waited for when nothing comes.
+// Receive returns the next value from ch, or the zero value when ch is closed, and
+// fails the test after timeout. what names the event in the failure message.
 func Receive[T any](t testing.TB, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-ch:
 		return v
-	case <-time.After(bound):
-		t.Fatalf("never happened: %s", what)
+	case <-time.After(timeout):
+		t.Fatalf("timed out waiting: %s", what)
 		panic("unreachable")
 	}
 }
