--- a/test/failure/accept_test.go
+++ b/test/failure/accept_test.go
@@ -13,8 +13,9 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// half opens a connection and sends half of an order.
-func (r *rig) half(d *testbed.Daemon, key string) net.Conn {
+// sendHalfOrder opens a connection to a daemon and sends a non-idempotent request
+// with only a part of its body.
+func (r *harness) sendHalfOrder(d *testbed.Daemon, key string) net.Conn {
 	r.t.Helper()
 	conn, err := net.Dial("tcp", d.CallersAddress)
 	r.must(err)
@@ -25,46 +26,45 @@
 	return conn
 }
 
-// Symptom: half an order runs, or an order that never came whole blocks its key.
-// Sequence: an order stops half way, is cut, or its daemon dies or stands still
-// before it has read it; the whole order comes, through another daemon or once
-// the same one runs on.
-// Cause: work begun before the whole body is there.
+// Guards against work that begins before the request body is complete: half an order
+// could be executed, or an incomplete order could block its idempotency key. The
+// body stalls, the connection is cut, or the daemon is killed or frozen before it has
+// read the body; then the complete order is sent through another daemon.
 func TestAccept(t *testing.T) {
 	t.Parallel()
-	r := start(t, func(l *testbed.Layout) {
+	r := startFleet(t, func(l *testbed.Layout) {
 		l.Settings = func(_ int, s *settings.Settings) { s.Callers.BodyTimeout = time.Second }
 	})
-	for name, fault := range map[string]func(r *rig, key string){
-		"accept/connection-stalled": func(r *rig, key string) {
-			resp, err := http.ReadResponse(bufio.NewReader(r.half(r.Daemons[0], key)), nil)
+	for name, fault := range map[string]func(r *harness, key string){
+		"accept/connection-stalled": func(r *harness, key string) {
+			resp, err := http.ReadResponse(bufio.NewReader(r.sendHalfOrder(r.Daemons[0], key)), nil)
 			r.must(err)
 			if resp.StatusCode != errkind.Answer(errkind.New(errkind.BadRequest, "")).Status {
-				r.t.Errorf("half an order: status %d", resp.StatusCode)
+				r.t.Errorf("incomplete order: status %d", resp.StatusCode)
 			}
 		},
-		"accept/connection-cut": func(r *rig, key string) {
-			r.must(r.half(r.Daemons[0], key).(*net.TCPConn).SetLinger(0))
+		"accept/connection-cut": func(r *harness, key string) {
+			r.must(r.sendHalfOrder(r.Daemons[0], key).(*net.TCPConn).SetLinger(0))
 		},
-		"accept/caller-gone": func(r *rig, key string) { r.half(r.Daemons[0], key).Close() },
-		"accept/daemon-killed": func(r *rig, key string) {
-			r.half(r.Daemons[0], key)
-			r.restart(0)
+		"accept/caller-gone": func(r *harness, key string) { r.sendHalfOrder(r.Daemons[0], key).Close() },
+		"accept/daemon-killed": func(r *harness, key string) {
+			r.sendHalfOrder(r.Daemons[0], key)
+			r.restartDaemon(0)
 		},
-		"accept/daemon-frozen": func(r *rig, key string) {
-			r.half(r.Daemons[0], key)
+		"accept/daemon-frozen": func(r *harness, key string) {
+			r.sendHalfOrder(r.Daemons[0], key)
 			r.must(r.Daemons[0].Freeze(r.ctx))
 			r.must(r.Daemons[0].Thaw())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			key := name[len("accept/"):]
 			fault(r, key)
-			if n := r.runs(withKey(key)); n != 0 {
-				t.Errorf("half an order ran %d times", n)
+			if n := r.executions(withKey(key)); n != 0 {
+				t.Errorf("incomplete order executed %d times", n)
 			}
-			r.settled(key)
+			r.resubmitUntilResult(key)
 		})
 	}
 }
--- a/test/failure/call_test.go
+++ b/test/failure/call_test.go
@@ -17,19 +17,21 @@
 const (
 	pathService = "/services/" + testbed.ServiceName
 	pathOrders  = pathService + testbed.NonIdempotentPath
-	// callTimeout bounds one call to a service in these tests, in milliseconds.
-	callTimeout = 1500
+	// callTimeoutMillis is the timeout of one call to a service that shortCallTimeout
+	// sets.
+	callTimeoutMillis = 1500
 )
 
-// quickCalls shortens the bound of a call.
-func quickCalls(b *bundle.Bundle) {
+// shortCallTimeout reduces the timeout of calls to the service.
+func shortCallTimeout(b *bundle.Bundle) {
 	s := b.Services[testbed.ServiceName]
-	s.TimeoutMillis = callTimeout
+	s.TimeoutMillis = callTimeoutMillis
 	b.Services[testbed.ServiceName] = s
 }
 
-// runs counts the executions, on all services that run, that match selects.
-func (r *rig) runs(match func(service.Execution) bool) int {
+// executions returns the number of executions on all running services for which match
+// returns true.
+func (r *harness) executions(match func(service.Execution) bool) int {
 	r.t.Helper()
 	n := 0
 	for _, u := range r.Pool(testbed.PoolService) {
@@ -47,38 +49,43 @@
 	return n
 }
 
+// withKey matches executions with an idempotency key.
 func withKey(key string) func(service.Execution) bool {
 	return func(x service.Execution) bool { return x.Key == key }
 }
 
+// withID matches executions of the request with an ID.
 func withID(id string) func(service.Execution) bool {
 	return func(x service.Execution) bool { return x.RequestID == id }
 }
 
-// truthful checks what an answer says of the run against the services.
-func (r *rig) truthful(g reply) {
+// checkRunState checks the run state in a reply against the executions that the
+// services recorded.
+func (r *harness) checkRunState(g reply) {
 	r.t.Helper()
 	if g.err != nil {
-		r.t.Fatalf("no answer: %v", g.err)
+		r.t.Fatalf("no reply: %v", g.err)
 	}
-	n := r.runs(withID(g.id))
+	n := r.executions(withID(g.id))
 	switch {
 	case g.problem == nil && g.status != http.StatusOK:
 		r.t.Errorf("neither a result nor a problem: %s", g)
 	case g.problem != nil && g.problem.Run == errkind.NotRun && n > 0:
-		r.t.Errorf("told not-run, executed %d times: %s", n, g)
+		r.t.Errorf("run state not-run, but executed %d times: %s", n, g)
 	case g.problem != nil && g.problem.Run == errkind.Ran && n == 0:
-		r.t.Errorf("told ran, never executed: %s", g)
+		r.t.Errorf("run state ran, but never executed: %s", g)
 	}
 }
 
-// order submits a non-idempotent request.
-func (r *rig) order(d *testbed.Daemon, key string) reply {
+// submitOrder sends an order, a non-idempotent request to the plain service, with an
+// idempotency key.
+func (r *harness) submitOrder(d *testbed.Daemon, key string) reply {
 	return r.call(d, http.MethodPost, pathOrders+"/"+key, key, "an order")
 }
 
-// confirmed returns the confirmation of a result, or fails.
-func (r *rig) confirmed(g reply) string {
+// confirmation returns the confirmation in a successful reply, and fails the test when
+// there is none.
+func (r *harness) confirmation(g reply) string {
 	r.t.Helper()
 	var c service.Confirmation
 	if g.err != nil || g.status != http.StatusOK || json.Unmarshal(g.body, &c) != nil || c.Confirmation == "" {
@@ -87,8 +94,8 @@
 	return c.Confirmation
 }
 
-// active waits until the services work on n calls.
-func (r *rig) active(n int) {
+// awaitActiveCalls waits until n calls are in progress on the services.
+func (r *harness) awaitActiveCalls(n int) {
 	r.t.Helper()
 	r.eventually("calls in progress", func() error {
 		got := 0
@@ -106,12 +113,12 @@
 	})
 }
 
-// callFault is what the services do to one call.
+// callFault is a fault of the services and its expected effects on an order.
 type callFault struct {
-	name   string
-	faults service.Faults
-	ran    int
-	told   errkind.RunState
+	name       string // subtest name, STEP/FAULT
+	faults     service.Faults
+	executions int              // recorded by the services
+	runState   errkind.RunState // reported to the caller
 }
 
 var callFaults = []callFault{
@@ -124,87 +131,86 @@
 	{"call/crossed-answer", service.Faults{Crossed: true}, 1, errkind.Unknown},
 }
 
-// Symptom: a caller that is told "not-run" submits again and the order runs
-// twice; or one that is told "ran" waits for something that never was.
-// Sequence: every service refuses, leaves, cuts or stalls the call before or
-// after it takes effect, or answers with another's answer; then the key comes
-// again, through another daemon, to services that work.
-// Cause: a run state that forgets a dispatch, or takes a lost one for none.
+// Guards against wrong run states: after "not-run" a caller may submit an order again,
+// which must not execute it twice, and "ran" must not be reported for an order that was
+// never executed. All services refuse the call, leave, cut or stall it before or after
+// it takes effect, or send another request's answer; then the faults end and the same
+// key is submitted through another daemon.
 func TestCall(t *testing.T) {
 	t.Parallel()
-	r := start(t)
-	r.roll(quickCalls)
+	r := startFleet(t)
+	r.publishAndWait(shortCallTimeout)
 	for n, f := range callFaults {
 		t.Run(f.name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			key := fmt.Sprintf("call-%d", n)
-			r.setServices(f.faults)
-			g := r.order(r.Daemons[0], key)
-			if f.faults.Leaving { // else whether the repeat meets the word of it is chance
-				r.allLeave(r.Daemons[1])
+			r.setServiceFaults(f.faults)
+			g := r.submitOrder(r.Daemons[0], key)
+			if f.faults.Leaving { // the second daemon must have received the notices
+				r.awaitServicesLeaving(r.Daemons[1])
 			}
-			r.setServices(service.Faults{})
-			r.truthful(g)
-			if got := r.runs(withKey(key)); got != f.ran || g.problem == nil || g.problem.Run != f.told {
-				t.Fatalf("executed %d, want %d, told %s: %s", got, f.ran, f.told, g)
+			r.setServiceFaults(service.Faults{})
+			r.checkRunState(g)
+			if got := r.executions(withKey(key)); got != f.executions || g.problem == nil || g.problem.Run != f.runState {
+				t.Fatalf("executed %d times, want %d with run state %s: %s", got, f.executions, f.runState, g)
 			}
-			r.again(f, key)
-			r.restart(0)
+			r.resubmit(f, key)
+			r.restartDaemon(0)
 		})
 	}
 }
 
-// allLeave waits until a daemon knows that every service leaves.
-func (r *rig) allLeave(d *testbed.Daemon) {
+// awaitServicesLeaving waits until a daemon considers every service to be leaving.
+func (r *harness) awaitServicesLeaving(d *testbed.Daemon) {
 	r.t.Helper()
 	for _, u := range r.Pool(testbed.PoolService) {
-		r.knowsLeaving(d, u.Name)
+		r.awaitLeaving(d, u.Name)
 	}
 }
 
-// again repeats a key: what did not run may run now, once, and nothing else may.
-func (r *rig) again(f callFault, key string) {
+// resubmit submits a key again. An order that was not executed must be executed now,
+// once; any other must not be executed again.
+func (r *harness) resubmit(f callFault, key string) {
 	r.t.Helper()
-	if f.told != errkind.NotRun {
-		r.eventually("the outcome is known to be unknown", func() error {
-			g := r.order(r.Daemons[1], key)
-			if g.problem == nil || g.problem.Run != errkind.Unknown || r.runs(withKey(key)) != f.ran {
-				r.t.Fatalf("a repeat of an unknown outcome: executed %d: %s", r.runs(withKey(key)), g)
+	if f.runState != errkind.NotRun {
+		r.eventually("the reply has the kind key-outcome-unknown", func() error {
+			g := r.submitOrder(r.Daemons[1], key)
+			if g.problem == nil || g.problem.Run != errkind.Unknown || r.executions(withKey(key)) != f.executions {
+				r.t.Fatalf("resubmitted with unknown outcome: executed %d times: %s", r.executions(withKey(key)), g)
 			}
 			if g.problem.Kind != errkind.KeyOutcomeUnknown {
-				return errString(g)
+				return replyError(g)
 			}
 			return nil
 		})
 		return
 	}
-	r.eventually("a key that did not run can be used again", func() error {
-		if g := r.order(r.Daemons[1], key); g.status != http.StatusOK {
+	r.eventually("a key whose order was not executed can be used again", func() error {
+		if g := r.submitOrder(r.Daemons[1], key); g.status != http.StatusOK {
 			return errors.New(g.String())
 		}
 		return nil
 	})
-	if n := r.runs(withKey(key)); n != 1 {
+	if n := r.executions(withKey(key)); n != 1 {
 		r.t.Errorf("executed %d times", n)
 	}
 }
 
-// Symptom: the same as of TestCall, with a service's process that dies or stops
-// while it works on the call.
-// Sequence: an order is in progress; its service is killed, or stopped until
-// the caller has its answer; the order comes again through another daemon.
-// Cause: the same; besides, a call that is sent again to another service.
+// Guards against wrong run states, as TestCall does, and against a call that is sent
+// again to another service. While an order is in progress, its service is killed, or
+// frozen until the caller has its reply; then the order is submitted again through
+// another daemon.
 func TestCallProcess(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"upstream-killed", "upstream-frozen"} {
 		t.Run("call/"+fault, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, func(l *testbed.Layout) { l.ServiceFlags = []string{"--work=500ms"} })
-			r.roll(quickCalls)
+			r := startFleet(t, func(l *testbed.Layout) { l.ServiceFlags = []string{"--work=500ms"} })
+			r.publishAndWait(shortCallTimeout)
 			answers := make(chan reply, 1)
-			go func() { answers <- r.order(r.Daemons[0], "k") }()
-			r.active(1)
-			u := r.working()
+			go func() { answers <- r.submitOrder(r.Daemons[0], "k") }()
+			r.awaitActiveCalls(1)
+			u := r.busyService()
 			if fault == "upstream-killed" {
 				u.Kill()
 			} else {
@@ -212,25 +218,25 @@
 			}
 			g := <-answers
 			if g.problem == nil || g.problem.Run != errkind.Unknown {
-				t.Errorf("want unknown: %s", g)
+				t.Errorf("want run state unknown: %s", g)
 			}
-			again := r.order(r.Daemons[1], "k")
+			again := r.submitOrder(r.Daemons[1], "k")
 			if again.problem == nil || again.problem.Run != errkind.Unknown {
-				t.Errorf("a repeat, want unknown: %s", again)
+				t.Errorf("resubmitted, want run state unknown: %s", again)
 			}
 			if fault == "upstream-frozen" {
 				r.must(u.Thaw())
-				r.active(0)
+				r.awaitActiveCalls(0)
 			}
-			if n := r.runs(withKey("k")); n > 1 {
+			if n := r.executions(withKey("k")); n > 1 {
 				t.Errorf("executed %d times", n)
 			}
 		})
 	}
 }
 
-// working returns the service that works on a call.
-func (r *rig) working() *testbed.Upstream {
+// busyService returns a service with a call in progress.
+func (r *harness) busyService() *testbed.Upstream {
 	r.t.Helper()
 	for _, u := range r.Pool(testbed.PoolService) {
 		var s service.Stats
@@ -239,6 +245,6 @@
 			return u
 		}
 	}
-	r.t.Fatal("no service works")
+	r.t.Fatal("no service has a call in progress")
 	return nil
 }
--- a/test/failure/doc.go
+++ b/test/failure/doc.go
@@ -1,6 +1,8 @@
-// Package failure proves what must always hold, end to end: its tests run real
-// daemons and stand-ins as processes, cause one fault or a pair at a step, and
-// check what callers, engines, services and the log show afterwards. A test's
-// name ends in /STEP/FAULT or /STEP/FAULT+FAULT, which places it in the fault
+// Package failure contains end-to-end fault-injection tests. They run daemons and
+// stand-ins for the platform and the upstreams as processes, inject one or two
+// faults while a request, a bundle version or an order to an engine is at a given
+// step, and check the guarantees of the system by the state of callers, engines,
+// services and the log afterwards. The name of a test ends in /STEP/FAULT or
+// /STEP/FAULT+FAULT, by which package matrix assigns it to a cell of the fault
 // matrix.
 package failure
--- a/test/failure/drain_test.go
+++ b/test/failure/drain_test.go
@@ -14,103 +14,104 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// terminate asks the first daemon to end and waits until it says it is draining.
-func (r *rig) terminate() <-chan error {
+// beginDrain sends SIGTERM to the first daemon and waits until its readiness check
+// fails. The channel receives the result of Terminate.
+func (r *harness) beginDrain() <-chan error {
 	r.t.Helper()
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	d := r.Daemons[0]
-	go func() { ended <- d.Terminate(r.ctx) }()
-	r.eventually("the daemon is not ready", func() error {
-		if r.ready(d) == nil {
-			return errors.New("still ready")
+	go func() { exited <- d.Terminate(r.ctx) }()
+	r.eventually("the daemon reports that it is not ready", func() error {
+		if r.checkReady(d) == nil {
+			return errors.New("the daemon is still ready")
 		}
 		return nil
 	})
-	return ended
+	return exited
 }
 
-// slowDrain gives requests that come while the daemon drains the time to come.
-func slowDrain(l *testbed.Layout) {
+// longDrainDelay keeps the listener of a draining daemon open for a second, so that
+// requests can still arrive.
+func longDrainDelay(l *testbed.Layout) {
 	l.Settings = func(_ int, s *settings.Settings) { s.Drain.Delay = time.Second }
 }
 
-// drainTokens is the length of answers that take longer than a drain's delay.
+// drainTokens is the number of tokens of answers that take longer than longDrainDelay.
 const drainTokens = 80
 
-// Symptom: a roll of the entry instances cuts drafts that were nearly done.
-// Sequence: a daemon is asked to end while streams and an order are in flight,
-// and meanwhile an engine dies, connections are cut, the log is down, a caller
-// leaves, peers are cut off or the daemon stands still for a while.
-// Cause: connections closed before their requests end, or requests in flight
-// that may no longer retry or be claimed.
+// Guards against a drain that closes connections before their requests have ended, or
+// that prevents requests in flight from retrying or from claiming their key, so that a
+// rolling restart of the daemons fails requests. A daemon is terminated while streams
+// and an order are in progress, and meanwhile an engine, a connection, the log, the
+// platform, a peer or the daemon itself fails or is frozen.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]func(*rig){
-		"drain/leaving":         func(r *rig) { r.publish(leave(leavingDecode, leavingPrefill)) },
-		"drain/upstream-killed": func(r *rig) { r.busiest().Kill() },
-		"drain/upstream-frozen": func(r *rig) { r.must(r.busiest().Freeze(r.ctx)) },
-		"drain/connection-cut": func(r *rig) {
-			r.setEngines(engine.Faults{CutAfter: 1}, 2, testbed.PoolDecode)
+	for name, fault := range map[string]func(*harness){
+		"drain/leaving":         func(r *harness) { r.publish(markLeaving(leavingDecode, leavingPrefill)) },
+		"drain/upstream-killed": func(r *harness) { r.busiestDecode().Kill() },
+		"drain/upstream-frozen": func(r *harness) { r.must(r.busiestDecode().Freeze(r.ctx)) },
+		"drain/connection-cut": func(r *harness) {
+			r.setEngineFaults(engine.Faults{CutAfter: 1}, 2, testbed.PoolDecode)
 		},
-		"drain/connection-stalled": func(r *rig) {
-			r.setEngines(engine.Faults{StallAfter: 1}, 1, testbed.PoolDecode)
+		"drain/connection-stalled": func(r *harness) {
+			r.setEngineFaults(engine.Faults{StallAfter: 1}, 1, testbed.PoolDecode)
 		},
-		"drain/truncated-answer": func(r *rig) {
-			r.setEngines(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: 1}, 2, testbed.PoolDecode)
+		"drain/truncated-answer": func(r *harness) {
+			r.setEngineFaults(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: 1}, 2, testbed.PoolDecode)
 		},
-		"drain/crossed-answer": func(r *rig) {
-			r.setEngines(engine.Faults{Garble: engine.GarbleCrossed, GarbleAfter: 1}, 1, testbed.PoolDecode)
+		"drain/crossed-answer": func(r *harness) {
+			r.setEngineFaults(engine.Faults{Garble: engine.GarbleCrossed, GarbleAfter: 1}, 1, testbed.PoolDecode)
 		},
-		"drain/duplicated-answer": func(r *rig) {
-			r.setEngines(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: 1}, 2, testbed.PoolDecode)
+		"drain/duplicated-answer": func(r *harness) {
+			r.setEngineFaults(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: 1}, 2, testbed.PoolDecode)
 		},
-		"drain/log-slow":        func(r *rig) { r.setLog(logsvc.Faults{DelayMS: 500}, 0) },
-		"drain/log-down":        func(r *rig) { r.setLog(logDown, 0) },
-		"drain/platform-cut":    func(r *rig) { r.SetPlatform("dc1", testbed.Cut) },
-		"drain/data-centre-cut": func(r *rig) { r.SetPeers("dc1", "dc2", testbed.Cut) },
-		"drain/daemon-frozen": func(r *rig) {
+		"drain/log-slow":        func(r *harness) { r.setLogFaults(logsvc.Faults{DelayMS: 500}, 0) },
+		"drain/log-down":        func(r *harness) { r.setLogFaults(logDown, 0) },
+		"drain/platform-cut":    func(r *harness) { r.SetPlatform("dc1", testbed.Cut) },
+		"drain/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"drain/daemon-frozen": func(r *harness) {
 			r.must(r.Daemons[0].Freeze(r.ctx))
 			r.must(r.Daemons[0].Thaw())
 		},
-		"drain/daemon-killed": func(r *rig) { r.Daemons[2].Kill() }, // the only peer near
+		"drain/daemon-killed": func(r *harness) { r.Daemons[2].Kill() }, // the only peer in the same data centre
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, slowDrain, func(l *testbed.Layout) { l.ServiceFlags = []string{"--work=1200ms"} })
-			r.roll(generous)
+			r := startFleet(t, longDrainDelay, func(l *testbed.Layout) { l.ServiceFlags = []string{"--work=1200ms"} })
+			r.publishAndWait(fullRetryBudget)
 			streams := []*stream{
-				r.stream(r.Daemons[0], exactly(drainTokens, drainTokens)),
-				r.stream(r.Daemons[0], exactly(drainTokens, drainTokens+1)),
+				r.startStream(r.Daemons[0], completionOfLength(drainTokens, drainTokens)),
+				r.startStream(r.Daemons[0], completionOfLength(drainTokens, drainTokens+1)),
 			}
 			for _, s := range streams {
-				s.await(2)
+				s.awaitTokens(2)
 			}
 			order := make(chan reply, 1)
-			go func() { order <- r.order(r.Daemons[0], "k") }()
-			r.active(1)
-			ended := r.terminate()
+			go func() { order <- r.submitOrder(r.Daemons[0], "k") }()
+			r.awaitActiveCalls(1)
+			exited := r.beginDrain()
 			fault(r)
 			for _, s := range streams {
-				s.whole()
+				s.checkComplete()
 			}
-			r.confirmed(<-order)
-			r.must(<-ended)
-			if n := r.once("k"); n != 1 {
-				t.Errorf("the order ran %d times", n)
+			r.confirmation(<-order)
+			r.must(<-exited)
+			if n := r.checkAtMostOnce("k"); n != 1 {
+				t.Errorf("the order was executed %d times", n)
 			}
 			r.thawDecode()
-			r.awaitFreed(anyone)
+			r.awaitFreed(anyWork)
 		})
 	}
 }
 
-// busiest returns the decode engine that holds the most requests.
-func (r *rig) busiest() *testbed.Upstream {
+// busiestDecode returns the decode engine that holds memory for the most attempts.
+func (r *harness) busiestDecode() *testbed.Upstream {
 	r.t.Helper()
 	var best *testbed.Upstream
 	most := -1
 	for _, u := range r.Pool(testbed.PoolDecode) {
-		list, err := r.heldOn(u)
+		list, err := r.heldOnEngine(u)
 		r.must(err)
 		if len(list) > most {
 			best, most = u, len(list)
@@ -119,59 +120,57 @@
 	return best
 }
 
-// Symptom: a request that comes during a drain hangs or is lost.
-// Sequence: a daemon drains, its listener still open for the balancer to notice;
-// a draft and a look-up come.
-// Cause: a listener closed at once, or requests taken in that the drain cuts.
+// Guards against requests that hang or fail because they arrive during a drain. While
+// the listener stays open until load balancers detect that the daemon is not ready, a
+// completion and a look-up arrive; both must succeed.
 func TestDrainNewWork(t *testing.T) {
 	t.Parallel()
-	r := start(t, slowDrain)
+	r := startFleet(t, longDrainDelay)
 	t.Run("drain/late-answer", func(t *testing.T) {
-		r := r.under(t)
-		ended := r.terminate()
+		r := r.forSubtest(t)
+		exited := r.beginDrain()
 		g := r.call(r.Daemons[0], http.MethodGet, pathService+"/case/1", "", "")
-		late := r.stream(r.Daemons[0], draft{prompt(0), shortAnswer})
-		late.whole()
+		late := r.startStream(r.Daemons[0], completion{prompt(0), shortAnswer})
+		late.checkComplete()
 		if g.status != http.StatusOK {
-			t.Errorf("a look-up while the balancer has yet to notice: %s", g)
+			t.Errorf("a look-up during the drain's delay: %s", g)
 		}
-		r.must(<-ended)
+		r.must(<-exited)
 		if g := r.call(r.Daemons[0], http.MethodGet, pathService+"/case/1", "", ""); g.err == nil {
-			t.Errorf("the ended daemon answers: %s", g)
+			t.Errorf("the daemon answers after its end: %s", g)
 		}
-		r.probe(r.Daemons[1], r.Daemons[2])
+		r.probeDaemons(r.Daemons[1], r.Daemons[2])
 	})
 }
 
-// Symptom: a daemon that is to end never does, or cuts a draft without a word.
-// Sequence: a drain reaches its limit with a long draft in flight; an engine
-// stands still at that time.
-// Cause: a limit that is missing, or one that closes connections.
+// Guards against a drain without a time limit, and against one whose limit closes
+// connections without an error event. A drain reaches its limit while a long completion
+// is in progress, and a caller has left or the engine is frozen.
 func TestDrainLimit(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"drain/caller-gone", "drain/upstream-frozen+late-answer"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, func(l *testbed.Layout) {
+			r := startFleet(t, func(l *testbed.Layout) {
 				l.Settings = func(_ int, s *settings.Settings) { s.Drain.Delay, s.Drain.Timeout = 0, time.Second }
 			})
-			s := r.stream(r.Daemons[0], draft{prompt(0), longAnswer})
-			s.await(2)
-			u := r.busiest()
+			s := r.startStream(r.Daemons[0], completion{prompt(0), longAnswer})
+			s.awaitTokens(2)
+			u := r.busiestDecode()
 			if fault == "drain/caller-gone" {
-				gone := r.stream(r.Daemons[0], draft{prompt(1), longAnswer})
-				gone.await(2)
-				defer gone.leave()
+				gone := r.startStream(r.Daemons[0], completion{prompt(1), longAnswer})
+				gone.awaitTokens(2)
+				defer gone.disconnect()
 			} else {
 				r.must(u.Freeze(r.ctx))
 			}
 			r.must(r.Daemons[0].Terminate(r.ctx))
-			g := s.honest()
+			g := s.checkCompleteOrFailed()
 			if g.problem == nil || g.problem.Kind != errkind.Draining {
-				t.Errorf("want the kind draining: %s", g)
+				t.Errorf("want an error of kind draining: %s", g)
 			}
 			r.must(u.Thaw())
-			r.awaitFreed(anyone)
+			r.awaitFreed(anyWork)
 		})
 	}
 }
--- a/test/failure/fleet_test.go
+++ b/test/failure/fleet_test.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// bound is far above what any one wait takes.
-	bound = 30 * time.Second
-	// testBound ends a test whose processes hang.
-	testBound = 3 * time.Minute
-	pollEvery = 10 * time.Millisecond
-	// maxFleets bounds the fleets that run at once, each about twelve processes.
+	// waitTimeout is far longer than any single wait in a test that passes.
+	waitTimeout = 30 * time.Second
+	// testTimeout ends a test whose processes hang.
+	testTimeout  = 3 * time.Minute
+	pollInterval = 10 * time.Millisecond
+	// maxFleets limits the fleets that run at once; each has about twelve processes.
 	maxFleets = 4
 
-	metricPeers  = "corianderturn_peers_live" // the daemon itself is one
+	metricPeers  = "corianderturn_peers_live" // counts the daemon itself
 	metricBundle = "corianderturn_bundle_number"
 )
 
@@ -39,7 +39,7 @@
 
 var (
 	bin    string
-	fleets = make(chan struct{}, maxFleets)
+	fleets = make(chan struct{}, maxFleets) // semaphore
 )
 
 func TestMain(m *testing.M) {
@@ -56,36 +56,37 @@
 	os.Exit(code)
 }
 
-// rig is a running fleet under test.
-type rig struct {
+// harness is a fleet under test with the helpers of the tests.
+type harness struct {
 	*testbed.Fleet
-	t    testing.TB
-	ctx  context.Context
-	last *bundle.Bundle
-	// wait bounds each eventually.
-	wait time.Duration
-	// engine is which engine of a pool shows the faults that hold a request at a step.
-	engine int
+	t          testing.TB
+	ctx        context.Context
+	lastBundle *bundle.Bundle // the last version, which publish changes and publishes
+	// timeout is the timeout of eventually.
+	timeout time.Duration
+	// faultyEngine is the index within its pool of the engine on which bringToStep
+	// sets faults.
+	faultyEngine int
 }
 
-// start runs two data centres with three daemons, two engines of each role and
-// two services, and returns once each daemon has the first version in force and
-// hears both others.
-func start(t testing.TB, change ...func(*testbed.Layout)) *rig {
+// startFleet starts three daemons, two engines of each role and two services in two
+// data centres. It returns once each daemon has the first version in force and receives
+// heartbeats from both others.
+func startFleet(t testing.TB, change ...func(*testbed.Layout)) *harness {
 	t.Helper()
-	r := prepare(t, change...)
+	r := prepareFleet(t, change...)
 	r.must(r.StartDaemons(r.ctx))
-	r.roll(func(*bundle.Bundle) {})
-	r.meet()
+	r.publishAndWait(func(*bundle.Bundle) {})
+	r.awaitPeers()
 	return r
 }
 
-// prepare is start without the daemons and the first version.
-func prepare(t testing.TB, change ...func(*testbed.Layout)) *rig {
+// prepareFleet starts a fleet without its daemons and publishes no version.
+func prepareFleet(t testing.TB, change ...func(*testbed.Layout)) *harness {
 	t.Helper()
 	fleets <- struct{}{}
 	t.Cleanup(func() { <-fleets })
-	ctx, cancel := context.WithTimeout(context.Background(), testBound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	bed := testbed.New(bin, t.TempDir())
 	t.Cleanup(bed.Close)
@@ -101,21 +102,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Fleet: f, t: t, ctx: ctx, last: f.Bundle(), wait: bound}
-	patient(r.last)
-	t.Cleanup(r.explain)
+	r := &harness{Fleet: f, t: t, ctx: ctx, lastBundle: f.Bundle(), timeout: waitTimeout}
+	allowLongDrafts(r.lastBundle)
+	t.Cleanup(r.logDaemonOutput)
 	return r
 }
 
-// patient lets drafts be as long as a daemon allows.
-func patient(b *bundle.Bundle) {
+// allowLongDrafts sets the deadline of class draft to the maximum that daemons accept.
+func allowLongDrafts(b *bundle.Bundle) {
 	c := b.Classes[bundle.Draft]
 	c.DeadlineMillis = settings.Defaults().Callers.MaxDeadline.Milliseconds()
 	b.Classes[bundle.Draft] = c
 }
 
-// explain shows the daemons' warnings of a failed test.
-func (r *rig) explain() {
+// logDaemonOutput logs the last lines of the daemons' output when the test has failed.
+func (r *harness) logDaemonOutput() {
 	if !r.t.Failed() {
 		return
 	}
@@ -126,19 +127,20 @@
 	}
 }
 
-func (r *rig) must(err error) {
+// must fails the test if err is not nil.
+func (r *harness) must(err error) {
 	r.t.Helper()
 	if err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// eventually waits until f returns nil.
-func (r *rig) eventually(what string, f func() error) {
+// eventually polls f until it returns nil, and fails the test after r.timeout.
+func (r *harness) eventually(what string, f func() error) {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(r.ctx, r.wait)
+	ctx, cancel := context.WithTimeout(r.ctx, r.timeout)
 	defer cancel()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		err := f()
@@ -153,25 +155,28 @@
 	}
 }
 
-// roll publishes the last version with a change and waits until every running
-// daemon has it in force.
-func (r *rig) roll(change func(*bundle.Bundle)) uint64 {
+// publishAndWait publishes the last version with a change and waits until all running
+// daemons have the new one in force. It returns the new version's number.
+func (r *harness) publishAndWait(change func(*bundle.Bundle)) uint64 {
 	r.t.Helper()
 	n := r.publish(change)
-	r.inForce(n, r.Daemons...)
+	r.awaitVersion(n, r.Daemons...)
 	return n
 }
 
-func (r *rig) publish(change func(*bundle.Bundle)) uint64 {
+// publish publishes the last version with a change and returns the new version's
+// number.
+func (r *harness) publish(change func(*bundle.Bundle)) uint64 {
 	r.t.Helper()
-	change(r.last)
-	n, err := r.Publisher.Publish(r.ctx, r.last)
+	change(r.lastBundle)
+	n, err := r.Publisher.Publish(r.ctx, r.lastBundle)
 	r.must(err)
 	return n
 }
 
-// leave marks upstreams as leaving, in a change for roll and publish.
-func leave(names ...string) func(*bundle.Bundle) {
+// markLeaving returns a change for publish and publishAndWait that sets the state of
+// upstreams to leaving.
+func markLeaving(names ...string) func(*bundle.Bundle) {
 	return func(b *bundle.Bundle) {
 		for _, name := range names {
 			u := b.Upstreams[name]
@@ -181,29 +186,31 @@
 	}
 }
 
-// inForce waits until the daemons among ds that run have version n in force and
-// are ready.
-func (r *rig) inForce(n uint64, ds ...*testbed.Daemon) {
+// awaitVersion waits until all running daemons among ds have version n in force and are
+// ready.
+func (r *harness) awaitVersion(n uint64, ds ...*testbed.Daemon) {
 	r.t.Helper()
 	for _, d := range ds {
 		if d.Process == nil || !d.Running() {
 			continue
 		}
-		r.eventually(d.Name+" has the version", func() error {
-			if got := r.number(d); got != n {
+		r.eventually(d.Name+" has the version in force", func() error {
+			if got := r.bundleNumber(d); got != n {
 				return errors.Errorf("version %d, want %d", got, n)
 			}
-			return r.ready(d)
+			return r.checkReady(d)
 		})
 	}
 }
 
-func (r *rig) number(d *testbed.Daemon) uint64 {
-	return uint64(r.metric(d, metricBundle))
+// bundleNumber returns the number of the version in force on a daemon.
+func (r *harness) bundleNumber(d *testbed.Daemon) uint64 {
+	return uint64(r.gauge(d, metricBundle))
 }
 
-// meet waits until every running daemon hears every other running one.
-func (r *rig) meet() {
+// awaitPeers waits until every running daemon considers all other running daemons to be
+// alive.
+func (r *harness) awaitPeers() {
 	r.t.Helper()
 	running := 0
 	for _, d := range r.Daemons {
@@ -215,8 +222,8 @@
 		if d.Process == nil || !d.Running() {
 			continue
 		}
-		r.eventually(d.Name+" hears its peers", func() error {
-			if n := int(r.metric(d, metricPeers)); n < running {
+		r.eventually(d.Name+" considers its peers alive", func() error {
+			if n := int(r.gauge(d, metricPeers)); n < running {
 				return errors.Errorf("%d of %d live", n, running)
 			}
 			return nil
@@ -224,8 +231,9 @@
 	}
 }
 
-// metric returns a daemon's gauge, or -1 when it cannot be read.
-func (r *rig) metric(d *testbed.Daemon, name string) float64 {
+// gauge returns the value of a gauge from a daemon's metrics, or -1 when it cannot be
+// read.
+func (r *harness) gauge(d *testbed.Daemon, name string) float64 {
 	resp, err := r.get("http://" + d.CallersAddress + "/metrics")
 	if err != nil {
 		return -1
@@ -239,7 +247,8 @@
 	return page[name].GetMetric()[0].GetGauge().GetValue()
 }
 
-func (r *rig) get(url string) (*http.Response, error) {
+// get sends a GET request.
+func (r *harness) get(url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -247,7 +256,8 @@
 	return client.Do(req)
 }
 
-func (r *rig) ready(d *testbed.Daemon) error {
+// checkReady returns nil when a daemon's readiness check succeeds.
+func (r *harness) checkReady(d *testbed.Daemon) error {
 	resp, err := r.get("http://" + d.CallersAddress + "/readyz")
 	if err != nil {
 		return err
@@ -259,8 +269,8 @@
 	return nil
 }
 
-// upstreamOf returns an upstream as a daemon's view shows it.
-func (r *rig) upstreamOf(d *testbed.Daemon, name string) (adminapi.Upstream, error) {
+// adminUpstream returns the state of an upstream from a daemon's administration API.
+func (r *harness) adminUpstream(d *testbed.Daemon, name string) (adminapi.Upstream, error) {
 	var list adminapi.Upstreams
 	req, err := http.NewRequestWithContext(r.ctx, http.MethodGet, "http://"+d.AdminAddress+adminapi.PathUpstreams, nil)
 	if err != nil {
@@ -278,25 +288,26 @@
 	return adminapi.Upstream{}, errors.Errorf("%s does not list %s", d.Name, name)
 }
 
-// knowsLeaving waits until a daemon's view says that an upstream leaves.
-func (r *rig) knowsLeaving(d *testbed.Daemon, name string) {
+// awaitLeaving waits until a daemon considers an upstream to be leaving.
+func (r *harness) awaitLeaving(d *testbed.Daemon, name string) {
 	r.t.Helper()
-	r.eventually(d.Name+" knows that "+name+" leaves", func() error {
-		u, err := r.upstreamOf(d, name)
+	r.eventually(d.Name+" considers "+name+" to be leaving", func() error {
+		u, err := r.adminUpstream(d, name)
 		if err == nil && u.Leaving == "" && u.State != string(bundle.StateLeaving) {
-			err = errors.Errorf("state %s, no word", u.State)
+			err = errors.Errorf("state %s, no leaving notice", u.State)
 		}
 		return err
 	})
 }
 
-// steward returns the daemon that polls, sweeps and orders the first decode
-// engine, in the view of another daemon that runs.
-func (r *rig) steward(by *testbed.Daemon) *testbed.Daemon {
+// steward returns the steward of the first decode engine: the daemon that polls the
+// engine, frees orphaned memory on it and sends it orders. by is a running daemon that
+// reports it.
+func (r *harness) steward(by *testbed.Daemon) *testbed.Daemon {
 	r.t.Helper()
 	var found *testbed.Daemon
 	r.eventually("the engine has a steward", func() error {
-		u, err := r.upstreamOf(by, leavingDecode)
+		u, err := r.adminUpstream(by, leavingDecode)
 		for _, d := range r.Daemons {
 			if d.Name == u.Steward && d.Running() {
 				found = d
@@ -308,7 +319,8 @@
 	return found
 }
 
-func (r *rig) upstream(name string) *testbed.Upstream {
+// upstream returns the upstream called name.
+func (r *harness) upstream(name string) *testbed.Upstream {
 	r.t.Helper()
 	for _, u := range r.Upstreams {
 		if u.Name == name {
@@ -319,13 +331,16 @@
 	return nil
 }
 
-func (r *rig) engineStats(name string) (out engine.Stats) {
+// engineStats returns the statistics of the engine called name.
+func (r *harness) engineStats(name string) (out engine.Stats) {
 	r.t.Helper()
 	r.must(r.upstream(name).Stats(r.ctx, &out))
 	return out
 }
 
-func (r *rig) setEngines(f engine.Faults, times int, pools ...string) {
+// setEngineFaults sets the faults of all running engines in the pools; times is the
+// number of affected calls per engine, 0 means no limit.
+func (r *harness) setEngineFaults(f engine.Faults, times int, pools ...string) {
 	r.t.Helper()
 	for _, pool := range pools {
 		for _, u := range r.Pool(pool) {
@@ -336,49 +351,53 @@
 	}
 }
 
-func (r *rig) setServices(f service.Faults) {
+// setServiceFaults sets the faults of all services for all calls.
+func (r *harness) setServiceFaults(f service.Faults) {
 	r.t.Helper()
 	for _, u := range r.Pool(testbed.PoolService) {
 		r.must(testbed.SetFaults(r.ctx, u.Process, f, 0))
 	}
 }
 
-func (r *rig) setLog(f logsvc.Faults, times int) {
+// setLogFaults sets the faults of the log; times is the number of affected calls, 0
+// means no limit.
+func (r *harness) setLogFaults(f logsvc.Faults, times int) {
 	r.t.Helper()
 	r.must(testbed.SetFaults(r.ctx, r.Log, f, times))
 }
 
-// under returns the rig for a subtest.
-func (r *rig) under(t testing.TB) *rig {
+// forSubtest returns a copy of the harness that reports to the subtest t.
+func (r *harness) forSubtest(t testing.TB) *harness {
 	sub := *r
 	sub.t = t
 	return &sub
 }
 
-// prompt returns a prompt that no other number has.
+// prompt returns a different prompt for each n.
 func prompt(n int) string {
 	return fmt.Sprintf("dossier %d: %s", n, strings.Repeat("the north wall ", 40))
 }
 
-// fast makes engines generate three times as fast.
-func fast(l *testbed.Layout) {
+// fastEngines makes engines work three times as fast and keep finished streams for
+// 200 ms.
+func fastEngines(l *testbed.Layout) {
 	l.PrefillFlags = append(l.PrefillFlags, "--time-scale=3", "--linger=200ms")
 	l.DecodeFlags = append(l.DecodeFlags, "--time-scale=3", "--linger=200ms")
 }
 
-// slowPrefill makes the prefill of a prompt take about a second.
+// slowPrefill makes the prefill of a prompt take about one second.
 func slowPrefill(l *testbed.Layout) {
 	l.PrefillFlags = append(l.PrefillFlags, "--prefill-per-token=6ms")
 }
 
-// restart kills a daemon and starts it again; it returns when the daemon is
-// ready and hears its peers.
-func (r *rig) restart(n int) {
+// restartDaemon kills daemon n and starts it again. It returns once the daemon has the
+// same version in force as before, is ready and considers its peers alive.
+func (r *harness) restartDaemon(n int) {
 	r.t.Helper()
 	d := r.Daemons[n]
-	number := r.number(d)
+	number := r.bundleNumber(d)
 	d.Kill()
 	r.must(r.StartDaemon(r.ctx, n))
-	r.inForce(number, d)
-	r.meet()
+	r.awaitVersion(number, d)
+	r.awaitPeers()
 }
--- a/test/failure/held_test.go
+++ b/test/failure/held_test.go
@@ -11,18 +11,18 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// engineTimeout bounds one look at an engine, which may stand still.
-const engineTimeout = 2 * time.Second
+// engineReadTimeout is the timeout of one request to an engine, which may be frozen.
+const engineReadTimeout = 2 * time.Second
 
-// held returns what all running engines hold for the work that match selects.
-func (r *rig) held(match func(engineapi.Held) bool) ([]engineapi.Held, error) {
+// heldMemory returns the memory on all running engines for which match returns true.
+func (r *harness) heldMemory(match func(engineapi.Held) bool) ([]engineapi.Held, error) {
 	var out []engineapi.Held
 	for _, pool := range []string{testbed.PoolPrefill, testbed.PoolDecode} {
 		for _, u := range r.Pool(pool) {
 			if !u.Running() {
 				continue
 			}
-			list, err := r.heldOn(u)
+			list, err := r.heldOnEngine(u)
 			if err != nil {
 				return nil, err
 			}
@@ -36,15 +36,17 @@
 	return out, nil
 }
 
-func (r *rig) heldOn(u *testbed.Upstream) ([]engineapi.Held, error) {
+// heldOnEngine returns all memory that an engine holds.
+func (r *harness) heldOnEngine(u *testbed.Upstream) ([]engineapi.Held, error) {
 	var list engineapi.HeldReply
 	err := r.engineGet(u, engineapi.PathHeld, &list)
 	return list.Held, err
 }
 
-// engineGet reads an engine's own state; an engine that stands still is an error.
-func (r *rig) engineGet(u *testbed.Upstream, path string, out any) error {
-	ctx, cancel := context.WithTimeout(r.ctx, engineTimeout)
+// engineGet reads a path of an engine's API. It fails when the engine does not respond
+// within engineReadTimeout.
+func (r *harness) engineGet(u *testbed.Upstream, path string, out any) error {
+	ctx, cancel := context.WithTimeout(r.ctx, engineReadTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.Listen+path, nil)
 	if err != nil {
@@ -53,30 +55,33 @@
 	return getJSON(req, out)
 }
 
-// ownedBy selects the work of one life of a daemon.
+// ownedBy matches the memory that the current incarnation of a daemon owns.
 func ownedBy(d *testbed.Daemon) func(engineapi.Held) bool {
 	owner := engineapi.Owner{Instance: d.Instance, Incarnation: d.Incarnation}
 	return func(h engineapi.Held) bool { return h.Owner == owner }
 }
 
-func anyone(engineapi.Held) bool { return true }
+// anyWork matches all memory.
+func anyWork(engineapi.Held) bool { return true }
 
-func kindOf(match func(engineapi.Held) bool, kind engineapi.HeldKind) func(engineapi.Held) bool {
+// ofKind matches memory of a kind that match also matches.
+func ofKind(match func(engineapi.Held) bool, kind engineapi.HeldKind) func(engineapi.Held) bool {
 	return func(h engineapi.Held) bool { return h.Kind == kind && match(h) }
 }
 
-// awaitHeld waits until engines hold something that match selects, for s.
+// awaitHeld waits until engines hold memory for which match returns true, and returns
+// the first piece. It fails the test when the answer of s ends first.
 func (s *stream) awaitHeld(match func(engineapi.Held) bool) engineapi.Held {
 	r := s.r
 	r.t.Helper()
 	var first engineapi.Held
-	r.eventually("engine memory is held", func() error {
+	r.eventually("engines hold memory", func() error {
 		select {
 		case <-s.done:
-			r.t.Fatalf("the answer has ended: %s", s.got)
+			r.t.Fatalf("the answer ended before engines held memory: %s", s.reply)
 		default:
 		}
-		list, err := r.held(match)
+		list, err := r.heldMemory(match)
 		if err == nil && len(list) == 0 {
 			err = errors.New("nothing is held")
 		}
@@ -88,13 +93,13 @@
 	return first
 }
 
-// awaitFreed waits until engines hold nothing that match selects.
-func (r *rig) awaitFreed(match func(engineapi.Held) bool) {
+// awaitFreed waits until engines hold no memory for which match returns true.
+func (r *harness) awaitFreed(match func(engineapi.Held) bool) {
 	r.t.Helper()
-	r.eventually("engine memory is freed", func() error {
-		list, err := r.held(match)
+	r.eventually("engines have freed the memory", func() error {
+		list, err := r.heldMemory(match)
 		if err == nil && len(list) > 0 {
-			err = errors.Errorf("%d held, first %+v", len(list), list[0])
+			err = errors.Errorf("%d pieces held, the first is %+v", len(list), list[0])
 		}
 		return err
 	})
--- a/test/failure/leave_test.go
+++ b/test/failure/leave_test.go
@@ -15,21 +15,22 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// The upstreams that leave in these tests. They stand in the first data centre,
-// whose daemons would choose them first.
+// The upstreams that leave in these tests. They are in the first data centre, whose
+// daemons prefer them.
 const (
 	leavingDecode  = "decode-0"
 	leavingPrefill = "prefill-0"
 	leavingService = "service-0"
 )
 
-var leavers = []string{leavingDecode, leavingPrefill, leavingService}
+var leavingUpstreams = []string{leavingDecode, leavingPrefill, leavingService}
 
-// probes is how many requests of each kind test that an upstream gets none.
-const probes = 8
+// probesPerKind is the number of completions and of look-ups that probeDaemon sends.
+const probesPerKind = 8
 
-// newWork returns how much new work the leaving upstreams have been asked for.
-func (r *rig) newWork() int {
+// newWorkCount returns the number of requests for new work that the leaving upstreams
+// have received, whether accepted or refused.
+func (r *harness) newWorkCount() int {
 	r.t.Helper()
 	decode, prefill := r.engineStats(leavingDecode), r.engineStats(leavingPrefill)
 	var calls service.Stats
@@ -38,132 +39,135 @@
 		calls.Lookups + calls.Executions + calls.Refusals
 }
 
-// probe sends requests of each kind to daemons; each has to be answered whole.
-func (r *rig) probe(ds ...*testbed.Daemon) {
+// probeDaemons sends completions and look-ups through daemons and checks that all
+// succeed.
+func (r *harness) probeDaemons(ds ...*testbed.Daemon) {
 	r.t.Helper()
 	for _, d := range ds {
-		r.probeOne(d)
+		r.probeDaemon(d)
 	}
 }
 
-func (r *rig) probeOne(d *testbed.Daemon) {
+// probeDaemon is probeDaemons for one daemon.
+func (r *harness) probeDaemon(d *testbed.Daemon) {
 	r.t.Helper()
 	var streams []*stream
-	for n := range probes {
-		streams = append(streams, r.stream(d, draft{prompt(n), 4}))
+	for n := range probesPerKind {
+		streams = append(streams, r.startStream(d, completion{prompt(n), 4}))
 	}
-	for n := range probes {
+	for n := range probesPerKind {
 		if g := r.call(d, http.MethodGet, fmt.Sprintf("%s/case/%d", pathService, n), "", ""); g.status != http.StatusOK {
 			r.t.Errorf("a look-up through %s: %s", d.Name, g)
 		}
 	}
 	for _, s := range streams {
-		s.whole()
+		s.checkComplete()
 	}
 }
 
-// deserted checks that the leaving upstreams get nothing of what daemons are sent.
-func (r *rig) deserted(ds ...*testbed.Daemon) {
+// checkNoNewWork sends requests through daemons and checks that the leaving upstreams
+// receive none of them.
+func (r *harness) checkNoNewWork(ds ...*testbed.Daemon) {
 	r.t.Helper()
-	before := r.newWork()
-	r.probe(ds...)
-	if after := r.newWork(); after != before {
-		r.t.Errorf("%d pieces of new work reached upstreams known to leave", after-before)
+	before := r.newWorkCount()
+	r.probeDaemons(ds...)
+	if after := r.newWorkCount(); after != before {
+		r.t.Errorf("leaving upstreams received %d requests for new work", after-before)
 	}
 }
 
-// allKnow waits until daemons know of every leaving upstream.
-func (r *rig) allKnow(ds ...*testbed.Daemon) {
+// awaitLeavingUpstreams waits until daemons consider all leavingUpstreams to be leaving.
+func (r *harness) awaitLeavingUpstreams(ds ...*testbed.Daemon) {
 	r.t.Helper()
 	for _, d := range ds {
-		for _, name := range leavers {
-			r.knowsLeaving(d, name)
+		for _, name := range leavingUpstreams {
+			r.awaitLeaving(d, name)
 		}
 	}
 }
 
-// Symptom: an upstream whose provider is being left gets requests until it is
-// switched off under them.
-// Sequence: an engine of each role and a service leave, by the bundle, by the
-// platform's list, by their own answers or by a peer's word alone; a stream is
-// under way on the decode engine; requests come to every daemon that knows.
-// Cause: a source of the word that is not heeded, or heeded for new plans and
-// not at dispatch.
+// Guards against new work for an upstream that is about to be switched off, because a
+// daemon ignores one of the sources that announce it, or considers it only when it
+// selects an upstream and not when it dispatches the call. An engine of each role and a
+// service leave while a stream is in progress on the decode engine. They are announced
+// by the bundle, the platform's instance list, their own responses or a peer only; then
+// requests are sent to every daemon.
 func TestLeave(t *testing.T) {
 	t.Parallel()
-	for name, announce := range map[string]func(*rig){
-		"leave/leaving": func(r *rig) { r.roll(leave(leavers...)) },
-		"leave/log-down": func(r *rig) {
-			r.setLog(logDown, 0)
-			r.must(r.ListInstances(r.ctx, leavers...))
+	for name, announce := range map[string]func(*harness){
+		"leave/leaving": func(r *harness) { r.publishAndWait(markLeaving(leavingUpstreams...)) },
+		"leave/log-down": func(r *harness) {
+			r.setLogFaults(logDown, 0)
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
 		},
-		"leave/instance-list-stale": func(r *rig) {
+		"leave/instance-list-stale": func(r *harness) {
 			r.must(testbed.SetFaults(r.ctx, r.Instances, instances.Faults{Freeze: true}, 0))
-			r.must(r.ListInstances(r.ctx, leavers...))
-			r.roll(leave(leavers...))
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.publishAndWait(markLeaving(leavingUpstreams...))
 		},
-		"leave/platform-cut": func(r *rig) { // dc2 alone reads the list; dc1 has its word
+		"leave/platform-cut": func(r *harness) { // only dc2 reads the list; dc1 is informed by dc2
 			r.SetPlatform("dc1", testbed.Cut)
-			r.must(r.ListInstances(r.ctx, leavers...))
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
 		},
-		"leave/platform-cut+log-down": func(r *rig) { // the upstreams' own word
+		"leave/platform-cut+log-down": func(r *harness) { // announced by the upstreams only
 			r.SetPlatform("dc1", testbed.Cut)
 			r.SetPlatform("dc2", testbed.Cut)
-			r.sayLeaving(false)
+			r.reportLeaving(false)
 		},
-		"leave/data-centre-cut": func(r *rig) {
+		"leave/data-centre-cut": func(r *harness) {
 			r.SetPeers("dc1", "dc2", testbed.Cut)
-			r.roll(leave(leavers...))
+			r.publishAndWait(markLeaving(leavingUpstreams...))
 		},
-		"leave/connection-cut": func(r *rig) {
-			r.setLog(logsvc.Faults{Stream: bundleStream(), CutReads: true}, 4)
-			r.publish(leave(leavers...))
+		"leave/connection-cut": func(r *harness) {
+			r.setLogFaults(logsvc.Faults{Stream: bundleStream(), CutReads: true}, 4)
+			r.publish(markLeaving(leavingUpstreams...))
 		},
-		"leave/connection-stalled": func(r *rig) {
+		"leave/connection-stalled": func(r *harness) {
 			r.SetPlatform("dc1", testbed.Stalled)
-			r.must(r.ListInstances(r.ctx, leavers...))
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
 		},
-		"leave/load-stale": func(r *rig) { // their refusals are all that tells
-			r.sayLeaving(true)
-			r.refuseOthers(true)
-			r.tryOut()
-			r.refuseOthers(false)
+		"leave/load-stale": func(r *harness) { // announced by the upstreams' refusals only
+			r.reportLeaving(true)
+			r.setRemainingRefuse(true)
+			r.probeUntilLeaving()
+			r.setRemainingRefuse(false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t)
-			s := r.stream(r.Daemons[0], draft{prompt(-1), fairAnswer})
-			s.await(2)
+			r := startFleet(t)
+			s := r.startStream(r.Daemons[0], completion{prompt(-1), mediumAnswer})
+			s.awaitTokens(2)
 			announce(r)
-			r.allKnow(r.Daemons...)
-			r.deserted(r.Daemons...)
-			s.whole()
-			r.awaitFreed(anyone)
+			r.awaitLeavingUpstreams(r.Daemons...)
+			r.checkNoNewWork(r.Daemons...)
+			s.checkComplete()
+			r.awaitFreed(anyWork)
 		})
 	}
 }
 
-// refuseOthers makes the prefill engine and the service that stay refuse for a
-// while, so that those that leave are asked.
-func (r *rig) refuseOthers(refuse bool) {
+// setRemainingRefuse sets whether the prefill engine and the service that are not leaving
+// refuse all calls, which makes daemons call the leaving ones.
+func (r *harness) setRemainingRefuse(refuse bool) {
 	r.t.Helper()
 	r.must(testbed.SetFaults(r.ctx, r.upstream("prefill-1").Process, engine.Faults{Refuse: refuse}, 0))
 	r.must(testbed.SetFaults(r.ctx, r.upstream("service-1").Process, service.Faults{Refuse: refuse}, 0))
 }
 
-// tryOut sends requests until every daemon knows of every leaving upstream.
-func (r *rig) tryOut() {
+// probeUntilLeaving sends requests until every daemon has a leaving notice from each of
+// leavingUpstreams.
+func (r *harness) probeUntilLeaving() {
 	r.t.Helper()
 	tries := 0
-	r.eventually("every daemon is told", func() error {
+	r.eventually("every daemon has all leaving notices", func() error {
 		tries++
 		for _, d := range r.Daemons {
-			r.stream(d, draft{prompt(tries), 4}).honest()
+			r.startStream(d, completion{prompt(tries), 4}).checkCompleteOrFailed()
 			r.call(d, http.MethodGet, pathService+"/case/1", "", "")
-			for _, name := range leavers {
-				if u, err := r.upstreamOf(d, name); err != nil || u.Leaving == "" {
-					return errors.Errorf("%s does not know of %s: %v", d.Name, name, err)
+			for _, name := range leavingUpstreams {
+				if u, err := r.adminUpstream(d, name); err != nil || u.Leaving == "" {
+					return errors.Errorf("%s has no leaving notice of %s: %v", d.Name, name, err)
 				}
 			}
 		}
@@ -171,9 +175,9 @@
 	})
 }
 
-// sayLeaving makes the leaving upstreams say so themselves; silent engines say so
-// in refusals alone, not in the loads that are polled.
-func (r *rig) sayLeaving(silent bool) {
+// reportLeaving makes the leaving upstreams announce that they leave. If silent is set,
+// engines do so only in refusals, not in their load reports.
+func (r *harness) reportLeaving(silent bool) {
 	r.t.Helper()
 	for _, name := range []string{leavingDecode, leavingPrefill} {
 		r.must(testbed.SetFaults(r.ctx, r.upstream(name).Process, engine.Faults{Leaving: true, FreezeLoad: silent}, 0))
@@ -181,147 +185,145 @@
 	r.must(testbed.SetFaults(r.ctx, r.upstream(leavingService).Process, service.Faults{Leaving: true}, 0))
 }
 
-// Symptom: a daemon that was stopped during the change sends new work to an
-// upstream that has left.
-// Sequence: a daemon is stopped; upstreams leave, by the bundle or the list;
-// requests wait in the stopped daemon's socket; it runs on.
-// Cause: a dispatch on the view from before the stop.
+// Guards against a daemon that resumes after a freeze and sends new work to leaving
+// upstreams, because its data is from before the freeze. While a daemon is frozen,
+// upstreams are announced as leaving by the bundle or the instance list, and requests
+// queue up in the daemon's socket; then it resumes.
 func TestLeaveFrozen(t *testing.T) {
 	t.Parallel()
-	for name, announce := range map[string]func(*rig){
-		"leave/daemon-frozen": func(r *rig) {
-			r.inForce(r.publish(leave(leavers...)), r.Daemons[1], r.Daemons[2])
+	for name, announce := range map[string]func(*harness){
+		"leave/daemon-frozen": func(r *harness) {
+			r.awaitVersion(r.publish(markLeaving(leavingUpstreams...)), r.Daemons[1], r.Daemons[2])
 		},
-		"leave/daemon-frozen+platform-cut": func(r *rig) {
-			r.inForce(r.publish(leave(leavers...)), r.Daemons[1], r.Daemons[2])
+		"leave/daemon-frozen+platform-cut": func(r *harness) {
+			r.awaitVersion(r.publish(markLeaving(leavingUpstreams...)), r.Daemons[1], r.Daemons[2])
 			r.SetPlatform("dc1", testbed.Cut)
 		},
-		"leave/daemon-frozen+log-down": func(r *rig) {
-			r.must(r.ListInstances(r.ctx, leavers...))
-			r.allKnow(r.Daemons[1], r.Daemons[2])
-			r.setLog(logDown, 0)
+		"leave/daemon-frozen+log-down": func(r *harness) {
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.awaitLeavingUpstreams(r.Daemons[1], r.Daemons[2])
+			r.setLogFaults(logDown, 0)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t)
+			r := startFleet(t)
 			frozen := r.Daemons[0]
 			r.must(frozen.Freeze(r.ctx))
 			announce(r)
-			r.buried(frozen)
-			before := r.newWork()
-			waiting := make([]*stream, probes)
-			for n := range waiting {
-				waiting[n] = r.stream(frozen, draft{prompt(n), 4})
+			r.awaitDeclaredDead(frozen)
+			before := r.newWorkCount()
+			streams := make([]*stream, probesPerKind)
+			for n := range streams {
+				streams[n] = r.startStream(frozen, completion{prompt(n), 4})
 			}
 			r.must(frozen.Thaw())
-			for _, s := range waiting {
-				s.honest()
+			for _, s := range streams {
+				s.checkCompleteOrFailed()
 			}
-			if after := r.newWork(); after != before {
-				t.Errorf("%d pieces of new work reached upstreams that had left", after-before)
+			if after := r.newWorkCount(); after != before {
+				t.Errorf("leaving upstreams received %d requests for new work", after-before)
 			}
-			r.eventually("the daemon is ready", func() error { return r.ready(frozen) })
-			r.deserted(frozen)
+			r.eventually("the daemon is ready", func() error { return r.checkReady(frozen) })
+			r.checkNoNewWork(frozen)
 		})
 	}
 }
 
-// buried waits until the other daemons no longer count d as alive.
-func (r *rig) buried(d *testbed.Daemon) {
+// awaitDeclaredDead waits until all other daemons have declared d dead. It assumes that no
+// other daemon has failed.
+func (r *harness) awaitDeclaredDead(d *testbed.Daemon) {
 	r.t.Helper()
 	for _, other := range r.Daemons {
 		if other != d {
-			r.buriedBy(other)
+			r.awaitDeadPeer(other)
 		}
 	}
 }
 
-// buriedBy waits until a daemon counts another one as dead.
-func (r *rig) buriedBy(d *testbed.Daemon) {
+// awaitDeadPeer waits until a daemon considers at least one peer to be dead.
+func (r *harness) awaitDeadPeer(d *testbed.Daemon) {
 	r.t.Helper()
-	r.eventually(d.Name+" misses a peer", func() error {
-		if n := int(r.metric(d, metricPeers)); n >= len(r.Daemons) {
+	r.eventually(d.Name+" declares a peer dead", func() error {
+		if n := int(r.gauge(d, metricPeers)); n >= len(r.Daemons) {
 			return errors.Errorf("%d live", n)
 		}
 		return nil
 	})
 }
 
-// Symptom: the word that an upstream leaves is lost with the daemon that heard it.
-// Sequence: one daemon alone reads the platform's list; the others have its word;
-// it is killed; or the leaving upstreams end or stop before the others are asked.
-// Cause: a word that lapses with its speaker, or an upstream that is asked again
-// because nothing is heard of it.
+// Guards against leaving notices that expire with the daemon that sent them, and against
+// calls to leaving upstreams that no longer respond. Only the daemon of dc2 reads the
+// instance list, and it notifies the others. Then it is killed, or the leaving upstreams
+// are killed or frozen, before requests are sent.
 func TestLeaveThen(t *testing.T) {
 	t.Parallel()
-	for name, then := range map[string]func(*rig){
-		"leave/daemon-killed": func(r *rig) { r.Daemons[1].Kill(); r.buriedBy(r.Daemons[0]) },
-		"leave/upstream-killed": func(r *rig) {
-			for _, name := range leavers {
+	for name, fault := range map[string]func(*harness){
+		"leave/daemon-killed": func(r *harness) { r.Daemons[1].Kill(); r.awaitDeadPeer(r.Daemons[0]) },
+		"leave/upstream-killed": func(r *harness) {
+			for _, name := range leavingUpstreams {
 				r.upstream(name).Kill()
 			}
 		},
-		"leave/upstream-frozen": func(r *rig) {
-			for _, name := range leavers {
+		"leave/upstream-frozen": func(r *harness) {
+			for _, name := range leavingUpstreams {
 				r.must(r.upstream(name).Freeze(r.ctx))
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t)
+			r := startFleet(t)
 			r.SetPlatform("dc1", testbed.Cut)
-			r.must(r.ListInstances(r.ctx, leavers...))
-			r.allKnow(r.Daemons...)
-			then(r)
+			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.awaitLeavingUpstreams(r.Daemons...)
+			fault(r)
 			if name == "leave/daemon-killed" {
-				r.deserted(r.Daemons[0], r.Daemons[2])
+				r.checkNoNewWork(r.Daemons[0], r.Daemons[2])
 				return
 			}
-			r.probe(r.Daemons...) // whole without a retry to who is gone
+			r.probeDaemons(r.Daemons...) // must succeed without calls to upstreams that are gone
 		})
 	}
 }
 
-// Symptom: a request that retries goes to an upstream that leaves, or the only
-// way to go on with a stream is lost.
-// Sequence: a stream's engine is killed or cut in the middle; the other engine,
-// or the same one, has begun to leave.
-// Cause: a retry that is not taken for new work, or a resume that is.
+// Guards against retries that are sent to a leaving upstream, and against treating the
+// resumption of a stream on its leaving engine as new work, which would lose the stream.
+// In the middle of a stream its engine is killed, or the connection to it is cut, when
+// the other engine, or both engines, are leaving.
 func TestLeaveMidStream(t *testing.T) {
 	t.Parallel()
-	r := start(t)
-	r.roll(generous)
+	r := startFleet(t)
+	r.publishAndWait(fullRetryBudget)
 	t.Run("mid-stream/connection-cut+leaving", func(t *testing.T) {
-		r := r.under(t)
-		s := r.stream(r.Daemons[0], draft{prompt(0), fairAnswer})
-		s.await(2)
-		r.roll(leave(leavingDecode, "decode-1"))
-		r.setEngines(engine.Faults{CutAfter: 1}, 1, testbed.PoolDecode)
-		s.whole()
+		r := r.forSubtest(t)
+		s := r.startStream(r.Daemons[0], completion{prompt(0), mediumAnswer})
+		s.awaitTokens(2)
+		r.publishAndWait(markLeaving(leavingDecode, "decode-1"))
+		r.setEngineFaults(engine.Faults{CutAfter: 1}, 1, testbed.PoolDecode)
+		s.checkComplete()
 	})
-	r.setEngines(engine.Faults{}, 0, testbed.PoolDecode)
-	r.awaitFreed(anyone)
-	r.roll(func(b *bundle.Bundle) { b.Upstreams = r.Bundle().Upstreams })
+	r.setEngineFaults(engine.Faults{}, 0, testbed.PoolDecode)
+	r.awaitFreed(anyWork)
+	r.publishAndWait(func(b *bundle.Bundle) { b.Upstreams = r.Bundle().Upstreams })
 	t.Run("mid-stream/upstream-killed+leaving", func(t *testing.T) {
-		r := r.under(t)
-		s := r.stream(r.Daemons[0], draft{prompt(1), fairAnswer})
-		s.await(2)
+		r := r.forSubtest(t)
+		s := r.startStream(r.Daemons[0], completion{prompt(1), mediumAnswer})
+		s.awaitTokens(2)
 		var from, to *testbed.Upstream
 		for _, u := range r.Pool(testbed.PoolDecode) {
-			if list, err := r.heldOn(u); err == nil && len(list) > 0 {
+			if list, err := r.heldOnEngine(u); err == nil && len(list) > 0 {
 				from = u
 			} else {
 				to = u
 			}
 		}
-		r.roll(leave(to.Name))
+		r.publishAndWait(markLeaving(to.Name))
 		before := r.engineStats(to.Name)
 		from.Kill()
-		g := s.honest()
+		g := s.checkCompleteOrFailed()
 		if after := r.engineStats(to.Name); g.problem == nil || after.Reserves+after.Refusals != before.Reserves+before.Refusals {
-			t.Errorf("the retry reached an upstream that leaves: %s", g)
+			t.Errorf("the retry was sent to a leaving upstream: %s", g)
 		}
 	})
 }
--- a/test/failure/limit_test.go
+++ b/test/failure/limit_test.go
@@ -13,18 +13,20 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// Guards against replicas of a plain service that name a rate limit and get it from each daemon.
+// Guards against daemons that each use the full rate limit that a replica of a plain
+// service reports, so that the replica receives a multiple of it. Look-ups are sent
+// through all daemons at a higher rate than the limit, and the replicas count them.
 func TestServiceLimitHoldsOverAllDaemons(t *testing.T) {
 	t.Parallel()
-	r := start(t)
+	r := startFleet(t)
 	const (
-		limit   = 4.0
-		allowed = 1.5*limit*4 + 5 // in four seconds
-		lead    = 2 * time.Second
-		window  = 4 * time.Second
-		pause   = 20 * time.Millisecond
+		limit       = 4.0
+		maxRequests = 1.5*limit*4 + 5 // in the 4 s of window, with a tolerance of half the limit and 5 requests
+		settleTime  = 2 * time.Second
+		window      = 4 * time.Second
+		pause       = 20 * time.Millisecond
 	)
-	r.setServices(service.Faults{Limit: limit})
+	r.setServiceFaults(service.Faults{Limit: limit})
 	done := make(chan struct{})
 	var load sync.WaitGroup
 	for _, d := range r.Daemons {
@@ -44,25 +46,25 @@
 			}
 		}()
 	}
-	time.Sleep(lead)
-	before := r.lookups()
+	time.Sleep(settleTime)
+	before := r.lookupCounts()
 	time.Sleep(window)
-	after := r.lookups()
+	after := r.lookupCounts()
 	close(done)
 	load.Wait()
 	for name, n := range after {
-		if got := n - before[name]; float64(got) > allowed || got == 0 {
-			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, window, allowed)
+		if got := n - before[name]; float64(got) > maxRequests || got == 0 {
+			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, window, maxRequests)
 		}
 	}
-	r.setServices(service.Faults{})
+	r.setServiceFaults(service.Faults{})
 	for _, d := range r.Daemons {
-		r.eventually("a daemon serves all again", func() error { return r.servesMany(d) })
+		r.eventually("a daemon accepts all requests again", func() error { return r.checkUnlimited(d) })
 	}
 }
 
-// lookups returns how many look-ups each service has answered.
-func (r *rig) lookups() map[string]int {
+// lookupCounts returns the number of look-ups that each service has answered.
+func (r *harness) lookupCounts() map[string]int {
 	r.t.Helper()
 	out := map[string]int{}
 	for _, u := range r.Pool(testbed.PoolService) {
@@ -73,8 +75,9 @@
 	return out
 }
 
-// servesMany fails unless a daemon answers more calls in a row than limits bear.
-func (r *rig) servesMany(d *testbed.Daemon) error {
+// checkUnlimited returns an error unless a daemon answers more consecutive look-ups than
+// the limit would allow.
+func (r *harness) checkUnlimited(d *testbed.Daemon) error {
 	const many = 40
 	for range many {
 		if g := r.call(d, http.MethodGet, pathService+"/slots/1", "", ""); g.status != http.StatusOK {
--- a/test/failure/memory_test.go
+++ b/test/failure/memory_test.go
@@ -12,13 +12,13 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// memoryCase keeps a request of the first daemon at a step.
+// memoryCase describes how to keep a request of the first daemon at a step.
 type memoryCase struct {
-	step   string
-	kind   engineapi.HeldKind // what the engines then hold for it
-	hold   string             // the pool that faults are set on
-	faults engine.Faults
-	tokens int
+	step       string
+	kind       engineapi.HeldKind // kind of memory that engines hold for it at the step
+	faultyPool string             // pool of the engines on which faults are set
+	faults     engine.Faults
+	tokens     int // tokens that the caller receives before the step is reached
 }
 
 var memoryCases = []memoryCase{
@@ -32,103 +32,104 @@
 	{"last-chunk", engineapi.HeldDecode, testbed.PoolDecode, engine.Faults{SlowStep: 100}, shortAnswer/2 - 2},
 }
 
-// sweepTokens is the length of an answer that takes three seconds, longer than
-// from a daemon's death to the sweep of its memory.
+// sweepTokens is the number of tokens of an answer that takes three seconds, longer than
+// the time from a daemon's death until its memory is freed.
 const sweepTokens = 100
 
-// meanwhile is a request of another daemon that lasts through a fault.
-func (r *rig) meanwhile(n int) *stream {
+// startConcurrentStream starts a stream through daemon n that lasts longer than the fault
+// of the test.
+func (r *harness) startConcurrentStream(n int) *stream {
 	r.t.Helper()
-	s := r.stream(r.Daemons[n], exactly(sweepTokens, sweepTokens))
-	s.await(1)
+	s := r.startStream(r.Daemons[n], completionOfLength(sweepTokens, sweepTokens))
+	s.awaitTokens(1)
 	return s
 }
 
-// hold brings a long request of the first daemon to the step of c.
-func (r *rig) hold(c memoryCase) *stream {
+// holdAtStep sends a long completion through the first daemon and returns once it is at
+// the step of c.
+func (r *harness) holdAtStep(c memoryCase) *stream {
 	r.t.Helper()
-	what := draft{prompt(0), longAnswer}
+	request := completion{prompt(0), longAnswer}
 	if c.step == "last-chunk" {
-		what = exactly(c.tokens+2, shortAnswer)
+		request = completionOfLength(c.tokens+2, shortAnswer)
 	}
-	if c.hold != "" && c.tokens == 0 {
-		r.setEngines(c.faults, 0, c.hold)
+	if c.faultyPool != "" && c.tokens == 0 {
+		r.setEngineFaults(c.faults, 0, c.faultyPool)
 	}
-	s := r.stream(r.Daemons[0], what)
-	s.awaitHeld(kindOf(ownedBy(r.Daemons[0]), c.kind))
-	s.await(c.tokens)
-	if c.hold != "" && c.tokens > 0 {
-		r.setEngines(c.faults, 0, c.hold)
+	s := r.startStream(r.Daemons[0], request)
+	s.awaitHeld(ofKind(ownedBy(r.Daemons[0]), c.kind))
+	s.awaitTokens(c.tokens)
+	if c.faultyPool != "" && c.tokens > 0 {
+		r.setEngineFaults(c.faults, 0, c.faultyPool)
 	}
 	return s
 }
 
-// exactly returns a draft whose answer has so many tokens of at most maxTokens.
-func exactly(tokens, maxTokens int) draft {
+// completionOfLength returns a completion with the given maxTokens whose answer has
+// exactly the given number of tokens.
+func completionOfLength(tokens, maxTokens int) completion {
 	for n := 0; ; n++ {
-		d := draft{prompt(n), maxTokens}
-		if answer.AnswerLength(d.prompt, d.maxTokens) == tokens {
-			return d
+		request := completion{prompt(n), maxTokens}
+		if answer.AnswerLength(request.prompt, request.maxTokens) == tokens {
+			return request
 		}
 	}
 }
 
-func (r *rig) release(c memoryCase) {
+// clearStepFaults ends the faults that holdAtStep set.
+func (r *harness) clearStepFaults(c memoryCase) {
 	r.t.Helper()
-	if c.hold != "" {
-		r.setEngines(engine.Faults{}, 0, c.hold)
+	if c.faultyPool != "" {
+		r.setEngineFaults(engine.Faults{}, 0, c.faultyPool)
 	}
 }
 
-// Symptom: decode engines fill up with requests that nobody reads, until they
-// refuse all new work.
-// Sequence: a daemon is killed, or stopped for longer than peers take to call it
-// dead and then run on, or its caller leaves, while engines hold memory for its
-// request at the step; another daemon's request is under way.
-// Cause: nobody cancels for a dead owner; or the sweep cancels the living.
+// Guards against engine memory of abandoned requests that is never freed, so that engines
+// finally refuse all new work, and against a sweep that also cancels the requests of live
+// daemons. While engines hold memory for a request at the step, its caller disconnects,
+// or its daemon is killed, or frozen until its peers have declared it dead; a request of
+// another daemon is in progress.
 func TestMemory(t *testing.T) {
 	t.Parallel()
 	for _, c := range memoryCases {
 		for _, fault := range []string{"daemon-killed", "daemon-frozen", "caller-gone"} {
 			t.Run(c.step+"/"+fault, func(t *testing.T) {
 				t.Parallel()
-				r := start(t, slowPrefill)
-				other := r.meanwhile(1)
-				s := r.hold(c)
-				mine := ownedBy(r.Daemons[0])
+				r := startFleet(t, slowPrefill)
+				other := r.startConcurrentStream(1)
+				s := r.holdAtStep(c)
+				owned := ownedBy(r.Daemons[0])
 				switch fault {
 				case "daemon-killed":
 					r.Daemons[0].Kill()
-					s.severed()
+					s.checkCutOff()
 				case "daemon-frozen":
 					r.must(r.Daemons[0].Freeze(r.ctx))
 				case "caller-gone":
-					s.leave()
+					s.disconnect()
 				}
-				r.release(c)
-				r.awaitFreed(mine)
-				other.whole()
+				r.clearStepFaults(c)
+				r.awaitFreed(owned)
+				other.checkComplete()
 				if fault == "daemon-frozen" {
 					r.must(r.Daemons[0].Thaw())
-					r.meet()
-					s.leave()
+					r.awaitPeers()
+					s.disconnect()
 				}
-				r.awaitFreed(anyone)
+				r.awaitFreed(anyWork)
 			})
 		}
 	}
 }
 
-// Symptom: memory of a cancelled request stays held, or a cancel that comes late
-// ends another request.
-// Sequence: the caller leaves in the middle of its stream; the first replies to
-// the cancel are lost, or its first deliveries are held up and take effect after
-// the repeats did; another request is under way on the same engines.
-// Cause: a cancel taken as done before it was acknowledged, or one that names
-// more than its own attempt.
+// Guards against a cancel call that is considered successful before it is acknowledged,
+// so that memory stays held, and against one that also cancels other attempts. The caller
+// disconnects in the middle of its stream; the first replies to the cancel call are lost,
+// or the first calls are delayed until after their repeats, or the engines are frozen.
+// Another request is in progress on the same engines.
 func TestCancel(t *testing.T) {
 	t.Parallel()
-	r := start(t)
+	r := startFleet(t)
 	for name, c := range map[string]struct {
 		faults engine.Faults
 		times  int
@@ -139,36 +140,38 @@
 		"cancel/upstream-frozen":    {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := r.under(t)
-			other := r.meanwhile(0)
-			s := r.stream(r.Daemons[0], draft{prompt(0), longAnswer})
-			s.await(3)
+			r := r.forSubtest(t)
+			other := r.startConcurrentStream(0)
+			s := r.startStream(r.Daemons[0], completion{prompt(0), longAnswer})
+			s.awaitTokens(3)
 			if c.times > 0 {
-				r.setEngines(c.faults, c.times, testbed.PoolDecode)
+				r.setEngineFaults(c.faults, c.times, testbed.PoolDecode)
 			} else {
 				r.freezeDecode()
 			}
-			s.leave()
+			s.disconnect()
 			<-s.done
 			if c.times == 0 {
 				r.thawDecode()
 			}
-			r.awaitFreed(func(h engineapi.Held) bool { return h.RequestID == s.got.id })
-			other.whole()
-			r.setEngines(engine.Faults{}, 0, testbed.PoolDecode)
-			r.awaitFreed(anyone)
+			r.awaitFreed(func(h engineapi.Held) bool { return h.RequestID == s.reply.id })
+			other.checkComplete()
+			r.setEngineFaults(engine.Faults{}, 0, testbed.PoolDecode)
+			r.awaitFreed(anyWork)
 		})
 	}
 }
 
-func (r *rig) freezeDecode() {
+// freezeDecode freezes all decode engines.
+func (r *harness) freezeDecode() {
 	r.t.Helper()
 	for _, u := range r.Pool(testbed.PoolDecode) {
 		r.must(u.Freeze(r.ctx))
 	}
 }
 
-func (r *rig) thawDecode() {
+// thawDecode resumes all decode engines that have not been killed.
+func (r *harness) thawDecode() {
 	r.t.Helper()
 	for _, u := range r.Pool(testbed.PoolDecode) {
 		if u.Running() {
@@ -177,85 +180,85 @@
 	}
 }
 
-// isolatedWait is above the grace that a steward keeps while most of the other
-// daemons are silent, steward.DefaultIsolatedGrace.
-const isolatedWait = 2 * steward.DefaultIsolatedGrace
+// isolatedTimeout is longer than steward.DefaultIsolatedGrace, for which a steward waits
+// before it frees orphaned memory while most other daemons are unreachable.
+const isolatedTimeout = 2 * steward.DefaultIsolatedGrace
 
-// Symptom: memory stays held because a cancel was under way when its daemon died.
-// Sequence: the caller leaves; no cancel gets through; then the daemon is killed
-// or stopped, the engine restarts, or data centres are cut; cancels get through.
-// Cause: a cancel that only the dead daemon knew of.
+// Guards against memory that stays held because only a daemon that has failed was going
+// to cancel the request. The caller disconnects while cancel calls have no effect; then
+// the daemon is killed or frozen, the engines restart, or the data centres are cut from
+// each other; after that, cancel calls work again.
 func TestCancelLost(t *testing.T) {
 	t.Parallel()
-	for name, fault := range map[string]func(*rig){
-		"cancel/daemon-killed": func(r *rig) { r.Daemons[0].Kill() },
-		"cancel/daemon-frozen": func(r *rig) { r.must(r.Daemons[0].Freeze(r.ctx)) },
-		"cancel/upstream-killed": func(r *rig) {
+	for name, fault := range map[string]func(*harness){
+		"cancel/daemon-killed": func(r *harness) { r.Daemons[0].Kill() },
+		"cancel/daemon-frozen": func(r *harness) { r.must(r.Daemons[0].Freeze(r.ctx)) },
+		"cancel/upstream-killed": func(r *harness) {
 			for _, u := range r.Pool(testbed.PoolDecode) {
 				r.must(u.Post(r.ctx, "/crash", nil))
 			}
 		},
-		"cancel/data-centre-cut": func(r *rig) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"cancel/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t)
-			s := r.stream(r.Daemons[0], draft{prompt(0), longAnswer})
-			s.await(3)
-			r.setEngines(engine.Faults{Stall: []string{engineapi.PathCancel}}, 0, testbed.PoolDecode)
-			s.leave()
+			r := startFleet(t)
+			s := r.startStream(r.Daemons[0], completion{prompt(0), longAnswer})
+			s.awaitTokens(3)
+			r.setEngineFaults(engine.Faults{Stall: []string{engineapi.PathCancel}}, 0, testbed.PoolDecode)
+			s.disconnect()
 			<-s.done
 			fault(r)
-			r.setEngines(engine.Faults{}, 0, testbed.PoolDecode)
-			r.awaitFreed(anyone)
+			r.setEngineFaults(engine.Faults{}, 0, testbed.PoolDecode)
+			r.awaitFreed(anyWork)
 		})
 	}
 }
 
-// Symptom: memory of a dead daemon's requests stays held for good when the
-// daemon that was to free it dies too.
-// Sequence: a daemon is killed in the middle of a stream; as soon as it counts as
-// dead, the steward of its engine is killed or stopped; or the engines stop, or
-// lose the sweep's calls; or the data centres are cut from each other.
-// Cause: a sweep that is the duty of one daemon and is not taken over.
+// Guards against memory of a dead daemon's requests that is never freed because the
+// steward of the engine fails too and no other daemon takes over the sweep. A daemon is
+// killed in the middle of a stream. As soon as it is declared dead, the steward of the
+// engine is killed or frozen; or the engines restart, freeze or lose the sweep's calls;
+// or the data centres are cut from each other.
 func TestSweep(t *testing.T) {
 	t.Parallel()
-	for name, second := range map[string]func(*rig){
-		"sweep/daemon-killed":   func(r *rig) { r.nextSteward().Kill() },
-		"sweep/daemon-frozen":   func(r *rig) { r.must(r.nextSteward().Freeze(r.ctx)) },
-		"sweep/data-centre-cut": func(r *rig) { r.SetPeers("dc1", "dc2", testbed.Cut); r.wait = isolatedWait },
-		"sweep/connection-cut": func(r *rig) {
-			r.setEngines(engine.Faults{LoseCancel: true}, 3, testbed.PoolDecode)
+	for name, secondFault := range map[string]func(*harness){
+		"sweep/daemon-killed":   func(r *harness) { r.stewardAfterDeath().Kill() },
+		"sweep/daemon-frozen":   func(r *harness) { r.must(r.stewardAfterDeath().Freeze(r.ctx)) },
+		"sweep/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut); r.timeout = isolatedTimeout },
+		"sweep/connection-cut": func(r *harness) {
+			r.setEngineFaults(engine.Faults{LoseCancel: true}, 3, testbed.PoolDecode)
 		},
-		"sweep/connection-stalled": func(r *rig) {
-			r.setEngines(engine.Faults{Stall: []string{engineapi.PathCancel}}, 2, testbed.PoolDecode)
+		"sweep/connection-stalled": func(r *harness) {
+			r.setEngineFaults(engine.Faults{Stall: []string{engineapi.PathCancel}}, 2, testbed.PoolDecode)
 		},
-		"sweep/upstream-killed": func(r *rig) {
+		"sweep/upstream-killed": func(r *harness) {
 			for _, u := range r.Pool(testbed.PoolDecode) {
 				r.must(u.Post(r.ctx, "/crash", nil))
 			}
 		},
-		"sweep/upstream-frozen": func(r *rig) { r.freezeDecode(); r.buried(r.Daemons[0]); r.thawDecode() },
+		"sweep/upstream-frozen": func(r *harness) { r.freezeDecode(); r.awaitDeclaredDead(r.Daemons[0]); r.thawDecode() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, sixDaemons)
-			mine := ownedBy(r.Daemons[0])
-			s := r.hold(memoryCase{kind: engineapi.HeldDecode, tokens: 3})
+			r := startFleet(t, sixDaemons)
+			owned := ownedBy(r.Daemons[0])
+			s := r.holdAtStep(memoryCase{kind: engineapi.HeldDecode, tokens: 3})
 			r.Daemons[0].Kill()
-			second(r)
-			s.severed()
-			r.awaitFreed(mine)
+			secondFault(r)
+			s.checkCutOff()
+			r.awaitFreed(owned)
 		})
 	}
 }
 
-// nextSteward returns the steward of the first decode engine once the first
-// daemon is dead; its sweep waits for a grace from then on.
-func (r *rig) nextSteward() *testbed.Daemon {
+// stewardAfterDeath waits until the first daemon is declared dead and returns the steward
+// of the first decode engine. From then, the steward waits for its grace period before
+// the sweep.
+func (r *harness) stewardAfterDeath() *testbed.Daemon {
 	r.t.Helper()
-	r.eventually("the first daemon is dead", func() error {
-		if n := int(r.metric(r.Daemons[2], metricPeers)); n >= len(r.Daemons) {
+	r.eventually("the first daemon is declared dead", func() error {
+		if n := int(r.gauge(r.Daemons[2], metricPeers)); n >= len(r.Daemons) {
 			return errors.Errorf("%d live", n)
 		}
 		return nil
@@ -263,22 +266,21 @@
 	return r.steward(r.Daemons[2])
 }
 
-// Symptom: an engine that was restarted, or the steward, frees or keeps memory
-// of the wrong life of a daemon.
-// Sequence: a daemon is killed in the middle of a stream and at once started
-// again under its name and address; its new life takes a request.
-// Cause: owners told apart by name alone.
+// Guards against owners of memory that are distinguished by instance name alone, so that
+// memory of the wrong incarnation of a daemon is freed or kept. A daemon is killed in the
+// middle of a stream and restarted at once under the same name and address; its new
+// incarnation serves a request.
 func TestIncarnation(t *testing.T) {
 	t.Parallel()
-	r := start(t)
+	r := startFleet(t)
 	t.Run("restart/mid-stream/daemon-killed", func(t *testing.T) {
-		r := r.under(t)
+		r := r.forSubtest(t)
 		old := ownedBy(r.Daemons[0])
-		s := r.hold(memoryCase{kind: engineapi.HeldDecode, tokens: 3})
-		r.restart(0)
-		s.severed()
-		next := r.meanwhile(0)
+		s := r.holdAtStep(memoryCase{kind: engineapi.HeldDecode, tokens: 3})
+		r.restartDaemon(0)
+		s.checkCutOff()
+		next := r.startConcurrentStream(0)
 		r.awaitFreed(old)
-		next.whole()
+		next.checkComplete()
 	})
 }
--- a/test/failure/once_test.go
+++ b/test/failure/once_test.go
@@ -13,74 +13,80 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// claimStreams is how the names of the claims' streams begin.
-const claimStreams = "claims-"
+// claimStreamPrefix is the prefix of the names of the log streams that hold claims of
+// idempotency keys.
+const claimStreamPrefix = "claims-"
 
-// onClaims limits a log's faults to the claims.
-func onClaims(f logsvc.Faults) logsvc.Faults {
-	f.Stream = claimStreams
+// onClaimStreams limits faults of the log to the streams of claims.
+func onClaimStreams(f logsvc.Faults) logsvc.Faults {
+	f.Stream = claimStreamPrefix
 	return f
 }
 
-// slowOrders makes an order take long enough to be met while it runs.
+// slowOrders makes the execution of an order take long enough that a test can inject a
+// fault during it.
 func slowOrders(l *testbed.Layout) { l.ServiceFlags = []string{"--work=700ms"} }
 
-// briefOrders makes an order take long enough for others of its key to be decided
-// while it runs.
-func briefOrders(l *testbed.Layout) { l.ServiceFlags = []string{"--work=200ms"} }
+// shortOrders makes the execution of an order last until the claims of concurrent orders
+// with the same key are decided.
+func shortOrders(l *testbed.Layout) { l.ServiceFlags = []string{"--work=200ms"} }
 
-// race submits one key through every daemon at once, twice each.
-func (r *rig) race(key string) []reply {
-	return calls(2*len(r.Daemons), func(i int) reply { return r.order(r.Daemons[i%len(r.Daemons)], key) })
+// submitConcurrently submits orders with the same key through all daemons at once, two
+// through each.
+func (r *harness) submitConcurrently(key string) []reply {
+	return concurrently(2*len(r.Daemons), func(i int) reply { return r.submitOrder(r.Daemons[i%len(r.Daemons)], key) })
 }
 
-// once checks that a key ran at most once, that no answer denies it, and that all
-// results are the same; it returns how often it ran.
-func (r *rig) once(key string, answers ...reply) int {
+// checkAtMostOnce checks that an order was executed at most once, that the run state in
+// each reply is correct, and that all confirmations are the same. It returns the number
+// of executions.
+func (r *harness) checkAtMostOnce(key string, answers ...reply) int {
 	r.t.Helper()
 	results := map[string]int{}
 	for _, g := range answers {
 		if g.err == nil {
-			r.truthful(g)
+			r.checkRunState(g)
 		}
 		if g.status == http.StatusOK {
-			results[r.confirmed(g)]++
+			results[r.confirmation(g)]++
 		}
 	}
-	n := r.runs(withKey(key))
+	n := r.executions(withKey(key))
 	if n > 1 || len(results) > 1 || len(results) > n {
 		r.t.Errorf("executed %d times, results %v", n, results)
 	}
 	return n
 }
 
-// settled repeats a key until its answer is a result, and checks that it ran once.
-func (r *rig) settled(key string, answers ...reply) {
+// resubmitUntilResult submits an order with the key until the reply is a result, and checks
+// that the order was executed exactly once. answers are earlier replies for the key.
+func (r *harness) resubmitUntilResult(key string, answers ...reply) {
 	r.t.Helper()
 	r.eventually("the key has a result", func() error {
-		g := r.order(r.Daemons[1], key)
+		g := r.submitOrder(r.Daemons[1], key)
 		if g.status != http.StatusOK {
-			return errString(g)
+			return replyError(g)
 		}
 		answers = append(answers, g)
 		return nil
 	})
-	if n := r.once(key, answers...); n != 1 {
+	if n := r.checkAtMostOnce(key, answers...); n != 1 {
 		r.t.Errorf("executed %d times, want once", n)
 	}
 }
 
-type errString reply
+// replyError is an error that describes an unexpected reply.
+type replyError reply
 
-func (e errString) Error() string { return reply(e).String() }
+func (e replyError) Error() string { return reply(e).String() }
 
-// logFault is a fault of the log while a key is raced through all daemons.
+// logFault is a fault of the log while orders with one key are submitted through all
+// daemons at once.
 type logFault struct {
-	name   string
-	faults logsvc.Faults
-	times  int
-	// runs says that the fault must not keep the key from running.
-	runs bool
+	name    string // subtest name, STEP/FAULT
+	faults  logsvc.Faults
+	times   int  // number of affected calls; 0 means no limit
+	mustRun bool // whether the order must be executed despite the fault
 }
 
 var logFaults = []logFault{
@@ -94,40 +100,39 @@
 	{"claim/log-down", logsvc.Faults{Down: true}, 0, false},
 }
 
-// Symptom: an order is executed twice, or two callers of one key get different
-// confirmations.
-// Sequence: one key comes to all daemons at once, twice each, while the log is
-// down, slow, loses replies of appends that took effect or records them twice;
-// then the log is well and the key comes again.
-// Cause: a claim taken for granted before it was read back as its key's first.
+// Guards against a claim that is considered granted before it has been read back from the
+// log as the first for its key, so that an order is executed twice or callers get
+// different confirmations. One key is submitted through all daemons at once while the log
+// is down, slow, loses replies of appends that took effect or stores records twice; then
+// the log recovers and the key is submitted again.
 func TestOnce(t *testing.T) {
 	t.Parallel()
-	r := start(t, briefOrders)
-	if n := r.once("healthy", r.race("healthy")...); n != 1 {
-		t.Fatalf("with everything well executed %d times", n)
+	r := startFleet(t, shortOrders)
+	if n := r.checkAtMostOnce("healthy", r.submitConcurrently("healthy")...); n != 1 {
+		t.Fatalf("executed %d times without faults", n)
 	}
-	r.settled("healthy")
+	r.resubmitUntilResult("healthy")
 	for _, f := range logFaults {
 		t.Run(f.name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			key := "race-" + t.Name()[len("TestOnce/claim/"):]
-			r.setLog(onClaims(f.faults), f.times)
-			answers := r.race(key)
-			n := r.once(key, answers...)
-			if f.runs && n != 1 {
+			r.setLogFaults(onClaimStreams(f.faults), f.times)
+			answers := r.submitConcurrently(key)
+			n := r.checkAtMostOnce(key, answers...)
+			if f.mustRun && n != 1 {
 				t.Errorf("executed %d times, want once: %v", n, answers)
 			}
-			r.setLog(logsvc.Faults{}, 0)
-			r.settled(key, answers...)
+			r.setLogFaults(logsvc.Faults{}, 0)
+			r.resubmitUntilResult(key, answers...)
 		})
 	}
 }
 
-// Symptom: an order runs twice when the balancer sends it again.
-// Sequence: a daemon is killed or stopped while its claim is on its way or its
-// call in progress; the balancer sends the order to another, at once and again
-// when the first counts as dead; a stopped daemon runs on.
-// Cause: a key that is granted again because its holder seems gone.
+// Guards against a key that is granted again because its holder is considered dead, so
+// that an order is executed twice when a load balancer retries it. A daemon is killed or
+// frozen after its claim has been appended and before it is decided, or while its call is
+// in progress. The order is sent to another daemon at once, and to a third when the first
+// is declared dead; a frozen daemon then resumes.
 func TestReplay(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]struct {
@@ -143,88 +148,89 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, slowOrders)
-			r.setLog(onClaims(f.log), 0)
-			first := r.daemonMeets(f.log != logsvc.Faults{}, f.freeze)
-			r.setLog(logsvc.Faults{}, 0)
-			answers := []reply{r.order(r.Daemons[1], "k")}
-			r.buried(r.Daemons[0])
-			answers = append(answers, r.order(r.Daemons[2], "k"))
+			r := startFleet(t, slowOrders)
+			r.setLogFaults(onClaimStreams(f.log), 0)
+			first := r.interruptDaemon(f.log != logsvc.Faults{}, f.freeze)
+			r.setLogFaults(logsvc.Faults{}, 0)
+			answers := []reply{r.submitOrder(r.Daemons[1], "k")}
+			r.awaitDeclaredDead(r.Daemons[0])
+			answers = append(answers, r.submitOrder(r.Daemons[2], "k"))
 			if f.freeze {
 				r.must(r.Daemons[0].Thaw())
 			}
-			answers = append(answers, <-first, r.order(r.Daemons[1], "k"))
-			r.active(0)
-			r.once("k", answers...)
+			answers = append(answers, <-first, r.submitOrder(r.Daemons[1], "k"))
+			r.awaitActiveCalls(0)
+			r.checkAtMostOnce("k", answers...)
 		})
 	}
 }
 
-// Symptom: a caller that leaves before its claim is decided blocks its key, or
-// its order runs twice.
-// Sequence: the caller leaves while its claim is on its way; the key comes
-// through another daemon.
-// Cause: a claim that ends with its caller but stands on the log.
+// Guards against a claim that is abandoned when its caller disconnects although its record
+// is on the log, so that the key is blocked or the order is executed twice. The caller
+// disconnects after the claim has been appended and before it is decided; then the key is
+// submitted through another daemon.
 func TestClaimCallerGone(t *testing.T) {
 	t.Parallel()
-	r := start(t)
+	r := startFleet(t)
 	t.Run("claim/caller-gone", func(t *testing.T) {
-		r := r.under(t)
-		r.setLog(onClaims(logsvc.Faults{DelayMS: 700}), 0)
-		before := r.appends()
-		ctx, leaves := context.WithCancel(r.ctx)
+		r := r.forSubtest(t)
+		r.setLogFaults(onClaimStreams(logsvc.Faults{DelayMS: 700}), 0)
+		before := r.appendCount()
+		ctx, cancel := context.WithCancel(r.ctx)
 		gone := make(chan reply, 1)
-		go func() { gone <- r.callCtx(ctx, r.Daemons[0], http.MethodPost, pathOrders+"/k", "k", "an order") }()
-		r.eventually("the claim is on its way", func() error { return r.claimed(before) })
-		leaves()
+		go func() {
+			gone <- r.callWithContext(ctx, r.Daemons[0], http.MethodPost, pathOrders+"/k", "k", "an order")
+		}()
+		r.eventually("the claim is appended", func() error { return r.checkAppended(before) })
+		cancel()
 		<-gone
-		second := r.order(r.Daemons[1], "k")
-		r.setLog(logsvc.Faults{}, 0)
-		r.once("k", second, r.order(r.Daemons[2], "k"))
+		second := r.submitOrder(r.Daemons[1], "k")
+		r.setLogFaults(logsvc.Faults{}, 0)
+		r.checkAtMostOnce("k", second, r.submitOrder(r.Daemons[2], "k"))
 	})
 }
 
-// Symptom: an order runs twice when its daemon dies with the answer in hand.
-// Sequence: a service has executed the order and its answer is on its way; the
-// daemon is killed; the balancer sends the order to another.
-// Cause: a holder's death taken for proof that nothing ran.
+// Guards against the conclusion that an order was not executed because the daemon that
+// claimed its key has died. A service has executed the order, but its response is delayed;
+// the daemon is killed and the order is submitted through another daemon.
 func TestReplayAnswer(t *testing.T) {
 	t.Parallel()
-	r := start(t)
+	r := startFleet(t)
 	t.Run("answer/daemon-killed", func(t *testing.T) {
-		r := r.under(t)
-		r.setServices(service.Faults{StallAfter: true})
+		r := r.forSubtest(t)
+		r.setServiceFaults(service.Faults{StallAfter: true})
 		first := make(chan reply, 1)
-		go func() { first <- r.order(r.Daemons[0], "k") }()
-		r.eventually("the order ran", func() error {
-			if r.runs(withKey("k")) == 0 {
+		go func() { first <- r.submitOrder(r.Daemons[0], "k") }()
+		r.eventually("the order is executed", func() error {
+			if r.executions(withKey("k")) == 0 {
 				return errors.New("not yet")
 			}
 			return nil
 		})
 		r.Daemons[0].Kill()
-		r.setServices(service.Faults{})
-		second := r.order(r.Daemons[1], "k")
+		r.setServiceFaults(service.Faults{})
+		second := r.submitOrder(r.Daemons[1], "k")
 		if second.problem == nil || second.problem.Run == errkind.NotRun {
-			t.Errorf("told of an order that ran: %s", second)
+			t.Errorf("reply to an order that was executed: %s", second)
 		}
-		if n := r.once("k", <-first, second); n != 1 {
+		if n := r.checkAtMostOnce("k", <-first, second); n != 1 {
 			t.Errorf("executed %d times", n)
 		}
 	})
 }
 
-// daemonMeets sends an order to the first daemon and ends or stops it while the
-// claim is on its way, or else while the call is in progress.
-func (r *rig) daemonMeets(claiming, freeze bool) <-chan reply {
+// interruptDaemon sends an order to the first daemon and kills or freezes the daemon: once
+// its claim is appended if claiming is set, else while its call to the service is in
+// progress. The channel receives the reply.
+func (r *harness) interruptDaemon(claiming, freeze bool) <-chan reply {
 	r.t.Helper()
-	before := r.appends()
+	before := r.appendCount()
 	answer := make(chan reply, 1)
-	go func() { answer <- r.order(r.Daemons[0], "k") }()
+	go func() { answer <- r.submitOrder(r.Daemons[0], "k") }()
 	if claiming {
-		r.eventually("the claim is on its way", func() error { return r.claimed(before) })
+		r.eventually("the claim is appended", func() error { return r.checkAppended(before) })
 	} else {
-		r.active(1)
+		r.awaitActiveCalls(1)
 	}
 	if freeze {
 		r.must(r.Daemons[0].Freeze(r.ctx))
@@ -234,13 +240,13 @@
 	return answer
 }
 
-// Symptom: a data centre that is cut off runs an order that another runs too.
-// Sequence: a data centre is cut from the platform, or from the other data
-// centre, or both; one key comes to all daemons at once; the cuts heal.
-// Cause: a claim decided by the daemons of one side.
+// Guards against claims that the daemons on one side of a partition decide by themselves,
+// so that an order is executed on both sides. A data centre is cut from the platform, from
+// the other data centre or from both; one key is submitted through all daemons at once;
+// then the partition ends.
 func TestOnceCut(t *testing.T) {
 	t.Parallel()
-	r := start(t, briefOrders)
+	r := startFleet(t, shortOrders)
 	for name, mode := range map[string]struct{ platform, peers testbed.Mode }{
 		"claim/platform-cut":                    {testbed.Cut, testbed.Open},
 		"claim/platform-cut+connection-stalled": {testbed.Stalled, testbed.Open},
@@ -248,80 +254,79 @@
 		"claim/data-centre-cut+platform-cut":    {testbed.Cut, testbed.Cut},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			key := "cut-" + name[len("claim/"):]
 			r.SetPlatform("dc1", mode.platform)
 			r.SetPeers("dc1", "dc2", mode.peers)
-			answers := r.race(key)
-			if n := r.once(key, answers...); n != 1 {
-				t.Errorf("executed %d times, want once by the side that reaches the log: %v", n, answers)
+			answers := r.submitConcurrently(key)
+			if n := r.checkAtMostOnce(key, answers...); n != 1 {
+				t.Errorf("executed %d times, want once through the data centre that reaches the log: %v", n, answers)
 			}
 			r.SetPlatform("dc1", testbed.Open)
 			r.SetPeers("dc1", "dc2", testbed.Open)
-			r.settled(key, answers...)
-			r.meet()
+			r.resubmitUntilResult(key, answers...)
+			r.awaitPeers()
 		})
 	}
 }
 
-// Symptom: an order that ran is run again because its outcome is not on the log.
-// Sequence: an order is in progress; the log goes down, slow, loses replies or
-// repeats records, or links are cut, or the caller leaves; the order ends; the
-// key comes through another daemon; then all is well and it comes again.
-// Cause: a key without an outcome taken for one that did not run; or a claim
-// given up with its caller.
+// Guards against an order that is executed again because its outcome is not on the log, or
+// because its claim was abandoned when the caller disconnected. While an order is in
+// progress, the log fails, is slow, loses replies or repeats records, connections are cut,
+// or the caller disconnects. The key is submitted through another daemon before and after
+// the faults end.
 func TestOnceDuring(t *testing.T) {
 	t.Parallel()
-	r := start(t, slowOrders)
+	r := startFleet(t, slowOrders)
 	for name, fault := range map[string]func(leave func()){
 		"call/caller-gone":         func(leave func()) { leave() },
-		"call/log-down":            func(func()) { r.setLog(onClaims(logDown), 0) },
-		"call/log-slow":            func(func()) { r.setLog(onClaims(logsvc.Faults{DelayMS: 1000}), 0) },
-		"call/log-reply-lost":      func(func()) { r.setLog(onClaims(logsvc.Faults{LoseReply: true}), 2) },
-		"call/log-record-repeated": func(func()) { r.setLog(onClaims(logsvc.Faults{Duplicate: true}), 0) },
+		"call/log-down":            func(func()) { r.setLogFaults(onClaimStreams(logDown), 0) },
+		"call/log-slow":            func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{DelayMS: 1000}), 0) },
+		"call/log-reply-lost":      func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{LoseReply: true}), 2) },
+		"call/log-record-repeated": func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{Duplicate: true}), 0) },
 		"call/platform-cut":        func(func()) { r.SetPlatform("dc1", testbed.Cut) },
 		"call/data-centre-cut":     func(func()) { r.SetPeers("dc1", "dc2", testbed.Cut) },
 		"call/log-down+caller-gone": func(leave func()) {
-			r.setLog(onClaims(logDown), 0)
+			r.setLogFaults(onClaimStreams(logDown), 0)
 			leave()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			key := "during-" + name[len("call/"):]
-			ctx, leaves := context.WithCancel(r.ctx)
-			defer leaves()
+			ctx, cancel := context.WithCancel(r.ctx)
+			defer cancel()
 			first := make(chan reply, 1)
 			go func() {
-				first <- r.callCtx(ctx, r.Daemons[0], http.MethodPost, pathOrders+"/"+key, key, "an order")
+				first <- r.callWithContext(ctx, r.Daemons[0], http.MethodPost, pathOrders+"/"+key, key, "an order")
 			}()
-			r.active(1)
-			fault(leaves)
-			answers := []reply{r.order(r.Daemons[1], key), <-first}
+			r.awaitActiveCalls(1)
+			fault(cancel)
+			answers := []reply{r.submitOrder(r.Daemons[1], key), <-first}
 			if answers[1].err == nil {
-				r.confirmed(answers[1])
+				r.confirmation(answers[1])
 			}
-			r.setLog(logsvc.Faults{}, 0)
+			r.setLogFaults(logsvc.Faults{}, 0)
 			r.SetPlatform("dc1", testbed.Open)
 			r.SetPeers("dc1", "dc2", testbed.Open)
-			r.settled(key, answers...)
-			r.meet()
+			r.resubmitUntilResult(key, answers...)
+			r.awaitPeers()
 		})
 	}
 }
 
-// appends returns how many appends the log has taken.
-func (r *rig) appends() int {
+// appendCount returns the number of appends that the log has accepted.
+func (r *harness) appendCount() int {
 	r.t.Helper()
 	var s logsvc.Stats
 	r.must(r.Log.Stats(r.ctx, &s))
 	return s.Appends
 }
 
-// claimed returns nil once the log has taken another append.
-func (r *rig) claimed(before int) error {
-	if r.appends() <= before {
-		return errors.New("no claim on the log")
+// checkAppended returns nil once the log has accepted more than before appends.
+func (r *harness) checkAppended(before int) error {
+	if r.appendCount() <= before {
+		return errors.New("no new append")
 	}
 	return nil
 }
--- a/test/failure/publish_test.go
+++ b/test/failure/publish_test.go
@@ -13,9 +13,11 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// operators hold keys that the daemons trust, besides the publisher's.
+// operators are an author and a reviewer whose keys the daemons trust in addition to the
+// Publisher's.
 type operators struct{ author, reviewer bundle.Key }
 
+// newOperators returns operators with new keys.
 func newOperators(t testing.TB) *operators {
 	t.Helper()
 	o := &operators{}
@@ -29,8 +31,8 @@
 	return o
 }
 
-// trusted adds the operators' keys to the daemons' settings.
-func (o *operators) trusted(l *testbed.Layout) {
+// trustKeys adds the operators' public keys to the daemons' settings.
+func (o *operators) trustKeys(l *testbed.Layout) {
 	before := l.Settings
 	l.Settings = func(n int, s *settings.Settings) {
 		before(n, s)
@@ -39,17 +41,18 @@
 	}
 }
 
-// draft returns the operators' unsigned next version, which raises the team's weight.
-func (o *operators) draft(r *rig, weight int) []byte {
+// draftNext returns a draft, signed by the author only, of the version after the
+// Publisher's last one. It sets the team's weight.
+func (o *operators) draftNext(r *harness, weight int) []byte {
 	r.t.Helper()
 	return o.draftOn(r, nil, weight)
 }
 
-// draftOn drafts on a parent, nil for the publisher's last version.
-func (o *operators) draftOn(r *rig, parent *bundle.Record, weight int) []byte {
+// draftOn is draftNext with another parent; nil means the Publisher's last version.
+func (o *operators) draftOn(r *harness, parent *bundle.Record, weight int) []byte {
 	r.t.Helper()
-	b := *r.last
-	b.Teams = map[string]bundle.Team{testbed.Team: {KeyDigests: r.last.Teams[testbed.Team].KeyDigests, Weight: weight, Class: bundle.Draft}}
+	b := *r.lastBundle
+	b.Teams = map[string]bundle.Team{testbed.Team: {KeyDigests: r.lastBundle.Teams[testbed.Team].KeyDigests, Weight: weight, Class: bundle.Draft}}
 	next, err := r.Publisher.Sign(&b)
 	r.must(err)
 	body := next.Body
@@ -64,29 +67,31 @@
 	return draft
 }
 
-func (o *operators) signed(r *rig, weight int) []byte {
+// signNext returns a reviewed record of the version after the Publisher's last one.
+func (o *operators) signNext(r *harness, weight int) []byte {
 	r.t.Helper()
-	return o.signedOn(r, nil, weight)
+	return o.signOn(r, nil, weight)
 }
 
-func (o *operators) signedOn(r *rig, parent *bundle.Record, weight int) []byte {
+// signOn is signNext with another parent; nil means the Publisher's last version.
+func (o *operators) signOn(r *harness, parent *bundle.Record, weight int) []byte {
 	r.t.Helper()
-	raw, err := bundle.Review(o.draftOn(r, parent, weight), o.authors(), o.reviewer)
+	raw, err := bundle.Review(o.draftOn(r, parent, weight), o.authorKeys(), o.reviewer)
 	r.must(err)
 	return raw
 }
 
-func (r *rig) logClient() *infra.LogClient {
+// logClient returns a client that connects to the log directly, not through a link.
+func (r *harness) logClient() *infra.LogClient {
 	return infra.NewLog("http://"+r.Log.Listen, client)
 }
 
+// bundleStream returns the name of the log stream of the bundle's versions.
 func bundleStream() string { return settings.Defaults().Bundle.Stream }
 
-// Symptom: data centres run different versions, or an operator believes in a
-// version that is not in force.
-// Sequence: two operators publish records of the same number at once; the log is
-// well, loses replies or records twice.
-// Cause: a race decided by each daemon by itself, or not told to its loser.
+// Guards against daemons that decide a race between two versions differently, and against
+// a race whose loser is not detected. Two records with the same number are appended at the
+// same time while the log works, is slow, loses replies or stores records twice.
 func TestPublish(t *testing.T) {
 	t.Parallel()
 	for name, f := range map[string]logsvc.Faults{
@@ -98,33 +103,32 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := newOperators(t)
-			r := start(t, o.trusted)
-			r.forward()
+			r := startFleet(t, o.trustKeys)
+			r.checkNoRollback()
 			f.Stream = bundleStream()
-			one, two := o.signed(r, 2), o.signed(r, 3)
-			r.setLog(f, 0)
+			first, second := o.signNext(r, 2), o.signNext(r, 3)
+			r.setLogFaults(f, 0)
 			var wg sync.WaitGroup
-			for _, raw := range [][]byte{one, two} {
+			for _, raw := range [][]byte{first, second} {
 				wg.Go(func() { _, _ = r.logClient().Append(r.ctx, bundleStream(), raw) })
 			}
 			wg.Wait()
-			r.setLog(logsvc.Faults{}, 0)
-			r.judged(r.agree(2), one, two)
+			r.setLogFaults(logsvc.Faults{}, 0)
+			r.checkOneWinner(r.awaitSameRecord(2), first, second)
 		})
 	}
 }
 
-// Symptom: an operator whose append went through is told that it failed, and
-// publishes again on top of what is in force; or a version is not rolled out.
-// Sequence: one version after another is published while the log is slow, cuts
-// the call before or after its effect, or records it twice; the operator repeats
-// the very same record until the log takes it.
-// Cause: a lost reply taken for a lost record.
+// Guards against a lost reply to an append that is treated as a lost record, so that a
+// version is published twice or not rolled out. Versions are published one after another
+// while the log is down or slow, closes the connection before or after the append takes
+// effect, or stores records twice; the operator appends the same record until the log
+// accepts it.
 func TestPublishFault(t *testing.T) {
 	t.Parallel()
 	o := newOperators(t)
-	r := start(t, o.trusted)
-	r.forward()
+	r := startFleet(t, o.trustKeys)
+	r.checkNoRollback()
 	var parent *bundle.Record
 	for name, f := range map[string]logsvc.Faults{
 		"publish/log-reply-lost":      {LoseReply: true},
@@ -134,28 +138,28 @@
 		"publish/log-down":            {Down: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := r.under(t)
+			r := r.forSubtest(t)
 			f.Stream = bundleStream()
-			raw := o.signedOn(r, parent, 2)
+			raw := o.signOn(r, parent, 2)
 			record, err := bundle.DecodeRecord(raw)
 			r.must(err)
 			parent = record
-			r.setLog(f, 2)
-			r.eventually("the log takes the record", func() error {
+			r.setLogFaults(f, 2)
+			r.eventually("the log accepts the record", func() error {
 				_, err := r.logClient().Append(r.ctx, bundleStream(), raw)
 				return err
 			})
-			r.setLog(logsvc.Faults{}, 0)
-			if digest := r.agree(record.Number); digest != bundle.FormatDigest(record.Digest()) {
-				t.Errorf("in force is %s", digest)
+			r.setLogFaults(logsvc.Faults{}, 0)
+			if digest := r.awaitSameRecord(record.Number); digest != bundle.FormatDigest(record.Digest()) {
+				t.Errorf("version with digest %s is in force", digest)
 			}
 		})
 	}
 }
 
-// judged replays the log as the operators' tool does: one record won, the other
-// is told that it lost, and the winner is what the daemons run.
-func (r *rig) judged(digest string, records ...[]byte) {
+// checkOneWinner reads the log as the operators' tool does and checks that exactly one of
+// the records was adopted and that the digest is that of the version in force.
+func (r *harness) checkOneWinner(digest string, records ...[]byte) {
 	r.t.Helper()
 	s, err := settings.Load(r.Daemons[0].SettingsFile)
 	r.must(err)
@@ -165,59 +169,59 @@
 	log, err := r.logClient().Read(r.ctx, bundleStream(), 0, 100, 0)
 	r.must(err)
 	verdicts := map[int]bundle.Verdict{}
-	for _, x := range log.Records {
-		verdict, _ := chain.OfferLog(x.Offset, x.Data)
+	for _, record := range log.Records {
+		verdict, _ := chain.OfferLog(record.Offset, record.Data)
 		for n, raw := range records {
-			if _, before := verdicts[n]; !before && bytes.Equal(raw, x.Data) {
+			if _, seen := verdicts[n]; !seen && bytes.Equal(raw, record.Data) {
 				verdicts[n] = verdict
 			}
 		}
 	}
 	if (verdicts[0] == bundle.Adopted) == (verdicts[1] == bundle.Adopted) {
-		r.t.Errorf("not one winner: %v", verdicts)
+		r.t.Errorf("want exactly one adopted record: %v", verdicts)
 	}
 	if v := chain.InForce(); v == nil || bundle.FormatDigest(v.Digest) != digest {
-		r.t.Errorf("the daemons run %s, the log says %+v", digest, v)
+		r.t.Errorf("digest %s in force on the daemons, version %+v by the log", digest, v)
 	}
 }
 
-// Symptom: a version that nobody reviewed is in force.
-// Sequence: records come on the log that are damaged, not reviewed, reviewed by
-// their author or signed by strangers; then a good one comes.
-// Cause: a record adopted before its signatures were checked.
+// Guards against records that are adopted without valid signatures of an author and another
+// reviewer. Records that are damaged, not reviewed, reviewed by their author or signed with
+// untrusted keys are appended to the log, followed by a valid one.
 func TestForged(t *testing.T) {
 	t.Parallel()
 	o := newOperators(t)
-	r := start(t, o.trusted)
-	r.forward()
-	stranger, err := testbed.NewPublisher("http://" + r.Log.Listen)
+	r := startFleet(t, o.trustKeys)
+	r.checkNoRollback()
+	untrusted, err := testbed.NewPublisher("http://" + r.Log.Listen)
 	r.must(err)
-	strange, err := stranger.Sign(r.last)
+	untrustedRecord, err := untrusted.Sign(r.lastBundle)
 	r.must(err)
-	own, err := bundle.Review(o.draft(r, 5), o.authors(), bundle.Key{ID: o.reviewer.ID, Private: o.author.Private})
-	if err != nil { // the library refuses to make one
-		own = o.draft(r, 5)
+	selfReviewed, err := bundle.Review(o.draftNext(r, 5), o.authorKeys(), bundle.Key{ID: o.reviewer.ID, Private: o.author.Private})
+	if err != nil { // Review refuses the author's key, so append the draft instead
+		selfReviewed = o.draftNext(r, 5)
 	}
-	damaged := bytes.Clone(o.signed(r, 6))
+	damaged := bytes.Clone(o.signNext(r, 6))
 	damaged[len(damaged)/2] ^= 1
 	t.Run("adopt/forged-record", func(t *testing.T) {
-		r := r.under(t)
-		forged := [][]byte{o.draft(r, 7), own, damaged, strange.Raw(), []byte("not a record")}
+		r := r.forSubtest(t)
+		forged := [][]byte{o.draftNext(r, 7), selfReviewed, damaged, untrustedRecord.Raw(), []byte("not a record")}
 		for _, raw := range forged {
 			_, err := r.logClient().Append(r.ctx, bundleStream(), raw)
 			r.must(err)
 		}
-		good := o.signed(r, 8)
-		_, err := r.logClient().Append(r.ctx, bundleStream(), good)
+		valid := o.signNext(r, 8)
+		_, err := r.logClient().Append(r.ctx, bundleStream(), valid)
 		r.must(err)
-		record, err := bundle.DecodeRecord(good)
+		record, err := bundle.DecodeRecord(valid)
 		r.must(err)
-		if digest := r.agree(2); digest != bundle.FormatDigest(record.Digest()) {
-			t.Errorf("in force is %s", digest)
+		if digest := r.awaitSameRecord(2); digest != bundle.FormatDigest(record.Digest()) {
+			t.Errorf("version with digest %s is in force", digest)
 		}
 	})
 }
 
-func (o *operators) authors() map[string]ed25519.PublicKey {
+// authorKeys returns the author's public key by its ID.
+func (o *operators) authorKeys() map[string]ed25519.PublicKey {
 	return map[string]ed25519.PublicKey{o.author.ID: o.author.Public()}
 }
