--- a/internal/loadgen/collector.go
+++ b/internal/loadgen/collector.go
@@ -12,89 +12,92 @@
 )
 
 const (
-	histogramMax    = 10 * time.Minute
-	histogramDigits = 3
-	// maxFaults bounds the faults that a report describes one by one.
-	maxFaults = 50
+	histogramMax    = 10 * time.Minute // longer latencies are recorded as this
+	histogramDigits = 3                // significant decimal digits that the histograms keep
+	// maxReportedFaults bounds the faults, and the ledger discrepancies, that a report lists
+	// individually.
+	maxReportedFaults = 50
 )
 
-// collector adds up results. It is safe for concurrent use.
+// collector aggregates the results of a run into a report. It is safe for concurrent use.
 type collector struct {
 	targets Targets
 	warmup  time.Duration
 
-	mu        sync.Mutex
-	all       *tally
-	steady    *tally
-	classes   map[bundle.Class]*tally
-	kinds     map[Kind]*tally
-	refusals  map[KindCount]int
-	faults    []Fault
-	replays   int
-	tokens    int64
-	answered  int
-	cancelled int
-	calls     []Result
+	mu                   sync.Mutex
+	allRequests          *groupStats
+	steady               *groupStats
+	classes              map[bundle.Class]*groupStats
+	kinds                map[Kind]*groupStats
+	refusals             map[KindCount]int
+	faults               []Fault
+	replays              int
+	tokens               int64
+	answeredCompletions  int
+	cancelledCompletions int
+	submits              []Result // the results of all submits, for the ledger
 }
 
 func newCollector(targets Targets, warmup time.Duration) *collector {
 	c := &collector{
-		targets:  targets,
-		warmup:   warmup,
-		all:      newTally("all"),
-		steady:   newTally("steady"),
-		classes:  map[bundle.Class]*tally{},
-		kinds:    map[Kind]*tally{},
-		refusals: map[KindCount]int{},
+		targets:     targets,
+		warmup:      warmup,
+		allRequests: newGroupStats("all"),
+		steady:      newGroupStats("steady"),
+		classes:     map[bundle.Class]*groupStats{},
+		kinds:       map[Kind]*groupStats{},
+		refusals:    map[KindCount]int{},
 	}
 	for _, k := range Kinds() {
-		c.kinds[k] = newTally(string(k))
-		c.classes[k.Class()] = newTally(string(k.Class()))
+		c.kinds[k] = newGroupStats(string(k))
+		c.classes[k.Class()] = newGroupStats(string(k.Class()))
 	}
 	return c
 }
 
-func (c *collector) add(r Result) {
+// record adds the result of one request.
+func (c *collector) record(r Result) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.all.add(r, c.targets)
+	c.allRequests.record(r, c.targets)
 	if r.Spec.At >= c.warmup {
-		c.steady.add(r, c.targets)
-		c.classes[r.Spec.Kind.Class()].add(r, c.targets)
-		c.kinds[r.Spec.Kind].add(r, c.targets)
+		c.steady.record(r, c.targets)
+		c.classes[r.Spec.Kind.Class()].record(r, c.targets)
+		c.kinds[r.Spec.Kind].record(r, c.targets)
 	}
 	if r.Kind != "" {
 		c.refusals[KindCount{Kind: r.Kind, Run: r.Run}]++
 	}
-	if r.Outcome.Fault() && len(c.faults) < maxFaults {
+	if r.Outcome.Fault() && len(c.faults) < maxReportedFaults {
 		c.faults = append(c.faults, Fault{r.Outcome, r.Spec.Kind, r.Spec.Key, r.Target, r.Detail})
 	}
 	c.replays += r.Replays
 	if r.Spec.Kind == KindSubmit {
-		c.calls = append(c.calls, r)
+		c.submits = append(c.submits, r)
 	}
 	if !r.Spec.Kind.Completion() {
 		return
 	}
 	switch r.Outcome {
 	case Answered:
-		c.answered++
+		c.answeredCompletions++
 	case Cancelled:
-		c.cancelled++
+		c.cancelledCompletions++
 	}
 	if r.Outcome != Refused && r.Outcome != Dropped {
 		c.tokens += int64(r.Tokens)
 	}
 }
 
-// report fills in everything but the run's own description.
+// report returns the report without the fields that describe the run: its name, seed,
+// workload and ledger. measured is the duration of the run after the warm-up.
 func (c *collector) report(measured time.Duration) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rep := &Report{
 		Targets: c.targets, Measured: measured, Replays: c.replays, TokensSeen: c.tokens,
-		All: c.all.section(measured + c.warmup), Steady: c.steady.section(measured),
-		Faults: c.faults, AnsweredCompletions: c.answered, CancelledCompletions: c.cancelled,
+		All: c.allRequests.section(measured + c.warmup), Steady: c.steady.section(measured),
+		Faults: c.faults, AnsweredCompletions: c.answeredCompletions, CancelledCompletions: c.cancelledCompletions,
 	}
 	for _, class := range []bundle.Class{bundle.Urgent, bundle.Draft} {
 		rep.Classes = append(rep.Classes, c.classes[class].section(measured))
@@ -112,32 +115,34 @@
 	return rep
 }
 
-// tally adds up one group of requests.
-type tally struct {
+// groupStats counts the outcomes and records the latencies of one group of requests.
+type groupStats struct {
 	name             string
 	offered          int
 	outcomes         map[Outcome]int
 	good, goodStrict int
-	first            *hdrhistogram.Histogram
-	between          *hdrhistogram.Histogram
+	firstToken       *hdrhistogram.Histogram
+	betweenTokens    *hdrhistogram.Histogram
 	total            *hdrhistogram.Histogram
 }
 
-func newTally(name string) *tally {
-	return &tally{
-		name:     name,
-		outcomes: map[Outcome]int{},
-		first:    newHistogram(),
-		between:  newHistogram(),
-		total:    newHistogram(),
+func newGroupStats(groupName string) *groupStats {
+	return &groupStats{
+		name:          groupName,
+		outcomes:      map[Outcome]int{},
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		total:         newHistogram(),
 	}
 }
 
+// newHistogram returns an empty histogram of latencies in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, histogramMax.Microseconds(), histogramDigits)
 }
 
-func (t *tally) add(r Result, targets Targets) {
+// record adds the result of one request. Only answered requests count in the latencies.
+func (t *groupStats) record(r Result, targets Targets) {
 	t.offered++
 	t.outcomes[r.Outcome]++
 	if targets.Met(r, false) {
@@ -149,24 +154,26 @@
 	if r.Outcome != Answered {
 		return
 	}
-	record(t.total, r.Total)
+	recordLatency(t.total, r.Total)
 	if !r.Seen {
 		return
 	}
-	record(t.first, r.First)
+	recordLatency(t.firstToken, r.First)
 	for _, g := range r.gaps {
-		record(t.between, g)
+		recordLatency(t.betweenTokens, g)
 	}
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordLatency adds a latency to a histogram. Latencies outside of its range count as its limit.
+func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax.Microseconds()))
 }
 
-func (t *tally) section(measured time.Duration) Section {
+// section returns the summary of the group. measured is the duration for the goodput.
+func (t *groupStats) section(measured time.Duration) Section {
 	s := Section{
 		Name: t.name, Offered: t.offered, Good: t.good, GoodStrict: t.goodStrict,
-		FirstToken: quantiles(t.first), BetweenTokens: quantiles(t.between), Total: quantiles(t.total),
+		FirstToken: quantiles(t.firstToken), BetweenTokens: quantiles(t.betweenTokens), Total: quantiles(t.total),
 	}
 	if measured > 0 {
 		s.Goodput = float64(t.good) / measured.Seconds()
@@ -190,14 +197,15 @@
 	}
 }
 
-// Timer collects latencies outside of a run. It is not safe for concurrent use.
+// Timer records latencies that are measured outside of a Run. It is not safe for concurrent
+// use.
 type Timer struct{ h *hdrhistogram.Histogram }
 
 // NewTimer returns an empty timer.
 func NewTimer() *Timer { return &Timer{newHistogram()} }
 
 // Record adds one latency.
-func (t *Timer) Record(d time.Duration) { record(t.h, d) }
+func (t *Timer) Record(d time.Duration) { recordLatency(t.h, d) }
 
-// Quantiles sums up the latencies.
+// Quantiles returns the quantiles of the recorded latencies.
 func (t *Timer) Quantiles() Quantiles { return quantiles(t.h) }
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,9 +1,10 @@
-// Package loadgen sends open-loop, seeded load to a list of daemons and checks
-// every answer. Arrivals follow a Poisson process and never wait for answers, so
-// that a slow system meets the same load as a fast one. Latencies count from the
-// scheduled arrival, not from the moment the request could be written.
+// Package loadgen is an open-loop load generator: it sends seeded, reproducible load to a
+// list of daemons and verifies every response. Arrivals follow a Poisson process and do not
+// wait for earlier responses, so a slow system receives the same load as a fast one.
+// Latencies are measured from the scheduled arrival rather than from when the request was
+// written, so that a delay in sending counts too.
 //
-// A request has exactly one Outcome. Verify decides it from what the caller saw;
-// Ledger decides whether a non-idempotent key ran more than once, from what the
-// service itself counted.
+// Each request has exactly one Outcome. Verify determines it from the response that the
+// caller received. LedgerReport compares these outcomes with the executions that the
+// services counted, and so detects idempotency keys that were executed more than once.
 package loadgen
--- a/internal/loadgen/generator_test.go
+++ b/internal/loadgen/generator_test.go
@@ -8,13 +8,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// testWorkload returns the default workload with two teams.
 func testWorkload() Workload {
 	w := DefaultWorkload()
 	w.Teams = []Team{{"north", "k1"}, {"south", "k2"}}
 	return w
 }
 
-func specs(t *testing.T, run string, seed uint64, n int) []Spec {
+// generateSpecs returns the first n requests of a run of testWorkload.
+func generateSpecs(t *testing.T, run string, seed uint64, n int) []Spec {
 	t.Helper()
 	g, err := NewGenerator(testWorkload(), run, seed)
 	if err != nil {
@@ -28,14 +30,14 @@
 }
 
 func TestGeneratorIsDeterministic(t *testing.T) {
-	a, b := specs(t, "r", 7, 200), specs(t, "r", 7, 200)
+	a, b := generateSpecs(t, "r", 7, 200), generateSpecs(t, "r", 7, 200)
 	if d := cmp.Diff(a, b); d != "" {
 		t.Fatalf("same seed, other requests: %s", d)
 	}
-	if cmp.Equal(a, specs(t, "r", 8, 200)) {
+	if cmp.Equal(a, generateSpecs(t, "r", 8, 200)) {
 		t.Fatal("another seed gave the same requests")
 	}
-	for i, s := range specs(t, "other", 7, 200) {
+	for i, s := range generateSpecs(t, "other", 7, 200) {
 		if s.At != a[i].At || s.Kind != a[i].Kind || s.MaxTokens != a[i].MaxTokens {
 			t.Fatalf("request %d depends on the run's name", i)
 		}
@@ -46,7 +48,7 @@
 }
 
 func TestArrivalsArePoisson(t *testing.T) {
-	list := specs(t, "r", 3, 20_000)
+	list := generateSpecs(t, "r", 3, 20_000)
 	rate := float64(len(list)) / list[len(list)-1].At.Seconds()
 	if math.Abs(rate/50-1) > 0.03 {
 		t.Errorf("rate %.1f, want 50", rate)
@@ -65,7 +67,7 @@
 }
 
 func TestMixAndPrompts(t *testing.T) {
-	list := specs(t, "r", 5, 5000)
+	list := generateSpecs(t, "r", 5, 5000)
 	counts := map[Kind]int{}
 	shared, repeated := 0, 0
 	for _, s := range list {
@@ -80,13 +82,13 @@
 			t.Fatalf("request %d out of bounds: %d tokens, %d bytes", s.Index, s.MaxTokens, len(s.Prompt))
 		}
 	}
-	within := func(what string, got int, of int, share float64) {
+	checkShare := func(what string, got int, of int, share float64) {
 		if p := float64(got) / float64(of); math.Abs(p-share) > 0.05 {
 			t.Errorf("%s: share %.3f, want %.2f", what, p, share)
 		}
 	}
-	within("look-ups", counts[KindLookup], len(list), 0.45)
-	within("drafts", counts[KindDraft], len(list), 0.3)
-	within("shared preambles", shared, counts[KindDraft], 0.6)
-	within("repeated keys", repeated, counts[KindSubmit], 0.3)
+	checkShare("look-ups", counts[KindLookup], len(list), 0.45)
+	checkShare("drafts", counts[KindDraft], len(list), 0.3)
+	checkShare("shared preambles", shared, counts[KindDraft], 0.6)
+	checkShare("repeated keys", repeated, counts[KindSubmit], 0.3)
 }
--- a/internal/loadgen/ledger.go
+++ b/internal/loadgen/ledger.go
@@ -7,65 +7,73 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Execution is how often a service ran one key, by its own count.
+// Execution is the number of times that a service executed the submit with one idempotency
+// key, as the service counted it.
 type Execution struct {
 	Key  string
 	Runs int
 }
 
-// LedgerReport compares what callers were told with what services ran.
+// LedgerReport compares the responses that callers received to submits with the executions
+// that the services counted.
 type LedgerReport struct {
+	// Keys counts the idempotency keys that were sent.
 	Keys int `json:"keys"`
-	// Doubled counts keys that ran more than once.
+	// Doubled counts keys that were executed more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun counts keys of which every caller was told "not-run" and that ran.
+	// FalseNotRun counts keys that were executed once although every response stated the run
+	// state "not-run".
 	FalseNotRun int `json:"false_not_run"`
-	// Missing counts keys that were answered and that never ran.
-	Missing int      `json:"missing"`
+	// Missing counts keys with a successful response that were never executed.
+	Missing int `json:"missing"`
+	// Details describes the discrepancies, at most maxReportedFaults of them.
 	Details []string `json:"details,omitempty"`
 }
 
-// reconcileLedger checks the results of submits against the services' counts. A key
-// may have several results, since some are sent twice.
-func reconcileLedger(results []Result, ran []Execution) LedgerReport {
+// reconcileLedger compares the results of submits with the executions that the services
+// counted. A key has two results if its submit was sent twice.
+func reconcileLedger(results []Result, executions []Execution) LedgerReport {
 	runs := map[string]int{}
-	for _, e := range ran {
+	for _, e := range executions {
 		runs[e.Key] += e.Runs
 	}
-	told := map[string][]Result{}
+	resultsByKey := map[string][]Result{}
 	for _, r := range results {
 		if r.Outcome != Dropped {
-			told[r.Spec.Key] = append(told[r.Spec.Key], r)
+			resultsByKey[r.Spec.Key] = append(resultsByKey[r.Spec.Key], r)
 		}
 	}
-	rep := LedgerReport{Keys: len(told)}
-	for key, list := range told {
-		rep.check(key, runs[key], list)
+	rep := LedgerReport{Keys: len(resultsByKey)}
+	for key, keyResults := range resultsByKey {
+		rep.checkKey(key, runs[key], keyResults)
 	}
 	slices.Sort(rep.Details)
 	return rep
 }
 
-func (l *LedgerReport) check(key string, runs int, told []Result) {
-	answered := slices.ContainsFunc(told, func(r Result) bool { return r.Outcome == Answered })
-	allNotRun := !slices.ContainsFunc(told, func(r Result) bool {
+// checkKey compares the results of one key with its number of executions. A response of kind
+// KeyInProgress says nothing about the execution that another request with the key started,
+// so its run state is not counted as a statement that the key was not executed.
+func (l *LedgerReport) checkKey(key string, runs int, results []Result) {
+	answered := slices.ContainsFunc(results, func(r Result) bool { return r.Outcome == Answered })
+	allNotRun := !slices.ContainsFunc(results, func(r Result) bool {
 		return r.Outcome != Refused || r.Run != errkind.NotRun || r.Kind == errkind.KeyInProgress
 	})
 	switch {
 	case runs > 1:
 		l.Doubled++
-		l.note("%s ran %d times", key, runs)
+		l.addDetail("%s ran %d times", key, runs)
 	case runs == 1 && allNotRun:
 		l.FalseNotRun++
-		l.note("%s ran, and its callers were told it did not", key)
+		l.addDetail("%s ran, and its callers were told it did not", key)
 	case runs == 0 && answered:
 		l.Missing++
-		l.note("%s was answered and never ran", key)
+		l.addDetail("%s was answered and never ran", key)
 	}
 }
 
-func (l *LedgerReport) note(format string, args ...any) {
-	if len(l.Details) < maxFaults {
+func (l *LedgerReport) addDetail(format string, args ...any) {
+	if len(l.Details) < maxReportedFaults {
 		l.Details = append(l.Details, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -6,51 +6,55 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Outcome is how one request ended, as its caller saw it.
+// Outcome is how one request ended, as observed by its caller.
 type Outcome string
 
-// The outcomes. Lost, Wrong, Truncated and Doubled are faults of the system.
+// The outcomes. Lost, Wrong, Truncated and Doubled are faults of the system under test.
 const (
-	// Answered is a whole, right answer.
+	// Answered is a complete and correct response.
 	Answered Outcome = "answered"
-	// Refused is an error of a known kind before any of the answer.
+	// Refused is an error response of a known kind, before any part of the answer.
 	Refused Outcome = "refused"
-	// Broken is an answer that began and ended in an error of a known kind.
+	// Broken is a stream that delivered tokens and then ended with an error event of a known
+	// kind.
 	Broken Outcome = "broken"
-	// Cancelled is a request whose caller went away on purpose.
+	// Cancelled is a request that its caller cancelled as planned.
 	Cancelled Outcome = "cancelled"
-	// Severed is a connection cut by a daemon that the run itself killed.
+	// Severed is a request whose connection broke because the test killed the daemon.
 	Severed Outcome = "severed"
-	// Lost is neither an answer nor an honest error.
+	// Lost is a request without a complete response and without a valid error response.
 	Lost Outcome = "lost"
-	// Wrong is a whole answer with other contents than the request's own.
+	// Wrong is a complete response whose content does not belong to the request.
 	Wrong Outcome = "wrong"
-	// Truncated is an answer that ended cleanly but too early.
+	// Truncated is a response that ended without an error before its last token.
 	Truncated Outcome = "truncated"
-	// Doubled is more than one terminal, or more than one run of a key.
+	// Doubled is a response with more than one terminal event. Keys that were executed more than
+	// once are counted as doubled too, in LedgerReport.
 	Doubled Outcome = "doubled"
-	// Dropped never left the load generator: its bound of requests in flight was reached.
+	// Dropped is a request that the load generator did not send, because MaxInFlight requests
+	// were in flight.
 	Dropped Outcome = "dropped"
 )
 
-// Outcomes lists the outcomes in the order of reports.
+// Outcomes lists the outcomes in the order in which reports print them.
 func Outcomes() []Outcome {
 	return []Outcome{Answered, Refused, Broken, Cancelled, Severed, Lost, Wrong, Truncated, Doubled, Dropped}
 }
 
-// Fault says whether the outcome breaks a promise of the system.
+// Fault reports whether the outcome violates a guarantee of the system.
 func (o Outcome) Fault() bool {
 	return o == Lost || o == Wrong || o == Truncated || o == Doubled
 }
 
-// Problem is the part of a problem JSON body that is checked.
+// Problem holds the checked fields of an error response: an application/problem+json body or
+// the error event of a stream.
 type Problem struct {
 	Kind   errkind.Kind     `json:"kind"`
 	Run    errkind.RunState `json:"run"`
 	Detail string           `json:"detail"`
 }
 
-// Honest says whether the problem has a kind of the closed list and a run state.
+// Honest reports whether the problem has a kind that errkind defines and a valid run state.
 func (p *Problem) Honest() bool {
 	if p == nil {
 		return false
@@ -59,48 +63,56 @@
 	return known && (p.Run == errkind.NotRun || p.Run == errkind.Unknown || p.Run == errkind.Ran)
 }
 
-// Transcript is what a caller saw of one request.
+// Transcript records the response that a caller received to one request.
 type Transcript struct {
-	// Status is the HTTP status, 0 when no response came.
+	// Status is the HTTP status code; 0 if there was no response.
 	Status int
-	// Text is the text of the answer, Tokens the number of chunks it came in.
+	// Text is the generated text, or the body of a service's response. Tokens is the number of
+	// chunks that carried text.
 	Text   string
 	Tokens int
-	// Terminals counts ends of the answer: [DONE] marks, error events, whole bodies.
+	// Terminals counts the terminal events of the response: [DONE] events, error events,
+	// complete bodies, and text after the end of a stream. A correct response has one.
 	Terminals int
-	// Finish is the finish reason, Usage the completion tokens that were reported
-	// (-1 when none were).
+	// Finish is the finish reason. Usage is the reported number of completion tokens, or -1 if
+	// none was reported.
 	Finish string
 	Usage  int
-	// Problem is the error body or event.
+	// Problem is the error body or error event; nil if there was none.
 	Problem *Problem
-	// RetryAfter says whether a Retry-After header came.
+	// RetryAfter is set if the response had a Retry-After header.
 	RetryAfter bool
-	// Err is the transport's error.
+	// Err is the error of the transport or of parsing the response.
 	Err error
-	// Gone is set when the caller went away on purpose.
+	// Gone is set if the caller cancelled the request as planned.
 	Gone bool
 }
 
-// Result is one finished request.
+// Result holds the outcome and the measurements of one request.
 type Result struct {
-	Spec    Spec
+	Spec Spec
+	// Target is the base URL of the daemon that the request was last sent to.
 	Target  string
 	Outcome Outcome
-	// Detail says what was wrong.
+	// Detail describes why the outcome is not Answered.
 	Detail string
-	Kind   errkind.Kind
-	Run    errkind.RunState
-	// First, Gap95 and MeanGap are the time to the first token from the scheduled
-	// arrival and the gaps between tokens; Total is the time to the end.
+	// Kind and Run are the kind and the run state of the error response; empty if there was
+	// none.
+	Kind errkind.Kind
+	Run  errkind.RunState
+	// First is the time from the scheduled arrival to the first token. MeanGap and Gap95 are
+	// the mean and the 95th percentile of the gaps between tokens. Total is the time from the
+	// scheduled arrival to the end of the response.
 	First   time.Duration
 	MeanGap time.Duration
 	Gap95   time.Duration
 	Total   time.Duration
-	// Seen says whether First and the gaps were observed token by token.
-	Seen   bool
+	// Seen is set if First was measured: from the tokens of a stream, or as the response time
+	// of a plain service.
+	Seen bool
+	// Tokens is the number of tokens of the completion.
 	Tokens int
-	// Replays counts how often the balancer sent it again.
+	// Replays counts how often the request was sent again, by the balancer or by the caller.
 	Replays int
 
 	gaps []time.Duration
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -7,7 +7,8 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// Target holds the two latency targets of a class.
+// Target holds the latency targets of a class: for the time to the first token and for the
+// gap between tokens.
 type Target struct {
 	FirstToken    time.Duration `json:"first_token_ns"`
 	BetweenTokens time.Duration `json:"between_tokens_ns"`
@@ -19,7 +20,7 @@
 	Draft  Target `json:"draft"`
 }
 
-// Of returns the target of a class.
+// Of returns the targets of a class.
 func (t Targets) Of(c bundle.Class) Target {
 	if c == bundle.Draft {
 		return t.Draft
@@ -27,11 +28,11 @@
 	return t.Urgent
 }
 
-// Met says whether a result is whole and within both targets. Streams are
-// judged by their first token and the mean gap between tokens; strict judges
-// by the 95th percentile of the gaps instead. An answer that was not streamed
-// is judged by when a stream exactly on target would have ended, and a plain
-// service's answer by the first-token target.
+// Met reports whether a request was answered within its targets. For a stream, these apply
+// to the time to the first token and to the mean gap between tokens, or to the 95th
+// percentile of the gaps if strict is set. A completion that was not streamed must end by the
+// time at which a stream that just meets both targets would end. A response of a plain service
+// must meet the first-token target.
 func (t Targets) Met(r Result, strict bool) bool {
 	if r.Outcome != Answered {
 		return false
@@ -47,7 +48,7 @@
 	return r.First <= target.FirstToken && gap <= target.BetweenTokens
 }
 
-// Quantiles of a latency, in milliseconds.
+// Quantiles holds the number of recorded latencies and their quantiles in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -56,20 +57,20 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// OutcomeCount is how many requests had one outcome.
+// OutcomeCount is the number of requests with one outcome.
 type OutcomeCount struct {
 	Outcome Outcome `json:"outcome"`
 	Count   int     `json:"count"`
 }
 
-// KindCount is how many errors of one kind and run state callers got.
+// KindCount is the number of error responses with one kind and run state.
 type KindCount struct {
 	Kind  errkind.Kind     `json:"kind"`
 	Run   errkind.RunState `json:"run"`
 	Count int              `json:"count"`
 }
 
-// Fault is one broken promise, kept for the report.
+// Fault describes a request whose outcome violates a guarantee of the system.
 type Fault struct {
 	Outcome Outcome `json:"outcome"`
 	Kind    Kind    `json:"kind"`
@@ -78,24 +79,25 @@
 	Detail  string  `json:"detail"`
 }
 
-// Section is the account of one group of requests.
+// Section summarises one group of requests.
 type Section struct {
-	Name     string         `json:"name"`
+	Name string `json:"name"`
+	// Offered counts the requests of the group, including those that were dropped.
 	Offered  int            `json:"offered"`
 	Outcomes []OutcomeCount `json:"outcomes"`
-	// Good and GoodStrict count answers within both targets; Goodput is Good a
-	// second of the measured part of the run.
+	// Good and GoodStrict count the requests that met their targets; see Targets.Met. Goodput
+	// is Good divided by the measured seconds of the run.
 	Good       int     `json:"good"`
 	GoodStrict int     `json:"good_strict"`
 	Goodput    float64 `json:"goodput_per_s"`
-	// FirstToken and BetweenTokens are over answered requests: the first over
-	// those whose first token was seen, the second over every gap seen.
+	// The latencies are those of answered requests. FirstToken covers the requests with a
+	// measured first token, BetweenTokens every gap between two tokens of a stream.
 	FirstToken    Quantiles `json:"first_token"`
 	BetweenTokens Quantiles `json:"between_tokens"`
 	Total         Quantiles `json:"total"`
 }
 
-// Count returns how many requests had an outcome.
+// Count returns the number of requests with an outcome.
 func (s Section) Count(o Outcome) int {
 	for _, c := range s.Outcomes {
 		if c.Outcome == o {
@@ -105,39 +107,44 @@
 	return 0
 }
 
-// Report is the account of one run.
+// Report is the result of one run.
 type Report struct {
-	Run      string        `json:"run"`
-	Seed     uint64        `json:"seed"`
-	Workload Workload      `json:"workload"`
-	Targets  Targets       `json:"targets"`
+	// Run is the name of the run.
+	Run      string   `json:"run"`
+	Seed     uint64   `json:"seed"`
+	Workload Workload `json:"workload"`
+	Targets  Targets  `json:"targets"`
+	// Measured is the duration of the run after the warm-up.
 	Measured time.Duration `json:"measured_ns"`
-	// Replays counts requests sent again by the balancer; TokensSeen the tokens delivered.
+	// Replays counts how often requests were sent again, by the balancer or by their caller.
+	// TokensSeen counts the tokens of completions that callers received.
 	Replays    int   `json:"replays"`
 	TokensSeen int64 `json:"tokens_seen"`
-	// All covers every request of the run; the others only those that arrived
-	// after the warm-up.
-	All      Section     `json:"all"`
-	Steady   Section     `json:"steady"`
-	Classes  []Section   `json:"classes"`
-	Kinds    []Section   `json:"kinds"`
+	// All covers every request of the run. Steady, Classes and Kinds cover only the requests
+	// that arrived after the warm-up.
+	All     Section   `json:"all"`
+	Steady  Section   `json:"steady"`
+	Classes []Section `json:"classes"`
+	Kinds   []Section `json:"kinds"`
+	// Refusals counts the error responses of the whole run.
 	Refusals []KindCount `json:"refusals"`
-	// AnsweredCompletions and CancelledCompletions count, over the whole run, the
-	// completions with a whole answer and those whose caller went away.
+	// AnsweredCompletions and CancelledCompletions count the completions of the whole run that
+	// were answered and those that their callers cancelled.
 	AnsweredCompletions  int     `json:"answered_completions"`
 	CancelledCompletions int     `json:"cancelled_completions"`
 	Faults               []Fault `json:"faults,omitempty"`
-	// Ledger is the comparison with the services' own counts; nil when not made.
+	// Ledger compares the submits with the services' executions; nil if Options.Executions is
+	// nil.
 	Ledger *LedgerReport `json:"ledger,omitempty"`
 }
 
-// Class returns the section of a class.
-func (r *Report) Class(c bundle.Class) Section { return section(r.Classes, string(c)) }
+// Class returns the section of a request class.
+func (r *Report) Class(c bundle.Class) Section { return findSection(r.Classes, string(c)) }
 
 // Kind returns the section of a kind of request.
-func (r *Report) Kind(k Kind) Section { return section(r.Kinds, string(k)) }
+func (r *Report) Kind(k Kind) Section { return findSection(r.Kinds, string(k)) }
 
-func section(list []Section, name string) Section {
+func findSection(list []Section, name string) Section {
 	for _, s := range list {
 		if s.Name == name {
 			return s
@@ -146,12 +153,14 @@
 	return Section{Name: name}
 }
 
-// Lost counts requests with neither a right answer nor an honest error.
+// Lost counts the requests that ended as Lost, Wrong or Truncated: without a correct response
+// and without a valid error.
 func (r *Report) Lost() int {
 	return r.All.Count(Lost) + r.All.Count(Wrong) + r.All.Count(Truncated)
 }
 
-// Doubled counts answers with two ends and keys that ran more than once.
+// Doubled counts the responses with more than one terminal event and the keys that were
+// executed more than once.
 func (r *Report) Doubled() int {
 	n := r.All.Count(Doubled)
 	if r.Ledger != nil {
@@ -160,7 +169,7 @@
 	return n
 }
 
-// Held says whether every promise that the run checks was kept.
+// Held reports whether the run found no violation of the guarantees that it checks.
 func (r *Report) Held() bool {
 	return r.Lost() == 0 && r.Doubled() == 0 && (r.Ledger == nil || r.Ledger.FalseNotRun == 0 && r.Ledger.Missing == 0)
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -11,56 +11,59 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
-	// Daemons are the base URLs that requests go to in turn.
+	// Daemons are the base URLs of the daemons, to which requests are sent round-robin.
 	Daemons  []string
 	Workload Workload
-	// Name is part of every key and prompt; Seed fixes the requests and their times.
+	// Name becomes part of every key and prompt. Seed determines the requests and their arrival
+	// times.
 	Name string
 	Seed uint64
-	// Duration is how long requests arrive; those of the first Warmup are left
-	// out of the latencies and the goodput.
+	// Duration is the time in which requests arrive. Requests that arrive in the first Warmup of
+	// it are excluded from Report.Steady, Classes and Kinds.
 	Duration time.Duration
 	Warmup   time.Duration
-	// MaxRequests bounds the run; 0 means no bound but Duration.
+	// MaxRequests bounds the number of requests; 0 means that only Duration bounds the run.
 	MaxRequests int
-	// MaxInFlight bounds requests at once; an arrival above it is Dropped.
+	// MaxInFlight bounds the concurrent requests; an arrival beyond it is Dropped.
 	MaxInFlight int
-	// Timeout is the deadline that requests carry and the time after which the
+	// Timeout is the deadline that requests state in their header, and the time after which the
 	// caller gives up.
 	Timeout time.Duration
-	// Replay lets the balancer send a POST again when the connection broke
-	// before any of the answer, as many balancers do.
+	// Replay makes the simulated balancer send a request to the next daemon if the connection
+	// broke before the response, POSTs included, as many load balancers do.
 	Replay bool
-	// Retry lets the caller of a completion that a killed daemon cut ask once more
-	// elsewhere; the second answer counts.
+	// Retry makes the caller send a completion once more, to another daemon, if its outcome was
+	// Severed. The outcome of the second request counts.
 	Retry   bool
 	Targets Targets
-	// Killed says which daemons the run itself has killed; it may be nil.
+	// Killed reports whether the test has killed the daemon with this base URL; nil means that
+	// it kills none.
 	Killed func(target string) bool
 	// Client sends the requests; nil means NewClient(MaxInFlight).
 	Client *http.Client
-	// Executions returns what the services ran of the run's keys; it may be nil.
+	// Executions returns the executions that the services counted for the keys of the run; if
+	// nil, Report.Ledger stays nil.
 	Executions func(ctx context.Context) ([]Execution, error)
 }
 
 func (o *Options) validate() error {
 	switch {
 	case len(o.Daemons) == 0:
-		return errors.New("no daemon to send to")
+		return errors.New("at least one daemon is needed")
 	case o.Duration <= 0 || o.Warmup < 0 || o.Warmup >= o.Duration:
 		return errors.New("the duration must be positive and longer than the warm-up")
 	case o.MaxInFlight <= 0:
-		return errors.New("the bound of requests in flight must be positive")
+		return errors.New("the maximum number of requests in flight must be positive")
 	case o.Timeout <= 0:
 		return errors.New("the timeout must be positive")
 	}
 	return nil
 }
 
-// Run sends the load, waits for every request to end, and returns the account.
-// It returns early when ctx ends; requests in flight are then cancelled.
+// Run sends the load, waits for every request to end, and returns the report. If ctx ends, it
+// cancels the requests in flight and returns early.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -75,72 +78,75 @@
 		defer hc.CloseIdleConnections()
 	}
 	r := &runner{
-		o:     o,
-		send:  sender{hc: hc, targets: o.Daemons, replay: o.Replay, retry: o.Retry, timeout: o.Timeout, killed: o.Killed, w: o.Workload},
-		sum:   newCollector(o.Targets, o.Warmup),
-		slots: make(chan struct{}, o.MaxInFlight),
+		options:   o,
+		sender:    sender{hc: hc, targets: o.Daemons, replay: o.Replay, retry: o.Retry, timeout: o.Timeout, killed: o.Killed, workload: o.Workload},
+		collector: newCollector(o.Targets, o.Warmup),
+		slots:     make(chan struct{}, o.MaxInFlight),
 	}
-	r.arrivals(ctx, gen)
+	r.dispatch(ctx, gen)
 	r.wg.Wait()
-	rep := r.sum.report(o.Duration - o.Warmup)
+	rep := r.collector.report(o.Duration - o.Warmup)
 	rep.Run, rep.Seed, rep.Workload = o.Name, o.Seed, o.Workload
-	return rep, r.reconcile(ctx, rep)
+	return rep, r.checkLedger(ctx, rep)
 }
 
-// runner is one run in progress.
+// runner is the state of a run in progress.
 type runner struct {
-	o     Options
-	send  sender
-	sum   *collector
-	slots chan struct{}
-	wg    conc.WaitGroup
+	options   Options
+	sender    sender
+	collector *collector
+	slots     chan struct{} // one element for each request in flight
+	wg        conc.WaitGroup
 }
 
-func (r *runner) arrivals(ctx context.Context, gen *Generator) {
+// dispatch starts each request at its scheduled arrival, until the run ends.
+func (r *runner) dispatch(ctx context.Context, gen *Generator) {
 	start := time.Now()
-	for n := 0; r.o.MaxRequests == 0 || n < r.o.MaxRequests; n++ {
+	for n := 0; r.options.MaxRequests == 0 || n < r.options.MaxRequests; n++ {
 		s := gen.Next()
-		if s.At > r.o.Duration || !clock.Sleep(ctx, time.Until(start.Add(s.At))) {
+		if s.At > r.options.Duration || !clock.Sleep(ctx, time.Until(start.Add(s.At))) {
 			return
 		}
-		r.start(ctx, s, start.Add(s.At))
+		r.startRequest(ctx, s, start.Add(s.At))
 		if s.RepeatAfter > 0 {
-			r.repeat(ctx, s, start.Add(s.At+s.RepeatAfter))
+			r.scheduleRepeat(ctx, s, start.Add(s.At+s.RepeatAfter))
 		}
 	}
 }
 
-// start sends s in the background, or drops it when the bound is reached.
-func (r *runner) start(ctx context.Context, s Spec, scheduled time.Time) {
+// startRequest sends s in a new goroutine, or drops it if MaxInFlight requests are in flight.
+func (r *runner) startRequest(ctx context.Context, s Spec, scheduled time.Time) {
 	select {
 	case r.slots <- struct{}{}:
 	default:
-		r.sum.add(Result{Spec: s, Outcome: Dropped})
+		r.collector.record(Result{Spec: s, Outcome: Dropped})
 		return
 	}
 	r.wg.Go(func() {
 		defer func() { <-r.slots }()
-		r.sum.add(r.send.send(ctx, s, scheduled))
+		r.collector.record(r.sender.send(ctx, s, scheduled))
 	})
 }
 
-func (r *runner) repeat(ctx context.Context, s Spec, at time.Time) {
+// scheduleRepeat sends s a second time, at the given time.
+func (r *runner) scheduleRepeat(ctx context.Context, s Spec, at time.Time) {
 	r.wg.Go(func() {
 		if clock.Sleep(ctx, time.Until(at)) {
-			r.start(ctx, s, at)
+			r.startRequest(ctx, s, at)
 		}
 	})
 }
 
-func (r *runner) reconcile(ctx context.Context, rep *Report) error {
-	if r.o.Executions == nil {
+// checkLedger adds the comparison with the services' executions to the report.
+func (r *runner) checkLedger(ctx context.Context, rep *Report) error {
+	if r.options.Executions == nil {
 		return nil
 	}
-	ran, err := r.o.Executions(ctx)
+	executions, err := r.options.Executions(ctx)
 	if err != nil {
-		return errors.Wrap(err, "services' executions")
+		return errors.Wrap(err, "read executions of services")
 	}
-	ledger := reconcileLedger(r.sum.calls, ran)
+	ledger := reconcileLedger(r.collector.submits, executions)
 	rep.Ledger = &ledger
 	return nil
 }
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -19,20 +19,20 @@
 	"github.com/corianderturn/corianderturn/internal/standin/answer"
 )
 
-// The headers of the callers' interface.
+// The headers and content types of the daemons' caller API, and a bound on response bodies.
 const (
 	headerKey           = "Idempotency-Key"
 	headerNonIdempotent = "X-Non-Idempotent"
 	headerClass         = "X-Class"
 	headerDeadline      = "X-Deadline-Ms"
-	problemType         = "application/problem+json"
-	streamType          = "text/event-stream"
-	maxAnswer           = 8 << 20
+	problemContentType  = "application/problem+json"
+	streamContentType   = "text/event-stream"
+	maxResponseBytes    = 8 << 20
 )
 
-// NewClient returns an HTTP client for at most inflight requests at once.
-// Nothing in it repeats a request on its own, apart from bodiless GETs on a
-// kept connection that turned out to be closed.
+// NewClient returns an HTTP client that keeps up to inflight idle connections to each daemon.
+// The only requests that net/http resends on its own are GETs whose reused connection turned
+// out to be closed.
 func NewClient(inflight int) *http.Client {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
@@ -42,19 +42,19 @@
 	return &http.Client{Transport: t}
 }
 
-// sender plays the callers and the platform's balancer.
+// sender simulates the callers and the platform's load balancer.
 type sender struct {
-	hc      *http.Client
-	targets []string
-	replay  bool
-	retry   bool
-	timeout time.Duration
-	killed  func(target string) bool
-	w       Workload
-	next    atomic.Uint64
+	hc           *http.Client
+	targets      []string
+	replay       bool
+	retry        bool
+	timeout      time.Duration
+	killed       func(target string) bool
+	workload     Workload
+	requestCount atomic.Uint64 // for round-robin over targets
 }
 
-// completionRequest is the body of POST /v1/completions.
+// completionRequest is the JSON body of POST /v1/completions.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
@@ -63,53 +63,55 @@
 	Stream    bool   `json:"stream,omitempty"`
 }
 
-// submitRequest is the body of a non-idempotent call.
+// submitRequest is the JSON body of a submit.
 type submitRequest struct {
 	Key string `json:"key"`
 }
 
-// send runs one request to its end, with the caller's own retry. scheduled is
-// its arrival.
+// send sends one request, with the caller's retry if Options.Retry is set, and returns its
+// result. scheduled is the arrival time from which latencies are measured.
 func (c *sender) send(ctx context.Context, s Spec, scheduled time.Time) Result {
-	r := c.sendOnce(ctx, s, scheduled)
+	r := c.sendWithReplays(ctx, s, scheduled)
 	if !c.retry || r.Outcome != Severed || !s.Kind.Completion() {
 		return r
 	}
 	replays := r.Replays + 1
-	r = c.sendOnce(ctx, s, scheduled)
+	r = c.sendWithReplays(ctx, s, scheduled)
 	r.Replays += replays
 	return r
 }
 
-func (c *sender) sendOnce(ctx context.Context, s Spec, scheduled time.Time) Result {
+// sendWithReplays sends a request as a load balancer does: to the daemon whose turn it is and,
+// while mayReplay allows it, to each of the others.
+func (c *sender) sendWithReplays(ctx context.Context, s Spec, scheduled time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	caller, leave := context.WithCancel(ctx)
-	defer leave()
+	callerCtx, cancelCaller := context.WithCancel(ctx)
+	defer cancelCaller()
 	if s.CancelAfter > 0 {
-		timer := time.AfterFunc(s.CancelAfter, leave)
+		timer := time.AfterFunc(s.CancelAfter, cancelCaller)
 		defer timer.Stop()
 	}
-	start := c.next.Add(1) - 1
+	firstTarget := c.requestCount.Add(1) - 1
 	r := Result{Spec: s}
-	var tr Transcript
+	var transcript Transcript
 	for try := range c.targets {
-		r.Target = c.targets[(start+uint64(try))%uint64(len(c.targets))]
+		r.Target = c.targets[(firstTarget+uint64(try))%uint64(len(c.targets))]
 		r.Replays = try
-		tr = c.attempt(caller, s, r.Target, newWatch(scheduled, &r))
-		if tr.Err == nil || caller.Err() != nil || !c.mayReplay(tr) {
+		transcript = c.attempt(callerCtx, s, r.Target, newTokenTimer(scheduled, &r))
+		if transcript.Err == nil || callerCtx.Err() != nil || !c.mayReplay(transcript) {
 			break
 		}
 	}
-	tr.Gone = caller.Err() != nil && ctx.Err() == nil
+	transcript.Gone = callerCtx.Err() != nil && ctx.Err() == nil
 	r.Total = time.Since(scheduled)
-	r.finish(tr, c.killed)
+	r.setOutcome(transcript, c.killed)
 	return r
 }
 
-// mayReplay says whether a balancer would send the request elsewhere: always
-// when no connection was made, and by configuration when the connection broke
-// before any of the answer.
+// mayReplay reports whether the balancer sends a failed request to another daemon: always if
+// the connection was refused, and only with Options.Replay if the connection broke before the
+// response.
 func (c *sender) mayReplay(t Transcript) bool {
 	if errors.Is(t.Err, syscall.ECONNREFUSED) {
 		return true
@@ -117,7 +119,8 @@
 	return c.replay && t.Status == 0
 }
 
-func (r *Result) finish(t Transcript, killed func(string) bool) {
+// setOutcome sets the outcome and the measurements of a request from its transcript.
+func (r *Result) setOutcome(t Transcript, killed func(string) bool) {
 	r.Outcome, r.Detail = Verify(r.Spec, t)
 	if t.Problem != nil {
 		r.Kind, r.Run = t.Problem.Kind, t.Problem.Run
@@ -136,6 +139,7 @@
 	r.measureGaps()
 }
 
+// measureGaps computes the mean and the 95th percentile of the gaps between tokens.
 func (r *Result) measureGaps() {
 	if len(r.gaps) == 0 {
 		return
@@ -149,31 +153,32 @@
 	r.Gap95 = sorted[min(len(sorted)*95/100, len(sorted)-1)]
 }
 
-// watch notes when tokens arrive.
-type watch struct {
-	r         *Result
+// tokenTimer records the arrival times of tokens in a Result.
+type tokenTimer struct {
+	result    *Result
 	scheduled time.Time
-	last      time.Time
+	last      time.Time // arrival of the latest token
 }
 
-func newWatch(scheduled time.Time, r *Result) *watch {
+func newTokenTimer(scheduled time.Time, r *Result) *tokenTimer {
 	r.gaps, r.Seen = nil, false
-	return &watch{r: r, scheduled: scheduled}
+	return &tokenTimer{result: r, scheduled: scheduled}
 }
 
-func (w *watch) token() {
+func (t *tokenTimer) recordToken() {
 	now := time.Now()
-	if w.last.IsZero() {
-		w.r.First, w.r.Seen = now.Sub(w.scheduled), true
+	if t.last.IsZero() {
+		t.result.First, t.result.Seen = now.Sub(t.scheduled), true
 	} else {
-		w.r.gaps = append(w.r.gaps, now.Sub(w.last))
+		t.result.gaps = append(t.result.gaps, now.Sub(t.last))
 	}
-	w.last = now
+	t.last = now
 }
 
-func (c *sender) attempt(ctx context.Context, s Spec, target string, w *watch) Transcript {
+// attempt sends the request to one daemon and reads the response.
+func (c *sender) attempt(ctx context.Context, s Spec, target string, timer *tokenTimer) Transcript {
 	t := Transcript{Usage: -1}
-	req, err := c.build(ctx, s, target)
+	req, err := c.buildRequest(ctx, s, target)
 	if err != nil {
 		t.Err = err
 		return t
@@ -186,11 +191,11 @@
 	defer resp.Body.Close()
 	t.Status = resp.StatusCode
 	t.RetryAfter = resp.Header.Get("Retry-After") != ""
-	if strings.HasPrefix(resp.Header.Get("Content-Type"), streamType) {
-		t.Err = readStream(resp.Body, &t, w.token)
+	if strings.HasPrefix(resp.Header.Get("Content-Type"), streamContentType) {
+		t.Err = readStream(resp.Body, &t, timer.recordToken)
 		return t
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		t.Err = err
 		return t
@@ -199,8 +204,9 @@
 	return t
 }
 
+// readBody adds a response that is not streamed to t.
 func readBody(s Spec, resp *http.Response, body []byte, t *Transcript) error {
-	if strings.HasPrefix(resp.Header.Get("Content-Type"), problemType) {
+	if strings.HasPrefix(resp.Header.Get("Content-Type"), problemContentType) {
 		t.Terminals++
 		t.Problem = &Problem{}
 		return errors.Wrap(json.Unmarshal(body, t.Problem), "problem body")
@@ -217,13 +223,14 @@
 	if err := json.Unmarshal(body, &c); err != nil {
 		return errors.Wrap(err, "completion body")
 	}
-	c.read(t)
+	c.addTo(t)
 	t.Terminals++
 	return nil
 }
 
-func (c *sender) build(ctx context.Context, s Spec, target string) (*http.Request, error) {
-	method, path, body, err := c.content(s)
+// buildRequest returns the HTTP request for s to the daemon with base URL target.
+func (c *sender) buildRequest(ctx context.Context, s Spec, target string) (*http.Request, error) {
+	method, path, body, err := c.requestContent(s)
 	if err != nil {
 		return nil, err
 	}
@@ -232,7 +239,7 @@
 		return nil, err
 	}
 	if method == http.MethodPost {
-		// No GetBody: the transport repeats a keyed POST on its own when it can.
+		// With GetBody set, net/http would resend a POST with an idempotency key on its own.
 		req.GetBody = nil
 		req.Header.Set("Content-Type", "application/json")
 	}
@@ -246,22 +253,23 @@
 	return req, nil
 }
 
-func (c *sender) content(s Spec) (method, path string, body io.Reader, err error) {
-	service := "/services/" + c.w.Service
+// requestContent returns the method, the path and the JSON body of the request for s.
+func (c *sender) requestContent(s Spec) (method, path string, body io.Reader, err error) {
+	service := "/services/" + c.workload.Service
 	switch s.Kind {
 	case KindLookup:
-		return http.MethodGet, service + c.w.LookupPath + "/" + s.Key, nil, nil
+		return http.MethodGet, service + c.workload.LookupPath + "/" + s.Key, nil, nil
 	case KindSubmit:
-		body, err = encode(submitRequest{Key: s.Key})
-		return http.MethodPost, service + c.w.SubmitPath + "/" + s.Key, body, err
+		body, err = encodeJSON(submitRequest{Key: s.Key})
+		return http.MethodPost, service + c.workload.SubmitPath + "/" + s.Key, body, err
 	}
-	body, err = encode(completionRequest{
+	body, err = encodeJSON(completionRequest{
 		Model: s.Model, Adapter: s.Adapter, Prompt: s.Prompt, MaxTokens: s.MaxTokens, Stream: s.Stream,
 	})
 	return http.MethodPost, "/v1/completions", body, err
 }
 
-func encode(v any) (io.Reader, error) {
+func encodeJSON(v any) (io.Reader, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, err
--- a/internal/loadgen/sse.go
+++ b/internal/loadgen/sse.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxEvent bounds one line of a stream, in bytes.
-	maxEvent  = 1 << 20
-	doneMark  = "[DONE]"
-	errorName = "error"
+	// maxLineBytes bounds one line of an event stream.
+	maxLineBytes = 1 << 20
+	doneData     = "[DONE]"
+	errorEvent   = "error"
 )
 
-// completionBody is the part of a completion, or of one chunk of it, that is checked.
+// completionBody holds the checked fields of a completion or of one chunk of a streamed one.
 type completionBody struct {
 	Choices []struct {
 		Text         string `json:"text"`
@@ -27,11 +27,11 @@
 	} `json:"usage"`
 }
 
-// readStream reads server-sent events to the end of the stream and fills t.
-// onToken is called for each chunk that carries text.
+// readStream reads server-sent events up to the end of the stream and adds them to t. It calls
+// onToken for each chunk that carries text.
 func readStream(r io.Reader, t *Transcript, onToken func()) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxEvent)
+	lines.Buffer(nil, maxLineBytes)
 	event := ""
 	for lines.Scan() {
 		line := lines.Text()
@@ -51,13 +51,14 @@
 	return lines.Err()
 }
 
+// readEvent adds one event of the stream to t.
 func readEvent(event, data string, t *Transcript, onToken func()) error {
 	switch {
-	case event == errorName:
+	case event == errorEvent:
 		t.Terminals++
 		t.Problem = &Problem{}
 		return errors.Wrap(json.Unmarshal([]byte(data), t.Problem), "error event")
-	case data == doneMark:
+	case data == doneData:
 		t.Terminals++
 		return nil
 	}
@@ -65,14 +66,14 @@
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return errors.Wrap(err, "data event")
 	}
-	if c.read(t) {
+	if c.addTo(t) {
 		onToken()
 	}
 	return nil
 }
 
-// read adds the body to t and says whether it carried text.
-func (c *completionBody) read(t *Transcript) bool {
+// addTo adds the body to t and reports whether it carried text.
+func (c *completionBody) addTo(t *Transcript) bool {
 	if c.Usage != nil {
 		t.Usage = c.Usage.CompletionTokens
 	}
@@ -87,7 +88,7 @@
 		return false
 	}
 	if t.Terminals > 0 {
-		t.Terminals++ // text after the end is a second answer
+		t.Terminals++ // text after the terminal event counts as a second response
 	}
 	t.Text += choice.Text
 	t.Tokens++
--- a/internal/loadgen/standins.go
+++ b/internal/loadgen/standins.go
@@ -11,16 +11,16 @@
 	"github.com/corianderturn/corianderturn/internal/standin/service"
 )
 
-const pathExecutions = "/executions"
+const executionsPath = "/executions"
 
-// ServiceExecutions returns a source for Options.Executions that asks the control
-// listeners of plain-service stand-ins, given by their base URLs.
+// ServiceExecutions returns a function for Options.Executions that reads the executions from
+// simulated plain services. controls are the base URLs of their control listeners.
 func ServiceExecutions(hc *http.Client, controls []string) func(context.Context) ([]Execution, error) {
 	return func(ctx context.Context) ([]Execution, error) {
 		var out []Execution
 		for _, c := range controls {
 			var list service.Executions
-			if err := GetJSON(ctx, hc, c+pathExecutions, &list); err != nil {
+			if err := GetJSON(ctx, hc, c+executionsPath, &list); err != nil {
 				return nil, err
 			}
 			if list.Total > len(list.Executions) {
@@ -34,7 +34,8 @@
 	}
 }
 
-// GetJSON reads a JSON body into v; any status but 200 is an error.
+// GetJSON sends a GET request and decodes the JSON body of the response into v. A status other
+// than 200 is an error.
 func GetJSON(ctx context.Context, hc *http.Client, url string, v any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -43,7 +44,8 @@
 	return doJSON(hc, req, v)
 }
 
-// doJSON sends a request and decodes the answer's body, whose status must be 200.
+// doJSON sends a request and decodes the JSON body of the response into v. A status other than
+// 200 is an error.
 func doJSON(hc *http.Client, req *http.Request, v any) error {
 	resp, err := hc.Do(req)
 	if err != nil {
--- a/internal/loadgen/table.go
+++ b/internal/loadgen/table.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a human-readable table, followed by errors, faults and the
+// summary line.
 func (r *Report) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(w, "group\toffered\tgood\tgood/s\tstrict\tfirst p50\tp95\tp99\tbetween p50\tp95\tp99\toutcomes\n")
@@ -34,6 +35,7 @@
 	return err
 }
 
+// writeSection writes one row of the table.
 func writeSection(w io.Writer, s Section) {
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.1f\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t", s.Name, s.Offered, s.Good, s.Goodput,
 		s.GoodStrict, s.FirstToken.P50, s.FirstToken.P95, s.FirstToken.P99,
@@ -47,7 +49,7 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// Summary returns the one-line account of the run.
+// Summary returns the counts of the run in one line.
 func (r *Report) Summary() string {
 	sent := r.All.Offered - r.All.Count(Dropped)
 	return fmt.Sprintf("loadgen: sent %d answered %d refused %d broken %d cancelled %d severed %d dropped %d lost %d doubled %d",
--- a/internal/loadgen/verify.go
+++ b/internal/loadgen/verify.go
@@ -11,8 +11,9 @@
 	"github.com/corianderturn/corianderturn/internal/standin/service"
 )
 
-// Verify decides the outcome of one request from what its caller saw, and says
-// why when it is not a plain success. It never returns Severed or Dropped.
+// Verify returns the outcome of a request, given the response that its caller received, and a
+// description of what is wrong with the response. It never returns Severed or Dropped, which
+// do not follow from the response.
 func Verify(s Spec, t Transcript) (Outcome, string) {
 	switch {
 	case t.Terminals > 1:
@@ -20,9 +21,9 @@
 	case t.Problem != nil:
 		return verifyProblem(t)
 	case t.Terminals == 1 && t.Status == http.StatusOK && s.Kind.Completion():
-		return verifyText(s, t)
+		return verifyCompletion(s, t)
 	case t.Terminals == 1 && t.Status == http.StatusOK:
-		return verifyCall(s, t)
+		return verifyServiceResponse(s, t)
 	case t.Gone:
 		return Cancelled, ""
 	case t.Err != nil:
@@ -31,6 +32,7 @@
 	return Lost, fmt.Sprintf("status %d without a terminal or a problem", t.Status)
 }
 
+// verifyProblem returns the outcome of a request that ended with an error body or error event.
 func verifyProblem(t Transcript) (Outcome, string) {
 	detail := fmt.Sprintf("%s: %s", t.Problem.Kind, t.Problem.Detail)
 	switch {
@@ -42,7 +44,9 @@
 	return Refused, detail
 }
 
-func verifyText(s Spec, t Transcript) (Outcome, string) {
+// verifyCompletion compares a completion with the text that the simulated engines generate for
+// its prompt.
+func verifyCompletion(s Spec, t Transcript) (Outcome, string) {
 	want := answer.Text(s.Model, s.Adapter, s.Prompt, s.MaxTokens)
 	tokens := answer.AnswerLength(s.Prompt, s.MaxTokens)
 	finish := answer.FinishReason(tokens, s.MaxTokens)
@@ -59,9 +63,9 @@
 	return Wrong, fmt.Sprintf("answer differs at byte %d of %d", commonPrefix(want, t.Text), len(want))
 }
 
-// verifyCall checks that a plain service's answer is to the request's own path,
-// which ends in its key.
-func verifyCall(s Spec, t Transcript) (Outcome, string) {
+// verifyServiceResponse checks that the response of a plain service belongs to the request:
+// the path that it echoes must end in the request's key.
+func verifyServiceResponse(s Spec, t Transcript) (Outcome, string) {
 	var got struct {
 		Path         string `json:"path"`
 		Value        string `json:"value"`
@@ -81,6 +85,7 @@
 	return Answered, ""
 }
 
+// commonPrefix returns the length in bytes of the longest common prefix of a and b.
 func commonPrefix(a, b string) int {
 	n := min(len(a), len(b))
 	for i := range n {
--- a/internal/loadgen/verify_test.go
+++ b/internal/loadgen/verify_test.go
@@ -19,16 +19,16 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func TestVerify(t *testing.T) {
-	s := Spec{Kind: KindDraft, Model: "m", Prompt: "p", MaxTokens: 9, Key: "r-0000001"}
-	call := Spec{Kind: KindSubmit, Key: "r-0000001"}
+	completion := Spec{Kind: KindDraft, Model: "m", Prompt: "p", MaxTokens: 9, Key: "r-0000001"}
+	submit := Spec{Kind: KindSubmit, Key: "r-0000001"}
 	lookup := Spec{Kind: KindLookup, Key: "r-0000001"}
 	value := service.LookupOf("/status/r-0000001").Value
 	answered := func(body string) Transcript { return Transcript{Status: 200, Terminals: 1, Text: body} }
 	want := answer.Text("m", "", "p", 9)
 	n := answer.AnswerLength("p", 9)
-	whole := Transcript{Status: 200, Text: want, Tokens: n, Terminals: 1, Usage: n, Finish: answer.FinishReason(n, 9)}
-	with := func(change func(*Transcript)) Transcript {
-		c := whole
+	complete := Transcript{Status: 200, Text: want, Tokens: n, Terminals: 1, Usage: n, Finish: answer.FinishReason(n, 9)}
+	completeExcept := func(change func(*Transcript)) Transcript {
+		c := complete
 		change(&c)
 		return c
 	}
@@ -39,24 +39,24 @@
 		seen Transcript
 		want Outcome
 	}{
-		{"whole", s, whole, Answered},
-		{"whole, but the caller left later", s, with(func(t *Transcript) { t.Gone = true }), Answered},
-		{"no terminal", s, with(func(t *Transcript) { t.Terminals = 0 }), Lost},
-		{"cut", s, with(func(t *Transcript) { t.Terminals, t.Err = 0, errors.New("reset") }), Lost},
-		{"two terminals", s, with(func(t *Transcript) { t.Terminals = 2 }), Doubled},
-		{"last token missing", s, with(func(t *Transcript) { t.Text = want[:len(want)-7] }), Truncated},
-		{"token repeated", s, with(func(t *Transcript) { t.Text = want[:7] + want }), Wrong},
-		{"another prompt's answer", s, with(func(t *Transcript) { t.Text = answer.Text("m", "", "q", 9) }), Wrong},
-		{"usage off by one", s, with(func(t *Transcript) { t.Usage = n - 1 }), Wrong},
-		{"finish reason missing", s, with(func(t *Transcript) { t.Finish = "" }), Wrong},
-		{"caller left", s, Transcript{Gone: true, Err: context.Canceled}, Cancelled},
-		{"refused", s, Transcript{Status: 503, Terminals: 1, Problem: refusal}, Refused},
-		{"broken after tokens", s, Transcript{Status: 200, Tokens: 2, Terminals: 1, Problem: refusal}, Broken},
-		{"unknown kind", s, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: "odd", Run: "ran"}}, Lost},
-		{"no run state", s, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: errkind.Internal}}, Lost},
-		{"call answered", call, answered(`{"path":"/submit/r-0000001","confirmation":"1"}`), Answered},
-		{"call crossed", call, answered(`{"path":"/submit/r-0000002","confirmation":"1"}`), Wrong},
-		{"call unconfirmed", call, answered(`{"path":"/submit/r-0000001"}`), Wrong},
+		{"whole", completion, complete, Answered},
+		{"whole, but the caller left later", completion, completeExcept(func(t *Transcript) { t.Gone = true }), Answered},
+		{"no terminal", completion, completeExcept(func(t *Transcript) { t.Terminals = 0 }), Lost},
+		{"cut", completion, completeExcept(func(t *Transcript) { t.Terminals, t.Err = 0, errors.New("reset") }), Lost},
+		{"two terminals", completion, completeExcept(func(t *Transcript) { t.Terminals = 2 }), Doubled},
+		{"last token missing", completion, completeExcept(func(t *Transcript) { t.Text = want[:len(want)-7] }), Truncated},
+		{"token repeated", completion, completeExcept(func(t *Transcript) { t.Text = want[:7] + want }), Wrong},
+		{"another prompt's answer", completion, completeExcept(func(t *Transcript) { t.Text = answer.Text("m", "", "q", 9) }), Wrong},
+		{"usage off by one", completion, completeExcept(func(t *Transcript) { t.Usage = n - 1 }), Wrong},
+		{"finish reason missing", completion, completeExcept(func(t *Transcript) { t.Finish = "" }), Wrong},
+		{"caller left", completion, Transcript{Gone: true, Err: context.Canceled}, Cancelled},
+		{"refused", completion, Transcript{Status: 503, Terminals: 1, Problem: refusal}, Refused},
+		{"broken after tokens", completion, Transcript{Status: 200, Tokens: 2, Terminals: 1, Problem: refusal}, Broken},
+		{"unknown kind", completion, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: "odd", Run: "ran"}}, Lost},
+		{"no run state", completion, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: errkind.Internal}}, Lost},
+		{"call answered", submit, answered(`{"path":"/submit/r-0000001","confirmation":"1"}`), Answered},
+		{"call crossed", submit, answered(`{"path":"/submit/r-0000002","confirmation":"1"}`), Wrong},
+		{"call unconfirmed", submit, answered(`{"path":"/submit/r-0000001"}`), Wrong},
 		{"look-up answered", lookup, answered(`{"path":"/status/r-0000001","value":"` + value + `"}`), Answered},
 		{"look-up of another value", lookup, answered(`{"path":"/status/r-0000001","value":"0"}`), Wrong},
 	}
@@ -107,9 +107,9 @@
 	late.First = 101
 	slow.MeanGap = 11
 	refused.Outcome = Refused
-	plain := Result{Spec: r.Spec, Outcome: Answered, Tokens: 5, Total: 140}
-	plainLate := plain
-	plainLate.Total = 141
+	unstreamed := Result{Spec: r.Spec, Outcome: Answered, Tokens: 5, Total: 140}
+	unstreamedLate := unstreamed
+	unstreamedLate.Total = 141
 	for _, tc := range []struct {
 		name         string
 		r            Result
@@ -119,8 +119,8 @@
 		{"late first token", late, false, false},
 		{"slow tokens", slow, false, false},
 		{"refused", refused, false, false},
-		{"not streamed", plain, true, true},
-		{"not streamed, late", plainLate, false, false},
+		{"not streamed", unstreamed, true, true},
+		{"not streamed, late", unstreamedLate, false, false},
 	} {
 		if got := targets.Met(tc.r, false); got != tc.mean {
 			t.Errorf("%s: met %v, want %v", tc.name, got, tc.mean)
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestRunCountsFaults sends real requests to a daemon that breaks a promise in
-// one way each time; a run that cannot tell would report nothing lost.
+// Guards against faults that a run does not detect and therefore reports as success. In each
+// case, a fake daemon responds to all requests with one kind of error or invalid response.
 func TestRunCountsFaults(t *testing.T) {
 	const refusal = `{"kind":"overloaded","run":"not-run"}`
 	sse := func(body string) http.HandlerFunc {
@@ -156,7 +156,7 @@
 		{"garbled error event", sse("event: error\ndata: oops\n\n"), Lost},
 		{"bare error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) }, Lost},
 		{"problem", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Type", problemType)
+			w.Header().Set("Content-Type", problemContentType)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = w.Write([]byte(refusal))
 		}, Refused},
@@ -180,6 +180,8 @@
 	}
 }
 
+// testOptions returns options that send streamed drafts to one daemon, all within a fraction of a
+// second.
 func testOptions(daemon string, requests int) Options {
 	w := testWorkload()
 	w.Rate, w.Mix, w.CancelShare, w.StreamShare = 1000, Mix{Draft: 1}, 0, 1
@@ -190,8 +192,8 @@
 	}
 }
 
-// TestArrivalsDoNotWait holds every answer back: an open loop still sends up to
-// its bound, and drops the rest.
+// Guards against a closed loop, in which arrivals wait for earlier responses. No response is
+// sent at first: the run must still send MaxInFlight requests and drop the others.
 func TestArrivalsDoNotWait(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 10)
@@ -220,10 +222,11 @@
 	}
 }
 
-// TestReplay plays a balancer before a dead daemon and a live one.
+// Guards against losing requests although the balancer may replay them. One of two daemons
+// breaks every connection; without replays, its requests must count as lost.
 func TestReplay(t *testing.T) {
 	live := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", problemType)
+		w.Header().Set("Content-Type", problemContentType)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = w.Write([]byte(`{"kind":"not-ready","run":"not-run"}`))
 	}))
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -9,25 +9,25 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is one sort of request in the mix.
+// Kind is a type of request in the mix.
 type Kind string
 
 // The kinds of request.
 const (
-	// KindLookup is an urgent, idempotent GET of a plain service.
+	// KindLookup is an urgent, idempotent GET to a plain service.
 	KindLookup Kind = "lookup"
-	// KindSubmit is an urgent, non-idempotent POST to a plain service, with a key.
+	// KindSubmit is an urgent, non-idempotent POST to a plain service, with an idempotency key.
 	KindSubmit Kind = "submit"
 	// KindShort is an urgent, short completion.
 	KindShort Kind = "short"
-	// KindDraft is a long completion that can wait.
+	// KindDraft is a long completion of the draft class, which may be delayed.
 	KindDraft Kind = "draft"
 )
 
-// Kinds lists the kinds in the order of reports.
+// Kinds lists the kinds in the order in which reports print them.
 func Kinds() []Kind { return []Kind{KindLookup, KindSubmit, KindShort, KindDraft} }
 
-// Class returns the class that requests of the kind are sent with.
+// Class returns the request class that requests of the kind state.
 func (k Kind) Class() bundle.Class {
 	if k == KindDraft {
 		return bundle.Draft
@@ -35,16 +35,16 @@
 	return bundle.Urgent
 }
 
-// Completion says whether the kind is a request for a model.
+// Completion reports whether requests of the kind are completions, which run on a model.
 func (k Kind) Completion() bool { return k == KindShort || k == KindDraft }
 
-// Team is one caller with its bearer key.
+// Team is a team and the bearer key that its requests carry.
 type Team struct {
 	Name string `json:"name"`
 	Key  string `json:"-"`
 }
 
-// Mix holds the share of each kind; shares are relative to their sum.
+// Mix holds the share of each kind of request, relative to the sum of all shares.
 type Mix struct {
 	Lookup float64 `json:"lookup"`
 	Submit float64 `json:"submit"`
@@ -52,7 +52,8 @@
 	Draft  float64 `json:"draft"`
 }
 
-// Sizes is a log-normal distribution of token counts, cut off at Min and Max.
+// Sizes is a log-normal distribution of token counts. Values outside of Min and Max are set to
+// the nearer of the two.
 type Sizes struct {
 	Median int     `json:"median"`
 	Sigma  float64 `json:"sigma"`
@@ -60,19 +61,19 @@
 	Max    int     `json:"max"`
 }
 
-// Mean returns the mean of the distribution before it is cut off.
+// Mean returns the mean of the distribution without the limits Min and Max.
 func (s Sizes) Mean() float64 { return lognormalMean(s.Median, s.Sigma) }
 
 // Workload describes the requests of a run.
 type Workload struct {
-	// Rate is the mean number of arrivals a second, of all kinds together.
+	// Rate is the mean number of arrivals per second, over all kinds.
 	Rate float64 `json:"rate"`
 	Mix  Mix     `json:"mix"`
 
 	Teams    []Team   `json:"teams"`
 	Model    string   `json:"model"`
 	Adapters []string `json:"adapters,omitempty"`
-	// Service is the plain service; LookupPath and SubmitPath are below it.
+	// Service is the name of the plain service. LookupPath and SubmitPath are paths of it.
 	Service    string `json:"service"`
 	LookupPath string `json:"lookup_path"`
 	SubmitPath string `json:"submit_path"`
@@ -82,27 +83,28 @@
 	DraftPrompt Sizes `json:"draft_prompt"`
 	DraftTokens Sizes `json:"draft_tokens"`
 
-	// Councils is how many preambles exist; a draft of a council starts with its
-	// preamble of PreambleTokens tokens with probability SharedShare.
+	// SharedShare is the share of drafts whose prompt starts with a shared prefix: the preamble
+	// of one of Councils councils, chosen at random. A preamble has PreambleTokens tokens. Drafts
+	// with the same preamble can reuse prefixes that engines have cached.
 	Councils       int     `json:"councils"`
 	PreambleTokens int     `json:"preamble_tokens"`
 	SharedShare    float64 `json:"shared_share"`
 
 	// StreamShare is the share of completions that are streamed.
 	StreamShare float64 `json:"stream_share"`
-	// CancelShare is the share of drafts whose caller goes away after CancelAfter
-	// or, at random, earlier.
+	// CancelShare is the share of drafts that their caller cancels, after a random time of at
+	// most CancelAfter.
 	CancelShare float64       `json:"cancel_share"`
 	CancelAfter time.Duration `json:"cancel_after"`
-	// RepeatShare is the share of submits sent a second time, with the same key,
-	// to another daemon after at most RepeatWithin.
+	// RepeatShare is the share of submits that are sent a second time, with the same key, to
+	// another daemon, after a random time of at most RepeatWithin.
 	RepeatShare  float64       `json:"repeat_share"`
 	RepeatWithin time.Duration `json:"repeat_within"`
 }
 
-// DefaultWorkload returns the mix of the expected users: half public look-ups,
-// some submissions, short completions and long drafts; prompts run from tens to tens
-// of thousands of tokens.
+// DefaultWorkload returns the expected mix of production: nearly half look-ups, some submits,
+// and short completions and long drafts. Prompts have tens to tens of thousands of tokens. The
+// caller must set Teams.
 func DefaultWorkload() Workload {
 	return Workload{
 		Rate:           50,
@@ -126,7 +128,7 @@
 	}
 }
 
-// Validate returns an error for a workload that cannot be generated.
+// Validate returns an error if no requests can be generated for the workload.
 func (w Workload) Validate() error {
 	switch {
 	case w.Rate <= 0:
@@ -144,7 +146,7 @@
 // Total returns the sum of the shares.
 func (m Mix) Total() float64 { return m.Lookup + m.Submit + m.Short + m.Draft }
 
-// kind returns the kind at point u of the mix, 0 <= u < 1.
+// kind maps u, a uniformly distributed number with 0 <= u < 1, to a kind of the mix.
 func (m Mix) kind(u float64) Kind {
 	u *= m.Total()
 	for _, p := range []struct {
@@ -159,7 +161,7 @@
 	return KindDraft
 }
 
-// TeamsOf returns teams, in the order of their names, from their bearer keys.
+// TeamsOf returns teams sorted by name. keys maps the name of each team to its bearer key.
 func TeamsOf(keys map[string]string) []Team {
 	teams := make([]Team, 0, len(keys))
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
