--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -12,143 +12,154 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// readinessClient sends readiness probes to daemons.
+var readinessClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// asked is one request and what its caller saw.
-type asked struct {
+// sentRequest is one request of a caller and the response to it.
+type sentRequest struct {
 	id, path string
 	daemon   *daemon
-	at       time.Time
-	ended    time.Time // when its caller had the answer, or none
-	status   int       // 0 when no answer came
-	whole    bool
-	team     string // whose key it bore; empty for nobody's
+	sentAt   time.Time
+	endedAt  time.Time // end of the response, or of the failed attempt
+	status   int       // HTTP status code; 0 without a response
+	complete bool      // status 200 and the response was read to its end
+	team     string    // team of the key that the request carried; empty without a valid key
 }
 
-var paths = []string{site.PathDraft, site.PathOnce, site.PathOrder, site.PathLookUp}
+// requestPaths are the paths that callers request; each has its own route.
+var requestPaths = []string{site.PathDraft, site.PathOnce, site.PathOrder, site.PathLookUp}
 
-// caller asks until ctx ends. It keeps its connections until they break.
-func (r *run) caller(ctx context.Context, n uint64) {
-	rng := rand.New(rand.NewPCG(r.o.Seed, n+1))
+// runCaller sends requests to random daemons until ctx ends, one at a time. It reuses its
+// connections until they break. n selects the seed of its random numbers.
+func (r *run) runCaller(ctx context.Context, n uint64) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, n+1))
 	transport := &http.Transport{MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
-	hc := &http.Client{Transport: transport}
+	client := &http.Client{Transport: transport}
 	for ctx.Err() == nil {
 		d := r.daemons[rng.IntN(len(r.daemons))]
-		leave := time.Duration(0)
+		cancelAfter := time.Duration(0)
 		if rng.IntN(10) == 0 {
-			leave = time.Duration(rng.IntN(80)) * time.Millisecond
+			cancelAfter = time.Duration(rng.IntN(80)) * time.Millisecond
 		}
-		r.ask(ctx, hc, d, paths[rng.IntN(len(paths))], leave, rng)
+		r.sendRequest(ctx, client, d, requestPaths[rng.IntN(len(requestPaths))], cancelAfter, rng)
 		time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 	}
 }
 
-// answerTime bounds one request; it is the deadline that callers state.
-const answerTime = 4 * time.Second
+// requestTimeout is the deadline that requests state in their header.
+const requestTimeout = 4 * time.Second
 
-// ask sends one request, which its caller gives up after leave unless that is 0, and
-// checks the answer.
-func (r *run) ask(ctx context.Context, hc *http.Client, d *daemon, path string, leave time.Duration, rng *rand.Rand) asked {
-	a := asked{id: fmt.Sprintf("id%d", r.ids.Add(1)), path: path, daemon: d, at: time.Now()}
-	limit := answerTime + time.Second
-	if leave > 0 {
-		limit = leave
+// sendRequest sends one request and checks the response. If cancelAfter is not 0, the caller
+// cancels the request after that time.
+func (r *run) sendRequest(ctx context.Context, client *http.Client, d *daemon, path string, cancelAfter time.Duration, rng *rand.Rand) sentRequest {
+	sent := sentRequest{id: fmt.Sprintf("id%d", r.idCount.Add(1)), path: path, daemon: d, sentAt: time.Now()}
+	timeout := requestTimeout + time.Second
+	if cancelAfter > 0 {
+		timeout = cancelAfter
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := site.NewRequest(ctx, d.front, path+"x", a.id, answerTime)
+	req, err := site.NewRequest(ctx, d.callersAddress, path+"x", sent.id, requestTimeout)
 	if err != nil {
-		panic(err) // a mistake of this file
+		panic(err) // programming error: the URL is invalid
 	}
-	a.team = r.sign(req, rng)
-	resp, err := hc.Do(req)
+	sent.team = r.setTeamKey(req, rng)
+	resp, err := client.Do(req)
 	if err == nil {
 		var body []byte
 		body, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		a.status = resp.StatusCode
-		a.whole = err == nil && a.status == http.StatusOK
-		r.checkBody(a, string(body), resp.Header)
+		sent.status = resp.StatusCode
+		sent.complete = err == nil && sent.status == http.StatusOK
+		r.checkResponse(sent, string(body), resp.Header)
 	}
-	r.record(a, err)
-	return a
+	r.recordRequest(sent, err)
+	return sent
 }
 
-// checkBody holds an answer against what its upstream must have made.
-func (r *run) checkBody(a asked, body string, h http.Header) {
-	want := "answer to " + a.id
-	if a.path == site.PathDraft || a.path == site.PathOnce {
-		want = site.Stream(a.id, events)
+// checkResponse checks a response against the one that the upstream generates for the request.
+// An incomplete response must be a prefix of it. A rejection must have a Retry-After header.
+func (r *run) checkResponse(sent sentRequest, body string, h http.Header) {
+	want := "answer to " + sent.id
+	if sent.path == site.PathDraft || sent.path == site.PathOnce {
+		want = site.Stream(sent.id, streamEvents)
 	}
 	switch {
-	case a.whole && (body != want || site.Seal(h) == ""):
-		r.violate("%s %s: a success with %q", a.id, a.path, body)
-	case a.status == http.StatusOK && !strings.HasPrefix(want, body):
-		r.violate("%s %s: a broken answer began with %q", a.id, a.path, body)
-	case a.status == http.StatusNotFound:
-		r.violate("%s %s: denied", a.id, a.path)
-	case (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests) && h.Get("Retry-After") == "":
-		r.violate("%s %s: refused without a time to come back", a.id, a.path)
+	case sent.complete && (body != want || site.Seal(h) == ""):
+		r.addViolation("%s %s: a success with %q", sent.id, sent.path, body)
+	case sent.status == http.StatusOK && !strings.HasPrefix(want, body):
+		r.addViolation("%s %s: a broken answer began with %q", sent.id, sent.path, body)
+	case sent.status == http.StatusNotFound:
+		r.addViolation("%s %s: denied", sent.id, sent.path)
+	case (sent.status == http.StatusServiceUnavailable || sent.status == http.StatusTooManyRequests) && h.Get("Retry-After") == "":
+		r.addViolation("%s %s: refused without a time to come back", sent.id, sent.path)
 	}
 }
 
-func (r *run) record(a asked, err error) {
+// recordRequest adds a finished request to the requests and the counts of the run. err is the
+// error of the transport.
+func (r *run) recordRequest(sent sentRequest, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.ended = time.Now()
-	r.asked = append(r.asked, a)
+	sent.endedAt = time.Now()
+	r.requests = append(r.requests, sent)
 	r.result.Asked++
 	switch {
-	case a.whole:
+	case sent.complete:
 		r.result.Whole++
-	case a.status == http.StatusServiceUnavailable, a.status == http.StatusTooManyRequests:
+	case sent.status == http.StatusServiceUnavailable, sent.status == http.StatusTooManyRequests:
 		r.result.Refused++
-	case a.status == http.StatusOK && err != nil:
+	case sent.status == http.StatusOK && err != nil:
 		r.result.Broken++
 	default:
 		r.result.Failed++
 	}
 }
 
-// checkServing asks each daemon for everything, now that all faults are over.
-func (r *run) checkServing(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(r.o.Seed, 0))
+// checkRecovery checks, after the last fault, that each daemon serves every path within
+// recoveryTimeout.
+func (r *run) checkRecovery(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 0))
 	for _, d := range r.daemons {
-		for _, path := range paths {
-			ok := waitFor(ctx, healTime, func() bool { return r.ask(ctx, probeLong, d, path, 0, rng).whole })
+		for _, path := range requestPaths {
+			ok := waitFor(ctx, recoveryTimeout, func() bool { return r.sendRequest(ctx, recoveryClient, d, path, 0, rng).complete })
 			if !ok {
-				r.violate("daemon %d does not serve %s after the faults", d.index, path)
+				r.addViolation("daemon %d does not serve %s after the faults", d.index, path)
 			}
 		}
 	}
 }
 
-var probeLong = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// recoveryClient sends the requests of checkRecovery, each over a new connection.
+var recoveryClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// checkAccount holds what callers were told against what ran.
-func (r *run) checkAccount() {
-	for _, a := range r.asked {
-		runs := r.site.Account.Runs(a.id)
-		once := a.path == site.PathOrder || a.path == site.PathOnce
+// checkExecutions checks the responses against the executions that upstreams recorded: a
+// non-idempotent request runs at most once, and never if it was rejected; an answered request
+// ran; and upstreams received the body that the caller sent.
+func (r *run) checkExecutions() {
+	for _, sent := range r.requests {
+		runs := r.site.Account.Runs(sent.id)
+		nonIdempotent := sent.path == site.PathOrder || sent.path == site.PathOnce
 		switch {
-		case once && len(runs) > 1:
-			r.violate("%s %s ran %d times: %+v", a.id, a.path, len(runs), runs)
-		case once && len(runs) > 0 && (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests):
-			r.violate("%s %s was refused and ran: %+v", a.id, a.path, runs)
-		case a.whole && len(runs) == 0:
-			r.violate("%s %s was answered and never ran", a.id, a.path)
+		case nonIdempotent && len(runs) > 1:
+			r.addViolation("%s %s ran %d times: %+v", sent.id, sent.path, len(runs), runs)
+		case nonIdempotent && len(runs) > 0 && (sent.status == http.StatusServiceUnavailable || sent.status == http.StatusTooManyRequests):
+			r.addViolation("%s %s was refused and ran: %+v", sent.id, sent.path, runs)
+		case sent.complete && len(runs) == 0:
+			r.addViolation("%s %s was answered and never ran", sent.id, sent.path)
 		}
 		for _, run := range runs {
-			if run.Body != "body of "+a.id {
-				r.violate("%s %s ran with body %q", a.id, a.path, run.Body)
+			if run.Body != "body of "+sent.id {
+				r.addViolation("%s %s ran with body %q", sent.id, sent.path, run.Body)
 			}
 		}
 	}
 }
 
-// checkHeld waits until no upstream holds or runs anything for nobody.
-func (r *run) checkHeld(ctx context.Context) {
+// checkNothingHeld checks that upstreams become idle after the last request: they run nothing
+// and hold neither reservations nor results of prefills.
+func (r *run) checkNothingHeld(ctx context.Context) {
 	idle := func() bool {
 		for _, u := range r.upstreams() {
 			holds, handles := u.Held()
@@ -158,7 +169,7 @@
 		}
 		return true
 	}
-	if !waitFor(ctx, healTime, idle) {
-		r.violate("upstreams hold or run something for nobody")
+	if !waitFor(ctx, recoveryTimeout, idle) {
+		r.addViolation("upstreams hold or run something for nobody")
 	}
 }
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -16,118 +16,125 @@
 )
 
 const (
-	// fatalCallers is how many callers repeat a request that ends upstreams.
-	fatalCallers = 2
-	// contactTime is after how long a daemon is in touch again, as it stands in the settings.
-	contactTime = 3 * time.Second
-	// fatalEnds and fatalRetries are how many upstreams may end under one request until the
-	// contact has passed, and how often it may reach others afterwards.
-	fatalEnds, fatalRetries = 3, 3
-	// reviveTime is how long an upstream is away that ended.
-	reviveTime = 300 * time.Millisecond
+	// fatalCallerCount is the number of callers that send a fatal request: one that crashes every
+	// upstream that runs it.
+	fatalCallerCount = 2
+	// reconnectTime is the time after a disturbance of a daemon or of the store by which the
+	// daemon shares its state with the others again, according to the documentation of the
+	// settings.
+	reconnectTime = 3 * time.Second
+	// crashThreshold is the number of crashes after which daemons must refuse a fatal request.
+	// maxLateRuns is how often the request may still run on an upstream in attempts that are sent
+	// to connected daemons more than reconnectTime after the last of these crashes.
+	crashThreshold, maxLateRuns = 3, 3
+	// replacementDelay is the time from the crash of an upstream to the start of its replacement.
+	replacementDelay = 300 * time.Millisecond
 )
 
-// fatalAsk is an attempt at a request that ends upstreams.
-type fatalAsk struct {
-	id, body string
-	at       time.Time
-	inTouch  bool // its daemon
+// fatalAttempt is one attempt to send a fatal request.
+type fatalAttempt struct {
+	id, body        string
+	sentAt          time.Time
+	daemonConnected bool // isConnected of its daemon when it was sent
 }
 
-// fatalCaller repeats one request under ids of their own, at any daemon.
-func (r *run) fatalCaller(ctx context.Context, n int) {
-	rng := rand.New(rand.NewPCG(r.o.Seed, uint64(1000+n)))
-	body, path := fmt.Sprintf("fatal %d", n), paths[rng.IntN(len(paths))]
-	r.site.SetFatal(body, r.replace)
-	hc := &http.Client{Timeout: answerTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// runFatalCaller sends the same fatal request, each time with a new id and to a random daemon,
+// until ctx ends. n numbers the caller.
+func (r *run) runFatalCaller(ctx context.Context, n int) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(1000+n)))
+	body, path := fmt.Sprintf("fatal %d", n), requestPaths[rng.IntN(len(requestPaths))]
+	r.site.SetFatal(body, r.replaceUpstream)
+	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		d := r.daemons[rng.IntN(len(r.daemons))]
-		a := fatalAsk{id: fmt.Sprintf("fatal%d", r.ids.Add(1)), body: body, at: time.Now(), inTouch: r.inTouch(d)}
-		if req, err := site.NewRequest(ctx, d.front, path+"x", a.id, answerTime); err == nil {
-			if r.o.Teams {
-				site.SetKey(req, teamKey(freeTeam, 0), "")
+		attempt := fatalAttempt{id: fmt.Sprintf("fatal%d", r.idCount.Add(1)), body: body, sentAt: time.Now(), daemonConnected: r.isConnected(d)}
+		if req, err := site.NewRequest(ctx, d.callersAddress, path+"x", attempt.id, requestTimeout); err == nil {
+			if r.options.Teams {
+				site.SetKey(req, teamKey(unlimitedTeam, 0), "")
 			}
 			req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
-			if resp, err := hc.Do(req); err == nil { // an error is the caller's to bear
+			if resp, err := client.Do(req); err == nil { // errors are expected, since the request crashes upstreams
 				_ = resp.Body.Close()
 			}
 		}
 		r.mu.Lock()
-		r.fatal = append(r.fatal, a)
+		r.fatalAttempts = append(r.fatalAttempts, attempt)
 		r.mu.Unlock()
 		time.Sleep(time.Duration(50+rng.IntN(200)) * time.Millisecond)
 	}
 }
 
-// replace starts an upstream, and a proxy before it, in place of one that ended.
-func (r *run) replace(u *site.Upstream) {
+// replaceUpstream starts a replacement for a crashed upstream, with a new proxy in front of it.
+func (r *run) replaceUpstream(u *site.Upstream) {
 	i := slices.Index(r.upstreams(), u)
 	_, p := r.upstream(i)
-	p.close() // so that the port in front of it is closed too
-	time.Sleep(reviveTime)
-	next, err := r.site.AddAnother(u, fmt.Sprintf("u%d-%d", i, r.ids.Add(1)))
+	p.close() // daemons connect to the proxy, so its port must refuse connections as well
+	time.Sleep(replacementDelay)
+	next, err := r.site.AddAnother(u, fmt.Sprintf("u%d-%d", i, r.idCount.Add(1)))
 	if errors.Is(err, site.ErrClosed) {
-		return // the run is over
+		return // the run has ended
 	}
 	if err != nil {
-		panic(err) // the run cannot go on without it
+		panic(err) // the run cannot continue without the upstream
 	}
 	if p, err = newProxy(next.Address()); err != nil {
 		panic(err)
 	}
 	next.SetPublic(p.address())
 	r.mu.Lock()
-	r.ups[i], r.proxies[i] = next, p
+	r.currentUpstreams[i], r.proxies[i] = next, p
 	r.mu.Unlock()
 	r.site.Register(next, "in_service")
 }
 
-// upstream returns the present life of an upstream and the proxy before it.
+// upstream returns the i-th upstream, or its latest replacement, and the proxy in front of it.
 func (r *run) upstream(i int) (*site.Upstream, *proxy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.ups[i], r.proxies[i]
+	return r.currentUpstreams[i], r.proxies[i]
 }
 
-// upstreams returns the present lives of all.
+// upstreams returns all upstreams, or their latest replacements.
 func (r *run) upstreams() []*site.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.ups)
+	return slices.Clone(r.currentUpstreams)
 }
 
-// disturb notes a fault of a daemon, or of the store.
-func (r *run) disturb(d *daemon) {
+// recordDisturbance records the time of a fault of a daemon, or of the store if d is nil.
+func (r *run) recordDisturbance(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if d == nil {
-		r.troubled = time.Now()
+		r.storeDisturbedAt = time.Now()
 		return
 	}
-	d.troubled = time.Now()
-	d.troubles = append(d.troubles, d.troubled)
+	d.disturbedAt = time.Now()
+	d.disturbances = append(d.disturbances, d.disturbedAt)
 }
 
-func (r *run) inTouch(d *daemon) bool {
+// isConnected reports whether a daemon has had reconnectTime to recover from the latest
+// disturbances of itself and of the store.
+func (r *run) isConnected(d *daemon) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(d.troubled) > contactTime && time.Since(r.troubled) > contactTime
+	return time.Since(d.disturbedAt) > reconnectTime && time.Since(r.storeDisturbedAt) > reconnectTime
 }
 
-// checkFatal holds what upstreams saw against what daemons owe of a request under which
-// upstreams ended.
-func (r *run) checkFatal() {
-	late := map[string]int{}
-	for _, a := range r.fatal {
-		ends := r.site.Account.Ends(a.body)
-		if len(ends) < fatalEnds || !a.inTouch || a.at.Before(ends[fatalEnds-1].Add(contactTime)) {
+// checkFatalRequests checks that daemons refuse a fatal request once it has crashed
+// crashThreshold upstreams, apart from at most maxLateRuns runs.
+func (r *run) checkFatalRequests() {
+	runsByBody := map[string]int{}
+	for _, attempt := range r.fatalAttempts {
+		crashes := r.site.Account.Ends(attempt.body)
+		if len(crashes) < crashThreshold || !attempt.daemonConnected || attempt.sentAt.Before(crashes[crashThreshold-1].Add(reconnectTime)) {
 			continue
 		}
-		late[a.body] += len(r.site.Account.Runs(a.id))
+		runsByBody[attempt.body] += len(r.site.Account.Runs(attempt.id))
 	}
-	for body, n := range late {
-		if n > fatalRetries {
-			r.violate("%q reached upstreams %d times after three had ended under it; %d ended in all", body, n, len(r.site.Account.Ends(body)))
+	for body, n := range runsByBody {
+		if n > maxLateRuns {
+			r.addViolation("%q reached upstreams %d times after three had ended under it; %d ended in all", body, n, len(r.site.Account.Ends(body)))
 		}
 	}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,86 +9,90 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-// inject plays the schedule; faults overlap.
-func (r *run) inject(ctx context.Context, faults []fault) {
-	began := time.Now()
+// injectSchedule injects each fault at its time and waits for all of them to end. Faults may
+// overlap.
+func (r *run) injectSchedule(ctx context.Context, faults []fault) {
+	start := time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, f := range faults {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(began.Add(f.at))):
+		case <-time.After(time.Until(start.Add(f.start))):
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.strike(f)
+			r.injectFault(f)
 		}()
 	}
 }
 
-func (r *run) strike(f fault) {
-	switch f.act {
+// injectFault injects one fault and returns when it has ended.
+func (r *run) injectFault(f fault) {
+	switch f.action {
 	case actKill, actTerm, actPause, actHup:
-		r.disturb(r.daemons[f.target])
-		r.daemons[f.target].strike(f)
-		r.disturb(r.daemons[f.target])
+		r.recordDisturbance(r.daemons[f.target])
+		r.daemons[f.target].injectSignal(f)
+		r.recordDisturbance(r.daemons[f.target])
 	case actKillAll:
-		r.killAll()
+		r.killAllDaemons()
 	case actShedAll:
-		r.shedAll(f)
-	case actStore:
+		r.shedService(f)
+	case actStoreDown:
 		r.site.Store.SetDown(true)
-		r.disturb(nil)
-		time.Sleep(f.lasts)
+		r.recordDisturbance(nil)
+		time.Sleep(f.duration)
 		r.site.Store.SetDown(false)
-		r.disturb(nil)
-	case actHistory:
+		r.recordDisturbance(nil)
+	case actDropHistory:
 		r.site.Store.DropHistory()
-		r.disturb(nil)
-	case actConfig:
-		r.configure()
+		r.recordDisturbance(nil)
+	case actPublishConfig:
+		r.publishConfig()
 	case actWithdraw:
 		u, _ := r.upstream(f.target)
 		r.site.Withdraw(u.Name)
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		if r.site.Lives(u.Name) {
 			r.site.Register(u, "in_service")
 		}
 	case actLimit:
-		r.nameLimit(f)
+		r.reportLimit(f)
 	case actReset:
 		_, p := r.upstream(f.target)
-		p.reset()
-	case actSilent, actOneWay, actDelay:
-		modes := map[action]proxyMode{actSilent: silent, actOneWay: oneWay, actDelay: delaying}
+		p.resetConnections()
+	case actStall, actStallResponses, actDelay:
+		modes := map[action]proxyMode{actStall: stalled, actStallResponses: responsesStalled, actDelay: delayed}
 		_, p := r.upstream(f.target)
-		p.set(modes[f.act])
-		time.Sleep(f.lasts)
-		p.set(passing)
+		p.setMode(modes[f.action])
+		time.Sleep(f.duration)
+		p.setMode(transparent)
 	default:
 		u, _ := r.upstream(f.target)
-		u.SetFaults(upstreamFaults[f.act])
-		time.Sleep(f.lasts)
+		u.SetFaults(upstreamFaults[f.action])
+		time.Sleep(f.duration)
 		u.SetFaults(site.Faults{})
 	}
 }
 
-func (r *run) killAll() {
+// killAllDaemons kills and restarts all daemons at the same time.
+func (r *run) killAllDaemons() {
 	var wg sync.WaitGroup
 	for _, d := range r.daemons {
 		wg.Go(func() {
-			r.disturb(d)
-			d.strike(fault{act: actKill})
-			r.disturb(d)
+			r.recordDisturbance(d)
+			d.injectSignal(fault{action: actKill})
+			r.recordDisturbance(d)
 		})
 	}
 	wg.Wait()
 }
 
-// shedAll lets all upstreams of the target's service refuse for the time.
-func (r *run) shedAll(f fault) {
+// shedService makes all upstreams of the target's service reject requests for the duration of
+// the fault.
+func (r *run) shedService(f fault) {
 	all := r.upstreams()
 	service := all[f.target].Service
 	for _, u := range all {
@@ -96,7 +100,7 @@
 			u.SetFaults(upstreamFaults[actShed])
 		}
 	}
-	time.Sleep(f.lasts)
+	time.Sleep(f.duration)
 	for _, u := range all {
 		if u.Service == service {
 			u.SetFaults(site.Faults{})
@@ -104,29 +108,32 @@
 	}
 }
 
+// upstreamFaults maps actions to the faults that the simulated upstreams inject.
 var upstreamFaults = map[action]site.Faults{
-	actShed: {Shed: true}, actLost: {Reset: true}, actCut: {Cut: 2},
-	actDark: {Dark: true}, actFull: {Full: true}, actLapse: {LapsedHandles: true},
+	actShed: {Shed: true}, actLoseResponses: {Reset: true}, actCutStreams: {Cut: 2},
+	actUnresponsive: {Dark: true}, actRefuseReservations: {Full: true}, actExpirePrefills: {LapsedHandles: true},
 }
 
-// settleTime is how long a process that got SIGHUP is watched for its end.
-const settleTime = 100 * time.Millisecond
+// hupWatchTime is how long injectSignal waits after SIGHUP for the process to exit, which it
+// does only if SIGHUP arrived before its signal handler was installed.
+const hupWatchTime = 100 * time.Millisecond
 
-// strike signals the process. A new one is started when it has ended.
-func (d *daemon) strike(f fault) {
-	d.faults.Lock() // one signal after the other, as from one supervisor
-	defer d.faults.Unlock()
-	switch f.act {
+// injectSignal sends the fault's signal to the process, and restarts the daemon if that exits.
+func (d *daemon) injectSignal(f fault) {
+	d.faultMu.Lock() // signals do not overlap, as if one process supervisor sent them
+	defer d.faultMu.Unlock()
+	switch f.action {
 	case actHup:
 		select {
 		case <-d.signal(syscall.SIGHUP):
-			// It came before the process was set up for it; the platform starts it anew.
-		case <-time.After(settleTime):
+			// The process had not installed its signal handler yet, so SIGHUP ended it. The
+			// platform would restart it.
+		case <-time.After(hupWatchTime):
 			return
 		}
 	case actPause:
 		d.signal(syscall.SIGSTOP)
-		time.Sleep(f.lasts)
+		time.Sleep(f.duration)
 		d.signal(syscall.SIGCONT)
 		return
 	case actKill:
@@ -135,17 +142,17 @@
 		<-d.signal(syscall.SIGTERM)
 	}
 	if err := d.start(); err != nil {
-		panic(err) // the run cannot go on without the program
+		panic(err) // the run cannot continue without the daemon
 	}
 }
 
-// heal ends all faults of the site.
-func (r *run) heal() {
+// clearFaults ends all faults of the store, the upstreams and the proxies.
+func (r *run) clearFaults() {
 	r.site.Store.SetDown(false)
 	for i := range r.upstreams() {
 		u, p := r.upstream(i)
 		u.SetFaults(site.Faults{})
-		p.set(passing)
+		p.setMode(transparent)
 		if r.site.Lives(u.Name) {
 			r.site.Register(u, "in_service")
 		}
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -9,91 +9,94 @@
 )
 
 const (
-	// limitLength is how long an upstream names a limit: several windows past the time from
-	// which it is held.
-	limitLength = 11 * time.Second
-	// limitEvery is the mean pause between two that begin to.
-	limitEvery = 3 * time.Second
-	// toldTime is how long after a daemon passed on an answer that names a limit its requests
-	// count.
-	toldTime = 500 * time.Millisecond
+	// limitDuration is how long an upstream reports a limit: site.LimitContact, the time until
+	// which daemons may exceed it, and two times site.LimitWindow, in which it is enforced.
+	limitDuration = 11 * time.Second
+	// meanLimitInterval is the mean time between the starts of two limits.
+	meanLimitInterval = 3 * time.Second
+	// propagationTime is the time that a daemon has to apply a limit after it forwarded a response
+	// that reports it.
+	propagationTime = 500 * time.Millisecond
 )
 
-// namedLimits are the limits that upstreams name, in requests a second.
-var namedLimits = []float64{0.5, 2, 5.4, 20}
+// reportedLimits are the rate limits that upstreams report, in requests per second.
+var reportedLimits = []float64{0.5, 2, 5.4, 20}
 
-// limitSpan is a time in which an upstream names a limit.
+// limitSpan is a period in which an upstream reports a limit, in requests per second.
 type limitSpan struct {
-	u           *site.Upstream
-	limit       float64
-	from, until time.Time
+	upstream   *site.Upstream
+	limit      float64
+	start, end time.Time
 }
 
-// limitSeries draws when upstreams name limits. The same seed gives the same series.
-func limitSeries(seed uint64, length time.Duration, _, upstreams int) []fault {
+// limitFaults generates faults at random in which upstreams report a limit. The same seed gives
+// the same faults.
+func limitFaults(seed uint64, length time.Duration, _, upstreams int) []fault {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []fault
-	targets := rng.Perm(upstreams) // each once: no two of its limits overlap
-	for at := time.Duration(0); at < length && len(targets) > 0; at += time.Duration(rng.Int64N(int64(2 * limitEvery))) {
-		out = append(out, fault{at: at, lasts: limitLength, act: actLimit, target: targets[0], pick: rng.IntN(len(namedLimits))})
+	targets := rng.Perm(upstreams) // each upstream once, so that its limits do not overlap
+	for at := time.Duration(0); at < length && len(targets) > 0; at += time.Duration(rng.Int64N(int64(2 * meanLimitInterval))) {
+		out = append(out, fault{start: at, duration: limitDuration, action: actLimit, target: targets[0], limitIndex: rng.IntN(len(reportedLimits))})
 		targets = targets[1:]
 	}
 	return out
 }
 
-// nameLimit lets an upstream name a limit for the time.
-func (r *run) nameLimit(f fault) {
+// reportLimit makes an upstream report a limit for the duration of the fault.
+func (r *run) reportLimit(f fault) {
 	u, _ := r.upstream(f.target)
-	s := limitSpan{u: u, limit: namedLimits[f.pick], from: time.Now()}
+	s := limitSpan{upstream: u, limit: reportedLimits[f.limitIndex], start: time.Now()}
 	u.NameLimit(s.limit)
-	time.Sleep(f.lasts)
-	s.until = time.Now()
+	time.Sleep(f.duration)
+	s.end = time.Now()
 	u.NameLimitAs("")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limits = append(r.limits, s)
+	r.limitSpans = append(r.limitSpans, s)
 }
 
-// checkLimits holds what upstreams got while they named a limit against what that allows. A
-// daemon's requests count from toldTime after it has passed on an answer of the upstream, and
-// from the next one on where it was disturbed since.
+// checkLimits checks that upstreams received no more requests than the limit that they reported
+// allows. Requests of a daemon count only if it can have applied the limit: propagationTime
+// after it forwarded a response of the upstream, which reports the limit. After a disturbance
+// of the daemon, the time starts again with the next such response.
 func (r *run) checkLimits() {
-	by := map[string]*asked{}
-	for i := range r.asked {
-		by[r.asked[i].id] = &r.asked[i]
+	requestsByID := map[string]*sentRequest{}
+	for i := range r.requests {
+		requestsByID[r.requests[i].id] = &r.requests[i]
 	}
-	for _, s := range r.limits {
-		told := r.told(s)
+	for _, s := range r.limitSpans {
+		observations := r.limitObservations(s)
 		var counted []time.Time
-		for _, arrival := range s.u.Requests() {
-			a := by[arrival.ID]
-			if a == nil || arrival.At.Before(s.from.Add(site.LimitContact)) || !arrival.At.Before(s.until) {
+		for _, arrival := range s.upstream.Requests() {
+			sent := requestsByID[arrival.ID]
+			if sent == nil || arrival.At.Before(s.start.Add(site.LimitContact)) || !arrival.At.Before(s.end) {
 				continue
 			}
-			if at, ok := toldBefore(told[a.daemon], a.daemon.troublesBefore(arrival.At), arrival.At); ok && arrival.At.Sub(at) >= toldTime {
+			if observedAt, ok := firstObservation(observations[sent.daemon], sent.daemon.lastDisturbance(arrival.At), arrival.At); ok && arrival.At.Sub(observedAt) >= propagationTime {
 				counted = append(counted, arrival.At)
 			}
 		}
 		sortTimes(counted)
 		allowed := site.LimitAllows(s.limit)
 		for _, from := range counted {
-			if n := within(counted, from, from.Add(site.LimitWindow)); float64(n) > allowed {
-				r.violate("%s got %d requests in %v with a limit of %g a second, %.1f are allowed", s.u.Name, n, site.LimitWindow, s.limit, allowed)
+			if n := countBetween(counted, from, from.Add(site.LimitWindow)); float64(n) > allowed {
+				r.addViolation("%s got %d requests in %v with a limit of %g a second, %.1f are allowed", s.upstream.Name, n, site.LimitWindow, s.limit, allowed)
 				break
 			}
 		}
 	}
 }
 
-// told returns when daemons passed on whole answers that name the limit of a span.
-func (r *run) told(s limitSpan) map[*daemon][]time.Time {
+// limitObservations returns the times at which each daemon had forwarded a complete response
+// that reports the limit of a span, in order.
+func (r *run) limitObservations(s limitSpan) map[*daemon][]time.Time {
 	out := map[*daemon][]time.Time{}
-	for _, a := range r.asked {
-		if !a.whole || a.at.Before(s.from) || a.ended.After(s.until) {
+	for _, sent := range r.requests {
+		if !sent.complete || sent.sentAt.Before(s.start) || sent.endedAt.After(s.end) {
 			continue
 		}
-		if runs := r.site.Account.Runs(a.id); len(runs) > 0 && runs[len(runs)-1].Upstream == s.u.Name {
-			out[a.daemon] = append(out[a.daemon], a.ended)
+		if runs := r.site.Account.Runs(sent.id); len(runs) > 0 && runs[len(runs)-1].Upstream == s.upstream.Name {
+			out[sent.daemon] = append(out[sent.daemon], sent.endedAt)
 		}
 	}
 	for _, list := range out {
@@ -102,18 +105,20 @@
 	return out
 }
 
-// toldBefore returns the first answer after the last trouble before a time.
-func toldBefore(answers []time.Time, trouble, before time.Time) (at time.Time, ok bool) {
-	i := slices.IndexFunc(answers, func(t time.Time) bool { return t.After(trouble) })
-	if i < 0 || !answers[i].Before(before) {
+// firstObservation returns the first of the observations after a disturbance, if it is earlier
+// than before.
+func firstObservation(observations []time.Time, disturbance, before time.Time) (at time.Time, ok bool) {
+	i := slices.IndexFunc(observations, func(t time.Time) bool { return t.After(disturbance) })
+	if i < 0 || !observations[i].Before(before) {
 		return at, false
 	}
-	return answers[i], true
+	return observations[i], true
 }
 
-// troublesBefore returns when the daemon was last disturbed before a time.
-func (d *daemon) troublesBefore(at time.Time) (last time.Time) {
-	for _, t := range d.troubles {
+// lastDisturbance returns the time of the daemon's last disturbance before a time, or the zero
+// time.
+func (d *daemon) lastDisturbance(at time.Time) (last time.Time) {
+	for _, t := range d.disturbances {
 		if t.Before(at) && t.After(last) {
 			last = t
 		}
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,109 +9,113 @@
 	"github.com/pkg/errors"
 )
 
-// proxyMode is what a proxy does to what passes.
+// proxyMode is the fault that a proxy injects into its connections.
 type proxyMode uint8
 
 const (
-	passing  proxyMode = iota
-	delaying           // each piece comes late
-	silent             // nothing passes, and nothing is closed
-	oneWay             // nothing comes back
+	transparent      proxyMode = iota // no fault
+	delayed                           // each chunk is delayed by chunkDelay
+	stalled                           // nothing is forwarded, and connections stay open
+	responsesStalled                  // requests are forwarded, responses are not
 )
 
-// pieceDelay is how late a piece comes through a proxy that delays.
-const pieceDelay = 40 * time.Millisecond
+// chunkDelay is the delay of each chunk in mode delayed.
+const chunkDelay = 40 * time.Millisecond
 
-// proxy passes connections on to one address and harms them from outside.
+// proxy is a TCP proxy that forwards connections to one address and injects faults into them.
 type proxy struct {
-	ln net.Listener
-	to string
-	wg sync.WaitGroup
+	listener net.Listener
+	target   string
+	wg       sync.WaitGroup
 
-	mu     sync.Mutex
-	mode   proxyMode
-	change chan struct{} // closed when the mode changes
-	conns  map[net.Conn]bool
+	mu          sync.Mutex
+	mode        proxyMode
+	modeChanged chan struct{} // closed when the mode changes
+	conns       map[net.Conn]bool
 }
 
-func newProxy(to string) (*proxy, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// newProxy starts a proxy on a free loopback port.
+func newProxy(target string) (*proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for a proxy")
 	}
-	p := &proxy{ln: ln, to: to, change: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p := &proxy{listener: listener, target: target, modeChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
 	p.wg.Add(1)
 	go p.accept()
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.ln.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m proxyMode) {
+// setMode changes the mode, also for chunks that the previous mode blocks.
+func (p *proxy) setMode(m proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	close(p.change)
-	p.change = make(chan struct{})
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 }
 
-// reset breaks all connections off.
-func (p *proxy) reset() {
+// resetConnections closes all connections with a TCP reset.
+func (p *proxy) resetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a reset in place of a clean end
+			_ = tcp.SetLinger(0) // makes Close send RST instead of FIN
 		}
 		_ = c.Close()
 	}
 }
 
 func (p *proxy) close() {
-	_ = p.ln.Close()
-	p.set(passing)
-	p.reset()
+	_ = p.listener.Close()
+	p.setMode(transparent)
+	p.resetConnections()
 	p.wg.Wait()
 }
 
+// accept connects each accepted connection to the target, until the proxy is closed.
 func (p *proxy) accept() {
 	defer p.wg.Done()
 	for {
-		near, err := p.ln.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the proxy is closed
 		}
-		far, err := net.Dial("tcp", p.to)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
 		p.mu.Lock()
-		p.conns[near], p.conns[far] = true, true
+		p.conns[client], p.conns[server] = true, true
 		p.mu.Unlock()
 		p.wg.Add(2)
-		go p.pump(far, near, false)
-		go p.pump(near, far, true)
+		go p.forward(server, client, false)
+		go p.forward(client, server, true)
 	}
 }
 
-// pump copies one direction; back says that it is that of answers.
-func (p *proxy) pump(to, from net.Conn, back bool) {
+// forward copies one direction of a connection, and closes the connection at its end.
+// isResponse is set for the direction from the upstream to the daemon.
+func (p *proxy) forward(dst, src net.Conn, isResponse bool) {
 	defer p.wg.Done()
 	defer func() {
 		p.mu.Lock()
-		delete(p.conns, to)
-		delete(p.conns, from)
+		delete(p.conns, dst)
+		delete(p.conns, src)
 		p.mu.Unlock()
-		_ = to.Close()
-		_ = from.Close()
+		_ = dst.Close()
+		_ = src.Close()
 	}()
 	buf := make([]byte, 16<<10)
 	for {
-		n, err := from.Read(buf)
+		n, err := src.Read(buf)
 		if n > 0 {
-			p.hold(back)
-			if _, err := to.Write(buf[:n]); err != nil {
+			p.waitForMode(isResponse)
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
@@ -119,24 +123,24 @@
 			if !errors.Is(err, io.EOF) {
 				return
 			}
-			p.hold(back)
+			p.waitForMode(isResponse)
 			return
 		}
 	}
 }
 
-// hold waits for as long as the mode says.
-func (p *proxy) hold(back bool) {
+// waitForMode blocks a chunk for as long as the proxy's mode requires.
+func (p *proxy) waitForMode(isResponse bool) {
 	for {
 		p.mu.Lock()
-		mode, change := p.mode, p.change
+		mode, modeChanged := p.mode, p.modeChanged
 		p.mu.Unlock()
 		switch {
-		case mode == delaying:
-			time.Sleep(pieceDelay)
+		case mode == delayed:
+			time.Sleep(chunkDelay)
 			return
-		case mode == silent, mode == oneWay && back:
-			<-change
+		case mode == stalled, mode == responsesStalled && isResponse:
+			<-modeChanged
 		default:
 			return
 		}
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -7,14 +7,16 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-// What all daemons together may send again to one service.
+// The retry budget of a service, which the settings give to the daemons: in any retryWindow, all
+// daemons together may send retryRatio times as many retries as they got requests, plus
+// retrySlack.
 const (
 	retryRatio  = 0.2
 	retrySlack  = 10.0
 	retryWindow = 2 * time.Second
 )
 
-// serviceOf tells the service of a path's route.
+// serviceOf returns the service to which the route of a path leads.
 func serviceOf(path string) string {
 	if path == site.PathDraft || path == site.PathOnce {
 		return site.EngineSet
@@ -22,28 +24,29 @@
 	return site.PlainSet
 }
 
-// checkRepeats holds what upstreams saw against the bound, in each window that begins with
-// an arrival beyond the first of its request. The requests count in the window, in the one
-// before it or in the one half a window before it, whichever has most.
-func (r *run) checkRepeats() {
-	requests, repeats := map[string][]time.Time{}, map[string][]time.Time{}
-	for _, a := range r.asked {
-		requests[serviceOf(a.path)] = append(requests[serviceOf(a.path)], a.at)
+// checkRetryBudget checks that upstreams received no more retries than allowed, in each window
+// that begins with a retry. A retry is any arrival of a request at an upstream after its first.
+// The limit follows from the number of requests in the window, or in the same window shifted
+// back by half or all of its length, whichever is largest.
+func (r *run) checkRetryBudget() {
+	requests, retries := map[string][]time.Time{}, map[string][]time.Time{}
+	for _, sent := range r.requests {
+		requests[serviceOf(sent.path)] = append(requests[serviceOf(sent.path)], sent.sentAt)
 	}
 	for _, p := range r.site.Account.Repeats() {
-		repeats[p.Service] = append(repeats[p.Service], p.At)
+		retries[p.Service] = append(retries[p.Service], p.At)
 	}
-	for service, list := range repeats {
+	for service, list := range retries {
 		sortTimes(list)
 		sortTimes(requests[service])
 		for _, from := range list {
-			most := 0
-			for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
-				most = max(most, within(requests[service], from.Add(-back), from.Add(retryWindow-back)))
+			requestCount := 0
+			for _, shift := range []time.Duration{0, retryWindow / 2, retryWindow} {
+				requestCount = max(requestCount, countBetween(requests[service], from.Add(-shift), from.Add(retryWindow-shift)))
 			}
-			n, allowed := within(list, from, from.Add(retryWindow)), retryRatio*float64(most)+retrySlack
+			n, allowed := countBetween(list, from, from.Add(retryWindow)), retryRatio*float64(requestCount)+retrySlack
 			if float64(n) > allowed {
-				r.violate("%s got %d repeats in %v, %.1f are allowed for %d requests", service, n, retryWindow, allowed, most)
+				r.addViolation("%s got %d repeats in %v, %.1f are allowed for %d requests", service, n, retryWindow, allowed, requestCount)
 				break
 			}
 		}
@@ -54,8 +57,8 @@
 	sort.Slice(list, func(i, j int) bool { return list[i].Before(list[j]) })
 }
 
-// within counts the times in a span; list is in order.
-func within(list []time.Time, from, until time.Time) int {
+// countBetween returns how many times of the sorted list are in [from, until).
+func countBetween(list []time.Time, from, until time.Time) int {
 	after := func(at time.Time) int {
 		return sort.Search(len(list), func(i int) bool { return !list[i].Before(at) })
 	}
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -6,70 +6,73 @@
 	"time"
 )
 
-// action is what a fault does.
+// action is the kind of a fault.
 type action string
 
-// The faults. Those of daemons are signals; those of upstreams and the store are
-// switches of the stand-ins or of the proxies before them.
+// The faults. Those of daemons are signals. Those of upstreams and of the store are injected by
+// the simulated platform or by the proxies in front of the upstreams. Faults with a duration
+// end after it.
 const (
-	actKill     action = "kill"     // SIGKILL, and a new process
-	actTerm     action = "term"     // SIGTERM, and a new process once it has ended
-	actPause    action = "pause"    // SIGSTOP, and SIGCONT after the time
-	actHup      action = "hup"      // SIGHUP
-	actReset    action = "reset"    // connections to an upstream are reset
-	actSilent   action = "silent"   // and go silent for the time
-	actOneWay   action = "one-way"  // and bring nothing back
-	actDelay    action = "delay"    // and are slow
-	actShed     action = "shed"     // an upstream refuses
-	actLost     action = "lost"     // an upstream runs requests and loses the answers
-	actCut      action = "cut"      // streams break off
-	actDark     action = "dark"     // an upstream answers nothing
-	actFull     action = "full"     // an engine refuses reservations
-	actLapse    action = "lapse"    // results of prefills lapse at once
-	actStore    action = "store"    // the store refuses all
-	actHistory  action = "history"  // the store forgets its history
-	actConfig   action = "config"   // a new version
-	actWithdraw action = "withdraw" // an upstream's registration goes and comes back
+	actKill               action = "kill"     // a daemon gets SIGKILL and is restarted
+	actTerm               action = "term"     // a daemon gets SIGTERM and is restarted once it has exited
+	actPause              action = "pause"    // a daemon gets SIGSTOP, and SIGCONT after the duration
+	actHup                action = "hup"      // a daemon gets SIGHUP
+	actReset              action = "reset"    // the proxy resets the connections to an upstream
+	actStall              action = "silent"   // the proxy forwards nothing and keeps connections open
+	actStallResponses     action = "one-way"  // the proxy forwards requests but no responses
+	actDelay              action = "delay"    // the proxy delays what it forwards
+	actShed               action = "shed"     // an upstream rejects requests
+	actLoseResponses      action = "lost"     // an upstream runs requests and closes the connection
+	actCutStreams         action = "cut"      // an upstream breaks streams off
+	actUnresponsive       action = "dark"     // an upstream accepts requests and does not respond
+	actRefuseReservations action = "full"     // an engine refuses reservations
+	actExpirePrefills     action = "lapse"    // an upstream refuses results of prefills as expired
+	actStoreDown          action = "store"    // the store rejects every call
+	actDropHistory        action = "history"  // the store deletes all records but the latest of each key
+	actPublishConfig      action = "config"   // a new version of the configuration is published
+	actWithdraw           action = "withdraw" // the registration of an upstream is withdrawn and restored
 
-	actKillAll action = "kill all" // SIGKILL for all daemons, and new processes
-	actShedAll action = "shed all" // all upstreams of the target's service refuse
-	actLimit   action = "limit"    // an upstream names a rate limit
+	actKillAll action = "kill all" // all daemons get SIGKILL and are restarted
+	actShedAll action = "shed all" // all upstreams of the target's service reject requests
+	actLimit   action = "limit"    // an upstream reports a rate limit
 )
 
+// The actions that faultSchedule draws from, by their kind of target.
 var daemonActions = []action{actKill, actTerm, actPause, actHup}
 
-var upstreamActions = []action{actReset, actSilent, actOneWay, actDelay, actShed, actLost, actCut, actDark, actFull, actLapse, actWithdraw}
+var upstreamActions = []action{actReset, actStall, actStallResponses, actDelay, actShed, actLoseResponses, actCutStreams, actUnresponsive, actRefuseReservations, actExpirePrefills, actWithdraw}
 
-var storeActions = []action{actStore, actHistory, actConfig}
+var storeActions = []action{actStoreDown, actDropHistory, actPublishConfig}
 
-// fault is one entry of a schedule.
+// fault is one entry of a schedule: an action that starts at a time since the start of the run.
 type fault struct {
-	at     time.Duration
-	lasts  time.Duration
-	act    action
-	target int // which daemon or upstream
-	pick   int // which of the namedLimits
+	start      time.Duration
+	duration   time.Duration
+	action     action
+	target     int // index of the daemon or upstream
+	limitIndex int // index in reportedLimits, for actLimit
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%5.2f s %-8s target %d for %.2f s", f.at.Seconds(), f.act, f.target, f.lasts.Seconds())
+	return fmt.Sprintf("%5.2f s %-8s target %d for %.2f s", f.start.Seconds(), f.action, f.target, f.duration.Seconds())
 }
 
-// herd draws series in which a whole service refuses while all daemons are killed and
-// started again, twice or more, and some are paused. The same seed gives the same series.
+// correlatedFaults generates series of faults at random: while all upstreams of a service reject
+// requests, all daemons are killed and restarted, twice or more, and single daemons are paused.
+// The same seed gives the same series.
 //
-// Drawn one by one, these hardly ever meet: one upstream of several that refuses leaves
-// retries far below what is allowed.
-func herd(seed uint64, length time.Duration, daemons, upstreams int) []fault {
-	const spell = 4 * time.Second
+// Independent faults hardly ever coincide like this. If only one of several upstreams rejects
+// requests, the number of retries stays far below its limit.
+func correlatedFaults(seed uint64, length time.Duration, daemons, upstreams int) []fault {
+	const seriesLength = 4 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var out []fault
-	for at := time.Duration(0); at+spell <= length; at += spell {
-		out = append(out, fault{at: at, lasts: spell, act: actShedAll, target: rng.IntN(upstreams)})
-		for in := time.Duration(rng.Int64N(int64(spell / 4))); in < spell; in += time.Duration(300+rng.IntN(1500)) * time.Millisecond {
-			f := fault{at: at + in, act: actKillAll}
+	for at := time.Duration(0); at+seriesLength <= length; at += seriesLength {
+		out = append(out, fault{start: at, duration: seriesLength, action: actShedAll, target: rng.IntN(upstreams)})
+		for offset := time.Duration(rng.Int64N(int64(seriesLength / 4))); offset < seriesLength; offset += time.Duration(300+rng.IntN(1500)) * time.Millisecond {
+			f := fault{start: at + offset, action: actKillAll}
 			if rng.IntN(3) == 0 {
-				f = fault{at: at + in, lasts: time.Second, act: actPause, target: rng.IntN(daemons)}
+				f = fault{start: at + offset, duration: time.Second, action: actPause, target: rng.IntN(daemons)}
 			}
 			out = append(out, f)
 		}
@@ -77,24 +80,24 @@
 	return out
 }
 
-// schedule draws the faults of a run. The same seed gives the same schedule. Faults
-// come in series and overlap, on the same target too.
-func schedule(seed uint64, length time.Duration, daemons, upstreams int) []fault {
+// faultSchedule generates the independent faults of a run at random. The same seed gives the
+// same schedule. Faults may overlap, also on the same target.
+func faultSchedule(seed uint64, length time.Duration, daemons, upstreams int) []fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	const perSecond = 2.5
 	var out []fault
 	for range int(length.Seconds() * perSecond) {
 		f := fault{
-			at:    time.Duration(rng.Int64N(int64(length))),
-			lasts: time.Duration(100+rng.IntN(1400)) * time.Millisecond,
+			start:    time.Duration(rng.Int64N(int64(length))),
+			duration: time.Duration(100+rng.IntN(1400)) * time.Millisecond,
 		}
 		switch rng.IntN(4) {
 		case 0:
-			f.act, f.target = daemonActions[rng.IntN(len(daemonActions))], rng.IntN(daemons)
+			f.action, f.target = daemonActions[rng.IntN(len(daemonActions))], rng.IntN(daemons)
 		case 1:
-			f.act = storeActions[rng.IntN(len(storeActions))]
+			f.action = storeActions[rng.IntN(len(storeActions))]
 		default:
-			f.act, f.target = upstreamActions[rng.IntN(len(upstreamActions))], rng.IntN(upstreams)
+			f.action, f.target = upstreamActions[rng.IntN(len(upstreamActions))], rng.IntN(upstreams)
 		}
 		out = append(out, f)
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,8 @@
-// Package soak runs real daemons as separate processes on loopback, before a stand-in
-// of the users' platform, and injects faults from outside them by a seeded schedule:
-// signals, connections that a proxy harms, upstreams and a store that misbehave. While
-// callers ask, it checks what is promised to them from what callers and upstreams see.
+// Package soak is a fault-injection test. It runs real daemons as separate processes on
+// loopback, against a simulated platform with a store and upstreams, and injects faults from
+// outside by a seeded schedule: signals to daemons, TCP faults by proxies, and faults of
+// upstreams and of the store. Meanwhile callers send requests, and the test checks the daemons'
+// guarantees by the responses that callers receive and the requests that upstreams receive.
 package soak
 
 import (
@@ -23,78 +24,87 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-// Options are the size of one run.
+// Options configure one run.
 type Options struct {
-	// Bin is the corianderturn program, and Dir holds settings and logs.
+	// Bin is the path of the corianderturn program. Dir is the folder for settings and logs.
 	Bin, Dir string
-	Seed     uint64
-	// Length is how long faults come; what follows is calm.
-	Length  time.Duration
+	// Seed determines the fault schedule.
+	Seed uint64
+	// Length is the time in which faults start. After the last fault, the run checks that the
+	// daemons recover.
+	Length time.Duration
+	// Daemons and Callers are the numbers of daemons and of concurrent callers.
 	Daemons int
 	Callers int
-	// Herd adds series in which a service refuses and all daemons are killed.
+	// Herd adds series of faults in which all upstreams of a service reject requests while all
+	// daemons are killed and restarted.
 	Herd bool
-	// Teams gives callers keys, and one team more callers than its limit bears.
+	// Teams makes callers send the keys of two teams, one of which exceeds its quota.
 	Teams bool
-	// Limits lets upstreams name rate limits.
+	// Limits makes upstreams report rate limits.
 	Limits bool
-	// Fatal adds callers that repeat requests which end each upstream that runs them.
+	// Fatal adds callers that send fatal requests, which crash every upstream that runs them.
 	Fatal bool
 }
 
-// Result is what a run saw.
+// Result holds the findings of one run.
 type Result struct {
+	// Asked counts the requests of callers. Of these, Whole were answered completely, Refused
+	// rejected with status 429 or 503, Broken cut off during the response, and Failed ended in
+	// any other way.
 	Asked, Whole, Refused, Failed, Broken int64
-	// Violations are broken promises; none in a run that passes.
+	// Violations describes each violated guarantee; it is empty if the run passed.
 	Violations []string
-	// Schedule lists the faults, for the report of a run that fails.
+	// Schedule describes the faults, for the report of a failed run.
 	Schedule []string
 }
 
-// events is the length of the stand-ins' streams, and eventPause the time between two.
 const (
-	events     = 6
-	eventPause = 15 * time.Millisecond
-	// healTime bounds the wait for daemons to serve again after the last fault: a
-	// generous many times of what ejections and restarts take.
-	healTime = 30 * time.Second
+	// streamEvents is the number of events in a stream of a simulated engine, and eventInterval
+	// the time between two of them.
+	streamEvents  = 6
+	eventInterval = 15 * time.Millisecond
+	// recoveryTimeout bounds the time until daemons serve again after the last fault. It is many
+	// times as long as the ejection of an upstream or a restart takes.
+	recoveryTimeout = 30 * time.Second
 )
 
+// run is the state of a run in progress.
 type run struct {
-	o       Options
-	site    *site.Site
-	ups     []*site.Upstream
-	proxies []*proxy
-	daemons []*daemon
-	version atomic.Int64
-	ids     atomic.Int64
+	options          Options
+	site             *site.Site
+	currentUpstreams []*site.Upstream
+	proxies          []*proxy
+	daemons          []*daemon
+	version          atomic.Int64
+	idCount          atomic.Int64
 
-	mu     sync.Mutex
-	result Result
-	asked  []asked
-	// fatal are the attempts at requests that end upstreams, and troubled is when the store
-	// was last disturbed.
-	fatal    []fatalAsk
-	troubled time.Time
-	// limits are the times in which upstreams named limits.
-	limits []limitSpan
+	mu       sync.Mutex
+	result   Result
+	requests []sentRequest
+	// fatalAttempts are the attempts to send fatal requests. storeDisturbedAt is the time of the
+	// last fault of the store. limitSpans are the periods in which upstreams reported limits.
+	fatalAttempts    []fatalAttempt
+	storeDisturbedAt time.Time
+	limitSpans       []limitSpan
 }
 
-// Run plays one seed. Its error is about the run itself, not about promises.
+// Run executes one run. It returns an error if the run could not be carried out; violated
+// guarantees are in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	r := &run{o: o}
+	r := &run{options: o}
 	defer r.close()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	faults := schedule(o.Seed, o.Length, o.Daemons, len(r.ups))
+	faults := faultSchedule(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))
 	if o.Herd {
-		faults = append(faults, herd(o.Seed, o.Length, o.Daemons, len(r.ups))...)
+		faults = append(faults, correlatedFaults(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))...)
 	}
 	if o.Limits {
-		faults = append(faults, limitSeries(o.Seed, o.Length, o.Daemons, len(r.ups))...)
+		faults = append(faults, limitFaults(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))...)
 	}
-	sort.SliceStable(faults, func(i, j int) bool { return faults[i].at < faults[j].at })
+	sort.SliceStable(faults, func(i, j int) bool { return faults[i].start < faults[j].start })
 	for _, f := range faults {
 		r.result.Schedule = append(r.result.Schedule, f.String())
 	}
@@ -105,42 +115,44 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.caller(callers, uint64(i))
+			r.runCaller(callers, uint64(i))
 		}()
 	}
-	for i := 0; o.Fatal && i < fatalCallers; i++ {
+	for i := 0; o.Fatal && i < fatalCallerCount; i++ {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.fatalCaller(callers, i)
+			r.runFatalCaller(callers, i)
 		}()
 	}
-	r.inject(ctx, faults)
-	r.heal()
-	r.checkServing(ctx)
+	r.injectSchedule(ctx, faults)
+	r.clearFaults()
+	r.checkRecovery(ctx)
 	stop()
 	wg.Wait()
-	r.checkAccount()
-	r.checkRepeats()
-	r.checkFatal()
+	r.checkExecutions()
+	r.checkRetryBudget()
+	r.checkFatalRequests()
 	r.checkTeams()
 	r.checkLimits()
-	r.checkHeld(ctx)
+	r.checkNothingHeld(ctx)
 	return &r.result, nil
 }
 
+// start starts the platform, the upstreams with a proxy in front of each, and the daemons, and
+// waits until the daemons are ready.
 func (r *run) start(ctx context.Context) error {
 	var err error
 	if r.site, err = site.New(); err != nil {
 		return err
 	}
-	r.configure()
+	r.publishConfig()
 	for i, role := range []string{"prefill", "prefill", "decode", "decode", "decode", "", ""} {
-		n := events
+		events := streamEvents
 		if role == "" {
-			n = 0
+			events = 0
 		}
-		u, err := r.site.Add(fmt.Sprintf("u%d", i), "dc1", role, n, eventPause)
+		u, err := r.site.Add(fmt.Sprintf("u%d", i), "dc1", role, events, eventInterval)
 		if err != nil {
 			return err
 		}
@@ -150,14 +162,14 @@
 		}
 		u.SetPublic(p.address())
 		r.site.Register(u, "in_service")
-		r.ups, r.proxies = append(r.ups, u), append(r.proxies, p)
+		r.currentUpstreams, r.proxies = append(r.currentUpstreams, u), append(r.proxies, p)
 	}
-	relays, err := r.relays()
+	relayAddresses, err := r.relayAddresses()
 	if err != nil {
 		return err
 	}
-	for i := range r.o.Daemons {
-		d, err := newDaemon(r.o, i, r.site.StoreAddress(), relays)
+	for i := range r.options.Daemons {
+		d, err := newDaemon(r.options, i, r.site.StoreAddress(), relayAddresses)
 		if err != nil {
 			return err
 		}
@@ -169,22 +181,24 @@
 	return r.awaitReady(ctx)
 }
 
-func (r *run) configure() {
+// publishConfig publishes a new version of the configuration to the store.
+func (r *run) publishConfig() {
 	version := r.version.Add(1)
 	r.setTeams(version)
 	r.site.Configure(int(version))
 }
 
+// awaitReady waits until all daemons are ready.
 func (r *run) awaitReady(ctx context.Context) error {
 	for _, d := range r.daemons {
-		if !waitFor(ctx, healTime, d.ready) {
+		if !waitFor(ctx, recoveryTimeout, d.ready) {
 			return errors.Errorf("daemon %d was not ready", d.index)
 		}
 	}
 	return nil
 }
 
-// waitFor polls a condition.
+// waitFor polls a condition until it holds, and reports whether it did within the limit.
 func waitFor(ctx context.Context, limit time.Duration, ok func() bool) bool {
 	const pause = 10 * time.Millisecond
 	for end := time.Now().Add(limit); !ok(); {
@@ -196,45 +210,48 @@
 	return true
 }
 
-func (r *run) violate(format string, args ...any) {
+// addViolation records a violated guarantee.
+func (r *run) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result.Violations = append(r.result.Violations, fmt.Sprintf(format, args...))
 }
 
+// close stops the daemons, the platform and the proxies.
 func (r *run) close() {
 	for _, d := range r.daemons {
 		d.kill()
 	}
 	if r.site != nil {
-		r.site.Close() // it waits for upstreams that are being replaced, and their proxies
+		r.site.Close() // waits for replacements of upstreams in progress, which add proxies
 	}
 	for _, p := range r.proxies {
 		p.close()
 	}
 }
 
-// daemon is one process; only processes that it started are ever signalled.
+// daemon controls one daemon: its current process and its files. It signals only processes that
+// it started.
 type daemon struct {
-	o           Options
-	index       int
-	front, addr string // callers' and readiness addresses
-	settings    string
-	faults      sync.Mutex // held while a signal of the schedule is at work
-	troubled    time.Time  // when it was last disturbed; run.mu guards it and the next
-	troubles    []time.Time
+	options                      Options
+	index                        int
+	callersAddress, readyAddress string // listen addresses for callers and for the readiness probe
+	settingsPath                 string
+	faultMu                      sync.Mutex // held during injectSignal, so that signals do not overlap
+	disturbedAt                  time.Time  // the last of disturbances; run.mu guards both
+	disturbances                 []time.Time
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// relays returns the addresses at which daemons listen for each other; none in a run
-// without teams and limits.
-func (r *run) relays() ([]string, error) {
+// relayAddresses returns the addresses at which daemons listen for other daemons. It returns
+// none in a run without teams and limits, where daemons need not communicate.
+func (r *run) relayAddresses() ([]string, error) {
 	var out []string
-	for i := 0; (r.o.Teams || r.o.Limits) && i < r.o.Daemons; i++ {
-		address, err := freeAddress()
+	for i := 0; (r.options.Teams || r.options.Limits) && i < r.options.Daemons; i++ {
+		address, err := findFreeAddress()
 		if err != nil {
 			return nil, err
 		}
@@ -243,57 +260,59 @@
 	return out, nil
 }
 
-func newDaemon(o Options, index int, store string, relays []string) (*daemon, error) {
-	d := &daemon{o: o, index: index, settings: filepath.Join(o.Dir, fmt.Sprintf("d%d.yaml", index))}
+// newDaemon writes the settings of a daemon and does not start it yet.
+func newDaemon(o Options, index int, storeAddress string, relayAddresses []string) (*daemon, error) {
+	d := &daemon{options: o, index: index, settingsPath: filepath.Join(o.Dir, fmt.Sprintf("d%d.yaml", index))}
 	var err error
-	if d.front, err = freeAddress(); err != nil {
+	if d.callersAddress, err = findFreeAddress(); err != nil {
 		return nil, err
 	}
-	if d.addr, err = freeAddress(); err != nil {
+	if d.readyAddress, err = findFreeAddress(); err != nil {
 		return nil, err
 	}
-	text := fmt.Sprintf("instance: {name: d%d, data_centre: dc1}\ncallers: {listen: %q}\nready: {listen: %q}\nstore: {address: %q}\nretries: {ratio: %g, slack: %g, window: %s}\nquota: {window: %s, excess: %g, slack: %g}\ndrain: {notice: 100ms, grace: 6s}\nlimits: {memory_mb: 512}\n",
-		index, d.front, d.addr, store, retryRatio, retrySlack, retryWindow, quotaWindow, quotaExcess, quotaSlack)
-	if len(relays) > 0 {
-		text += fmt.Sprintf("relay: {listen: %q, seeds: [%q], data_centres: [dc1]}\n", relays[index], relays[0])
+	settings := fmt.Sprintf("instance: {name: d%d, data_centre: dc1}\ncallers: {listen: %q}\nready: {listen: %q}\nstore: {address: %q}\nretries: {ratio: %g, slack: %g, window: %s}\nquota: {window: %s, excess: %g, slack: %g}\ndrain: {notice: 100ms, grace: 6s}\nlimits: {memory_mb: 512}\n",
+		index, d.callersAddress, d.readyAddress, storeAddress, retryRatio, retrySlack, retryWindow, quotaWindow, quotaExcess, quotaSlack)
+	if len(relayAddresses) > 0 {
+		settings += fmt.Sprintf("relay: {listen: %q, seeds: [%q], data_centres: [dc1]}\n", relayAddresses[index], relayAddresses[0])
 	}
 	const mode = 0o600
-	return d, errors.WithStack(os.WriteFile(d.settings, []byte(text), mode))
+	return d, errors.WithStack(os.WriteFile(d.settingsPath, []byte(settings), mode))
 }
 
-// The ports that daemons are given: above the reserved ones, and below those that Linux
-// gives to outgoing connections.
-const lowPort, highPort = 10_240, 32_768
+// The range of ports for daemons, including minPort and excluding maxPort: above the reserved
+// ports and below the ephemeral ports of Linux, which outgoing connections use.
+const minPort, maxPort = 10_240, 32_768
 
-// freeAddress returns an address that was free a moment ago.
+// findFreeAddress returns a loopback address whose port is currently free.
 //
-// What goes wrong with a port that the system picks: it is one of those for outgoing
-// connections, and a connection of this or another run has it before the daemon binds,
-// which ends with "address already in use" and is never ready.
-func freeAddress() (string, error) {
+// It does not let the kernel pick the port, since that would be an ephemeral one: an outgoing
+// connection of this or another run can take it before the daemon binds it, and the daemon
+// exits with "address already in use".
+func findFreeAddress() (string, error) {
 	const tries = 100
 	var err error
 	for range tries {
-		var ln net.Listener
-		address := fmt.Sprintf("127.0.0.1:%d", lowPort+rand.IntN(highPort-lowPort))
-		if ln, err = net.Listen("tcp", address); err == nil {
-			ln.Close()
+		var listener net.Listener
+		address := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(maxPort-minPort))
+		if listener, err = net.Listen("tcp", address); err == nil {
+			listener.Close()
 			return address, nil
 		}
 	}
 	return "", errors.Wrap(err, "find a free port")
 }
 
+// start starts a process, which appends its output to the daemon's log.
 func (d *daemon) start() error {
 	const mode = 0o600
-	out, err := os.OpenFile(filepath.Join(d.o.Dir, fmt.Sprintf("d%d.log", d.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, mode)
+	out, err := os.OpenFile(filepath.Join(d.options.Dir, fmt.Sprintf("d%d.log", d.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, mode)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	defer out.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	cmd := exec.Command(d.o.Bin, "attach", "--settings", d.settings)
+	cmd := exec.Command(d.options.Bin, "attach", "--settings", d.settingsPath)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, "start a daemon")
@@ -302,18 +321,20 @@
 	d.cmd, d.done = cmd, done
 	go func() {
 		defer close(done)
-		_ = cmd.Wait() // it is killed in most runs
+		_ = cmd.Wait() // an error is expected, since most processes are killed
 	}()
 	return nil
 }
 
+// signal sends a signal to the process. The channel is closed when the process has exited.
 func (d *daemon) signal(s syscall.Signal) <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.cmd.Process.Signal(s) // it may have ended
+	_ = d.cmd.Process.Signal(s) // fails if the process has exited
 	return d.done
 }
 
+// kill kills the process and waits for its exit.
 func (d *daemon) kill() {
 	d.mu.Lock()
 	cmd := d.cmd
@@ -323,4 +344,4 @@
 	}
 }
 
-func (d *daemon) ready() bool { return site.Ready(probeClient, d.addr) }
+func (d *daemon) ready() bool { return site.Ready(readinessClient, d.readyAddress) }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,34 +10,35 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// plays are the runs of CI: a short one, and each that ever broke a promise, with a
-// line on its cause. The schedule follows from the seed, the length and the daemons.
-var plays = []Options{
+// ciRuns are the runs for CI: a short one, regression tests for faults that soak runs have
+// found, and one for each of Limits and Teams. Seed, Length and Daemons determine the schedule.
+var ciRuns = []Options{
 	{Seed: 1, Length: 4 * time.Second, Daemons: 2, Callers: 6},
-	// SIGHUP ended a process that had just begun and was not set up for it yet.
+	// Guards against a SIGHUP that ends a starting process because it has not installed its
+	// signal handler yet.
 	{Seed: 101, Length: 8 * time.Second, Daemons: 3, Callers: 6},
-	// Each life had its whole part of the retries again, and all were killed while the
-	// engines refused.
+	// Guards against exceeding the retry budget: each restarted daemon had its full share of the
+	// budget again, while all daemons were killed repeatedly and the engines rejected requests.
 	{Seed: 2, Length: 8 * time.Second, Daemons: 3, Callers: 24, Herd: true},
-	// What a daemon learned of a request that ends upstreams ended with the attempt, the life
-	// and the daemon.
+	// Guards against forgetting the crashes that a fatal request has caused: a daemon recorded
+	// them only for one attempt, lost them at a restart and did not share them with others.
 	{Seed: 700, Length: 12 * time.Second, Daemons: 3, Callers: 12, Fatal: true},
-	// Upstreams that name limits while daemons are killed, stand still and start again.
+	// Upstreams report rate limits while daemons are killed, paused and restarted.
 	{Seed: 1000, Length: 12 * time.Second, Daemons: 3, Callers: 16, Limits: true},
-	// A limit of all daemons through kills, freezes and restarts, and keys that come and go.
+	// A team's quota is shared by all daemons while they are killed, paused and restarted, and
+	// keys of teams are added and removed.
 	{Seed: 900, Length: 6 * time.Second, Daemons: 3, Callers: 16, Teams: true},
 }
 
-// Symptom: a promise broken by faults that no single test combines.
-// Sequence: the schedule of the seed: signals, harmed connections, upstreams and a store
-// that misbehave, overlapping.
-// Cause: stands beside the seed.
+// Guards against violations of the daemons' guarantees under combinations of faults that no
+// other test covers: signals, TCP faults, and faults of upstreams and of the store that overlap
+// as the seed determines. See ciRuns for the cause that each seed once revealed.
 func TestSoak(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "corianderturn")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/corianderturn").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	for _, o := range plays {
+	for _, o := range ciRuns {
 		dir, seed := t.TempDir(), o.Seed
 		o.Bin, o.Dir = bin, dir
 		r, err := Run(t.Context(), o)
@@ -57,7 +58,7 @@
 	}
 }
 
-// logDaemons shows the end of each daemon's log.
+// logDaemons logs the end of each daemon's log file.
 func logDaemons(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, name := range files {
@@ -72,7 +73,7 @@
 }
 
 func TestSameSeedSameSchedule(t *testing.T) {
-	for name, draw := range map[string]func(uint64, time.Duration, int, int) []fault{"schedule": schedule, "herd": herd, "limits": limitSeries} {
+	for name, draw := range map[string]func(uint64, time.Duration, int, int) []fault{"schedule": faultSchedule, "herd": correlatedFaults, "limits": limitFaults} {
 		a, b := draw(7, time.Minute, 3, 7), draw(7, time.Minute, 3, 7)
 		if diff := cmp.Diff(a, b, cmp.AllowUnexported(fault{})); diff != "" {
 			t.Errorf("%s: %s", name, diff)
--- a/internal/soak/teams.go
+++ b/internal/soak/teams.go
@@ -9,77 +9,84 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-// The teams of a run with keys: one whose callers ask for many times its limit, and one
-// without a limit.
 const (
-	hotTeam, freeTeam = "hot", "free"
+	// The teams of a run with Options.Teams: limitedTeam sends many times the requests that its
+	// quota allows, unlimitedTeam has no quota.
+	limitedTeam, unlimitedTeam = "hot", "free"
 
-	quotaRate   = 20.0 // requests a second
+	// The quota of limitedTeam, and the tolerance in the daemons' settings: in any quotaWindow, all
+	// daemons together may admit (1 + quotaExcess) times the requests that rate and burst allow,
+	// plus quotaSlack.
+	quotaRate   = 20.0 // requests per second
 	quotaBurst  = 10.0
 	quotaWindow = 2 * time.Second
 	quotaExcess = 0.1
 	quotaSlack  = 10.0
 )
 
-// teamKey is a team's key, of which each version has one more beside the first.
+// teamKey returns the key that a version of the configuration adds for a team. The key of
+// version 0 is valid in all versions.
 func teamKey(team string, version int64) string { return fmt.Sprintf("key of %s, %d", team, version) }
 
-// setTeams writes the teams of a version: a lasting key each, and one that goes with the next
-// version.
+// setTeams sets the teams for the next version of the configuration. Each team has a permanent
+// key, and one that the version after it removes.
 func (r *run) setTeams(version int64) {
-	if !r.o.Teams {
+	if !r.options.Teams {
 		return
 	}
 	keys := func(team string) []string { return []string{teamKey(team, 0), teamKey(team, version)} }
 	r.site.SetTeams(
-		site.Team{Name: hotTeam, Keys: keys(hotTeam), Rate: quotaRate, Burst: quotaBurst},
-		site.Team{Name: freeTeam, Keys: keys(freeTeam)},
+		site.Team{Name: limitedTeam, Keys: keys(limitedTeam), Rate: quotaRate, Burst: quotaBurst},
+		site.Team{Name: unlimitedTeam, Keys: keys(unlimitedTeam)},
 	)
 }
 
-// sign gives a request the key of a team, or one that no version holds, and returns the team.
-func (r *run) sign(req *http.Request, rng *rand.Rand) (team string) {
-	if !r.o.Teams {
+// setTeamKey adds the key of a random team to a request and returns the team. For one request
+// in unknownKeyOdds, it adds an unknown key instead and returns an empty team. The request also
+// claims a random team in a header, which daemons must ignore.
+func (r *run) setTeamKey(req *http.Request, rng *rand.Rand) (team string) {
+	if !r.options.Teams {
 		return ""
 	}
-	const unknownIn = 20
-	team = [...]string{hotTeam, freeTeam}[rng.IntN(2)]
-	key, claims := teamKey(team, 0), [...]string{"", hotTeam, freeTeam}[rng.IntN(3)]
-	if rng.IntN(unknownIn) == 0 {
+	const unknownKeyOdds = 20
+	team = [...]string{limitedTeam, unlimitedTeam}[rng.IntN(2)]
+	key, claimedTeam := teamKey(team, 0), [...]string{"", limitedTeam, unlimitedTeam}[rng.IntN(3)]
+	if rng.IntN(unknownKeyOdds) == 0 {
 		team, key = "", "a key of nobody"
 	}
-	site.SetKey(req, key, claims)
+	site.SetKey(req, key, claimedTeam)
 	return team
 }
 
-// checkTeams holds what ran against the keys that callers sent and the limit.
+// checkTeams checks that each request ran as the team of its key, that no key reached an
+// upstream, that valid keys were accepted, and that limitedTeam did not exceed its quota.
 func (r *run) checkTeams() {
-	if !r.o.Teams {
+	if !r.options.Teams {
 		return
 	}
 	for _, id := range r.site.Account.Keyed() {
-		r.violate("%s: its caller's key reached an upstream", id)
+		r.addViolation("%s: its caller's key reached an upstream", id)
 	}
-	var hot []time.Time
-	for _, a := range r.asked {
-		runs := r.site.Account.Runs(a.id)
+	var limitedRuns []time.Time
+	for _, sent := range r.requests {
+		runs := r.site.Account.Runs(sent.id)
 		for _, run := range runs {
-			if run.Team != a.team || a.team == "" {
-				r.violate("%s of team %q ran as %q", a.id, a.team, run.Team)
+			if run.Team != sent.team || sent.team == "" {
+				r.addViolation("%s of team %q ran as %q", sent.id, sent.team, run.Team)
 			}
 		}
-		if len(runs) > 0 && a.team == hotTeam {
-			hot = append(hot, runs[0].At)
+		if len(runs) > 0 && sent.team == limitedTeam {
+			limitedRuns = append(limitedRuns, runs[0].At)
 		}
-		if a.status == http.StatusUnauthorized && a.team != "" {
-			r.violate("%s of team %q was denied", a.id, a.team)
+		if sent.status == http.StatusUnauthorized && sent.team != "" {
+			r.addViolation("%s of team %q was denied", sent.id, sent.team)
 		}
 	}
-	sortTimes(hot)
+	sortTimes(limitedRuns)
 	allowed := (quotaRate*quotaWindow.Seconds()+quotaBurst)*(1+quotaExcess) + quotaSlack
-	for _, from := range hot {
-		if n := within(hot, from, from.Add(quotaWindow)); float64(n) > allowed {
-			r.violate("%d requests of team %s ran in %v, %.1f are allowed", n, hotTeam, quotaWindow, allowed)
+	for _, from := range limitedRuns {
+		if n := countBetween(limitedRuns, from, from.Add(quotaWindow)); float64(n) > allowed {
+			r.addViolation("%d requests of team %s ran in %v, %.1f are allowed", n, limitedTeam, quotaWindow, allowed)
 			return
 		}
 	}
