--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo is the short tour of the system on one machine: real daemons
-// and stand-ins as separate processes, a mixed load, and in the middle of it a
-// new bundle, a killed daemon and a drained one. Every answer is checked.
+// Package demo demonstrates the system on one machine. It starts real daemons and simulated
+// engines and services as separate processes and sends a mixed load to the daemons. Under load,
+// it publishes a new bundle, kills one daemon and drains another. Every response is verified.
 package demo
 
 import (
@@ -24,51 +24,50 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// The load and when things happen in it, since its start.
+// Parameters of the load, and the times of the events relative to its start.
 const (
-	duration = 16 * time.Second
-	rollAt   = 4 * time.Second
-	killAt   = 7 * time.Second
-	drainAt  = 10 * time.Second
-	rate     = 30 // requests a second
-	timeout  = 15 * time.Second
-	inFlight = 400
+	loadDuration   = 16 * time.Second
+	publishAt      = 4 * time.Second
+	killAt         = 7 * time.Second
+	drainAt        = 10 * time.Second
+	requestRate    = 30 // requests per second
+	requestTimeout = 15 * time.Second
+	maxInFlight    = 400
 )
 
-// The daemons that meet a fault, by number.
+// The indexes of the daemons that are killed and drained.
 const (
-	killed  = 3
-	drained = 2
+	killedDaemon  = 3
+	drainedDaemon = 2
 )
 
-// shownLines is how many decision lines the account shows.
-const shownLines = 4
+// maxDecisionLines bounds the log lines about routing decisions that the output shows.
+const maxDecisionLines = 4
 
 // Options configure a run.
 type Options struct {
-	// Bin is the folder of the built programs.
+	// Bin is the folder that contains the built programs.
 	Bin string
-	// Out gets the account.
+	// Out receives the output: a line for each event, the report of the load and a summary.
 	Out io.Writer
-	// Seed fixes the requests and their times.
+	// Seed determines the requests and their arrival times.
 	Seed uint64
 }
 
-// demo is one run.
+// demo is the state of one run.
 type demo struct {
-	out     io.Writer
-	fleet   *testbed.Fleet
-	start   time.Time
-	dead    atomic.Bool
-	leaving *testbed.Upstream
+	out             io.Writer
+	fleet           *testbed.Fleet
+	loadStart       time.Time
+	daemonKilled    atomic.Bool // the daemon with index killedDaemon has been killed
+	leavingUpstream *testbed.Upstream
 }
 
-// Run runs the demo and returns an error unless every promise that it checks
-// was kept.
+// Run runs the demo. It returns an error if a guarantee that it checks was violated.
 func Run(ctx context.Context, o Options) error {
 	dir, err := os.MkdirTemp("", "corianderturn-demo-")
 	if err != nil {
-		return errors.Wrap(err, "make a folder for outputs")
+		return errors.Wrap(err, "create output folder")
 	}
 	defer os.RemoveAll(dir)
 	bed := testbed.New(o.Bin, dir)
@@ -77,23 +76,23 @@
 	if err := d.startFleet(ctx, bed); err != nil {
 		return err
 	}
-	d.start = time.Now()
+	d.loadStart = time.Now()
 	var report *loadgen.Report
 	var loadErr, eventErr error
 	var wg conc.WaitGroup
-	wg.Go(func() { report, loadErr = d.load(ctx, o.Seed) })
-	wg.Go(func() { eventErr = d.events(ctx) })
+	wg.Go(func() { report, loadErr = d.runLoad(ctx, o.Seed) })
+	wg.Go(func() { eventErr = d.runEvents(ctx) })
 	wg.Wait()
 	if loadErr != nil {
 		return loadErr
 	}
-	d.account(report)
-	v := judge(report)
-	fmt.Fprintln(d.out, v)
+	d.writeReport(report)
+	result := summarize(report)
+	fmt.Fprintln(d.out, result)
 	if eventErr != nil {
 		return eventErr
 	}
-	return v.err()
+	return result.err()
 }
 
 // startFleet starts two data centres with two daemons each.
@@ -121,89 +120,92 @@
 	if err := fleet.StartDaemons(ctx); err != nil {
 		return err
 	}
-	d.sayf("%d processes: 4 daemons in 2 data centres, 6 engines, 2 services, log, instance list, weight store", len(fleet.Processes()))
-	return d.awaitVersion(ctx, 1)
+	d.printf("%d processes: 4 daemons in 2 data centres, 6 engines, 2 services, log, instance list, weight store", len(fleet.Processes()))
+	return d.awaitBundle(ctx, 1)
 }
 
-// load sends the mixed load; a balancer sends a POST again when its connection
-// broke before any of the answer, and the caller of a completion that the
-// killed daemon cut asks once more.
-func (d *demo) load(ctx context.Context, seed uint64) (*loadgen.Report, error) {
+// runLoad sends the mixed load and returns its report. The simulated balancer resends a request
+// whose connection broke before the response. Callers resend a completion once if the killed
+// daemon interrupted it.
+func (d *demo) runLoad(ctx context.Context, seed uint64) (*loadgen.Report, error) {
 	w := loadgen.DefaultWorkload()
-	w.Rate = rate
+	w.Rate = requestRate
 	w.Mix = loadgen.Mix{Lookup: 0.5, Submit: 0.2, Short: 0.15, Draft: 0.15}
 	w.Teams = loadgen.TeamsOf(map[string]string{testbed.Team: testbed.TeamKey})
 	w.Model, w.Service = testbed.Model, testbed.ServiceName
 	w.SubmitPath = testbed.NonIdempotentPath
 	w.DraftTokens = loadgen.Sizes{Median: 40, Sigma: 0.4, Min: 10, Max: 80}
 	w.RepeatShare, w.CancelShare = 0.5, 0
-	var urls, controls []string
+	var urls, controlURLs []string
 	for _, daemon := range d.fleet.Daemons {
 		urls = append(urls, "http://"+daemon.CallersAddress)
 	}
 	for _, s := range d.fleet.Pool(testbed.PoolService) {
-		controls = append(controls, "http://"+s.Control)
+		controlURLs = append(controlURLs, "http://"+s.Control)
 	}
 	return loadgen.Run(ctx, loadgen.Options{
 		Daemons: urls, Workload: w, Name: "demo", Seed: seed,
-		Duration: duration, MaxInFlight: inFlight, Timeout: timeout,
+		Duration: loadDuration, MaxInFlight: maxInFlight, Timeout: requestTimeout,
 		Replay: true, Retry: true,
 		Targets: loadgen.Targets{
 			Urgent: loadgen.Target{FirstToken: 500 * time.Millisecond, BetweenTokens: 60 * time.Millisecond},
 			Draft:  loadgen.Target{FirstToken: 5 * time.Second, BetweenTokens: 120 * time.Millisecond},
 		},
-		Killed:     func(target string) bool { return d.dead.Load() && target == urls[killed] },
-		Executions: loadgen.ServiceExecutions(http.DefaultClient, controls),
+		Killed:     func(target string) bool { return d.daemonKilled.Load() && target == urls[killedDaemon] },
+		Executions: loadgen.ServiceExecutions(http.DefaultClient, controlURLs),
 	})
 }
 
-// events makes happen what happens during the load.
-func (d *demo) events(ctx context.Context) error {
-	if err := d.at(ctx, rollAt); err != nil {
+// runEvents publishes the new bundle, kills one daemon and drains another, each at its time
+// during the load.
+func (d *demo) runEvents(ctx context.Context) error {
+	if err := d.waitUntil(ctx, publishAt); err != nil {
 		return err
 	}
-	if err := d.roll(ctx); err != nil {
+	if err := d.publishLeaving(ctx); err != nil {
 		return err
 	}
-	if err := d.at(ctx, killAt); err != nil {
+	if err := d.waitUntil(ctx, killAt); err != nil {
 		return err
 	}
-	d.dead.Store(true)
-	d.fleet.Daemons[killed].Kill()
-	d.sayf("killed daemon %s", d.fleet.Daemons[killed].Name)
-	if err := d.at(ctx, drainAt); err != nil {
+	d.daemonKilled.Store(true)
+	d.fleet.Daemons[killedDaemon].Kill()
+	d.printf("killed daemon %s", d.fleet.Daemons[killedDaemon].Name)
+	if err := d.waitUntil(ctx, drainAt); err != nil {
 		return err
 	}
-	daemon := d.fleet.Daemons[drained]
-	d.sayf("draining daemon %s", daemon.Name)
+	daemon := d.fleet.Daemons[drainedDaemon]
+	d.printf("draining daemon %s", daemon.Name)
 	if err := daemon.Terminate(ctx); err != nil {
 		return errors.Wrapf(err, "daemon %s did not end cleanly", daemon.Name)
 	}
-	d.sayf("daemon %s has finished its requests and ended", daemon.Name)
+	d.printf("daemon %s has finished its requests and ended", daemon.Name)
 	return nil
 }
 
-// roll publishes a bundle in which one decode engine leaves.
-func (d *demo) roll(ctx context.Context) error {
-	next := d.fleet.Bundle()
+// publishLeaving publishes a bundle in which one decode engine has the state leaving, and waits
+// until it is in force.
+func (d *demo) publishLeaving(ctx context.Context) error {
+	updated := d.fleet.Bundle()
 	pool := d.fleet.Pool(testbed.PoolDecode)
-	d.leaving = pool[len(pool)-1]
-	u := next.Upstreams[d.leaving.Name]
+	d.leavingUpstream = pool[len(pool)-1]
+	u := updated.Upstreams[d.leavingUpstream.Name]
 	u.State = bundle.StateLeaving
-	next.Upstreams[d.leaving.Name] = u
-	number, err := d.fleet.Publisher.Publish(ctx, next)
+	updated.Upstreams[d.leavingUpstream.Name] = u
+	number, err := d.fleet.Publisher.Publish(ctx, updated)
 	if err != nil {
 		return err
 	}
-	d.sayf("published bundle %d: upstream %s is leaving", number, d.leaving.Name)
-	return d.awaitVersion(ctx, number)
+	d.printf("published bundle %d: upstream %s is leaving", number, d.leavingUpstream.Name)
+	return d.awaitBundle(ctx, number)
 }
 
-// awaitVersion waits until every daemon is ready with a version in force.
-func (d *demo) awaitVersion(ctx context.Context, number uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// awaitBundle waits until every daemon is ready and the bundle with this number, or a later one,
+// is in force on it.
+func (d *demo) awaitBundle(ctx context.Context, number uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	for _, daemon := range d.fleet.Daemons {
 		for {
 			var status adminapi.BundleStatus
@@ -212,59 +214,61 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return errors.Errorf("daemon %s did not take bundle %d: %s", daemon.Name, number, daemon.Tail())
+				return errors.Errorf("daemon %s did not activate bundle %d: %s", daemon.Name, number, daemon.Tail())
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	d.sayf("bundle %d is in force on all daemons after %s", number, time.Since(began).Round(time.Millisecond))
+	d.printf("bundle %d is in force on all daemons after %s", number, time.Since(start).Round(time.Millisecond))
 	return nil
 }
 
-// at waits for a moment of the load.
-func (d *demo) at(ctx context.Context, after time.Duration) error {
-	if !clock.Sleep(ctx, time.Until(d.start.Add(after))) {
+// waitUntil waits until a time relative to the start of the load.
+func (d *demo) waitUntil(ctx context.Context, offset time.Duration) error {
+	if !clock.Sleep(ctx, time.Until(d.loadStart.Add(offset))) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// sayf writes one line of the account, with the time since the load's start.
-func (d *demo) sayf(format string, args ...any) {
-	at := "before"
-	if !d.start.IsZero() {
-		at = fmt.Sprintf("%5.1fs", time.Since(d.start).Seconds())
+// printf writes one line with the time since the start of the load, or "before" if the load has
+// not started.
+func (d *demo) printf(format string, args ...any) {
+	timestamp := "before"
+	if !d.loadStart.IsZero() {
+		timestamp = fmt.Sprintf("%5.1fs", time.Since(d.loadStart).Seconds())
 	}
-	fmt.Fprintf(d.out, "%6s  %s\n", at, fmt.Sprintf(format, args...))
+	fmt.Fprintf(d.out, "%6s  %s\n", timestamp, fmt.Sprintf(format, args...))
 }
 
-// account writes what callers saw and why.
-func (d *demo) account(r *loadgen.Report) {
-	d.sayf("all answers are in; replays by the balancer or the caller: %d", r.Replays)
+// writeReport writes some routing decisions of the first daemon and the report of the load.
+func (d *demo) writeReport(r *loadgen.Report) {
+	d.printf("all answers are in; replays by the balancer or the caller: %d", r.Replays)
 	fmt.Fprintln(d.out, "\nSome decision lines of the first daemon:")
 	shown := 0
 	for line := range strings.Lines(d.fleet.Daemons[0].Stderr()) {
-		if shown < shownLines && strings.Contains(line, "decision") {
+		if shown < maxDecisionLines && strings.Contains(line, "decision") {
 			fmt.Fprint(d.out, "  ", line)
 			shown++
 		}
 	}
 	fmt.Fprintln(d.out, "\nWhat callers saw:")
-	_ = r.WriteTable(d.out) // the account is for people; the verdict follows in any case
+	_ = r.WriteTable(d.out) // an incomplete table does not affect the result
 	fmt.Fprintln(d.out)
 }
 
-// verdict sums up a run. Lost counts requests without a whole answer or an
-// honest error, those that a killed daemon cut among them when the balancer's
-// replay or the caller's one retry did not mend it.
-type verdict struct {
+// summary holds the counts of a run and its violations. lost counts requests without a complete
+// response and without a valid error, including those that the killed daemon interrupted unless
+// a replay by the balancer or the caller's retry succeeded.
+type summary struct {
 	accepted, answered, refused, lost, doubled int
-	// unkept names what else was not kept.
-	unkept []string
+	// violations describes violated guarantees other than lost and doubled requests.
+	violations []string
 }
 
-func judge(r *loadgen.Report) verdict {
-	v := verdict{
+// summarize derives the counts and the violations from the report of the load.
+func summarize(r *loadgen.Report) summary {
+	s := summary{
 		accepted: r.All.Offered - r.All.Count(loadgen.Dropped),
 		answered: r.All.Count(loadgen.Answered),
 		refused:  r.All.Count(loadgen.Refused) + r.All.Count(loadgen.Broken),
@@ -273,33 +277,34 @@
 	}
 	for _, k := range loadgen.Kinds() {
 		if r.Kind(k).Count(loadgen.Answered) == 0 {
-			v.unkept = append(v.unkept, fmt.Sprintf("no request of kind %s was answered", k))
+			s.violations = append(s.violations, fmt.Sprintf("no request of kind %s was answered", k))
 		}
 	}
 	if r.Ledger.FalseNotRun > 0 {
-		v.unkept = append(v.unkept, fmt.Sprintf("%d keys ran that callers were told had not", r.Ledger.FalseNotRun))
+		s.violations = append(s.violations, fmt.Sprintf("%d keys ran that callers were told had not", r.Ledger.FalseNotRun))
 	}
 	if r.Ledger.Missing > 0 {
-		v.unkept = append(v.unkept, fmt.Sprintf("%d keys were answered and never ran", r.Ledger.Missing))
+		s.violations = append(s.violations, fmt.Sprintf("%d keys were answered and never ran", r.Ledger.Missing))
 	}
-	if sum := v.answered + v.refused + v.lost; sum != v.accepted && v.lost == 0 {
-		v.unkept = append(v.unkept, fmt.Sprintf("%d of %d requests are accounted for", sum, v.accepted))
+	if sum := s.answered + s.refused + s.lost; sum != s.accepted && s.lost == 0 {
+		s.violations = append(s.violations, fmt.Sprintf("%d of %d requests are accounted for", sum, s.accepted))
 	}
-	return v
+	return s
 }
 
-// String is the last line of the account.
-func (v verdict) String() string {
+// String returns the last line of the output.
+func (s summary) String() string {
 	return fmt.Sprintf("demo: accepted %d answered %d refused %d lost %d doubled %d",
-		v.accepted, v.answered, v.refused, v.lost, v.doubled)
+		s.accepted, s.answered, s.refused, s.lost, s.doubled)
 }
 
-func (v verdict) err() error {
-	if v.lost > 0 || v.doubled > 0 {
-		return errors.Errorf("%d requests lost, %d doubled", v.lost, v.doubled)
+// err returns an error that describes the violations, or nil if there are none.
+func (s summary) err() error {
+	if s.lost > 0 || s.doubled > 0 {
+		return errors.Errorf("%d requests lost, %d doubled", s.lost, s.doubled)
 	}
-	if len(v.unkept) > 0 {
-		return errors.New(strings.Join(v.unkept, "; "))
+	if len(s.violations) > 0 {
+		return errors.New(strings.Join(s.violations, "; "))
 	}
 	return nil
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -6,7 +6,8 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-func report(outcomes map[loadgen.Outcome]int, ledger loadgen.LedgerReport) *loadgen.Report {
+// testReport returns a report with these outcomes in which each kind of request has an answer.
+func testReport(outcomes map[loadgen.Outcome]int, ledger loadgen.LedgerReport) *loadgen.Report {
 	r := &loadgen.Report{Ledger: &ledger}
 	for o, n := range outcomes {
 		r.All.Outcomes = append(r.All.Outcomes, loadgen.OutcomeCount{Outcome: o, Count: n})
@@ -47,11 +48,11 @@
 			line:     "demo: accepted 8 answered 8 refused 0 lost 0 doubled 0",
 		},
 	} {
-		v := judge(report(c.outcomes, c.ledger))
-		if v.String() != c.line {
-			t.Errorf("%s: %q, want %q", name, v, c.line)
+		s := summarize(testReport(c.outcomes, c.ledger))
+		if s.String() != c.line {
+			t.Errorf("%s: %q, want %q", name, s, c.line)
 		}
-		if held := v.err() == nil; held != c.held {
+		if held := s.err() == nil; held != c.held {
 			t.Errorf("%s: held %v, want %v", name, held, c.held)
 		}
 	}
