--- a/internal/matrix/result.go
+++ b/internal/matrix/result.go
@@ -10,49 +10,51 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of the test runner's output, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of the output of go test.
+const maxLineBytes = 1 << 20
 
-// Event is the part of a line of `go test -json` that the matrix reads.
+// Event holds the fields of an event of `go test -json` that the matrix uses.
 type Event struct {
 	Action  string `json:"Action"`
 	Package string `json:"Package"`
 	Test    string `json:"Test"`
 }
 
-// Cell is a place in the matrix. Second is empty but for a pair of faults.
+// Cell identifies a cell of the matrix: a step and the fault that occurs at it. Second is a
+// second fault that occurs with the first; it is empty for a single fault.
 type Cell struct {
 	Step   Step
 	Fault  Fault
 	Second Fault
 }
 
-// Test is one test of a cell and whether it passed.
+// Test is the result of one test of a cell.
 type Test struct {
 	Package string
 	Name    string
 	Passed  bool
 }
 
-// Results holds the tests of each cell.
+// Results maps each cell to the tests that cover it.
 type Results map[Cell][]Test
 
-// Read takes the output of `go test -json`. A skipped test counts for nothing.
+// Read parses the output of `go test -json`. Skipped tests are not included in the results.
 func Read(r io.Reader) (Results, error) {
 	out := Results{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, maxLine), maxLine)
+	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for lines.Scan() {
 		var e Event
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
-			continue // the runner prints build errors as plain text
+			continue // go test prints build errors as plain text
 		}
-		out.take(e)
+		out.add(e)
 	}
 	return out, errors.Wrap(lines.Err(), "read test output")
 }
 
-func (r Results) take(e Event) {
+// add adds the result of a test if the event is the end of a test that covers a cell.
+func (r Results) add(e Event) {
 	if e.Action != "pass" && e.Action != "fail" {
 		return
 	}
@@ -63,8 +65,9 @@
 	r[cell] = append(r[cell], Test{Package: e.Package, Name: e.Test, Passed: e.Action == "pass"})
 }
 
-// CellOf returns the cell that a test's name states. A name that goes on after
-// the fault belongs to the cell through its parent, and is not counted again.
+// CellOf returns the cell that a test covers, given its name, which must end in the step and the
+// fault or faults. Subtests of such a test cover no cell themselves: their parent includes their
+// results.
 func CellOf(name string) (Cell, bool) {
 	parts := strings.Split(name, "/")
 	if len(parts) < 2 {
@@ -73,8 +76,8 @@
 	step := Step(parts[len(parts)-2])
 	first, second, _ := strings.Cut(parts[len(parts)-1], "+")
 	cell := Cell{Step: step, Fault: Fault(first), Second: Fault(second)}
-	known := slices.Contains(Steps(), step) && slices.Contains(Faults(), cell.Fault)
-	if !known || second != "" && !slices.Contains(Faults(), cell.Second) {
+	valid := slices.Contains(Steps(), step) && slices.Contains(Faults(), cell.Fault)
+	if !valid || second != "" && !slices.Contains(Faults(), cell.Second) {
 		return Cell{}, false
 	}
 	return cell, true
--- a/internal/matrix/words.go
+++ b/internal/matrix/words.go
@@ -1,17 +1,18 @@
-// Package matrix turns the results of the tests into the fault matrix: a row a
-// step, a column a fault, in each cell the tests that cause the fault at the
-// step and their verdicts. A test belongs to a cell by its own name: two
-// neighbouring parts of the name are a step and a fault, or a step and two
-// faults joined by "+". So the matrix cannot claim what did not run.
+// Package matrix generates the fault matrix from the results of the tests. The matrix has a cell
+// for each step and each fault, with the tests that inject the fault at the step and their
+// results. A test covers a cell by its name: the last two elements of the name, separated by
+// "/", are a step and a fault, or a step and two faults joined by "+". The matrix therefore
+// contains only tests that were run.
 package matrix
 
-// Step is a point in the life of a request, a bundle, an order or a daemon.
+// Step is a point in the processing of a request, a bundle or an order, or in the lifecycle of a
+// daemon or an upstream.
 type Step string
 
-// Fault is one thing that goes wrong.
+// Fault is a type of failure that tests inject.
 type Fault string
 
-// Steps lists the rows in order.
+// Steps lists the steps in the order of the matrix.
 func Steps() []Step {
 	return []Step{
 		"accept", "classify", "claim", "call", "reserve", "prefill", "export", "transfer", "import",
@@ -21,7 +22,7 @@
 	}
 }
 
-// Faults lists the columns in order.
+// Faults lists the faults in the order of the matrix.
 func Faults() []Fault {
 	return []Fault{
 		"daemon-killed", "daemon-frozen", "upstream-killed", "upstream-frozen",
