--- a/board/board.go
+++ b/board/board.go
@@ -116,7 +116,7 @@
 }
 
 // entryFor returns the entry of an upstream, updated to a new bundle version. An
-// upstream that is new, restarted (its Life differs) or has another address gets an
+// upstream that is new, restarted (its Incarnation differs) or has another address gets an
 // empty entry, because its earlier load, health and cache say nothing about it.
 func (b *Board) entryFor(now time.Time, name string, up bundle.Upstream, v *bundle.Version) *entry {
 	e := b.entries[name]
@@ -222,7 +222,7 @@
 type PrefillResult struct {
 	// PrefillTokens is the number of prompt tokens computed, excluding cached ones.
 	PrefillTokens int
-	// TokensAhead is the plan's AheadTokens: the prompt tokens of other requests that
+	// TokensAhead is the plan's TokensAhead: the prompt tokens of other requests that
 	// the engine computed first while the call waited.
 	TokensAhead int
 	// PrefillTime is the duration of the prefill call, including time in the engine's
--- a/board/config.go
+++ b/board/config.go
@@ -23,7 +23,7 @@
 	// EjectBase is the duration of the first ejection. Each further one lasts twice as
 	// long as the previous, up to EjectMax. Defaults 500 ms and 30 s.
 	EjectBase, EjectMax time.Duration
-	// EjectUnanswered makes a single call to Unanswered eject an upstream. It also
+	// EjectUnanswered makes a single call to RecordUnanswered eject an upstream. It also
 	// ejects all upstreams of a remote data centre together once the data centre is
 	// considered unreachable. Default false.
 	EjectUnanswered bool
--- a/board/leaving.go
+++ b/board/leaving.go
@@ -31,7 +31,7 @@
 //
 // All notices are cleared when a new bundle version changes the upstream's entry and
 // its state there is serving, or when the upstream's incarnation changes. A peer's
-// notice also ends when peers withdraw it or stop repeating it (HeardPeer,
+// notice also ends when peers withdraw it or stop repeating it (ApplyPeerNotices,
 // expireNotices), and the upstream's own when a later load report shows a restart
 // (clearAfterRestart). Bundle versions that change something else must not clear
 // notices: they come every few seconds, and each would send new requests to every
--- a/board/peernotices.go
+++ b/board/peernotices.go
@@ -21,7 +21,7 @@
 // before and omits now is no longer leaving, unless another peer still lists it.
 //
 // Without this withdrawal, an upstream that left and restarted within seconds would get
-// no requests from this daemon until its notice expired after PeerNoticeLife, a minute
+// no requests from this daemon until its notice expired after PeerNoticeLifetime, a minute
 // by default, although the peer had already seen the restart. Callers would get
 // no-upstream errors while the upstreams are serving. A peer that sends no heartbeats
 // withdraws nothing: its notice must outlive it, because it may have been the only
--- a/board/status.go
+++ b/board/status.go
@@ -9,7 +9,7 @@
 // HealthState is the state of an upstream's outlier ejection.
 type HealthState string
 
-// The health states. HealthReturning is the slow start after an ejection or a restart.
+// The health states. HealthSlowStart is the slow start after an ejection or a restart.
 const (
 	HealthOK        HealthState = "ok"
 	HealthEjected   HealthState = "ejected"
--- a/bundle/chain.go
+++ b/bundle/chain.go
@@ -96,7 +96,7 @@
 }
 
 // NewChain returns a chain that reads the log from offset 0. The start of the
-// log is a base: nothing was in force before it. Until Live is called, every
+// log is a base: nothing was in force before it. Until SetStartEnd is called, every
 // record counts as one that may have been adopted under other keys.
 func NewChain(trust Trust) *Chain {
 	return &Chain{trust: trust, based: true, startEnd: math.MaxUint64}
--- a/bundle/watch/options.go
+++ b/bundle/watch/options.go
@@ -48,7 +48,7 @@
 	Clock func() time.Time
 	// CheckpointInterval is the age of the last checkpoint on the log from which on a
 	// new one is due. It must be well below the log's retention time; 0 means
-	// DefaultCheckpointEvery.
+	// DefaultCheckpointInterval.
 	CheckpointInterval time.Duration
 	// PollWait is the maximum time that a read of the log waits for a record; 0
 	// means DefaultPollWait.
--- a/bundle/withdraw_test.go
+++ b/bundle/withdraw_test.go
@@ -113,7 +113,7 @@
 	log.add(signedByUntrusted(delta(g, "x")).Raw(), old, d.Raw())
 	checkVerdicts(t, log.read(c), Invalid, Confirmed, Adopted)
 	if c.UnverifiedEnd() != 2 {
-		t.Errorf("Doubt returns %d, want 2", c.UnverifiedEnd())
+		t.Errorf("UnverifiedEnd returns %d, want 2", c.UnverifiedEnd())
 	}
 
 	late := NewChain(trusted)
--- a/claims/faults_test.go
+++ b/claims/faults_test.go
@@ -216,7 +216,7 @@
 }
 
 // TestOutageRefusesAtOnce checks that during an outage of the log callers are
-// refused at once instead of after DecideWithin. One waiting claim is enough to
+// refused at once instead of after DecisionTimeout. One waiting claim is enough to
 // detect that the log works again.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	tests := []struct {
--- a/claims/gate.go
+++ b/claims/gate.go
@@ -14,7 +14,7 @@
 )
 
 // Gate implements request.Gate with the platform's log and bound tokens. It is a
-// supervise.Service. Claim, ServeGet and ServeAppend are safe for concurrent use.
+// supervise.Service. Claim, ServeLookup and ServeAppend are safe for concurrent use.
 type Gate struct {
 	opts   Options
 	shards []*shard
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Claim implements request.Gate. It waits up to Options.DecideWithin for a
+// Claim implements request.Gate. It waits up to Options.DecisionTimeout for a
 // decision.
 func (g *Gate) Claim(ctx context.Context, k request.ClaimKey) (request.Grant, *errkind.Error) {
 	body := BodyDigest(k.Body[:DigestSize])
--- a/claims/home.go
+++ b/claims/home.go
@@ -19,7 +19,7 @@
 
 // askHome asks homes of the shard for the state of the key until one answers that
 // has read the claim's own record, which is at the given offset. ok is false if ctx
-// ended, the claim was decided in the meantime, or Options.Ask is not set.
+// ended, the claim was decided in the meantime, or Options.LookupAtHome is not set.
 func (s *shard) askHome(ctx context.Context, key Key, seq, offset uint64) (d Decision, ok bool) {
 	get := wire.ClaimGet{Stream: s.stream, Key: key[:], Through: offset + 1}
 	for ctx.Err() == nil {
--- a/claims/key.go
+++ b/claims/key.go
@@ -10,7 +10,7 @@
 	"github.com/corianderturn/corianderturn/internal/wire"
 )
 
-// DigestSize is the length of a Key and of a Body, in bytes. With 128 bits an
+// DigestSize is the length of a Key and of a BodyDigest, in bytes. With 128 bits an
 // accidental collision is practically impossible; it would cause a request to be
 // refused, never to run twice.
 const DigestSize = 16
--- a/claims/machine.go
+++ b/claims/machine.go
@@ -319,7 +319,7 @@
 	return m.index.Next()
 }
 
-// Lookup returns the state of a key; the zero View if the stream is not followed.
+// Lookup returns the state of a key; the zero KeyState if the stream is not followed.
 func (m *Machine) Lookup(k Key) KeyState {
 	if m.index == nil {
 		return KeyState{}
--- a/claims/options.go
+++ b/claims/options.go
@@ -19,7 +19,7 @@
 }
 
 // HomeLookupFunc asks a home of a shard, which is a daemon that follows the shard, for the
-// state of a key. The home answers with Gate.ServeGet.
+// state of a key. The home answers with Gate.ServeLookup.
 type HomeLookupFunc func(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error)
 
 // Options configure a Gate. Zero values select the defaults given below.
@@ -153,9 +153,9 @@
 	case o.Shards < 1:
 		return errors.New("claims: shards must be at least 1")
 	case o.AppendAtHome != nil && o.Follow == nil:
-		return errors.New("claims: Relay is set although every shard is followed")
+		return errors.New("claims: AppendAtHome is set although every shard is followed")
 	case o.Follow != nil && o.LookupAtHome == nil:
-		return errors.New("claims: Follow is set but there is no way to ask the homes of other shards: Ask is not set")
+		return errors.New("claims: Follow is set but there is no way to ask the homes of other shards: LookupAtHome is not set")
 	case o.Retention < o.Lifetime+marker+2*o.MaxClockSkew:
 		return errors.Errorf("claims: keys that live for %s need a log that keeps records for at least %s, not %s",
 			o.Lifetime, o.Lifetime+marker+2*o.MaxClockSkew, o.Retention)
--- a/claims/outbox.go
+++ b/claims/outbox.go
@@ -100,7 +100,7 @@
 }
 
 // NextBatch returns the next batch to append, or nil if none is due. While the append
-// of a batch is in progress, until Appended or AppendFailed is called, no other
+// of a batch is in progress, until AppendSucceeded or AppendFailed is called, no other
 // batch is due.
 func (m *Machine) NextBatch(now time.Time) *Batch {
 	at, ok := m.Due()
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -73,7 +73,7 @@
 	return s.toGrant(started, seq, s.wait(ctx, key, seq, w))
 }
 
-// wait returns the decision on a claim, or abandons the claim after DecideWithin.
+// wait returns the decision on a claim, or abandons the claim after DecisionTimeout.
 func (s *shard) wait(ctx context.Context, key Key, seq uint64, w *waiter) Decision {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.DecisionTimeout)
 	defer cancel()
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// newAnswers returns Answers with n answers whose lengths have a log-normal
+// newAnswers returns AnswerLengths with n answers whose lengths have a log-normal
 // distribution: the median is ratio times the expected 1000 tokens, and spread is the
 // standard deviation of the logarithm.
 func newAnswers(n int, ratio, spread float64) *AnswerLengths {
--- a/estimate/sample.go
+++ b/estimate/sample.go
@@ -12,7 +12,7 @@
 	PromptTokens, ExpectedTokens, AnswerTokens int
 	// Held is how long a decode engine was occupied by the request.
 	Held time.Duration
-	// PerToken is the mean time between two tokens of the answer, ReadPerToken the
+	// PerToken is the mean time between two tokens of the answer, PrefillPerToken the
 	// prefill time per prompt token.
 	PerToken, PrefillPerToken time.Duration
 	// PrefillTimedOut says that a prefill was abandoned because it exceeded its time limit.
--- a/fleet/patience.go
+++ b/fleet/patience.go
@@ -29,7 +29,7 @@
 
 // RetryDetector detects client retries after a refusal from the deadlines of requests. All
 // clients of a route send the same deadline with a first attempt, and the remaining
-// time with a retry. Patience reads no clock and is safe for concurrent use.
+// time with a retry. RetryDetector reads no clock and is safe for concurrent use.
 type RetryDetector struct {
 	mu      sync.Mutex
 	byRoute map[string]*deadlineStats
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -147,7 +147,7 @@
 }
 
 // Replace applies a complete list of registrations. Those that are not in it are
-// dropped as Drop describes.
+// dropped as HandleMissing describes.
 func (r *Registry) Replace(now time.Time, list []Registration, afterOutage bool) {
 	listed := make(map[string]bool, len(list))
 	for _, reg := range list {
--- a/fleet/watcher.go
+++ b/fleet/watcher.go
@@ -272,7 +272,7 @@
 	w.registry.HandleMissing(now, slices.Sorted(maps.Keys(removed)), afterOutage)
 }
 
-// publish stores the new view, if there is one, and passes it to Apply. The caller holds
+// publish stores the new view, if there is one, and passes it to OnView. The caller holds
 // w.mu.
 func (w *Watcher) publish(now time.Time) {
 	v, changed := w.registry.View()
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -85,7 +85,7 @@
 	return out
 }
 
-// wantRefused executes a command line that must end with ExitRefused and print the texts.
+// wantRefused executes a command line that must end with ExitFailed and print the texts.
 func (d *harness) wantRefused(args []string, want ...string) {
 	d.t.Helper()
 	code, out := d.run(args...)
--- a/internal/telemetry/instruments.go
+++ b/internal/telemetry/instruments.go
@@ -171,7 +171,7 @@
 }
 
 // UpstreamProbe counts a probe of an upstream on which runs lost their connection. sign
-// is its result, the text of a quarantine.Sign.
+// is its result, the text of a quarantine.ProbeResult.
 func (in *Instruments) UpstreamProbe(sign string) {
 	in.upstreamProbes.Add(context.Background(), 1, labelOption(labelResult, sign))
 }
--- a/internal/wire/board.go
+++ b/internal/wire/board.go
@@ -127,7 +127,7 @@
 	return n
 }
 
-// appendRow appends the packed form of r, of RowBytes bytes, to dst.
+// appendRow appends the packed form of r, of BoardRowBytes bytes, to dst.
 func appendRow(dst []byte, r *BoardRow) ([]byte, error) {
 	if r.Index > MaxBoardIndex {
 		return dst, errors.Errorf("upstream index %d exceeds the limit %d", r.Index, MaxBoardIndex)
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -14,7 +14,7 @@
 	"github.com/corianderturn/corianderturn/internal/safepack"
 )
 
-// The reasons of a Fault, to be matched with errors.Is. A fault in a frame ends the
+// The reasons of a FrameError, to be matched with errors.Is. An error in a frame ends the
 // connection.
 var (
 	// ErrTooLarge means that a frame exceeds the size limit. Its body was not read.
@@ -33,7 +33,7 @@
 const readBufferBytes = 4 << 10
 
 // FrameError is the error for an invalid frame or message. Reason is ErrTooLarge,
-// ErrGarbled or ErrVersion.
+// ErrMalformed or ErrVersion.
 type FrameError struct {
 	Reason error
 	Detail string
@@ -99,7 +99,7 @@
 	return enc.Encode(v)
 }
 
-// Decode decodes the body of an envelope into msg. Errors are of type *Fault.
+// Decode decodes the body of an envelope into msg. Errors are of type *FrameError.
 func Decode(body []byte, msg any) error {
 	if err := safepack.Unmarshal(body, msg); err != nil {
 		return &FrameError{Reason: ErrMalformed, Detail: err.Error()}
@@ -122,7 +122,7 @@
 
 // Read returns the next envelope and the size of its frame in bytes. The envelope and
 // its body are valid until the next Read. The connection cannot be used after an error,
-// which is a *Fault for an invalid frame and another error for a failed connection.
+// which is a *FrameError for an invalid frame and another error for a failed connection.
 func (r *Reader) Read() (*Envelope, int, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r.r, length[:]); err != nil {
--- a/internal/wire/fresh.go
+++ b/internal/wire/fresh.go
@@ -11,10 +11,10 @@
 // An entry is a ShortID and the low 16 bits of the sequence number.
 type RelayedSeqs []byte
 
-// RelayedSeqBytes is the size of one entry of Freshness.
+// RelayedSeqBytes is the size of one entry of RelayedSeqs.
 const RelayedSeqBytes = 6
 
-// ShortID is a 32-bit hash of a NodeID, used in Freshness. Among 370 daemons, the
+// ShortID is a 32-bit hash of a NodeID, used in RelayedSeqs. Among 370 daemons, the
 // probability that any two have the same ShortID is about 1.6e-5. In that case one of
 // the two appears dead in data centres where its heartbeats arrive only as relayed
 // entries; see package members.
--- a/members/config.go
+++ b/members/config.go
@@ -24,7 +24,7 @@
 	DefaultMaxKnownPerHeartbeat = 32
 )
 
-// Defaults of SuspectAfter, DeadAfter and FarDeadAfter, in heartbeat intervals.
+// Defaults of SuspectAfter, DeadAfter and RemoteDeadAfter, in heartbeat intervals.
 const (
 	suspectHeartbeats    = 3
 	deadHeartbeats       = 5
--- a/members/gossip.go
+++ b/members/gossip.go
@@ -31,7 +31,7 @@
 }
 
 // SinglePeerRound starts an extra round for a single peer, outside the period: on a new
-// connection, or to reply to a heartbeat that has Ask set.
+// connection, or to reply to a heartbeat that has RequestEcho set.
 func (t *Table) SinglePeerRound() Round {
 	t.seq++
 	return Round{table: t, hb: wire.Heartbeat{
@@ -57,7 +57,7 @@
 	return hb, cursor
 }
 
-// updatesAfter returns up to KnownPerBeat live daemons that changed after cursor,
+// updatesAfter returns up to MaxKnownPerHeartbeat live daemons that changed after cursor,
 // in the order of their changes, and the cursor after the last of them.
 func (t *Table) updatesAfter(cursor Cursor) ([]wire.KnownDaemon, Cursor) {
 	if uint64(cursor) >= t.version {
--- a/members/table.go
+++ b/members/table.go
@@ -17,7 +17,7 @@
 const (
 	Joined     Event = iota + 1 // a daemon or a later incarnation of one was added
 	Suspected                   // no new heartbeat for SuspectAfter (longer for a remote daemon)
-	Died                        // no new heartbeat for DeadAfter, or FarDeadAfter for a remote daemon
+	Died                        // no new heartbeat for DeadAfter, or RemoteDeadAfter for a remote daemon
 	Recovered                   // a suspect or dead daemon sent a new heartbeat
 	Froze                       // this process did not run for longer than FrozenAfter
 	Thawed                      // the freeze ended: peers replied, or RefreshAfter passed
@@ -192,7 +192,7 @@
 
 // updateLiveness sets a daemon's state by the time since its last progress, or
 // removes the daemon after ForgetAfter. For a remote daemon all timeouts are
-// longer by the difference of FarDeadAfter and DeadAfter.
+// longer by the difference of RemoteDeadAfter and DeadAfter.
 func (t *Table) updateLiveness(now time.Time, name string, e *entry) {
 	extraTime := time.Duration(0)
 	if e.DataCentre != t.cfg.DataCentre {
@@ -242,7 +242,7 @@
 }
 
 // detectIsolation reports whether the daemons that recently fell silent, up to
-// LossMemory ago, outnumber those that recently made progress. If this daemon loses
+// IsolationWindow ago, outnumber those that recently made progress. If this daemon loses
 // its network, all others fall silent at once. The count uses the time since the last
 // progress, not Liveness, which changes later for remote daemons. With a single other
 // daemon the result is false, because its failure and that of the network look the
--- a/members/table_test.go
+++ b/members/table_test.go
@@ -87,7 +87,7 @@
 		name       string
 		others     []string
 		silent     string
-		then, last bool // Isolated after DeadAfter (1250 ms), and after LossMemory has passed
+		then, last bool // Isolated after DeadAfter (1250 ms), and after IsolationWindow has passed
 	}{
 		{"one of four dies", []string{"bx", "cx", "dy", "ey"}, "bx", false, false},
 		{"all are silent", []string{"bx", "cx", "dy", "ey"}, "bx cx dy ey", true, false},
@@ -204,7 +204,7 @@
 
 // Symptom: right after a freeze a steward acts on observations made before it.
 // Sequence: a table runs, is frozen for 5 s, and the freeze ends.
-// Cause: View.Since does not change, so that callers keep outdated observations.
+// Cause: View.ValidSince does not change, so that callers keep outdated observations.
 func TestSinceStartsAgainAfterAFreeze(t *testing.T) {
 	tb := NewTable(config("a", "x"), start)
 	tickTo(tb, 0, 9875)
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -22,7 +22,7 @@
 }
 
 // fullRateUpstreams is the number of upstreams per steward up to which each one is read
-// every ReadEvery. In the largest deployment that the system is designed for, a daemon
+// every ReadInterval. In the largest deployment that the system is designed for, a daemon
 // is the steward of 32 upstreams and reads each one every 8 s, which takes about
 // 1.5 KB/s including the responses.
 const fullRateUpstreams = 8
@@ -33,7 +33,7 @@
 }
 
 // StateRead requests that the runner read the state of an upstream. The runner passes the
-// state to Planner.Observed, which returns the orders to send, or calls Planner.Failed
+// state to Planner.RecordState, which returns the orders to send, or calls Planner.RecordFailure
 // if the read failed.
 type StateRead struct {
 	Upstream string
@@ -109,7 +109,7 @@
 			continue
 		}
 		// Another daemon is the steward, so this upstream must not count towards
-		// MaxLoading here.
+		// MaxConcurrentLoads here.
 		p.reconciliations[name].loadInFlight = false
 	}
 }
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -35,7 +35,7 @@
 	// IsSteward reports whether this daemon is currently the steward of an upstream, that is,
 	// the one daemon that sends it orders.
 	IsSteward func(upstream, dataCentre string) bool
-	// Generation returns a number that changes whenever the results of Mine may change.
+	// Generation returns a number that changes whenever the results of IsSteward may change.
 	Generation func() uint64
 	// Frozen reports whether this process was suspended and has not refreshed its view of
 	// the other daemons since.
--- a/peer/calls.go
+++ b/peer/calls.go
@@ -70,7 +70,7 @@
 }
 
 // linkOrOpen returns the link to a peer and opens one if necessary. A link to a
-// daemon that is not a neighbour is closed after IdleAfter without calls.
+// daemon that is not a neighbour is closed after IdleTimeout without calls.
 func (s *Service) linkOrOpen(ctx context.Context, to wire.NodeID) (*link, error) {
 	if l := s.link(to); l != nil {
 		return l, nil
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -105,7 +105,7 @@
 	d.nextAttempt = time.Now().Add(time.Duration(half + s.opts.Rand.Int64N(half+1)))
 }
 
-// pruneDialStates removes addresses that have not been a dial target for IdleAfter.
+// pruneDialStates removes addresses that have not been a dial target for IdleTimeout.
 func (s *Service) pruneDialStates(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/peer/forward_test.go
+++ b/peer/forward_test.go
@@ -16,7 +16,7 @@
 	o.CallTimeout, o.IdleTimeout = 20*time.Millisecond, 20*time.Millisecond
 }
 
-// Guards against CallTimeout and IdleAfter being applied to forwarded requests: a
+// Guards against CallTimeout and IdleTimeout being applied to forwarded requests: a
 // completion forwarded to the daemon that issued its idempotency token would fail
 // after two seconds. Forwarded requests outlast both: an outgoing one on the link and
 // an incoming one on a connection that is no longer the link.
--- a/peer/link.go
+++ b/peer/link.go
@@ -264,7 +264,7 @@
 }
 
 // sendHeartbeat queues the round's heartbeat for this peer. The heartbeat is short
-// (wire.Heartbeat.Same) when nothing that Same covers has changed since the last full
+// (wire.Heartbeat.Abbreviated) when nothing that Abbreviated covers has changed since the last full
 // one. A frame that the queue dropped may have been that full heartbeat, so after a drop
 // the next heartbeat is full and the gossip about other daemons starts from the
 // beginning. The caller holds Service.mu.
--- a/peer/options.go
+++ b/peer/options.go
@@ -85,7 +85,7 @@
 	// DialTimeout limits the TCP connect and, separately, the handshake.
 	DialTimeout time.Duration
 	// ReadTimeout ends a connection on which nothing arrives for this long; peers
-	// send heartbeats continuously. The default is Members.FarDeadAfter.
+	// send heartbeats continuously. The default is Members.RemoteDeadAfter.
 	ReadTimeout time.Duration
 	// WriteTimeout ends a connection on which a write takes this long because the
 	// peer does not read.
--- a/peer/service.go
+++ b/peer/service.go
@@ -242,7 +242,7 @@
 	s.dialMissingPeers(r, now, view)
 }
 
-// announcement returns a heartbeat with the fields that the Announce hooks set.
+// announcement returns a heartbeat with the fields that the OnSendHeartbeat hooks set.
 func (s *Service) announcement() wire.Heartbeat {
 	var hb wire.Heartbeat
 	for _, f := range s.announceHooks {
--- a/peer/service_test.go
+++ b/peer/service_test.go
@@ -234,7 +234,7 @@
 }
 
 // Guards against a blocked link that stays open, and against dead daemons that are not
-// dialled again after a network partition. Two daemons connect, Block cuts their link
+// dialled again after a network partition. Two daemons connect, IsBlocked cuts their link
 // until each is dead in the other's view, and then allows it again.
 func TestBlockCutsAndHeals(t *testing.T) {
 	var blocked atomic.Bool
--- a/policy/types.go
+++ b/policy/types.go
@@ -34,7 +34,7 @@
 	Active       int
 	Queued       int
 	QueuedTokens int
-	// Step is the time between tokens. StepSeen is set when it was reported or measured;
+	// Step is the time between tokens. StepMeasured is set when it was reported or measured;
 	// otherwise it is a default, which must not cause a refusal.
 	Step         time.Duration
 	StepMeasured bool
@@ -76,12 +76,12 @@
 	// Accepted is when the request was accepted. The time since then counts towards the
 	// target for the first token. Zero means Now.
 	Accepted time.Time
-	// MayWait is set when the caller of Plan can hold the request until a slot is free. Ahead
+	// MayWait is set when the caller of Plan can hold the request until a slot is free. QueuedAhead
 	// is the number of requests waiting for the same pool ahead of it.
 	MayWait     bool
 	QueuedAhead int
 	// Retried is set when the client retries after a refusal, or the daemon after a failed
-	// attempt. Streak is the number of reservations that engines have refused since the
+	// attempt. RefusalStreak is the number of reservations that engines have refused since the
 	// request last waited.
 	Retried       bool
 	RefusalStreak int
@@ -110,7 +110,7 @@
 	// CachedTokens is the expected number of prompt tokens cached on the prefill engine.
 	CachedTokens int
 	// TokensAhead is the expected number of prompt tokens that the prefill engine processes
-	// before this prompt. The caller passes it on in board.Observation.
+	// before this prompt. The caller passes it on in board.PrefillResult.
 	TokensAhead int
 	// FirstToken and BetweenTokens are the predicted latencies.
 	FirstToken    time.Duration
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -35,11 +35,11 @@
 
 // Results of a probe.
 const (
-	// Unsure: the probe got no answer, as during a network partition.
+	// ProbeTimedOut: the probe got no answer, as during a network partition.
 	ProbeTimedOut ProbeResult = iota
-	// Lives: the upstream accepts connections, so only the connection of the run was lost.
+	// UpstreamAlive: the upstream accepts connections, so only the connection of the run was lost.
 	UpstreamAlive
-	// Ended: the host refuses connections, so the upstream's process has terminated.
+	// UpstreamCrashed: the host refuses connections, so the upstream's process has terminated.
 	UpstreamCrashed
 )
 
@@ -66,15 +66,15 @@
 	// that it detects itself.
 	Log Log
 	// IsReader reports whether this daemon is a reader, which reads the log itself. Otherwise it is
-	// a follower: it receives the records from another daemon, and passes them to Take. Nil means
+	// a follower: it receives the records from another daemon, and passes them to ApplyRemote. Nil means
 	// that it is always a reader.
 	IsReader func() bool
-	// Wait is how long a read of the log blocks while there is no new record, and Kept is the
+	// Wait is how long a read of the log blocks while there is no new record, and Retention is the
 	// retention time of the log.
 	Wait, Retention time.Duration
-	// Seen, if not nil, is called with the result of each probe.
+	// OnProbe, if not nil, is called with the result of each probe.
 	OnProbe func(s ProbeResult)
-	// Changed, if not nil, is called with the number of requests that have recorded crashes
+	// OnCountChanged, if not nil, is called with the number of requests that have recorded crashes
 	// whenever that number changes.
 	OnCountChanged func(requests int)
 	Logger         log.Interface
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// readsLog reports whether this daemon is a reader; see Options.Reads.
+// readsLog reports whether this daemon is a reader; see Options.IsReader.
 func (k *Keeper) readsLog() bool { return k.o.IsReader == nil || k.o.IsReader() }
 
 // ApplyRemote applies records received from another daemon. It does not block.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -27,7 +27,7 @@
 // Account identifies one limit: that of a team, or that of one incarnation of an upstream.
 type Account struct {
 	Team string // set for the limit of a team
-	// Upstream and Life, its incarnation, are set for the limit of an upstream.
+	// Upstream and Incarnation are set for the limit of an upstream.
 	Upstream    string
 	Incarnation int64
 }
@@ -51,7 +51,7 @@
 type Terms struct {
 	// Rate is in units a second across all daemons.
 	Rate float64
-	// Lifetime is the lifetime of accrued units, at most MostLife.
+	// Lifetime is the lifetime of accrued units, at most MaxLifetime.
 	Lifetime time.Duration
 }
 
--- a/ratelimit/book.go
+++ b/ratelimit/book.go
@@ -36,13 +36,13 @@
 // Change describes how a response changed the limit of an upstream.
 type Change struct {
 	Upstream Upstream
-	// Old and Is are the limits before and after, in requests a second, or None.
+	// Old and New are the limits before and after, in requests a second, or NoLimit.
 	Old, New float64
 	// Sent is the number of requests that this daemon sent to the upstream in the last Window.
 	Sent int
 }
 
-// NoLimit is the value of Was or Is in a Change for no limit.
+// NoLimit is the value of Old or New in a Change for no limit.
 const NoLimit = -1
 
 const (
@@ -122,7 +122,7 @@
 	}
 }
 
-// limitOrNone returns the limit in force, or None.
+// limitOrNone returns the limit in force, or NoLimit.
 func (e *entry) limitOrNone() float64 {
 	if !e.inForce {
 		return NoLimit
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -74,7 +74,7 @@
 // simUpstream is a simulated upstream, which reports a limit while it is overloaded.
 type simUpstream struct {
 	name         string
-	limit        func(at time.Duration) float64 // by time since the start; None while it reports none
+	limit        func(at time.Duration) float64 // by time since the start; NoLimit while it reports none
 	firstLimited time.Time                      // when the first response with a limit arrived
 	limitKnownAt []time.Time                    // by daemon, when its first response with a limit arrived
 	sent         []arrival
--- a/ratelimit/gate_test.go
+++ b/ratelimit/gate_test.go
@@ -60,7 +60,7 @@
 	count := func(g *Limiter, now time.Time, s Request) (n int) {
 		for g.Allows(now, upstream1, s) {
 			if _, _, ok := g.Acquire(now, upstream1, s); !ok {
-				t.Fatal("Take refused a request that May allowed")
+				t.Fatal("Acquire refused a request that Allows had allowed")
 			}
 			n++
 		}
--- a/ratelimit/news.go
+++ b/ratelimit/news.go
@@ -68,7 +68,7 @@
 	return Record{Name: u.Name, Incarnation: u.Incarnation, HasLimit: e.inForce, Limit: e.limit, Age: max(0, now.Sub(at))}
 }
 
-// Observation converts a record that arrived at now to the argument of Hear.
+// Observation converts a record that arrived at now to the argument of Observe.
 func (r Record) Observation(now time.Time) Observation {
 	o := Observation{Upstream: Upstream{Name: r.Name, Incarnation: r.Incarnation}, HasLimit: r.HasLimit, Limit: r.Limit, At: now.Add(-max(0, r.Age))}
 	if !r.HasLimit {
--- a/relay/asked.go
+++ b/relay/asked.go
@@ -18,15 +18,15 @@
 type FollowerActivity struct {
 	mu        sync.Mutex
 	lastCall  time.Time
-	callbacks map[int]func() // registered with OnFirst
+	callbacks map[int]func() // registered with OnActive
 	nextID    int
 }
 
-// NewFollowerActivity returns an Asked without any recorded call.
+// NewFollowerActivity returns a FollowerActivity without any recorded call.
 func NewFollowerActivity() *FollowerActivity { return &FollowerActivity{callbacks: map[int]func(){}} }
 
 // RecordCall records a call of a follower. If no call was recent, it runs the callbacks
-// registered with OnFirst.
+// registered with OnActive.
 func (a *FollowerActivity) RecordCall(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -9,10 +9,10 @@
 //     that replace it in case of failure.
 //   - Plan selects the source of the next read: the reader, one of its successors, a reader of
 //     another data centre, the store, or none for a while.
-//   - Journal caches the records that this daemon has read.
+//   - FeedCache caches the records that this daemon has read.
 //
 // Three types do the I/O. Store reads the two feeds as its Plan says, Server answers other
-// daemons from the Journal and the Roster, and Exchange lets the readers inform each other.
+// daemons from the FeedCache and the Roster, and Exchange lets the readers inform each other.
 //
 // Without the relay every daemon asks the store for every change, and retries while the store
 // is unavailable. With 295 daemons, an outage of 16 seconds caused 41,000 calls, most of
@@ -25,5 +25,5 @@
 // the reader's last contact with the store; a reader that cannot reach the store says so at
 // once; and a follower that gets no fresh data asks the next daemon in the succession,
 // which reads the store itself. All timeouts derive from the time within which a change
-// must be in force on all daemons (see Pace).
+// must be in force on all daemons (see Timing).
 package relay
--- a/relay/journal.go
+++ b/relay/journal.go
@@ -9,7 +9,7 @@
 )
 
 // maxCachedBatches bounds the batches that are cached of each feed. A follower reads again
-// within Pace.AnswerWithin, in which a feed yields only a few batches. A follower that asks
+// within Timing.AnswerWithin, in which a feed yields only a few batches. A follower that asks
 // for older records is sent a snapshot of the feed.
 const maxCachedBatches = 64
 
@@ -68,7 +68,7 @@
 	Changed <-chan struct{}
 }
 
-// NewFeedCache returns an empty journal.
+// NewFeedCache returns an empty FeedCache.
 func NewFeedCache() *FeedCache { return &FeedCache{changed: make(chan struct{})} }
 
 // Add stores a batch of a feed that was read from the offset from on. readAt is when its
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -39,7 +39,7 @@
 	// PartialOK reports that fewer units than Needs are useful too.
 	PartialOK bool `msgpack:"p,omitempty"`
 	// From is the borrower. Accrued is accrual time that it hands over to the lender (see
-	// TimeKeeper).
+	// AccrualSender).
 	From    Peer       `msgpack:"f"`
 	Accrued quota.Span `msgpack:"a"`
 	// Terms are the rate of the account and the lifetime of its units. The lender has its
--- a/relay/message.go
+++ b/relay/message.go
@@ -71,7 +71,7 @@
 	// QuarantineUpTo is the sequence number up to which the caller has received quarantine
 	// records.
 	QuarantineUpTo uint64 `msgpack:"t,omitempty"`
-	// Accrued is accrual time that the caller hands over (see TimeKeeper).
+	// Accrued is accrual time that the caller hands over (see AccrualSender).
 	Accrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -157,7 +157,7 @@
 	Unreachable []string `msgpack:"q,omitempty"`
 	// Samples are sent by readers and come from the daemons of their data centre.
 	Samples []sample `msgpack:"e,omitempty"`
-	// Accrued is accrual time that the caller hands over (see TimeKeeper).
+	// Accrued is accrual time that the caller hands over (see AccrualSender).
 	Accrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -177,7 +177,7 @@
 // version returns a hash of what followers act on: the addresses of the readers and the
 // numbers of daemons. The numbers are rounded to logarithmic steps, so that a daemon that
 // starts or ends rarely changes the version. The steps are a factor of 1.2 for Daemons and
-// of 1.05 for Sharing and Near. An error of a twentieth in the latter does no harm because
+// of 1.05 for ShareCount and LocalDaemons. An error of a twentieth in the latter does no harm because
 // the daemons' shares add up to that much less than the whole limit (see package retry).
 func (s Succession) version() uint64 {
 	h := xxhash.New()
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -56,7 +56,7 @@
 // Step is the next action of a daemon that reads a feed.
 type Step struct {
 	Action Action
-	Peer   Peer // for AskPeer and Meet
+	Peer   Peer // for AskPeer and AskReader
 	// Patient is set if there is no other daemon left to ask (see readRequest).
 	Patient bool
 	// Probe is set if the store may be unavailable. The call then does not wait at the
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -159,7 +159,7 @@
 // RecordAnswer records that a daemon answered a read of this one.
 //
 // Suppose that the store refuses a reader, and that a successor reads the store for it. The
-// successor doesn't call the reader, so without Served it would drop out of the reader's
+// successor doesn't call the reader, so without RecordAnswer it would drop out of the reader's
 // order after peerTTL. The reader would then try the next successors, which the store may
 // refuse as well, and a new configuration would arrive seconds late.
 func (r *Roster) RecordAnswer(now time.Time, p Peer) {
--- a/relay/server.go
+++ b/relay/server.go
@@ -55,7 +55,7 @@
 	// Lend deducts n retries for a target from this daemon's budget, or returns false if
 	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
-	// Quota receives the accrual time that followers hand over (see TimeKeeper); with nil
+	// Quota receives the accrual time that followers hand over (see AccrualSender); with nil
 	// the time is lost. LendUnits lends units of an account; with nil nothing is lent.
 	Quota     *quota.Ledger
 	LendUnits func(ask LoanRequest) quota.Loan
@@ -77,7 +77,7 @@
 	ApplyRemote(list []quarantine.Record)
 }
 
-// Server answers the calls of other daemons from the journal and the roster. It is a
+// Server answers the calls of other daemons from the feed cache and the roster. It is a
 // supervise.Service.
 type Server struct {
 	o       ServerOptions
--- a/relay/store.go
+++ b/relay/store.go
@@ -19,7 +19,7 @@
 	Readers(ctx context.Context) ([]Peer, error)
 }
 
-// Options configure a Store; all fields but Limits, Time and Counted are required.
+// Options configure a Store; all fields but Limits, Time and OnRead are required.
 type Options struct {
 	Direct    fleet.Store
 	Directory Directory
@@ -362,7 +362,7 @@
 	return b, err
 }
 
-// recordStoreReply updates the plan and the journal with the result of a call to the store.
+// recordStoreReply updates the plan and the cache with the result of a call to the store.
 // It marks the first batch after a failure with Away, for followers too: a registration
 // that is missing from it may only have expired during the outage.
 func (s *Store) recordStoreReply(q query, b *fleet.Batch, err error) {
@@ -421,7 +421,7 @@
 	return min(q.wait, s.o.Timing.Hold)
 }
 
-// countRead reports a read to Options.Counted.
+// countRead reports a read to Options.OnRead.
 func (s *Store) countRead(f fleet.Feed, w Outcome) {
 	if s.o.OnRead != nil {
 		s.o.OnRead(f, w)
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -99,7 +99,7 @@
 	return newTestDaemon(s, Peer{Instance: "reader", DataCentre: "a", Address: reader}, testSelf)
 }
 
-// serveJournal runs a reader's server with a journal and returns its address.
+// serveJournal runs a reader's server with a feed cache and returns its address.
 func serveJournal(t *testing.T, j *FeedCache) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,7 +128,7 @@
 	return d.Read(t.Context(), fleet.FeedUpstreams, from, 2*time.Second)
 }
 
-// newTestJournal returns a journal with a snapshot at offset 1, followed by removals of the
+// newTestJournal returns a feed cache with a snapshot at offset 1, followed by removals of the
 // given names, both read at the given time.
 func newTestJournal(readAt time.Time, removed ...string) *FeedCache {
 	j := NewFeedCache()
--- a/relay/time.go
+++ b/relay/time.go
@@ -12,7 +12,7 @@
 // A daemon's share of a limit accrues over time. A follower does not add it to its own
 // ledger: with the calls that it makes anyway it sends the reader the span of time for
 // which its share is not accrued yet, and the reader accrues the share in its ledger (see
-// package quota). Followers then borrow from the reader. A TimeKeeper is safe for
+// package quota). Followers then borrow from the reader. An AccrualSender is safe for
 // concurrent use.
 type AccrualSender struct {
 	quota  *quota.Ledger
@@ -34,7 +34,7 @@
 // daemons.
 const maxStamps = 16
 
-// NewAccrualSender returns a TimeKeeper without stamps.
+// NewAccrualSender returns an AccrualSender without stamps.
 func NewAccrualSender(l *quota.Ledger, r *Roster) *AccrualSender {
 	return &AccrualSender{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -41,7 +41,7 @@
 	dataCentres = 5
 	// storeLatency is how long the fake store takes for an answer.
 	storeLatency = 4 * time.Millisecond
-	// pageSize is the number of records that the store returns in one call of Newest.
+	// pageSize is the number of records that the store returns in one call of Snapshot.
 	pageSize = 500
 	// largePerDataCentre is the number of daemons with the larger weight in each data
 	// centre.
--- a/request/events.go
+++ b/request/events.go
@@ -21,7 +21,7 @@
 	// EventRetryDenied is the result of ActionPlan when the retry budget lacks the permits
 	// that the plan needs.
 	EventRetryDenied
-	// EventPermitted is the result of ActionPermit. Paid is the number of retry permits taken,
+	// EventPermitted is the result of ActionPermit. Permits is the number of retry permits taken,
 	// 0 if the budget lacked them.
 	EventPermitted
 	// EventReserved reports that call Call reserved a slot.
@@ -103,10 +103,10 @@
 // The actions of a Machine.
 const (
 	// ActionPlan asks for a plan for Attempt that does not use the upstreams in Exclude. Retry
-	// is set after a failed attempt. Again is set when the attempt has waited for a slot since
+	// is set after a failed attempt. AfterWait is set when the attempt has waited for a slot since
 	// its last plan.
 	ActionPlan ActionKind = iota
-	// ActionPermit asks the retry budget for Needs permits before call Call is given up for
+	// ActionPermit asks the retry budget for Permits permits before call Call is given up for
 	// its silence.
 	ActionPermit
 	// ActionDispatch makes call Call of Step to Target according to Plan. It ends the call
@@ -170,7 +170,7 @@
 	Head                *engineapi.ResponseHead
 	Answer              *CallAnswer
 	Unanswered, Reached bool
-	// TimedOut is set for ActionBlame if the call timed out.
+	// TimedOut is set for ActionReportFailure if the call timed out.
 	TimedOut bool
 	From     Target
 	Accepted bool
--- a/request/machine.go
+++ b/request/machine.go
@@ -65,7 +65,7 @@
 
 // Drops counts chunks that did not become part of the answer.
 type Drops struct {
-	// Late chunks came from an older call, Crossed ones named another request or attempt, and
+	// Late chunks came from an older call, Misrouted ones named another request or attempt, and
 	// Duplicate ones repeated an index.
 	Late, Misrouted, Duplicate int
 }
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits are the parameters of a Bucket. In any span of Window it allows at most Depth + Slack
+// Limits are the parameters of a Bucket. In any span of Window it allows at most MaxCredit + Slack
 // retries, plus Ratio retries for each first attempt of that span.
 type Limits struct {
 	// Ratio is the credit, in retries, that each first attempt earns.
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -54,7 +54,7 @@
 	lastTick, noCreditUntil time.Time
 }
 
-// TickInterval is the interval at which Counted must be called.
+// TickInterval is the interval at which UpdateDaemons must be called.
 const TickInterval = 200 * time.Millisecond
 
 const (
@@ -84,9 +84,9 @@
 	b.buckets.Set(now, b.limits())
 }
 
-// UpdateDaemons must be called every TickEvery while the process runs, with the number of daemons known
-// or 0 if it is unknown. The largest number ever passed is used, since one that is too high only
-// makes this daemon's share smaller. Counted reports whether the share has changed.
+// UpdateDaemons must be called every TickInterval while the process runs, with the number of
+// daemons known or 0 if it is unknown. The largest number ever passed is used, since one that is
+// too high only makes this daemon's share smaller. It reports whether the share has changed.
 func (b *Budgets) UpdateDaemons(now time.Time, daemons int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -20,7 +20,7 @@
 	return &testDaemon{Budgets: NewBudgets(t0, bounds), now: t0, daemons: daemons}
 }
 
-// run advances the clock by d, with a tick every TickEvery.
+// run advances the clock by d, with a tick every TickInterval.
 func (l *testDaemon) run(d time.Duration) *testDaemon {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.now = l.now.Add(TickInterval)
--- a/roles/work.go
+++ b/roles/work.go
@@ -1,5 +1,5 @@
 // Package roles moves engines between prefill and decode so that both pools are equally
-// busy. Work estimates the costs of completions and Planner computes orders, both without
+// busy. CostEstimator estimates the costs of completions and Planner computes orders, both without
 // I/O. Lease determines whether this daemon may send orders, and Runner connects them to
 // the network.
 //
--- a/router/homes.go
+++ b/router/homes.go
@@ -23,7 +23,7 @@
 	// one has the shard's stream in memory while the other is replaced.
 	homesPerShard = 2
 	// homeCallTimeout bounds one call to one home, so that after a call to a frozen home
-	// there is time to call the next one within claims.Options.DecideWithin.
+	// there is time to call the next one within claims.Options.DecisionTimeout.
 	homeCallTimeout = 500 * time.Millisecond
 )
 
@@ -72,13 +72,13 @@
 	return false
 }
 
-// ask gets the state of a claim from a home of its shard. It implements claims.AskFunc.
+// ask gets the state of a claim from a home of its shard. It implements claims.HomeLookupFunc.
 func (h *homes) ask(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error) {
 	return callHome[wire.ClaimState](ctx, h, shard, wire.TypeClaim, get)
 }
 
 // relay has a home of the shard append claims to the log. It implements
-// claims.RelayFunc. If two homes append the same claims, readers of the log use the
+// claims.HomeAppendFunc. If two homes append the same claims, readers of the log use the
 // first record.
 func (h *homes) relay(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
 	return callHome[wire.ClaimAppended](ctx, h, shard, wire.TypeClaimAppend, put)
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -27,8 +27,8 @@
 
 // upstreamLimits enforces the rate limits that upstreams announce in their answers, with the
 // units (requests) that this daemon accrues and those that it borrows from other daemons. It
-// implements request.UpstreamLimits, relay.Limits, upstream.Notices and supervise.Service, and
-// is safe for concurrent use.
+// implements request.UpstreamLimits, relay.Limits, upstream.RateLimitObserver and
+// supervise.Service, and is safe for concurrent use.
 type upstreamLimits struct {
 	o        upstreamLimitOptions
 	book     *ratelimit.Table
@@ -122,7 +122,7 @@
 }
 
 // ObserveRateLimit takes what the headers of an answer state about its upstream's rate limit. It
-// implements upstream.Notices.
+// implements upstream.RateLimitObserver.
 func (l *upstreamLimits) ObserveRateLimit(n upstream.RateLimitNotice) {
 	if n.Invalid != "" {
 		l.o.Logger.WithFields(log.Fields{"upstream": n.Upstream, "limit": truncate(n.Invalid)}).Warn("invalid rate limit from upstream: previous limit kept")
--- a/settings/attached.go
+++ b/settings/attached.go
@@ -96,7 +96,7 @@
 	MemoryMB    int `yaml:"memory_mb" validate:"min=16" unit:"megabytes" doc:"memory of the instance"`
 	Descriptors int `yaml:"descriptors" validate:"min=64" unit:"descriptors" doc:"file descriptors of the process"`
 	Cores       int `yaml:"cores" validate:"min=1" doc:"processors of the instance"`
-	// CPUShare and Link determine Weight.
+	// CPUShare and LinkRate determine Weight.
 	CPUShare float64 `yaml:"share" validate:"gt=0" unit:"cores" doc:"processor time available to the instance per second"`
 	LinkRate float64 `yaml:"link" validate:"gt=0" unit:"Mbit/s" doc:"bandwidth of the instance's network link"`
 }
--- a/steward/sweep.go
+++ b/steward/sweep.go
@@ -23,7 +23,7 @@
 	OwnerDead Reason = "owner-dead"
 	// OwnerUnknown: the owner has been unknown for members.Config.UnknownAfter.
 	OwnerUnknown Reason = "owner-unknown"
-	// ExportStale: no decode engine imported the export within ExportBound.
+	// ExportStale: no decode engine imported the export within MaxExportAge.
 	ExportStale Reason = "export-stale"
 )
 
--- a/upstream/engineapi/engineapi.go
+++ b/upstream/engineapi/engineapi.go
@@ -40,7 +40,7 @@
 }
 
 // CallerRequest is the caller's HTTP request, for engines that take it unchanged instead of a
-// prompt. All calls for a request share one Original, which must not be modified.
+// prompt. All calls for a request share one CallerRequest, which must not be modified.
 type CallerRequest struct {
 	Method string
 	// Path is the path with the raw query.
--- a/upstream/notice.go
+++ b/upstream/notice.go
@@ -11,7 +11,7 @@
 type RateLimitNotice struct {
 	// Upstream is the upstream's name.
 	Upstream string
-	// Sent is when the request was sent, and Came when its response began to arrive. The
+	// Sent is when the request was sent, and Received when its response began to arrive. The
 	// upstream wrote the response between these two times.
 	Sent, Received time.Time
 	// HasLimit reports whether the response states a limit. Limit is that limit, in requests per
@@ -25,8 +25,8 @@
 	Executed bool
 }
 
-// NewRateLimitNotice returns the Notice of a response. values are the values of its rate limit header.
-// There should be at most one; if there are several, the lowest applies.
+// NewRateLimitNotice returns the RateLimitNotice of a response. values are the values of its
+// rate limit header. There should be at most one; if there are several, the lowest applies.
 func NewRateLimitNotice(name string, sent, received time.Time, values []string, ran bool) RateLimitNotice {
 	n := RateLimitNotice{Upstream: name, Sent: sent, Received: received, Executed: ran}
 	for _, text := range values {
@@ -57,8 +57,8 @@
 	ObserveRateLimit(n RateLimitNotice)
 }
 
-// NoRateLimitObserver is a Notices that ignores all notices.
+// NoRateLimitObserver is a RateLimitObserver that ignores all notices.
 type NoRateLimitObserver struct{}
 
-// ObserveRateLimit implements Notices.
+// ObserveRateLimit implements RateLimitObserver.
 func (NoRateLimitObserver) ObserveRateLimit(RateLimitNotice) {}
--- a/upstream/services.go
+++ b/upstream/services.go
@@ -75,7 +75,7 @@
 }
 
 // Call sends c once to the replica at addr, which is host:port, and returns the complete
-// response. A response that may be truncated, exceeds DefaultMaxAnswer or has the id of
+// response. A response that may be truncated, exceeds DefaultMaxResponseBytes or has the id of
 // another request gives an error with Delivery Maybe.
 func (s *Services) Call(ctx context.Context, addr string, c ServiceCall) (*ServiceResponse, error) {
 	req, err := newServiceRequest(ctx, addr, c)
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -14,7 +14,7 @@
 // MaxLineBytes is the maximum length of a line of a decode stream, in bytes.
 const MaxLineBytes = 16 << 10
 
-// ErrLineTooLong is returned for a line that is longer than MaxLine.
+// ErrLineTooLong is returned for a line that is longer than MaxLineBytes.
 var ErrLineTooLong = errors.New("stream line too long")
 
 var bufferPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, MaxLineBytes) }}
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -47,7 +47,7 @@
 
 // Guards against a truncated or malformed stream that is taken for a complete one, and
 // against a line without an end that fills the memory. The connection ends inside a line, a
-// line is not a valid chunk, or a line exceeds MaxLine.
+// line is not a valid chunk, or a line exceeds MaxLineBytes.
 func TestStreamDamaged(t *testing.T) {
 	for name, tc := range map[string]struct {
 		in   string
