--- a/board/board_test.go
+++ b/board/board_test.go
@@ -96,7 +96,7 @@
 // one: the restarted engine would stay ejected, or be credited with prompts that it no
 // longer has in its cache. It happens when an engine fails, is ejected, and registers
 // again under the same name and address.
-func TestAnotherLifeOfANameIsUnknown(t *testing.T) {
+func TestOtherIncarnationIsUnknown(t *testing.T) {
 	version := func(number uint64, life int64) *bundle.Version {
 		return &bundle.Version{Number: number, Bundle: &bundle.Bundle{
 			Models: map[string]bundle.Model{"m": {DecodePool: "d"}},
--- a/board/handoff_test.go
+++ b/board/handoff_test.go
@@ -29,7 +29,7 @@
 // accepts none of them. A decode engine that is changing to the prefill role still
 // grants reservations but refuses the handoffs. If only the prefill engine were blamed,
 // whose result might have expired, requests would continue to go to that decode engine.
-func TestTheEndThatFailsWithOthersIsBlamed(t *testing.T) {
+func TestRepeatedHandoffFailures(t *testing.T) {
 	type handoff struct {
 		from, to string
 		taken    bool
--- a/board/rules_test.go
+++ b/board/rules_test.go
@@ -96,11 +96,11 @@
 	}
 }
 
-// TestPeersTakeNoticesBack guards against upstreams that get no requests for a minute
+// TestPeersWithdrawNotices guards against upstreams that get no requests for a minute
 // after a restart. An upstream announces that it is leaving and restarts; the peer that
 // received the notice repeats it for a few heartbeats and then omits it, which must
 // clear the notice before it expires.
-func TestPeersTakeNoticesBack(t *testing.T) {
+func TestPeersWithdrawNotices(t *testing.T) {
 	one, next, other := wire.NodeID{Instance: "one", Incarnation: 1}, wire.NodeID{Instance: "one", Incarnation: 2}, wire.NodeID{Instance: "other", Incarnation: 1}
 	type heartbeat struct {
 		peer  wire.NodeID
@@ -307,7 +307,7 @@
 	})
 }
 
-func TestGapsCostTrust(t *testing.T) {
+func TestGapsReduceTrust(t *testing.T) {
 	prefix := make([]uint64, 32)
 	for i := range prefix {
 		prefix[i] = uint64(i + 1)
--- a/bundle/chain_test.go
+++ b/bundle/chain_test.go
@@ -221,7 +221,7 @@
 	checkInForce(t, logOnly, child)
 }
 
-func TestPeerWord(t *testing.T) {
+func TestPeerObservation(t *testing.T) {
 	g := snapshot(nil, "g")
 	w := delta(g, "w")
 	s := snapshot(w, "s")
--- a/fleet/patience_test.go
+++ b/fleet/patience_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestWaited(t *testing.T) {
+func TestRetryDetector(t *testing.T) {
 	p := NewRetryDetector()
 	for range minRequests {
 		p.RecordDeadline(at(0), "drafts", 13*time.Second)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -131,7 +131,7 @@
 
 // Goes through an operator's usual steps: a first version, a change, the same record
 // published twice, and a snapshot after --snapshot-every changes.
-func TestOperatorsPath(t *testing.T) {
+func TestOperatorWorkflow(t *testing.T) {
 	d := newHarness(t)
 	first := d.path("first.yaml")
 	d.mustRun("bundle", "new", "-o", first)
--- a/members/table_test.go
+++ b/members/table_test.go
@@ -118,7 +118,7 @@
 // the old one resumes and learns of the new one, from its heartbeat or from another
 // daemon's list.
 // Cause: the old incarnation is not notified that it was replaced.
-func TestEarlierLifeHearsThatItIsOver(t *testing.T) {
+func TestEarlierIncarnationIsNotified(t *testing.T) {
 	listing := beat("b", "x", 1, 1)
 	listing.Known = []wire.KnownDaemon{{Node: node("a", 2)}}
 	for name, hb := range map[string]wire.Heartbeat{"directly": beat("a", "x", 2, 1), "by another daemon's list": listing} {
@@ -136,7 +136,7 @@
 // sent meanwhile wait in its sockets; a caller reads the view before the next tick.
 // Cause: the process relies on the last view, or on heartbeats that may have been
 // sent before or during the freeze.
-func TestThawWaitsForWordsSentAfterIt(t *testing.T) {
+func TestThawWaitsForLaterHeartbeats(t *testing.T) {
 	freezeAndTick := func(t *testing.T) (*Table, Round) {
 		tb := NewTable(config("a", "x"), start)
 		for _, n := range []string{"b", "c", "d"} {
--- a/policy/throttle_test.go
+++ b/policy/throttle_test.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// TestThrottleComesBack guards against refusing requests after an overload has ended and the
+// TestThrottleRecovers guards against refusing requests after an overload has ended and the
 // engines are idle. The share must grow again, also without further calls.
-func TestThrottleComesBack(t *testing.T) {
+func TestThrottleRecovers(t *testing.T) {
 	var throttle Throttle
 	now := t0
 	for range 400 {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -423,7 +423,7 @@
 // while replicas crash, alone and in groups, daemons are killed, freeze, join or are partitioned,
 // and the store is unavailable. It fails if daemons do not share the crashes that they detect, lose
 // them in a restart, or hold unrelated crashes against a request.
-func TestFleetKeepsItsPromise(t *testing.T) {
+func TestCrashingRequestsAreContained(t *testing.T) {
 	for _, size := range modelFleets {
 		t.Run(fmt.Sprint(size.daemons), func(t *testing.T) {
 			t.Parallel()
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -23,7 +23,7 @@
 
 // Guards against probes that take a lost connection for a crash, or miss a crash. It probes a
 // listening port, a closed one and dialers that fail in other ways.
-func TestSigns(t *testing.T) {
+func TestProbeResults(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +172,7 @@
 // Guards against a follower that misses records because it takes the positions of one daemon for
 // those of another, or that receives all records again and again. It reads in batches from one
 // daemon, and then from another that holds fewer records.
-func TestNewsArePassedOn(t *testing.T) {
+func TestRecordsArePassedOn(t *testing.T) {
 	reader, other := newTestKeeper(nil, discard.New()), newTestKeeper(nil, discard.New())
 	other.recent.base += 1 << 20 // as if started later
 	var records []Record
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -415,7 +415,7 @@
 
 // Guards against requests refused below the limit because they arrive at a few daemons only,
 // which with equal shares and no lending hold too few units.
-func TestCalmFleetRefusesNobodyBelowTheLimit(t *testing.T) {
+func TestNoRefusalBelowLimit(t *testing.T) {
 	withLending := simulate(0, 73, 16, false, scenarios["calm"]).refusedBelowLimit()
 	withoutLending := simulate(0, 73, 16, true, scenarios["calm"]).refusedBelowLimit()
 	t.Logf("refused below the limit: %.4f with lending, %.4f without", withLending, withoutLending)
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -48,7 +48,7 @@
 
 // Guards against units that are spent after they expired, on top of those accrued in the same
 // window.
-func TestAccrualsEndWithTheirLife(t *testing.T) {
+func TestAccrualsExpire(t *testing.T) {
 	l := accruingLedger(30_000)
 	rate, life := terms.Rate, terms.Lifetime
 	if got := l.Available(at(30_000), team("a"), terms); !approxEqual(got, rate*life.Seconds(), rate*0.2) {
@@ -185,7 +185,7 @@
 
 // Guards against a burst that neither limit allows after a limit is raised, and against units
 // saved up under the higher limit after it is lowered.
-func TestWhatWasAccruedIsWorthTheLowerLimit(t *testing.T) {
+func TestAccrualsAreValuedAtLowerLimit(t *testing.T) {
 	high, low := Terms{Rate: 100, Lifetime: 2 * time.Second}, Terms{Rate: 1, Lifetime: 4 * time.Second}
 	for _, c := range []struct {
 		name  string
@@ -225,7 +225,7 @@
 
 // Guards against a backoff after a less urgent request that also stops more urgent ones from
 // borrowing, and against loan requests that are repeated in vain.
-func TestRestHoldsForWhatGoesNoEarlier(t *testing.T) {
+func TestBackoffBlocksLessUrgentRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		ms    int
--- a/ratelimit/book_test.go
+++ b/ratelimit/book_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a limit that is cleared by a response written before it was set, or kept after
 // the upstream has ended it.
-func TestBookTellsOldWordsFromNewOnes(t *testing.T) {
+func TestTableIgnoresOlderObservations(t *testing.T) {
 	named := func(limit float64, ms int) Observation {
 		return Observation{Upstream: upstream1, HasLimit: true, Limit: limit, At: at(ms)}
 	}
@@ -54,7 +54,7 @@
 }
 
 // Guards against a limit that also applies to the next incarnation of an upstream.
-func TestBookKeepsLivesApart(t *testing.T) {
+func TestTableSeparatesIncarnations(t *testing.T) {
 	b := NewTable()
 	b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	if _, ok := b.Limit(Upstream{Name: upstream1.Name, Incarnation: 8}); ok {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestBookTellsWhatChangedAndWhatWasSent(t *testing.T) {
+func TestTableReportsChangesAndUsage(t *testing.T) {
 	b := NewTable()
 	b.RecordSent(at(0), upstream1)
 	c, changed := b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestBookForgets(t *testing.T) {
+func TestTableExpiresRecords(t *testing.T) {
 	b := NewTable()
 	b.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	other := Upstream{Name: "i-2"}
--- a/ratelimit/news_test.go
+++ b/ratelimit/news_test.go
@@ -17,7 +17,7 @@
 
 // Guards against daemons that never learn of a limit, or of its end, because they send no requests
 // to the upstream.
-func TestNewsOfALimitAndItsEnd(t *testing.T) {
+func TestLimitAndItsRemovalArePropagated(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	relayNews(at(100), a, b, 50*time.Millisecond)
@@ -32,7 +32,7 @@
 }
 
 // Guards against a delayed record of the end of a limit that clears a limit reported since.
-func TestOldNewsLiftNoLimit(t *testing.T) {
+func TestOldRecordLiftsNoLimit(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	a.Observe(at(1000), Observation{Upstream: upstream1, At: at(1000)})
@@ -49,7 +49,7 @@
 
 // Guards against calls that grow with the number of limits, and against a starting daemon that
 // receives only recent changes instead of all limits.
-func TestNewsAreBounded(t *testing.T) {
+func TestRecentChangesAreBounded(t *testing.T) {
 	b := NewTable()
 	for i := range 3 * maxRecords {
 		b.Observe(at(i), Observation{Upstream: Upstream{Name: fmt.Sprint("i-", i)}, HasLimit: true, Limit: 1, At: at(i)})
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -208,7 +208,7 @@
 // expire while the store is unavailable, and all but one are restored within 1.5 s of its
 // return. Followers must not take the first batch that their reader reads after the outage
 // for deliberate removals.
-func TestLapsesOfAnOutageAreToldApart(t *testing.T) {
+func TestLapsesDuringOutageAreDistinguished(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		w.store.update(func() { w.store.down = true })
 		time.Sleep(5 * time.Second)
@@ -416,7 +416,7 @@
 
 // Guards against a daemon that waits for a reader forever. All other daemons, including its
 // reader, are killed; it must read the store itself.
-func TestTheLastDaemonReadsItself(t *testing.T) {
+func TestLastDaemonReadsStore(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		last := w.daemons[len(w.daemons)-1]
 		w.kill(w.daemons[:len(w.daemons)-1]...)
@@ -449,7 +449,7 @@
 // Load: each daemon sees one completion every two seconds, as in a fleet of hundreds. From
 // its own completions alone, the daemon that assigns roles to engines would not learn their
 // cost within a day, and no daemon would learn the length of answers within a minute.
-func TestAllLearnFromTheFleet(t *testing.T) {
+func TestSamplesReachAllDaemons(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		const seconds = 12
@@ -481,7 +481,7 @@
 
 // Guards against a restarted daemon that has no estimates for a minute. It must be sent the
 // recent samples of the fleet at once instead of one by one.
-func TestANewDaemonIsToldWhatOthersSaw(t *testing.T) {
+func TestNewDaemonGetsOthersSamples(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		for range 5 {
 			for _, d := range w.daemons {
--- a/relay/journal_test.go
+++ b/relay/journal_test.go
@@ -49,7 +49,7 @@
 	return out
 }
 
-func TestJournalLook(t *testing.T) {
+func TestFeedCacheGet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from  uint64
 		whole bool
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestJournalIsBounded(t *testing.T) {
+func TestFeedCacheIsBounded(t *testing.T) {
 	j := NewFeedCache()
 	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0))
 	for i := range uint64(3 * maxCachedBatches) {
@@ -98,7 +98,7 @@
 
 // Guards against followers of a healthy reader that never learn of an upstream. The reader
 // skips records 2 and 3; its state is then incomplete and must not be served as a snapshot.
-func TestJournalTellsOfNoGap(t *testing.T) {
+func TestFeedCacheOmitsIncompleteSnapshot(t *testing.T) {
 	j := NewFeedCache()
 	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(2, "a"))
 	j.Add(t0, fleet.FeedUpstreams, 4, removals(6, "b"))
@@ -115,7 +115,7 @@
 // the store is unavailable, and the reader's first batch after the outage contains the
 // removals. Followers must receive the Away mark with it, and with a snapshot for the
 // length of recoveryWindow.
-func TestJournalPassesOnThatTheStoreWasAway(t *testing.T) {
+func TestFeedCacheReportsStoreDown(t *testing.T) {
 	j := NewFeedCache()
 	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0, "a", "b"))
 	first := removals(1, "a")
@@ -136,7 +136,7 @@
 
 // The age depends on the last contact with the store by either feed. A feed that was never
 // read is unknown.
-func TestJournalAge(t *testing.T) {
+func TestFeedCacheAge(t *testing.T) {
 	j := NewFeedCache()
 	if j.Get(t0, fleet.FeedConfig, 0, false).Known {
 		t.Error("known before the first read")
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -75,7 +75,7 @@
 }
 
 // Guards against requests of a team that each wait for the same unreachable lender.
-func TestLenderThatIsGoneIsLeftAlone(t *testing.T) {
+func TestUnreachableLenderIsSkipped(t *testing.T) {
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +116,7 @@
 
 // Guards against limits that remain unused because followers do not hand their accrual time
 // over to the reader, or do not ask the reader for loans.
-func TestFollowersHandTheirTimeOver(t *testing.T) {
+func TestFollowersHandOverAccruals(t *testing.T) {
 	ledger := newTestLedger(0.1)
 	reader := serveLoans(t, ledger, "a")
 	d := newTestDaemon(&fakeFeedStore{}, reader, testSelf)
@@ -148,7 +148,7 @@
 
 // Guards against a restarted reader that knows few of its followers and therefore accrues
 // too large a share for each.
-func TestPartOfAFollowerThatKnowsMore(t *testing.T) {
+func TestShareOfFollowerWithLargerCount(t *testing.T) {
 	r := NewRoster(peer("r", "a", 1), []string{"a", "b", "c"})
 	if got := r.Share(t0); got != 0 {
 		t.Errorf("a share of %v before another daemon is known", got)
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -139,7 +139,7 @@
 	return j
 }
 
-func TestFollowersLeaveTheStoreAlone(t *testing.T) {
+func TestFollowersDoNotReadStore(t *testing.T) {
 	d := newFollower(&fakeFeedStore{}, serveJournal(t, newTestJournal(time.Now(), "a", "b")))
 	b, err := d.readFrom(t, 1)
 	if err != nil || b.Next != 3 {
@@ -263,7 +263,7 @@
 
 // Guards against two daemons that take each other for the reader, so that neither reads the
 // store. A daemon with followers must read the store itself.
-func TestWhoIsAskedReadsItself(t *testing.T) {
+func TestAskedDaemonReadsStore(t *testing.T) {
 	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, serveJournal(t, newTestJournal(time.Now())))
 	d.asked.RecordCall(d.now)
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
@@ -281,7 +281,7 @@
 // Guards against a follower that waits for a successor which itself waits for the frozen
 // reader. When a follower calls the successor, that one must cancel its own call to the
 // reader.
-func TestWhoIsAskedGivesItsOwnCallUp(t *testing.T) {
+func TestAskedDaemonStopsOwnCall(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, listenAndHandle(t, func(net.Conn) { arrived <- struct{}{} }))
 	var wg conc.WaitGroup
@@ -301,7 +301,7 @@
 // Guards against running upstreams that are dropped after an outage of the store. The first
 // batch after the outage contains removals of expired leases. It must be marked with Away,
 // also for followers that made no reads during the outage.
-func TestFirstReadingAfterAnOutageSaysSo(t *testing.T) {
+func TestFirstReadAfterOutageIsMarked(t *testing.T) {
 	s := &fakeFeedStore{records: []string{"a"}}
 	d := newTestDaemon(s, testSelf)
 	d.journal.Add(d.now, fleet.FeedUpstreams, 0, snapshotOf(0, "a"))
@@ -358,7 +358,7 @@
 
 // The timeouts leave the follower of a partitioned reader half of the bound, and the data
 // of a healthy reader never becomes stale.
-func TestPace(t *testing.T) {
+func TestTiming(t *testing.T) {
 	for _, bound := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 4 * time.Second, 14 * time.Second} {
 		p := TimingFor(bound)
 		if p.Hold+p.SharedGather >= p.MaxAge {
--- a/request/attached_test.go
+++ b/request/attached_test.go
@@ -158,7 +158,7 @@
 
 // Guards against cutting off an answer that no other engine may produce: a slow engine is
 // silent for longer than the stall timeout.
-func TestSilenceEndsNoAnswerThatNobodyElseMayGive(t *testing.T) {
+func TestSilenceKeepsNonReplayableStreams(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode()
 	s.now = s.now.Add(10 * time.Second)
--- a/request/lattice_test.go
+++ b/request/lattice_test.go
@@ -9,10 +9,10 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// TestLattice checks the run state after one call of each step with each delivery. It guards
+// TestRunStateAfterEachCall checks the run state after one call of each step with each delivery. It guards
 // against reporting "not run" for a request that ran, which its caller would then submit a
 // second time.
-func TestLattice(t *testing.T) {
+func TestRunStateAfterEachCall(t *testing.T) {
 	const n, u, r = errkind.NotRun, errkind.Unknown, errkind.Ran
 	for _, tc := range []struct {
 		step                            Step
--- a/request/observe_test.go
+++ b/request/observe_test.go
@@ -38,7 +38,7 @@
 // Guards against a replaced upstream that never gets work again: after its new process was
 // observed, an answer of the old process is read late and announces that it is leaving. The
 // notice must be applied to its own incarnation only.
-func TestLateLeavingOfAFormerLife(t *testing.T) {
+func TestLateLeavingNoticeOfEarlierIncarnation(t *testing.T) {
 	h := board.NewHolder(board.New(board.Config{}))
 	f := newFleet(t, func(o *request.Options) { o.Observer = boardObserver{observer{}, h} })
 	loads := make(chan string, 1)
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -59,7 +59,7 @@
 
 // Guards against a restart that lets a daemon spend its share of the slack twice within a window: a
 // new process does not know what its predecessor spent.
-func TestLifeBeginsWithNothing(t *testing.T) {
+func TestNewIncarnationStartsEmpty(t *testing.T) {
 	l := newTestDaemon(Bounds{Ratio: 0.2, Slack: 100, Window: testWindow, MinDaemons: 1}, 1)
 	if n := l.run(time.Second).drain("a"); n != 0 {
 		t.Errorf("%d retries allowed right after the start", n)
@@ -103,7 +103,7 @@
 
 // Guards against a share computed from too few daemons. The largest count is used, and a larger one
 // makes the share smaller at once.
-func TestPartFollowsTheLargestCount(t *testing.T) {
+func TestShareFollowsLargestCount(t *testing.T) {
 	l := newTestDaemon(Bounds{Ratio: 1, Slack: 100, Window: testWindow, MinDaemons: 5}, 10).run(testWindow + time.Second)
 	l.firstAttempts(20)
 	l.daemons = 50
@@ -144,7 +144,7 @@
 // Guards against a share of the slack that becomes available too early. A daemon that has discovered
 // few others freezes for as long as it must wait; the frozen time must not count, since its number
 // of daemons is not updated then.
-func TestPartDoesNotOpenInAFreeze(t *testing.T) {
+func TestShareDoesNotGrowWhileFrozen(t *testing.T) {
 	l := newTestDaemon(Bounds{Slack: 100, Window: testWindow, MinDaemons: 1}, 2).run(time.Second)
 	l.now = l.now.Add(testWindow)
 	if n := l.run(TickInterval).drain("a"); n != 0 {
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -188,7 +188,7 @@
 // Guards against moving all but one engine away from prefill. When a prefill is repeated on
 // an engine that has the prompt in its cache, it takes almost no time. A single such sample
 // must not make prefill seem ten times as fast.
-func TestOneKeptPromptTeachesLittle(t *testing.T) {
+func TestSingleSampleHasLittleWeight(t *testing.T) {
 	w := NewCostEstimator()
 	e := Capacity{Slots: 12, MemoryTokens: 30000}
 	for range 60 {
@@ -210,7 +210,7 @@
 // Guards against an engine that keeps its old role for seconds although prefill engines are
 // missing. It is ordered to prefill, crashes and registers again under its name. The order
 // must not stay pending for the new incarnation, which never received it.
-func TestOrderEndsWithTheLifeThatGotIt(t *testing.T) {
+func TestOrderEndsWithIncarnation(t *testing.T) {
 	p := NewPlanner(switchTime)
 	members := newEngines(3, 6)
 	order := Order{Member: members[5], To: fleet.RolePrefill}
@@ -228,7 +228,7 @@
 
 // Guards against engines that change their roles in each burst and are unavailable for the
 // rest of it. During a burst the wanted share seems to be 1.6 times its real value.
-func TestPlannerSitsBurstsOut(t *testing.T) {
+func TestPlannerIgnoresBursts(t *testing.T) {
 	const n, share = 128, 0.21
 	fleetOf := func(prefill int) []Engine {
 		var out []Engine
--- a/router/upstreamlimits_test.go
+++ b/router/upstreamlimits_test.go
@@ -178,7 +178,7 @@
 }
 
 // Guards against engines with rate limits that get more prefills or decodes than these allow.
-func TestEnginesInNeedGetNoMoreThanTheyTake(t *testing.T) {
+func TestScarceEnginesReceiveNoExcessCalls(t *testing.T) {
 	f := newLimitFleet(t)
 	const limit = 3.0
 	named := time.Now()
@@ -201,7 +201,7 @@
 
 // Guards against a newly started daemon that exceeds the limit of an upstream because it has
 // not received the limits known to the others.
-func TestDaemonThatStartsIsToldOfLimits(t *testing.T) {
+func TestNewDaemonReceivesLimits(t *testing.T) {
 	f := newLimitFleet(t)
 	f.upstream(t, "u4").NameLimit(5)
 	asked := 0
--- a/steward/runner_test.go
+++ b/steward/runner_test.go
@@ -235,7 +235,7 @@
 // Symptom: requests are still routed to failed upstreams, or peers receive no loads.
 // Sequence: all upstreams respond, then none does.
 // Cause: the results of polls do not reach the board or the peers.
-func TestRunnerTellsBoardAndPeers(t *testing.T) {
+func TestRunnerNotifiesBoardAndPeers(t *testing.T) {
 	f := &fakeEngines{held: map[string][]engineapi.Held{}, down: map[string]bool{}}
 	r, p, h := startRunner(t, f, nil)
 	isEngine := ownUpstreams(p.View(), testVersion().Bundle)
