--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -89,7 +89,7 @@
 // them.
 func (r *runner) setEngineFaults(ctx context.Context, f engine.Faults) error {
 	for _, n := range r.bed.Engines() {
-		if err := r.postJSON(ctx, n.Control+fault.PathFaults, fault.Set[engine.Faults]{Faults: f}); err != nil {
+		if err := r.postJSON(ctx, n.Control+fault.PathFaults, fault.SetRequest[engine.Faults]{Faults: f}); err != nil {
 			return err
 		}
 	}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -27,7 +27,7 @@
 }
 
 // requestPaths are the paths that callers request; each has its own route.
-var requestPaths = []string{site.PathDraft, site.PathOnce, site.PathOrder, site.PathLookUp}
+var requestPaths = []string{site.PathDraft, site.PathLetter, site.PathOrder, site.PathLookUp}
 
 // runCaller sends requests to random daemons until ctx ends, one at a time. It reuses its
 // connections until they break. n selects the seed of its random numbers.
@@ -82,7 +82,7 @@
 // An incomplete response must be a prefix of it. A rejection must have a Retry-After header.
 func (r *run) checkResponse(sent sentRequest, body string, h http.Header) {
 	want := "answer to " + sent.id
-	if sent.path == site.PathDraft || sent.path == site.PathOnce {
+	if sent.path == site.PathDraft || sent.path == site.PathLetter {
 		want = site.Stream(sent.id, streamEvents)
 	}
 	switch {
@@ -139,8 +139,8 @@
 // ran; and upstreams received the body that the caller sent.
 func (r *run) checkExecutions() {
 	for _, sent := range r.requests {
-		runs := r.site.Account.Runs(sent.id)
-		nonIdempotent := sent.path == site.PathOrder || sent.path == site.PathOnce
+		runs := r.site.Account.Executions(sent.id)
+		nonIdempotent := sent.path == site.PathOrder || sent.path == site.PathLetter
 		switch {
 		case nonIdempotent && len(runs) > 1:
 			r.addViolation("%s %s ran %d times: %+v", sent.id, sent.path, len(runs), runs)
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -43,7 +43,7 @@
 func (r *run) runFatalCaller(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(1000+n)))
 	body, path := fmt.Sprintf("fatal %d", n), requestPaths[rng.IntN(len(requestPaths))]
-	r.site.SetFatal(body, r.replaceUpstream)
+	r.site.CrashOn(body, r.replaceUpstream)
 	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		d := r.daemons[rng.IntN(len(r.daemons))]
@@ -126,15 +126,15 @@
 func (r *run) checkFatalRequests() {
 	runsByBody := map[string]int{}
 	for _, attempt := range r.fatalAttempts {
-		crashes := r.site.Account.Ends(attempt.body)
+		crashes := r.site.Account.CrashTimes(attempt.body)
 		if len(crashes) < crashThreshold || !attempt.daemonConnected || attempt.sentAt.Before(crashes[crashThreshold-1].Add(reconnectTime)) {
 			continue
 		}
-		runsByBody[attempt.body] += len(r.site.Account.Runs(attempt.id))
+		runsByBody[attempt.body] += len(r.site.Account.Executions(attempt.id))
 	}
 	for body, n := range runsByBody {
 		if n > maxLateRuns {
-			r.addViolation("%q reached upstreams %d times after three had ended under it; %d ended in all", body, n, len(r.site.Account.Ends(body)))
+			r.addViolation("%q reached upstreams %d times after three had ended under it; %d ended in all", body, n, len(r.site.Account.CrashTimes(body)))
 		}
 	}
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -55,7 +55,7 @@
 		u, _ := r.upstream(f.target)
 		r.site.Withdraw(u.Name)
 		time.Sleep(f.duration)
-		if r.site.Lives(u.Name) {
+		if r.site.IsRunning(u.Name) {
 			r.site.Register(u, "in_service")
 		}
 	case actLimit:
@@ -153,7 +153,7 @@
 		u, p := r.upstream(i)
 		u.SetFaults(site.Faults{})
 		p.setMode(transparent)
-		if r.site.Lives(u.Name) {
+		if r.site.IsRunning(u.Name) {
 			r.site.Register(u, "in_service")
 		}
 	}
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -46,10 +46,10 @@
 func (r *run) reportLimit(f fault) {
 	u, _ := r.upstream(f.target)
 	s := limitSpan{upstream: u, limit: reportedLimits[f.limitIndex], start: time.Now()}
-	u.NameLimit(s.limit)
+	u.SetLimit(s.limit)
 	time.Sleep(f.duration)
 	s.end = time.Now()
-	u.NameLimitAs("")
+	u.SetLimitHeader("")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limitSpans = append(r.limitSpans, s)
@@ -69,7 +69,7 @@
 		var counted []time.Time
 		for _, arrival := range s.upstream.Requests() {
 			sent := requestsByID[arrival.ID]
-			if sent == nil || arrival.At.Before(s.start.Add(site.LimitContact)) || !arrival.At.Before(s.end) {
+			if sent == nil || arrival.At.Before(s.start.Add(site.LimitGracePeriod)) || !arrival.At.Before(s.end) {
 				continue
 			}
 			if observedAt, ok := firstObservation(observations[sent.daemon], sent.daemon.lastDisturbance(arrival.At), arrival.At); ok && arrival.At.Sub(observedAt) >= propagationTime {
@@ -77,7 +77,7 @@
 			}
 		}
 		sortTimes(counted)
-		allowed := site.LimitAllows(s.limit)
+		allowed := site.AllowedRequests(s.limit)
 		for _, from := range counted {
 			if n := countBetween(counted, from, from.Add(site.LimitWindow)); float64(n) > allowed {
 				r.addViolation("%s got %d requests in %v with a limit of %g a second, %.1f are allowed", s.upstream.Name, n, site.LimitWindow, s.limit, allowed)
@@ -95,7 +95,7 @@
 		if !sent.complete || sent.sentAt.Before(s.start) || sent.endedAt.After(s.end) {
 			continue
 		}
-		if runs := r.site.Account.Runs(sent.id); len(runs) > 0 && runs[len(runs)-1].Upstream == s.upstream.Name {
+		if runs := r.site.Account.Executions(sent.id); len(runs) > 0 && runs[len(runs)-1].Upstream == s.upstream.Name {
 			out[sent.daemon] = append(out[sent.daemon], sent.endedAt)
 		}
 	}
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -18,7 +18,7 @@
 
 // serviceOf returns the service to which the route of a path leads.
 func serviceOf(path string) string {
-	if path == site.PathDraft || path == site.PathOnce {
+	if path == site.PathDraft || path == site.PathLetter {
 		return site.EngineSet
 	}
 	return site.PlainSet
--- a/internal/soak/teams.go
+++ b/internal/soak/teams.go
@@ -64,12 +64,12 @@
 	if !r.options.Teams {
 		return
 	}
-	for _, id := range r.site.Account.Keyed() {
+	for _, id := range r.site.Account.RequestsWithKey() {
 		r.addViolation("%s: its caller's key reached an upstream", id)
 	}
 	var limitedRuns []time.Time
 	for _, sent := range r.requests {
-		runs := r.site.Account.Runs(sent.id)
+		runs := r.site.Account.Executions(sent.id)
 		for _, run := range runs {
 			if run.Team != sent.team || sent.team == "" {
 				r.addViolation("%s of team %q ran as %q", sent.id, sent.team, run.Team)
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -33,11 +33,11 @@
 // the adapter, the whole prompt and i, so that a test can detect a token of
 // another request's answer.
 func Token(model, adapter, prompt string, i int) string {
-	return TokenOf(model, adapter, HashPrompt(prompt), i)
+	return TokenForHash(model, adapter, HashPrompt(prompt), i)
 }
 
-// TokenOf is like Token, but takes the hash of the prompt.
-func TokenOf(model, adapter string, prompt Hash, i int) string {
+// TokenForHash is like Token, but takes the hash of the prompt.
+func TokenForHash(model, adapter string, prompt Hash, i int) string {
 	var nums [16]byte
 	binary.LittleEndian.PutUint64(nums[:8], uint64(prompt))
 	binary.LittleEndian.PutUint64(nums[8:], uint64(i))
@@ -55,7 +55,7 @@
 	hash := HashPrompt(prompt)
 	out := make([]byte, 0, 7*n)
 	for i := range n {
-		out = append(out, TokenOf(model, adapter, hash, i)...)
+		out = append(out, TokenForHash(model, adapter, hash, i)...)
 	}
 	return string(out)
 }
@@ -66,11 +66,11 @@
 //
 //nolint:revive // the load generator and tests use this name
 func AnswerLength(prompt string, maxTokens int) int {
-	return LengthOf(HashPrompt(prompt), maxTokens)
+	return LengthForHash(HashPrompt(prompt), maxTokens)
 }
 
-// LengthOf is like AnswerLength, but takes the hash of the prompt.
-func LengthOf(prompt Hash, maxTokens int) int {
+// LengthForHash is like AnswerLength, but takes the hash of the prompt.
+func LengthForHash(prompt Hash, maxTokens int) int {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -27,7 +27,7 @@
 // the core's deadlines. It is safe for concurrent use. Close stops it.
 type Engine struct {
 	cfg    Config
-	faults *fault.Box[Faults]
+	faults *fault.Injector[Faults]
 	client *http.Client
 	link   *rate.Limiter
 	ctx    context.Context
@@ -51,7 +51,7 @@
 	bytesPerSecond := cfg.LinkRate * cfg.TimeScale
 	e := &Engine{
 		cfg:    cfg,
-		faults: fault.NewBox[Faults](),
+		faults: fault.NewInjector[Faults](),
 		client: &http.Client{Transport: &http.Transport{}},
 		link:   rate.NewLimiter(rate.Limit(bytesPerSecond), max(1, int(bytesPerSecond*linkSliceSeconds))),
 		wake:   make(chan struct{}, 1),
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -189,13 +189,13 @@
 	}{
 		{"none", Faults{}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && isWholeAnswer(c) }},
 		{"cut", Faults{CutAfter: 5}, func(c []engineapi.Chunk, err error) bool { return !errors.Is(err, io.EOF) && len(c) == 5 }},
-		{"crossed", Faults{Garble: GarbleCrossed, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].RequestID != "r" && c[4].RequestID == "r" }},
-		{"older", Faults{Garble: GarbleOlder, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].Attempt == 0 }},
-		{"repeated", Faults{Garble: GarbleRepeated, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index }},
-		{"reordered", Faults{Garble: GarbleReordered, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index+1 }},
-		{"truncated", Faults{Garble: GarbleTruncated}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !c[len(c)-1].Done }},
-		{"skipped", Faults{Garble: GarbleSkipped, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !isWholeAnswer(c) }},
-		{"bytes", Faults{Garble: GarbleBytes, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return !errors.Is(err, io.EOF) && len(c) == 5 }},
+		{"crossed", Faults{Garble: CorruptOtherRequest, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].RequestID != "r" && c[4].RequestID == "r" }},
+		{"older", Faults{Garble: CorruptOlderAttempt, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[6].Attempt == 0 }},
+		{"repeated", Faults{Garble: CorruptRepeated, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index }},
+		{"reordered", Faults{Garble: CorruptReordered, GarbleAfter: 5}, func(c []engineapi.Chunk, _ error) bool { return c[5].Index == c[6].Index+1 }},
+		{"truncated", Faults{Garble: CorruptTruncated}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !c[len(c)-1].Done }},
+		{"skipped", Faults{Garble: CorruptSkipped, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return errors.Is(err, io.EOF) && !isWholeAnswer(c) }},
+		{"bytes", Faults{Garble: CorruptBytes, GarbleAfter: 5}, func(c []engineapi.Chunk, err error) bool { return !errors.Is(err, io.EOF) && len(c) == 5 }},
 		{"export cut", Faults{}, func(c []engineapi.Chunk, _ error) bool { return len(c) == 1 && c[0].Error != "" && !c[0].Done }},
 	}
 	for _, tc := range cases {
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -1,25 +1,25 @@
 package engine
 
-// Garble is a way to corrupt the chunks of a stream.
-type Garble string
+// Corruption is a way to corrupt the chunks of a stream.
+type Corruption string
 
 // The ways to corrupt a stream.
 const (
-	// GarbleCrossed sends chunks with the id of another request.
-	GarbleCrossed Garble = "crossed"
-	// GarbleOlder sends chunks with the number of the previous attempt.
-	GarbleOlder Garble = "older-attempt"
-	// GarbleRepeated sends every chunk twice.
-	GarbleRepeated Garble = "repeated"
-	// GarbleReordered swaps neighbouring chunks.
-	GarbleReordered Garble = "reordered"
-	// GarbleTruncated ends the stream without its Done chunk and without a
+	// CorruptOtherRequest sends chunks with the id of another request.
+	CorruptOtherRequest Corruption = "crossed"
+	// CorruptOlderAttempt sends chunks with the number of the previous attempt.
+	CorruptOlderAttempt Corruption = "older-attempt"
+	// CorruptRepeated sends every chunk twice.
+	CorruptRepeated Corruption = "repeated"
+	// CorruptReordered swaps neighbouring chunks.
+	CorruptReordered Corruption = "reordered"
+	// CorruptTruncated ends the stream without its Done chunk and without a
 	// connection error.
-	GarbleTruncated Garble = "truncated"
-	// GarbleSkipped omits one token.
-	GarbleSkipped Garble = "skipped"
-	// GarbleBytes writes bytes that are not valid JSON.
-	GarbleBytes Garble = "bytes"
+	CorruptTruncated Corruption = "truncated"
+	// CorruptSkipped omits one token.
+	CorruptSkipped Corruption = "skipped"
+	// CorruptBytes writes bytes that are not valid JSON.
+	CorruptBytes Corruption = "bytes"
 )
 
 // Faults are the faults that a test can set on an engine. The zero value sets none.
@@ -45,8 +45,8 @@
 	// connection open; 0 means never.
 	StallAfter int `json:"stall_after,omitempty"`
 	// Garble corrupts streams after GarbleAfter chunks.
-	Garble      Garble `json:"garble,omitempty"`
-	GarbleAfter int    `json:"garble_after,omitempty"`
+	Garble      Corruption `json:"garble,omitempty"`
+	GarbleAfter int        `json:"garble_after,omitempty"`
 	// CutExport closes the connection of an export before its end. StallExport
 	// stops sending and keeps the connection open.
 	CutExport   bool `json:"cut_export,omitempty"`
--- a/internal/standin/engine/handlers.go
+++ b/internal/standin/engine/handlers.go
@@ -70,7 +70,7 @@
 		return slices.Contains(f.CutReply, path) || f.LoseCancel && path == engineapi.PathCancel
 	}
 	if e.hitFault(lost) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	httpjson.Write(w, status, v)
 }
@@ -123,11 +123,11 @@
 	case <-p.ready:
 	case <-p.freed:
 	case <-crashed:
-		httpjson.Cut()
+		httpjson.Abort()
 	case <-r.Context().Done():
-		httpjson.Cut()
+		httpjson.Abort()
 	case <-e.ctx.Done():
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	e.replyPrefill(w, r, p)
 }
@@ -197,7 +197,7 @@
 // serveLoad replies with the load snapshot, which is up to Config.LoadLag old.
 func (e *Engine) serveLoad(w http.ResponseWriter, r *http.Request) {
 	if e.hitFault(func(f Faults) bool { return f.DropLoad }) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	var out engineapi.Load
 	e.withCore(func(_ time.Time, c *core) { out = c.loadSnapshot })
@@ -206,7 +206,7 @@
 
 // serveEvents replies with the published cache events from a sequence number on.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
-	from := uint64(max(0, httpjson.Int(r, "from", 0)))
+	from := uint64(max(0, httpjson.QueryInt(r, "from", 0)))
 	var out engineapi.EventsReply
 	e.withCore(func(now time.Time, c *core) {
 		out.Incarnation = c.incarnation
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -51,7 +51,7 @@
 		e.reply(w, r, http.StatusNotFound, engineapi.Refusal{Reason: "no such stream"})
 		return
 	}
-	e.streamChunks(w, r, d, int(httpjson.Int(r, "from", 0)), crashed)
+	e.streamChunks(w, r, d, int(httpjson.QueryInt(r, "from", 0)), crashed)
 }
 
 // streamChunks writes the chunks of d from index from on until the stream ends. It
@@ -77,9 +77,9 @@
 		case <-r.Context().Done():
 			return
 		case <-crashed:
-			httpjson.Cut()
+			httpjson.Abort()
 		case <-e.ctx.Done():
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 	}
 }
@@ -167,7 +167,7 @@
 	}
 	if cw.faults.CutAfter > 0 && cw.written >= cw.faults.CutAfter {
 		_ = cw.rc.Flush()
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	if cw.faults.StallAfter > 0 && cw.written >= cw.faults.StallAfter {
 		_ = cw.rc.Flush()
@@ -182,25 +182,25 @@
 		return []engineapi.Chunk{c}
 	}
 	switch cw.faults.Garble {
-	case GarbleCrossed:
+	case CorruptOtherRequest:
 		c.RequestID = "crossed-" + c.RequestID
 		c.Text = mismatchedToken(c.Text)
-	case GarbleOlder:
+	case CorruptOlderAttempt:
 		c.Attempt--
 		c.Text = mismatchedToken(c.Text)
-	case GarbleRepeated:
+	case CorruptRepeated:
 		return []engineapi.Chunk{c, c}
-	case GarbleReordered:
+	case CorruptReordered:
 		return cw.reorder(c)
-	case GarbleTruncated:
+	case CorruptTruncated:
 		if c.Done {
 			return nil
 		}
-	case GarbleSkipped:
+	case CorruptSkipped:
 		if cw.written == cw.faults.GarbleAfter {
 			return nil
 		}
-	case GarbleBytes:
+	case CorruptBytes:
 		_, _ = io.WriteString(cw.w, "{\"request_id\":\x00garbled\n")
 		return nil
 	}
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -65,7 +65,7 @@
 	for *unsent > 0 {
 		n := min(*unsent, int64(e.link.Burst()))
 		if err := e.link.WaitN(ctx, int(n)); err != nil {
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 		aborted := false
 		e.withCore(func(_ time.Time, c *core) {
@@ -74,13 +74,13 @@
 		})
 		*unsent -= n
 		if aborted {
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 		if e.hitFault(func(f Faults) bool { return f.StallExport }) {
 			httpjson.Stall(r, e.ctx.Done())
 		}
 		if e.hitFault(func(f Faults) bool { return f.CutExport }) {
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 		_, _ = io.WriteString(w, " ")
 		_ = rc.Flush()
@@ -158,6 +158,6 @@
 func workIDFromQuery(r *http.Request) engineapi.WorkID {
 	return engineapi.WorkID{
 		RequestID: r.URL.Query().Get("request"),
-		Attempt:   int(httpjson.Int(r, "attempt", 0)),
+		Attempt:   int(httpjson.QueryInt(r, "attempt", 0)),
 	}
 }
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -59,7 +59,7 @@
 func contextHash(req engineapi.PrefillRequest) answer.Hash {
 	hash := answer.HashPrompt(req.Prompt)
 	for i, text := range req.Generated {
-		if text != answer.TokenOf(req.Model, req.Adapter, hash, i) {
+		if text != answer.TokenForHash(req.Model, req.Adapter, hash, i) {
 			return ^hash
 		}
 	}
@@ -163,7 +163,7 @@
 func (d *decode) generateToken() bool {
 	if n := d.nextIndex(); n < d.endIndex {
 		at := n - d.FromIndex + d.contextTokens
-		d.tokens = append(d.tokens, answer.TokenOf(d.Model, d.Adapter, d.promptHash, at))
+		d.tokens = append(d.tokens, answer.TokenForHash(d.Model, d.Adapter, d.promptHash, at))
 	}
 	return d.nextIndex() >= d.endIndex
 }
@@ -189,7 +189,7 @@
 // answerLength returns the number of tokens of the whole answer, including those
 // that earlier attempts generated.
 func answerLength(d *decode, kv kvDescriptor) int {
-	return answer.LengthOf(kv.PromptHash, d.MaxTokens)
+	return answer.LengthForHash(kv.PromptHash, d.MaxTokens)
 }
 
 // finishReasonOf returns the finish reason of a decode that is complete.
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -20,9 +20,9 @@
 	PathStats  = "/stats"  // GET -> the service's statistics
 )
 
-// Box stores the current faults, of type F, and counts the calls that they affect.
+// Injector stores the current faults, of type F, and counts the calls that they affect.
 // It is safe for concurrent use.
-type Box[F any] struct {
+type Injector[F any] struct {
 	mu      sync.Mutex
 	faults  F
 	hits    int           // affected calls since the last Set
@@ -30,14 +30,14 @@
 	changed chan struct{} // closed and replaced at each change of the faults
 }
 
-// NewBox returns a Box with no faults set.
-func NewBox[F any]() *Box[F] {
-	return &Box[F]{changed: make(chan struct{})}
+// NewInjector returns a Box with no faults set.
+func NewInjector[F any]() *Injector[F] {
+	return &Injector[F]{changed: make(chan struct{})}
 }
 
 // Set replaces the faults. If limit is positive, the faults are cleared after
 // they have affected that many calls.
-func (b *Box[F]) Set(faults F, limit int) {
+func (b *Injector[F]) Set(faults F, limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults, b.maxHits, b.hits = faults, limit, 0
@@ -45,7 +45,7 @@
 }
 
 // Get returns the current faults without counting a hit.
-func (b *Box[F]) Get() F {
+func (b *Injector[F]) Get() F {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
@@ -53,7 +53,7 @@
 
 // Hit reports whether the current faults satisfy match. If they do, it returns
 // them and counts a hit against the limit given to Set.
-func (b *Box[F]) Hit(match func(F) bool) (F, bool) {
+func (b *Injector[F]) Hit(match func(F) bool) (F, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !match(b.faults) {
@@ -71,14 +71,14 @@
 }
 
 // Changed returns a channel that is closed at the next change of the faults.
-func (b *Box[F]) Changed() <-chan struct{} {
+func (b *Injector[F]) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // notify signals a change of the faults; b.mu must be held.
-func (b *Box[F]) notify() {
+func (b *Injector[F]) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -93,8 +93,8 @@
 	Changed func()
 }
 
-// Set is the body of POST /faults.
-type Set[F any] struct {
+// SetRequest is the body of POST /faults.
+type SetRequest[F any] struct {
 	Faults F `json:"faults"`
 	// Times is the number of affected calls after which the faults are cleared; 0
 	// means that they stay.
@@ -103,7 +103,7 @@
 
 // Router returns the control API of a simulated service, which may add routes to
 // it.
-func Router[F any](box *Box[F], hooks Hooks) *httprouter.Router {
+func Router[F any](box *Injector[F], hooks Hooks) *httprouter.Router {
 	rt := httprouter.New()
 	changed := func() {
 		if hooks.Changed != nil {
@@ -111,7 +111,7 @@
 		}
 	}
 	rt.HandlerFunc(http.MethodPost, PathFaults, func(w http.ResponseWriter, r *http.Request) {
-		var set Set[F]
+		var set SetRequest[F]
 		if !httpjson.Read(w, r, &set) {
 			return
 		}
@@ -120,7 +120,7 @@
 		httpjson.Write(w, http.StatusOK, set)
 	})
 	rt.HandlerFunc(http.MethodGet, PathFaults, func(w http.ResponseWriter, _ *http.Request) {
-		httpjson.Write(w, http.StatusOK, Set[F]{Faults: box.Get()})
+		httpjson.Write(w, http.StatusOK, SetRequest[F]{Faults: box.Get()})
 	})
 	rt.HandlerFunc(http.MethodPost, PathReset, func(w http.ResponseWriter, _ *http.Request) {
 		var none F
--- a/internal/standin/httpjson/httpjson.go
+++ b/internal/standin/httpjson/httpjson.go
@@ -35,8 +35,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Int returns a query parameter as a number, or def if it is absent or invalid.
-func Int(r *http.Request, name string, def int64) int64 {
+// QueryInt returns a query parameter as a number, or def if it is absent or invalid.
+func QueryInt(r *http.Request, name string, def int64) int64 {
 	n, err := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return def
@@ -44,9 +44,9 @@
 	return n
 }
 
-// Cut aborts the connection of the current request, as a crash of the server or a
+// Abort aborts the connection of the current request, as a crash of the server or a
 // network failure would. It panics with http.ErrAbortHandler.
-func Cut() {
+func Abort() {
 	panic(http.ErrAbortHandler)
 }
 
@@ -57,7 +57,7 @@
 	case <-r.Context().Done():
 	case <-done:
 	}
-	Cut()
+	Abort()
 }
 
 // Sleep waits for d or until done is closed.
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -46,11 +46,11 @@
 	list      []infraapi.Instance
 }
 
-// Instances is a simulated instance list. It is safe for concurrent use. Close
+// List is a simulated instance list. It is safe for concurrent use. Close
 // aborts stalled calls.
-type Instances struct {
+type List struct {
 	cfg    Config
-	faults *fault.Box[Faults]
+	faults *fault.Injector[Faults]
 	closed chan struct{}
 
 	mu      sync.Mutex
@@ -60,25 +60,25 @@
 }
 
 // New returns an empty list.
-func New(cfg Config) *Instances {
-	return &Instances{
+func New(cfg Config) *List {
+	return &List{
 		cfg:     cfg,
-		faults:  fault.NewBox[Faults](),
+		faults:  fault.NewInjector[Faults](),
 		closed:  make(chan struct{}),
 		visible: []infraapi.Instance{},
 	}
 }
 
 // Close aborts the calls that a fault stalls or delays. It must be called once.
-func (i *Instances) Close() { close(i.closed) }
+func (i *List) Close() { close(i.closed) }
 
 // Set replaces the list. The new list becomes visible after Config.Lag.
-func (i *Instances) Set(list []infraapi.Instance) {
+func (i *List) Set(list []infraapi.Instance) {
 	i.setAt(time.Now(), list)
 }
 
 // setAt is Set at the time now.
-func (i *Instances) setAt(now time.Time, list []infraapi.Instance) {
+func (i *List) setAt(now time.Time, list []infraapi.Instance) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats.Changes++
@@ -87,7 +87,7 @@
 
 // visibleList counts a read and returns the list that is visible at now. If frozen
 // is set, pending changes stay invisible.
-func (i *Instances) visibleList(now time.Time, frozen bool) []infraapi.Instance {
+func (i *List) visibleList(now time.Time, frozen bool) []infraapi.Instance {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats.Reads++
@@ -99,20 +99,20 @@
 }
 
 // Handler returns the handler of the instance list API of package infraapi.
-func (i *Instances) Handler() http.Handler {
+func (i *List) Handler() http.Handler {
 	rt := httprouter.New()
 	rt.HandlerFunc(http.MethodGet, infraapi.PathInstances, i.serveList)
 	return rt
 }
 
 // serveList applies the faults and replies with the visible list.
-func (i *Instances) serveList(w http.ResponseWriter, r *http.Request) {
+func (i *List) serveList(w http.ResponseWriter, r *http.Request) {
 	httpjson.Sleep(time.Duration(i.faults.Get().DelayMS)*time.Millisecond, i.closed)
 	switch {
 	case i.hitFault(func(f Faults) bool { return f.Stall }):
 		httpjson.Stall(r, i.closed)
 	case i.hitFault(func(f Faults) bool { return f.Cut }):
-		httpjson.Cut()
+		httpjson.Abort()
 	case i.hitFault(func(f Faults) bool { return f.Down }):
 		http.Error(w, "the list is down", http.StatusServiceUnavailable)
 		return
@@ -123,13 +123,13 @@
 
 // hitFault reports whether the current faults satisfy match. If they do, it counts
 // the call against their limit.
-func (i *Instances) hitFault(match func(Faults) bool) bool {
+func (i *List) hitFault(match func(Faults) bool) bool {
 	_, ok := i.faults.Hit(match)
 	return ok
 }
 
 // Stats returns the counters.
-func (i *Instances) Stats() Stats {
+func (i *List) Stats() Stats {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.stats
@@ -137,10 +137,10 @@
 
 // SetFaults replaces the faults. They are cleared after they have affected the
 // given number of calls; 0 means that they stay.
-func (i *Instances) SetFaults(f Faults, times int) { i.faults.Set(f, times) }
+func (i *List) SetFaults(f Faults, times int) { i.faults.Set(f, times) }
 
 // reset clears the counters.
-func (i *Instances) reset() {
+func (i *List) reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.stats = Stats{}
@@ -148,7 +148,7 @@
 
 // Control returns the fault control API: the paths of package fault and
 // POST /instances, whose body is an infraapi.InstancesReply.
-func (i *Instances) Control() http.Handler {
+func (i *List) Control() http.Handler {
 	rt := fault.Router(i.faults, fault.Hooks{
 		Stats: func() any { return i.Stats() },
 		Reset: i.reset,
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -87,7 +87,7 @@
 // stalled calls.
 type Log struct {
 	cfg     Config
-	faults  *fault.Box[Faults]
+	faults  *fault.Injector[Faults]
 	limiter *rate.Limiter
 	closed  chan struct{}
 
@@ -106,7 +106,7 @@
 	}
 	return &Log{
 		cfg:     cfg,
-		faults:  fault.NewBox[Faults](),
+		faults:  fault.NewInjector[Faults](),
 		limiter: rate.NewLimiter(rate.Limit(cfg.AppendRate), max(1, int(cfg.AppendRate))),
 		closed:  make(chan struct{}),
 		streams: make(map[string]*stream),
@@ -135,7 +135,7 @@
 		httpjson.Sleep(time.Duration(f.DelayMS)*time.Millisecond, l.closed)
 	}
 	if l.hitFault(name, func(f Faults) bool { return f.Cut || read && f.CutReads }) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	if l.hitFault(name, func(f Faults) bool { return f.Down }) {
 		http.Error(w, "the log is down", http.StatusServiceUnavailable)
@@ -177,7 +177,7 @@
 		httpjson.Stall(r, l.closed)
 	}
 	if l.hitFault(name, func(f Faults) bool { return f.LoseReply }) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 	httpjson.Write(w, http.StatusOK, infraapi.AppendReply{Offset: offset})
 }
@@ -220,9 +220,9 @@
 	l.mu.Lock()
 	l.stats.Reads++
 	l.mu.Unlock()
-	from := uint64(max(0, httpjson.Int(r, "from", 0)))
-	limit := int(min(max(1, httpjson.Int(r, "max", maxRead)), maxRead))
-	wait := min(time.Duration(httpjson.Int(r, "wait_ms", 0))*time.Millisecond, maxWait)
+	from := uint64(max(0, httpjson.QueryInt(r, "from", 0)))
+	limit := int(min(max(1, httpjson.QueryInt(r, "max", maxRead)), maxRead))
+	wait := min(time.Duration(httpjson.QueryInt(r, "wait_ms", 0))*time.Millisecond, maxWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -245,9 +245,9 @@
 				return
 			}
 		case <-r.Context().Done():
-			httpjson.Cut()
+			httpjson.Abort()
 		case <-l.closed:
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 	}
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -127,7 +127,7 @@
 // stalled calls.
 type Service struct {
 	cfg         Config
-	faults      *fault.Box[Faults]
+	faults      *fault.Injector[Faults]
 	incarnation uint64
 	lastLeaving bool // Leaving of the last load report
 	closed      chan struct{}
@@ -146,7 +146,7 @@
 	}
 	return &Service{
 		cfg:         cfg,
-		faults:      fault.NewBox[Faults](),
+		faults:      fault.NewInjector[Faults](),
 		incarnation: rand.Uint64(),
 		closed:      make(chan struct{}),
 	}
@@ -249,7 +249,7 @@
 		httpjson.Stall(r, s.closed)
 	}
 	if s.hitFault(func(f Faults) bool { return f.CutBefore }) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 }
 
@@ -260,7 +260,7 @@
 		httpjson.Stall(r, s.closed)
 	}
 	if s.hitFault(func(f Faults) bool { return f.CutAfter }) {
-		httpjson.Cut()
+		httpjson.Abort()
 	}
 }
 
--- a/internal/standin/site/account.go
+++ b/internal/standin/site/account.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Run is one request that an upstream began to execute.
-type Run struct {
+// Execution is one request that an upstream began to execute.
+type Execution struct {
 	Upstream string // name of the upstream
 	Body     string
 	// From is the Last-Event-Id of the request: the last event that the client
@@ -25,12 +25,12 @@
 	Service string
 }
 
-// Account records which requests arrived at the upstreams and which were executed.
+// Recorder records which requests arrived at the upstreams and which were executed.
 // It is safe for concurrent use.
-type Account struct {
+type Recorder struct {
 	site *Site
 	mu   sync.Mutex
-	runs map[string][]Run
+	runs map[string][]Execution
 	// arrived has the ids of the requests that arrived, and prompts the ids of those
 	// with a prefill that was accepted.
 	arrived, prompts map[string]bool
@@ -44,12 +44,12 @@
 	idsWithKey []string
 }
 
-func newAccount(s *Site) *Account {
-	return &Account{site: s, runs: map[string][]Run{}, arrived: map[string]bool{}, prompts: map[string]bool{}, reachTimes: map[string][]time.Time{}, endTimes: map[string][]time.Time{}}
+func newAccount(s *Site) *Recorder {
+	return &Recorder{site: s, runs: map[string][]Execution{}, arrived: map[string]bool{}, prompts: map[string]bool{}, reachTimes: map[string][]time.Time{}, endTimes: map[string][]time.Time{}}
 }
 
 // recordRun records that an upstream begins to execute a request.
-func (a *Account) recordRun(id string, run Run) {
+func (a *Recorder) recordRun(id string, run Execution) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	run.At = time.Now()
@@ -57,15 +57,15 @@
 }
 
 // recordKey records that a request reached an upstream with a client's API key.
-func (a *Account) recordKey(id string) {
+func (a *Recorder) recordKey(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.idsWithKey = append(a.idsWithKey, id)
 }
 
-// Keyed returns the ids of the requests and prefills that reached an upstream with a
+// RequestsWithKey returns the ids of the requests and prefills that reached an upstream with a
 // client's API key, which daemons are to remove.
-func (a *Account) Keyed() []string {
+func (a *Recorder) RequestsWithKey() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.idsWithKey)
@@ -73,36 +73,36 @@
 
 // recordReach records that a request or a prefill with this body reached an upstream
 // that did not reject it.
-func (a *Account) recordReach(body string) {
+func (a *Recorder) recordReach(body string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reachTimes[body] = append(a.reachTimes[body], time.Now())
 }
 
 // recordEnd records that a request with this body crashed an upstream.
-func (a *Account) recordEnd(body string) {
+func (a *Recorder) recordEnd(body string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.endTimes[body] = append(a.endTimes[body], time.Now())
 }
 
-// Ends returns the times at which requests with this body crashed an upstream.
-func (a *Account) Ends(body string) []time.Time {
+// CrashTimes returns the times at which requests with this body crashed an upstream.
+func (a *Recorder) CrashTimes(body string) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.endTimes[body])
 }
 
-// Reaches returns the times at which requests and prefills with this body reached an
+// ReachTimes returns the times at which requests and prefills with this body reached an
 // upstream that did not reject them.
-func (a *Account) Reaches(body string) []time.Time {
+func (a *Recorder) ReachTimes(body string) []time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.reachTimes[body])
 }
 
 // recordArrival records the arrival of a request, whether or not it is rejected.
-func (a *Account) recordArrival(id, service string) {
+func (a *Recorder) recordArrival(id, service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.countArrival(id, service)
@@ -110,7 +110,7 @@
 
 // recordPrompt records a prefill that an engine accepts. The first prefill of a
 // request does not count as an arrival, but each further one does.
-func (a *Account) recordPrompt(id, service string) {
+func (a *Recorder) recordPrompt(id, service string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.prompts[id] {
@@ -121,15 +121,15 @@
 
 // countArrival records an arrival, as a repeat unless it is the first of the
 // request; a.mu must be held.
-func (a *Account) countArrival(id, service string) {
+func (a *Recorder) countArrival(id, service string) {
 	if a.arrived[id] {
 		a.repeats = append(a.repeats, Repeat{At: time.Now(), Service: service})
 	}
 	a.arrived[id] = true
 }
 
-// Runs returns the executions of a request, in the order in which they began.
-func (a *Account) Runs(id string) []Run {
+// Executions returns the executions of a request, in the order in which they began.
+func (a *Recorder) Executions(id string) []Execution {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.runs[id])
@@ -137,7 +137,7 @@
 
 // Repeats returns all arrivals except the first one of each request, in order of
 // time.
-func (a *Account) Repeats() []Repeat {
+func (a *Recorder) Repeats() []Repeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.repeats)
--- a/internal/standin/site/fatal_test.go
+++ b/internal/standin/site/fatal_test.go
@@ -22,10 +22,10 @@
 	}
 	ended := make(chan *Upstream, 2)
 	for _, body := range []string{"a", "b"} {
-		s.SetFatal(body, func(u *Upstream) { ended <- u })
+		s.CrashOn(body, func(u *Upstream) { ended <- u })
 	}
 	for _, body := range []string{"a", "b"} {
-		if !s.crashIfFatal(u, body) || len(s.Account.Ends(body)) != 1 {
+		if !s.crashIfFatal(u, body) || len(s.Account.CrashTimes(body)) != 1 {
 			t.Errorf("body %q did not crash the upstream once", body)
 		}
 	}
--- a/internal/standin/site/limit.go
+++ b/internal/standin/site/limit.go
@@ -12,10 +12,10 @@
 // an upstream first reports a limit, it may get in any LimitWindow at most
 // limitTolerance times the requests that the limit allows, plus limitBurst.
 const (
-	LimitWindow    = 4 * time.Second
-	LimitContact   = 3 * time.Second
-	limitTolerance = 1.5
-	limitBurst     = 5.0 // requests
+	LimitWindow      = 4 * time.Second
+	LimitGracePeriod = 3 * time.Second
+	limitTolerance   = 1.5
+	limitBurst       = 5.0 // requests
 )
 
 // rateLimit is the rate limit that an upstream reports, and the requests that have
@@ -27,15 +27,15 @@
 	arrivals []Arrival
 }
 
-// NameLimit makes the upstream report a limit in all its responses from now on, in
+// SetLimit makes the upstream report a limit in all its responses from now on, in
 // requests per second.
-func (u *Upstream) NameLimit(perSecond float64) {
-	u.NameLimitAs(strconv.FormatFloat(perSecond, 'g', -1, 64))
+func (u *Upstream) SetLimit(perSecond float64) {
+	u.SetLimitHeader(strconv.FormatFloat(perSecond, 'g', -1, 64))
 }
 
-// NameLimitAs is like NameLimit, but with any text as the value of the header, valid
+// SetLimitHeader is like NameLimit, but with any text as the value of the header, valid
 // or not. An empty text ends the limit.
-func (u *Upstream) NameLimitAs(text string) {
+func (u *Upstream) SetLimitHeader(text string) {
 	u.limit.mu.Lock()
 	defer u.limit.mu.Unlock()
 	u.limit.headerValue = text
@@ -60,9 +60,9 @@
 	At time.Time
 }
 
-// LimitAllows returns the largest number of requests in any LimitWindow that the
+// AllowedRequests returns the largest number of requests in any LimitWindow that the
 // acceptance rule allows for a limit.
-func LimitAllows(perSecond float64) float64 {
+func AllowedRequests(perSecond float64) float64 {
 	return limitTolerance*perSecond*LimitWindow.Seconds() + limitBurst
 }
 
@@ -74,11 +74,11 @@
 	return slices.Clone(u.limit.arrivals)
 }
 
-// Overrun returns the largest number of requests in any LimitWindow that begins no
+// MaxRequests returns the largest number of requests in any LimitWindow that begins no
 // earlier than after, and the number that LimitAllows returns for the limit.
-func (u *Upstream) Overrun(after time.Time, perSecond float64) (most int, allowed float64) {
+func (u *Upstream) MaxRequests(after time.Time, perSecond float64) (most int, allowed float64) {
 	list := u.Requests()
-	allowed = LimitAllows(perSecond)
+	allowed = AllowedRequests(perSecond)
 	for i, from := range list {
 		if from.At.Before(after) {
 			continue
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -14,7 +14,7 @@
 const (
 	Host        = "a.example"
 	PathDraft   = "/draft/"  // resumable stream
-	PathOnce    = "/letter/" // stream that must be executed at most once
+	PathLetter  = "/letter/" // stream that must be executed at most once
 	PathOrder   = "/order/"  // non-idempotent; must be executed at most once
 	PathLookUp  = "/slot/"   // idempotent
 	EngineSet   = "llm"
@@ -25,7 +25,7 @@
 // Site runs a store and upstreams on loopback. Close stops them.
 type Site struct {
 	Store   *Store
-	Account *Account
+	Account *Recorder
 
 	mu        sync.Mutex
 	upstreams map[string]*Upstream
@@ -52,11 +52,11 @@
 	return s, err
 }
 
-// SetFatal makes requests with this body crash each upstream that executes them: the
+// CrashOn makes requests with this body crash each upstream that executes them: the
 // upstream closes its port, and its connections without a response. onCrash replaces
 // the function given before; it is called once per crashed upstream, on its own
 // goroutine, and may add a replacement.
-func (s *Site) SetFatal(body string, onCrash func(u *Upstream)) {
+func (s *Site) CrashOn(body string, onCrash func(u *Upstream)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fatalBodies[body], s.onCrash = true, onCrash
@@ -173,7 +173,7 @@
 	order["priority"] = 1
 	routes := []any{
 		draft, lookUp,
-		route("letter", PathOnce, "stream", EngineSet, 20_000, 2000),
+		route("letter", PathLetter, "stream", EngineSet, 20_000, 2000),
 		order,
 	}
 	for _, prefix := range extra {
@@ -221,8 +221,8 @@
 	s.wg.Wait()
 }
 
-// Lives reports whether the upstream with this name exists and has not crashed.
-func (s *Site) Lives(name string) bool {
+// IsRunning reports whether the upstream with this name exists and has not crashed.
+func (s *Site) IsRunning(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.upstreams[name]
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -57,11 +57,11 @@
 	Bytes int64 `json:"bytes"`
 }
 
-// Weights is a simulated weight store. It is safe for concurrent use. Close aborts
+// Store is a simulated weight store. It is safe for concurrent use. Close aborts
 // the calls in progress.
-type Weights struct {
+type Store struct {
 	cfg     Config
-	faults  *fault.Box[Faults]
+	faults  *fault.Injector[Faults]
 	limiter *rate.Limiter
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -70,16 +70,16 @@
 }
 
 // New returns a weight store. A rate or size of 0 or less means the default.
-func New(cfg Config) *Weights {
+func New(cfg Config) *Store {
 	if cfg.Rate <= 0 {
 		cfg.Rate = DefaultRate
 	}
 	if cfg.Size <= 0 {
 		cfg.Size = DefaultSize
 	}
-	w := &Weights{
+	w := &Store{
 		cfg:     cfg,
-		faults:  fault.NewBox[Faults](),
+		faults:  fault.NewInjector[Faults](),
 		limiter: rate.NewLimiter(rate.Limit(cfg.Rate), chunkBytes),
 	}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
@@ -87,10 +87,10 @@
 }
 
 // Close aborts the calls in progress.
-func (s *Weights) Close() { s.cancel() }
+func (s *Store) Close() { s.cancel() }
 
 // Handler returns the handler of the weight store API of package infraapi.
-func (s *Weights) Handler() http.Handler {
+func (s *Store) Handler() http.Handler {
 	rt := httprouter.New()
 	rt.GET(infraapi.PathWeights, func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		s.serveWeights(w, r, ps.ByName("model")+"@"+ps.ByName("version"))
@@ -102,7 +102,7 @@
 }
 
 // serveWeights applies the faults and sends the weights that name identifies.
-func (s *Weights) serveWeights(w http.ResponseWriter, r *http.Request, name string) {
+func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request, name string) {
 	faults := s.faults.Get()
 	httpjson.Sleep(time.Duration(faults.DelayMS)*time.Millisecond, s.ctx.Done())
 	cut := false
@@ -123,7 +123,7 @@
 
 // send writes the bytes of the weights called name at the shared rate. If cut is
 // set, it aborts the connection after half of them.
-func (s *Weights) send(w http.ResponseWriter, r *http.Request, name string, cut bool) {
+func (s *Store) send(w http.ResponseWriter, r *http.Request, name string, cut bool) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(s.ctx, cancel)()
@@ -133,7 +133,7 @@
 	for left := s.cfg.Size; left > 0; {
 		n := min(left, int64(len(buf)))
 		if s.limiter.WaitN(ctx, int(n)) != nil || cut && left <= s.cfg.Size/2 {
-			httpjson.Cut()
+			httpjson.Abort()
 		}
 		_, _ = src.Read(buf[:n])
 		if _, err := w.Write(buf[:n]); err != nil {
@@ -156,25 +156,25 @@
 
 // hitFault reports whether the current faults satisfy match. If they do, it counts
 // the call against their limit.
-func (s *Weights) hitFault(match func(Faults) bool) bool {
+func (s *Store) hitFault(match func(Faults) bool) bool {
 	_, ok := s.faults.Hit(match)
 	return ok
 }
 
 // Stats returns the counters.
-func (s *Weights) Stats() Stats {
+func (s *Store) Stats() Stats {
 	return Stats{Reads: s.reads.Load(), Bytes: s.bytes.Load()}
 }
 
 // SetFaults replaces the faults. They are cleared after they have affected the
 // given number of calls; 0 means that they stay.
-func (s *Weights) SetFaults(f Faults, times int) {
+func (s *Store) SetFaults(f Faults, times int) {
 	s.faults.Set(f, times)
 	s.updateRate()
 }
 
 // updateRate sets the shared rate from the configuration and the fault Slow.
-func (s *Weights) updateRate() {
+func (s *Store) updateRate() {
 	limit := s.cfg.Rate
 	if slow := s.faults.Get().Slow; slow > 0 {
 		limit /= slow
@@ -183,7 +183,7 @@
 }
 
 // Control returns the fault control API.
-func (s *Weights) Control() http.Handler {
+func (s *Store) Control() http.Handler {
 	return fault.Router(s.faults, fault.Hooks{
 		Stats: func() any { return s.Stats() },
 		Reset: func() {
--- a/internal/testbed/control.go
+++ b/internal/testbed/control.go
@@ -16,7 +16,7 @@
 // stand-in's package. times is the number of calls that are affected; 0 means no
 // limit.
 func SetFaults[F any](ctx context.Context, p *Process, faults F, times int) error {
-	return p.control(ctx, http.MethodPost, fault.PathFaults, fault.Set[F]{Faults: faults, Times: times}, nil)
+	return p.control(ctx, http.MethodPost, fault.PathFaults, fault.SetRequest[F]{Faults: faults, Times: times}, nil)
 }
 
 // Stats reads a stand-in's statistics into out, a pointer to the Stats type of the
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -233,16 +233,16 @@
 			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
 			c.check = c.noNewWork("d1")
 		}, completeAnswer}
-		crossed := func(g engine.Garble) func(*faultCase) {
+		crossed := func(g engine.Corruption) func(*faultCase) {
 			return func(c *faultCase) {
 				c.faults(1, engine.Faults{Garble: g, GarbleAfter: after})
 				c.check = c.chunksDropped(func(d request.Drops) int { return d.Misrouted })
 			}
 		}
-		out[step+"/crossed-answer"] = faultCaseSpec{crossed(engine.GarbleCrossed), completeAnswer}
-		out[step+"/late-answer"] = faultCaseSpec{crossed(engine.GarbleOlder), completeAnswer}
-		out[step+"/duplicated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: after}), completeAnswer}
-		out[step+"/truncated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: after}), completeAnswer}
+		out[step+"/crossed-answer"] = faultCaseSpec{crossed(engine.CorruptOtherRequest), completeAnswer}
+		out[step+"/late-answer"] = faultCaseSpec{crossed(engine.CorruptOlderAttempt), completeAnswer}
+		out[step+"/duplicated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptRepeated, GarbleAfter: after}), completeAnswer}
+		out[step+"/truncated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptTruncated, GarbleAfter: after}), completeAnswer}
 		out[step+"/upstream-killed"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, c.engines["d0"].kill) }, completeAnswer}
 		out[step+"/upstream-frozen"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, func() { c.engines["d0"].freeze(); c.neverEnds() }) }, completeAnswer}
 		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.longAnswer(); c.onTokenAt(token, c.cancel) }, goneRan}
@@ -257,10 +257,10 @@
 	}
 	for step, after := range map[string]int{"mid-stream": midStreamChunks, "last-chunk": last - 1} {
 		out["skipped/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
-			c.faults(1, engine.Faults{Garble: engine.GarbleSkipped, GarbleAfter: after})
+			c.faults(1, engine.Faults{Garble: engine.CorruptSkipped, GarbleAfter: after})
 		}, completeAnswer}
 		out["garbled/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
-			c.faults(1, engine.Faults{Garble: engine.GarbleBytes, GarbleAfter: after})
+			c.faults(1, engine.Faults{Garble: engine.CorruptBytes, GarbleAfter: after})
 		}, completeAnswer}
 	}
 	return out
--- a/router/attached_test.go
+++ b/router/attached_test.go
@@ -158,17 +158,17 @@
 
 func TestAttachedServes(t *testing.T) {
 	f := newAttachedFleet(t, nil)
-	for _, path := range []string{site.PathDraft, site.PathOnce, site.PathOrder, site.PathLookUp} {
+	for _, path := range []string{site.PathDraft, site.PathLetter, site.PathOrder, site.PathLookUp} {
 		id := "id" + strings.ReplaceAll(path, "/", "")
 		got := f.ask(t.Context(), path+"x", id)
 		want := "answer to " + id
-		if path == site.PathDraft || path == site.PathOnce {
+		if path == site.PathDraft || path == site.PathLetter {
 			want = site.Stream(id, streamEvents)
 		}
 		if got.err != nil || got.status != http.StatusOK || got.body != want || !strings.HasPrefix(got.header.Get("Server-Seal"), "seal-of-") {
 			t.Errorf("%s: %+v", path, got)
 		}
-		runs := f.site.Account.Runs(id)
+		runs := f.site.Account.Executions(id)
 		if len(runs) != 1 || runs[0].Body != "body of "+id {
 			t.Errorf("%s: runs %+v", path, runs)
 		}
@@ -223,9 +223,9 @@
 	}{
 		{"a draft goes on where its stream was cut", site.PathDraft, map[string]site.Faults{"d0": {Cut: 2}, "d1": {}},
 			func(r reply, id string) bool { return whole(r, id, streamEvents) }, 2},
-		{"a letter that was cut is visibly broken", site.PathOnce, map[string]site.Faults{"d0 d1": {Cut: 2}},
+		{"a letter that was cut is visibly broken", site.PathLetter, map[string]site.Faults{"d0 d1": {Cut: 2}},
 			func(r reply, _ string) bool { return r.err != nil }, 1},
-		{"a letter that may have run is not sent again", site.PathOnce, map[string]site.Faults{"d0 d1": {Reset: true}},
+		{"a letter that may have run is not sent again", site.PathLetter, map[string]site.Faults{"d0 d1": {Reset: true}},
 			func(r reply, _ string) bool { return r.err == nil && r.status == http.StatusBadGateway }, 1},
 		{"an order that may have run is not sent again", site.PathOrder, map[string]site.Faults{"s0 s1": {Reset: true}},
 			func(r reply, _ string) bool { return r.status == http.StatusBadGateway }, 1},
@@ -246,15 +246,15 @@
 		{"a look-up's own failure is passed on though the second try breaks off", site.PathLookUp,
 			map[string]site.Faults{"s0": {Status: 500}, "s1": {Reset: true}},
 			func(r reply, _ string) bool { return r.status == 500 && r.body == "failed" }, 2},
-		{"an engine's own failure is passed on", site.PathOnce, map[string]site.Faults{"d0 d1": {Status: 500}},
+		{"an engine's own failure is passed on", site.PathLetter, map[string]site.Faults{"d0 d1": {Status: 500}},
 			func(r reply, _ string) bool { return r.status == 500 && r.body == "failed" }, 1},
-		{"full engines refuse at once", site.PathOnce, map[string]site.Faults{"d0 d1": {Full: true}},
+		{"full engines refuse at once", site.PathLetter, map[string]site.Faults{"d0 d1": {Full: true}},
 			func(r reply, _ string) bool {
 				return r.status == http.StatusServiceUnavailable && r.header.Get("Retry-After") != ""
 			}, 0},
-		{"a full engine is passed by", site.PathOnce, map[string]site.Faults{"d0": {Full: true}},
+		{"a full engine is passed by", site.PathLetter, map[string]site.Faults{"d0": {Full: true}},
 			func(r reply, id string) bool { return whole(r, id, streamEvents) }, 1},
-		{"lapsed results end in a refusal", site.PathOnce, map[string]site.Faults{"d0 d1": {LapsedHandles: true}},
+		{"lapsed results end in a refusal", site.PathLetter, map[string]site.Faults{"d0 d1": {LapsedHandles: true}},
 			func(r reply, id string) bool {
 				return r.status == http.StatusServiceUnavailable || whole(r, id, streamEvents)
 			}, 1},
@@ -264,7 +264,7 @@
 			func(r reply, id string) bool { return whole(r, id, streamEvents) }, 1},
 		{"a draft goes round a dark prefill engine", site.PathDraft, map[string]site.Faults{"p0": {Dark: true}},
 			func(r reply, id string) bool { return whole(r, id, streamEvents) }, 1},
-		{"nobody answers", site.PathOnce, map[string]site.Faults{"d0 d1": {Dark: true}},
+		{"nobody answers", site.PathLetter, map[string]site.Faults{"d0 d1": {Dark: true}},
 			func(r reply, _ string) bool { return r.status == http.StatusServiceUnavailable }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -277,7 +277,7 @@
 				if got := f.ask(t.Context(), tc.path+"x", id); !tc.ok(got, id) {
 					t.Errorf("%s: %+v", id, got)
 				}
-				if runs := f.site.Account.Runs(id); tc.runs >= 0 && len(runs) > tc.runs {
+				if runs := f.site.Account.Executions(id); tc.runs >= 0 && len(runs) > tc.runs {
 					t.Errorf("%s ran %d times: %+v", id, len(runs), runs)
 				}
 			}
@@ -296,7 +296,7 @@
 	}
 	ctx, leave := context.WithCancel(t.Context())
 	got := make(chan reply, 1)
-	go func() { got <- f.ask(ctx, site.PathOnce+"x", "gone") }()
+	go func() { got <- f.ask(ctx, site.PathLetter+"x", "gone") }()
 	waittest.Until(t, "the stream runs", func() bool { return f.upstreams["d0"].Active()+f.upstreams["d1"].Active() == 1 })
 	leave()
 	if r := <-got; r.err == nil {
@@ -339,8 +339,8 @@
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
 		f.ask(t.Context(), site.PathOrder+"x", id)
-		f.ask(t.Context(), site.PathOnce+"x", id+"s")
-		for _, run := range append(f.site.Account.Runs(id), f.site.Account.Runs(id+"s")...) {
+		f.ask(t.Context(), site.PathLetter+"x", id+"s")
+		for _, run := range append(f.site.Account.Executions(id), f.site.Account.Executions(id+"s")...) {
 			if run.Upstream == "s0" || run.Upstream == "d0" {
 				t.Errorf("%s got new work", run.Upstream)
 			}
@@ -370,7 +370,7 @@
 	}
 	f.ask(t.Context(), site.PathOrder+"x", "first") // opens the connection that is kept alive
 	got := make(chan reply, 1)
-	go func() { got <- f.ask(t.Context(), site.PathOnce+"x", "running") }()
+	go func() { got <- f.ask(t.Context(), site.PathLetter+"x", "running") }()
 	waittest.Until(t, "the stream runs", func() bool { return f.upstreams["d0"].Active()+f.upstreams["d1"].Active() == 1 })
 	f.stop()
 	waittest.Until(t, "not ready", func() bool { return f.readyStatus() == http.StatusServiceUnavailable })
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -110,7 +110,7 @@
 				return false
 			}
 			for _, m := range v.Registrations {
-				if !f.site.Lives(m.Name) {
+				if !f.site.IsRunning(m.Name) {
 					return false
 				}
 			}
@@ -148,19 +148,19 @@
 // new id, at another daemon each time, also after all daemons have restarted. Daemons must
 // recognise the request by its content, share the crashes they see, and keep them over restarts.
 func TestRequestThatEndsUpstreams(t *testing.T) {
-	for _, path := range []string{site.PathOnce, site.PathDraft, site.PathOrder, site.PathLookUp} {
+	for _, path := range []string{site.PathLetter, site.PathDraft, site.PathOrder, site.PathLookUp} {
 		f := newCrashFleet(t)
 		body := "fatal at " + path
-		f.site.SetFatal(body, f.replace)
+		f.site.CrashOn(body, f.replace)
 		const daemons, asks = 3, 12
 		for life := range 2 {
 			f.start(daemons)
 			for i := range asks {
 				id := fmt.Sprintf("%d-%d", life, i)
-				before := len(f.site.Account.Reaches(body))
+				before := len(f.site.Account.ReachTimes(body))
 				got := f.ask(i%daemons, path, body, id)
 				last := i >= asks-daemons
-				if reached := len(f.site.Account.Reaches(body)) - before; last && reached > 0 {
+				if reached := len(f.site.Account.ReachTimes(body)) - before; last && reached > 0 {
 					t.Errorf("%s: repeat %s still reaches upstreams", path, id)
 				}
 				if last && (got.status != http.StatusBadGateway || got.header.Get("Retry-After") != "" || !strings.HasPrefix(got.body, "crashes-upstreams")) {
@@ -170,12 +170,12 @@
 			}
 			f.stop()
 		}
-		ends := f.site.Account.Ends(body)
+		ends := f.site.Account.CrashTimes(body)
 		if len(ends) > 3+extraAttempts {
 			t.Errorf("%s: %d upstreams crashed while running one request", path, len(ends))
 		}
 		f.start(1)
-		for _, path := range []string{site.PathOnce, site.PathDraft, site.PathOrder, site.PathLookUp} {
+		for _, path := range []string{site.PathLetter, site.PathDraft, site.PathOrder, site.PathLookUp} {
 			if got := f.ask(0, path, "another body", "innocent"+path[1:len(path)-1]); got.err != nil || got.status != http.StatusOK {
 				t.Errorf("another request at %s: %+v", path, got)
 			}
--- a/router/teams_test.go
+++ b/router/teams_test.go
@@ -24,16 +24,16 @@
 		if got := status(path, id, "Authorization", "Bearer r2", "Tenant-Name", "blue"); got != http.StatusOK {
 			t.Errorf("%s: %d", id, got)
 		}
-		for _, run := range f.site.Account.Runs(id) {
+		for _, run := range f.site.Account.Executions(id) {
 			if run.Team != "red" {
 				t.Errorf("%s ran as %q", id, run.Team)
 			}
 		}
 	}
-	if got := status(site.PathOrder, "nobody", "Authorization", "Bearer x"); got != http.StatusUnauthorized || len(f.site.Account.Runs("nobody")) > 0 {
+	if got := status(site.PathOrder, "nobody", "Authorization", "Bearer x"); got != http.StatusUnauthorized || len(f.site.Account.Executions("nobody")) > 0 {
 		t.Errorf("an unknown key: %d", got)
 	}
-	if keyed := f.site.Account.Keyed(); len(keyed) > 0 {
+	if keyed := f.site.Account.RequestsWithKey(); len(keyed) > 0 {
 		t.Errorf("keys reached upstreams with %v", keyed)
 	}
 	f.site.Store.SetDown(true)
--- a/router/upstreamlimits_test.go
+++ b/router/upstreamlimits_test.go
@@ -81,16 +81,16 @@
 	f := newLimitFleet(t)
 	const limit = 5.0
 	u := f.upstream(t, "u4")
-	u.NameLimit(limit)
+	u.SetLimit(limit)
 	named := time.Now()
 	stop := f.startLoad(site.PathLookUp, 60)
-	time.Sleep(site.LimitContact + site.LimitWindow + time.Second) // long enough for a full window
+	time.Sleep(site.LimitGracePeriod + site.LimitWindow + time.Second) // long enough for a full window
 	for _, r := range stop() {
 		if r.status != http.StatusOK {
 			t.Fatalf("%+v, although another upstream has no limit", r)
 		}
 	}
-	if got, allowed := u.Overrun(named.Add(site.LimitContact), limit); float64(got) > allowed {
+	if got, allowed := u.MaxRequests(named.Add(site.LimitGracePeriod), limit); float64(got) > allowed {
 		t.Errorf("%d requests in %v, %g are allowed", got, site.LimitWindow, allowed)
 	}
 }
@@ -100,7 +100,7 @@
 func TestMoreUrgentRoutesGoFirstUnderALimit(t *testing.T) {
 	f := newLimitFleet(t)
 	for _, name := range []string{"u4", "u5"} {
-		f.upstream(t, name).NameLimit(3)
+		f.upstream(t, name).SetLimit(3)
 	}
 	stopLookUps, stopOrders := f.startLoad(site.PathLookUp, 40), f.startLoad(site.PathOrder, 4)
 	time.Sleep(loadTime)
@@ -128,7 +128,7 @@
 	const limit = 4.0
 	named := time.Now()
 	for _, name := range []string{"u4", "u5"} {
-		f.upstream(t, name).NameLimit(limit)
+		f.upstream(t, name).SetLimit(limit)
 	}
 	stop := f.startLoad(site.PathOrder, 40)
 	time.Sleep(loadTime)
@@ -147,12 +147,12 @@
 		t.Errorf("%d served, %d refused", served, refused)
 	}
 	for _, name := range []string{"u4", "u5"} {
-		if got, allowed := f.upstream(t, name).Overrun(named.Add(500*time.Millisecond), limit); float64(got) > allowed {
+		if got, allowed := f.upstream(t, name).MaxRequests(named.Add(500*time.Millisecond), limit); float64(got) > allowed {
 			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, site.LimitWindow, allowed)
 		}
 	}
 	for _, name := range []string{"u4", "u5"} {
-		f.upstream(t, name).NameLimitAs("no number")
+		f.upstream(t, name).SetLimitHeader("no number")
 	}
 	asked := 0
 	ask := func(daemon int) reply {
@@ -162,7 +162,7 @@
 	}
 	waittest.Until(t, "a request is served although the limit cannot be parsed", func() bool { return ask(0).status == http.StatusOK })
 	for _, name := range []string{"u4", "u5"} {
-		f.upstream(t, name).NameLimitAs("")
+		f.upstream(t, name).SetLimitHeader("")
 	}
 	for i := range f.daemons {
 		waittest.Until(t, "the daemon serves all requests again", func() bool {
@@ -182,8 +182,8 @@
 	f := newLimitFleet(t)
 	const limit = 3.0
 	named := time.Now()
-	f.upstream(t, "u0").NameLimit(limit) // a prefill engine
-	f.upstream(t, "u2").NameLimit(limit)
+	f.upstream(t, "u0").SetLimit(limit) // a prefill engine
+	f.upstream(t, "u2").SetLimit(limit)
 	stop := f.startLoad(site.PathDraft, 30)
 	time.Sleep(loadTime)
 	for _, r := range stop() {
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, name := range []string{"u0", "u2"} {
-		got, allowed := f.upstream(t, name).Overrun(named.Add(500*time.Millisecond), limit)
+		got, allowed := f.upstream(t, name).MaxRequests(named.Add(500*time.Millisecond), limit)
 		if float64(got) > allowed || len(f.upstream(t, name).Requests()) == 0 {
 			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, site.LimitWindow, allowed)
 		}
@@ -203,7 +203,7 @@
 // not received the limits known to the others.
 func TestNewDaemonReceivesLimits(t *testing.T) {
 	f := newLimitFleet(t)
-	f.upstream(t, "u4").NameLimit(5)
+	f.upstream(t, "u4").SetLimit(5)
 	asked := 0
 	waittest.Until(t, "the running daemons have received the limit", func() bool {
 		asked++
--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -39,7 +39,7 @@
 	{"prefill/connection-cut", testbed.PoolPrefill, sameFaults(engine.Faults{CutReply: []string{engineapi.PathPrefill}})},
 	{"transfer/connection-cut", testbed.PoolPrefill, sameFaults(engine.Faults{CutExport: true})},
 	{"decode-first-token/connection-cut", testbed.PoolDecode, sameFaults(engine.Faults{CutAfter: 1})},
-	{"import/connection-cut", testbed.PoolDecode, garbledAfter(engine.GarbleBytes, 0)},
+	{"import/connection-cut", testbed.PoolDecode, garbledAfter(engine.CorruptBytes, 0)},
 	{"mid-stream/connection-cut", testbed.PoolDecode, sameFaults(engine.Faults{CutAfter: 9})},
 	{"last-chunk/connection-cut", testbed.PoolDecode, func(d completion) engine.Faults { return engine.Faults{CutAfter: 1 + chunksBeforeLast(d)} }},
 }
@@ -56,36 +56,36 @@
 }
 
 // garbledAfter returns faults that damage a stream from chunk after on.
-func garbledAfter(how engine.Garble, after int) func(completion) engine.Faults {
+func garbledAfter(how engine.Corruption, after int) func(completion) engine.Faults {
 	return sameFaults(engine.Faults{Garble: how, GarbleAfter: after})
 }
 
 // garbledLastChunk returns faults that damage a stream from its last token on.
-func garbledLastChunk(how engine.Garble) func(completion) engine.Faults {
+func garbledLastChunk(how engine.Corruption) func(completion) engine.Faults {
 	return func(d completion) engine.Faults {
 		return engine.Faults{Garble: how, GarbleAfter: chunksBeforeLast(d)}
 	}
 }
 
 var damageFaults = []engineFault{
-	{"import/crossed-answer", testbed.PoolDecode, garbledAfter(engine.GarbleCrossed, 0)},
-	{"import/late-answer", testbed.PoolDecode, garbledAfter(engine.GarbleOlder, 0)},
-	{"import/truncated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleSkipped, 0)},
-	{"import/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleRepeated, 0)},
-	{"decode-first-token/crossed-answer", testbed.PoolDecode, garbledAfter(engine.GarbleCrossed, 1)},
-	{"decode-first-token/late-answer", testbed.PoolDecode, garbledAfter(engine.GarbleReordered, 1)},
-	{"decode-first-token/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleRepeated, 1)},
-	{"decode-first-token/truncated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleSkipped, 1)},
-	{"mid-stream/crossed-answer", testbed.PoolDecode, garbledAfter(engine.GarbleCrossed, 6)},
-	{"mid-stream/late-answer", testbed.PoolDecode, garbledAfter(engine.GarbleOlder, 6)},
-	{"mid-stream/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleRepeated, 6)},
-	{"mid-stream/truncated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleSkipped, 6)},
-	{"mid-stream/late-answer+duplicated-answer", testbed.PoolDecode, garbledAfter(engine.GarbleReordered, 6)},
-	{"mid-stream/connection-cut+crossed-answer", testbed.PoolDecode, garbledAfter(engine.GarbleBytes, 6)},
-	{"last-chunk/crossed-answer", testbed.PoolDecode, garbledLastChunk(engine.GarbleCrossed)},
-	{"last-chunk/late-answer", testbed.PoolDecode, garbledLastChunk(engine.GarbleOlder)},
-	{"last-chunk/duplicated-answer", testbed.PoolDecode, garbledLastChunk(engine.GarbleRepeated)},
-	{"last-chunk/truncated-answer", testbed.PoolDecode, garbledLastChunk(engine.GarbleTruncated)},
+	{"import/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 0)},
+	{"import/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOlderAttempt, 0)},
+	{"import/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 0)},
+	{"import/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 0)},
+	{"decode-first-token/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 1)},
+	{"decode-first-token/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptReordered, 1)},
+	{"decode-first-token/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 1)},
+	{"decode-first-token/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 1)},
+	{"mid-stream/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 6)},
+	{"mid-stream/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOlderAttempt, 6)},
+	{"mid-stream/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 6)},
+	{"mid-stream/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 6)},
+	{"mid-stream/late-answer+duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptReordered, 6)},
+	{"mid-stream/connection-cut+crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptBytes, 6)},
+	{"last-chunk/crossed-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptOtherRequest)},
+	{"last-chunk/late-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptOlderAttempt)},
+	{"last-chunk/duplicated-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptRepeated)},
+	{"last-chunk/truncated-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptTruncated)},
 }
 
 // Guards against daemons that accept a stream without checking its terminal marker,
@@ -162,7 +162,7 @@
 // configured.
 func (r *harness) faultsUsedUp(u *testbed.Upstream) bool {
 	r.t.Helper()
-	var set fault.Set[engine.Faults]
+	var set fault.SetRequest[engine.Faults]
 	r.must(u.Get(r.ctx, fault.PathFaults, &set))
 	return cmp.Equal(set.Faults, engine.Faults{})
 }
--- a/test/failure/drain_test.go
+++ b/test/failure/drain_test.go
@@ -57,13 +57,13 @@
 			r.setEngineFaults(engine.Faults{StallAfter: 1}, 1, testbed.PoolDecode)
 		},
 		"drain/truncated-answer": func(r *harness) {
-			r.setEngineFaults(engine.Faults{Garble: engine.GarbleTruncated, GarbleAfter: 1}, 2, testbed.PoolDecode)
+			r.setEngineFaults(engine.Faults{Garble: engine.CorruptTruncated, GarbleAfter: 1}, 2, testbed.PoolDecode)
 		},
 		"drain/crossed-answer": func(r *harness) {
-			r.setEngineFaults(engine.Faults{Garble: engine.GarbleCrossed, GarbleAfter: 1}, 1, testbed.PoolDecode)
+			r.setEngineFaults(engine.Faults{Garble: engine.CorruptOtherRequest, GarbleAfter: 1}, 1, testbed.PoolDecode)
 		},
 		"drain/duplicated-answer": func(r *harness) {
-			r.setEngineFaults(engine.Faults{Garble: engine.GarbleRepeated, GarbleAfter: 1}, 2, testbed.PoolDecode)
+			r.setEngineFaults(engine.Faults{Garble: engine.CorruptRepeated, GarbleAfter: 1}, 2, testbed.PoolDecode)
 		},
 		"drain/log-slow":        func(r *harness) { r.setLogFaults(logsvc.Faults{DelayMS: 500}, 0) },
 		"drain/log-down":        func(r *harness) { r.setLogFaults(logDown, 0) },
