--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -140,7 +140,7 @@
 	for _, daemon := range d.fleet.Daemons {
 		urls = append(urls, "http://"+daemon.CallersAddress)
 	}
-	for _, s := range d.fleet.Pool(testbed.PoolService) {
+	for _, s := range d.fleet.PoolUpstreams(testbed.PoolService) {
 		controlURLs = append(controlURLs, "http://"+s.Control)
 	}
 	return loadgen.Run(ctx, loadgen.Options{
@@ -187,7 +187,7 @@
 // until it is in force.
 func (d *demo) publishLeaving(ctx context.Context) error {
 	updated := d.fleet.Bundle()
-	pool := d.fleet.Pool(testbed.PoolDecode)
+	pool := d.fleet.PoolUpstreams(testbed.PoolDecode)
 	d.leavingUpstream = pool[len(pool)-1]
 	u := updated.Upstreams[d.leavingUpstream.Name]
 	u.State = bundle.StateLeaving
@@ -214,7 +214,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return errors.Errorf("daemon %s did not activate bundle %d: %s", daemon.Name, number, daemon.Tail())
+				return errors.Errorf("daemon %s did not activate bundle %d: %s", daemon.Name, number, daemon.StderrTail())
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -130,7 +130,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Node
-	for _, upstream := range b.fleet.Pool(pool) {
+	for _, upstream := range b.fleet.PoolUpstreams(pool) {
 		out = append(out, Node{
 			Name: upstream.Name, DataCentre: upstream.DataCentre, Role: role, URL: "http://" + upstream.Listen, Control: "http://" + upstream.Control, PID: upstream.PID(),
 		})
@@ -278,10 +278,10 @@
 		defer b.mu.Unlock()
 		for _, other := range b.fleet.Layout.DataCentres {
 			if other != dataCentre {
-				b.fleet.SetPeers(dataCentre, other, m)
+				b.fleet.SetPeerMode(dataCentre, other, m)
 			}
 		}
-		b.fleet.SetPlatform(dataCentre, m)
+		b.fleet.SetPlatformMode(dataCentre, m)
 	}
 	setMode(testbed.Cut)
 	return func(context.Context) error { setMode(testbed.Open); return nil }, nil
@@ -293,7 +293,7 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		for _, dc := range b.fleet.Layout.DataCentres {
-			b.fleet.SetPlatform(dc, m)
+			b.fleet.SetPlatformMode(dc, m)
 		}
 	}
 	setMode(testbed.Cut)
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -101,7 +101,7 @@
 			return nil, err
 		}
 	}
-	return f, f.ListInstances(ctx)
+	return f, f.SetInstanceList(ctx)
 }
 
 // startPlatform starts the stand-ins for the log, the instance list and the weight
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// Pool returns the upstreams of a pool.
-func (f *Fleet) Pool(name string) []*Upstream {
+// PoolUpstreams returns the upstreams of a pool.
+func (f *Fleet) PoolUpstreams(name string) []*Upstream {
 	var out []*Upstream
 	for _, u := range f.Upstreams {
 		if u.Pool == name {
@@ -255,10 +255,10 @@
 	return b
 }
 
-// ListInstances replaces the platform's instance list with the daemons and
+// SetInstanceList replaces the platform's instance list with the daemons and
 // upstreams of the fleet. Those named in leaving get the state leaving, the others
 // the state live.
-func (f *Fleet) ListInstances(ctx context.Context, leaving ...string) error {
+func (f *Fleet) SetInstanceList(ctx context.Context, leaving ...string) error {
 	var list []infraapi.Instance
 	add := func(kind infraapi.InstanceKind, name, dc, address string) {
 		state := infraapi.StateLive
@@ -276,13 +276,13 @@
 	return f.Instances.Post(ctx, infraapi.PathInstances, infraapi.InstancesReply{Instances: list})
 }
 
-// SetPlatform sets the mode of a data centre's connections to the log, the instance
+// SetPlatformMode sets the mode of a data centre's connections to the log, the instance
 // list and the weight store.
-func (f *Fleet) SetPlatform(dataCentre string, m Mode) { f.platform[dataCentre].set(m) }
+func (f *Fleet) SetPlatformMode(dataCentre string, m Mode) { f.platform[dataCentre].set(m) }
 
-// SetPeers sets the mode of the connections between the daemons of two data
+// SetPeerMode sets the mode of the connections between the daemons of two data
 // centres, whichever side opened them.
-func (f *Fleet) SetPeers(a, b string, m Mode) {
+func (f *Fleet) SetPeerMode(a, b string, m Mode) {
 	for _, d := range f.Daemons {
 		switch d.DataCentre {
 		case a:
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -82,7 +82,7 @@
 	p.wg.Go(func() { p.readStdout(stdout, line, filepath.Join(dir, spec.Name+".stdout")) })
 	if err := p.awaitReady(ctx, line); err != nil {
 		p.Kill()
-		return nil, errors.Wrapf(err, "%s: %s", spec.Name, p.Tail())
+		return nil, errors.Wrapf(err, "%s: %s", spec.Name, p.StderrTail())
 	}
 	return p, nil
 }
@@ -207,8 +207,8 @@
 // maxTailBytes is the maximum number of bytes that Tail returns.
 const maxTailBytes = 2 << 10
 
-// Tail returns the last bytes that the process wrote to standard error.
-func (p *Process) Tail() string {
+// StderrTail returns the last bytes that the process wrote to standard error.
+func (p *Process) StderrTail() string {
 	data := p.Stderr()
 	if len(data) > maxTailBytes {
 		data = data[len(data)-maxTailBytes:]
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("request to a process that was frozen: %v", err)
 	}
 	if err := p.Terminate(ctx); err != nil || p.Running() {
-		t.Errorf("exit on SIGTERM: %v\n%s", err, p.Tail())
+		t.Errorf("exit on SIGTERM: %v\n%s", err, p.StderrTail())
 	}
 }
 
@@ -174,18 +174,18 @@
 		_, err := infra.NewLog(f.settingsOf(n).Platform.LogURL, nil).Read(ctx, "s", 0, 1, 0)
 		return err
 	}
-	f.SetPlatform("dc1", Cut)
+	f.SetPlatformMode("dc1", Cut)
 	if cut, open := read(0), read(1); cut == nil || open != nil {
 		t.Errorf("with dc1 cut: dc1 %v, dc2 %v", cut, open)
 	}
-	f.SetPlatform("dc1", Stalled)
+	f.SetPlatformMode("dc1", Stalled)
 	result := make(chan error, 1)
 	go func() { result <- read(0) }()
 	if err := read(1); err != nil {
 		t.Errorf("with dc1 stalled: dc2 %v", err)
 	}
 	requireNoReply(t, result)
-	f.SetPlatform("dc1", Open)
+	f.SetPlatformMode("dc1", Open)
 	if err := <-result; err != nil {
 		t.Errorf("a call stalled until the link was opened: %v", err)
 	}
--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -122,7 +122,7 @@
 // to clear the recorded failure of the engine.
 func (r *harness) faultOnOneCall(f engineFault, request completion) {
 	r.t.Helper()
-	u := r.Pool(f.pool)[0]
+	u := r.PoolUpstreams(f.pool)[0]
 	r.must(testbed.SetFaults(r.ctx, u.Process, f.faults(request), 1))
 	for range maxCompletions {
 		r.startStream(r.Daemons[0], request).checkComplete()
@@ -144,7 +144,7 @@
 	triggered := false
 	for n := 0; n < maxCompletions && !triggered; n++ {
 		r.startStream(r.Daemons[1], request).checkCompleteOrFailed()
-		triggered = r.faultsUsedUp(r.Pool(f.pool)[0]) || r.faultsUsedUp(r.Pool(f.pool)[1])
+		triggered = r.faultsUsedUp(r.PoolUpstreams(f.pool)[0]) || r.faultsUsedUp(r.PoolUpstreams(f.pool)[1])
 	}
 	if !triggered {
 		r.t.Fatal("no engine injected the fault often enough")
@@ -313,7 +313,7 @@
 				request.maxTokens = mediumAnswer // must last until the peers are declared dead
 			}
 			s, _ := r.bringToStep(c, r.Daemons[0], request)
-			r.SetPeers("dc1", "dc2", testbed.Cut)
+			r.SetPeerMode("dc1", "dc2", testbed.Cut)
 			if c.step == "mid-stream" {
 				r.awaitDeadPeer(r.Daemons[1])
 			}
@@ -324,7 +324,7 @@
 			if attempts := r.engineStats("decode-1").Decodes - before; c.faultyPool == "" && attempts != 1 {
 				t.Errorf("the request took %d attempts", attempts)
 			}
-			r.SetPeers("dc1", "dc2", testbed.Open)
+			r.SetPeerMode("dc1", "dc2", testbed.Open)
 			r.awaitFreed(anyWork)
 			r.restartDaemon(0)
 		})
@@ -337,15 +337,15 @@
 	r.t.Helper()
 	owned := ownedBy(d)
 	if c.faultyPool != "" {
-		r.must(testbed.SetFaults(r.ctx, r.Pool(c.faultyPool)[r.faultyEngine].Process, c.faults, 0))
+		r.must(testbed.SetFaults(r.ctx, r.PoolUpstreams(c.faultyPool)[r.faultyEngine].Process, c.faults, 0))
 	}
 	s := r.startStream(d, request)
 	h := s.awaitHeld(ofKind(owned, c.kind))
-	if c.faultyPool != "" && !r.holdsWork(r.Pool(c.faultyPool)[r.faultyEngine], h.WorkID) {
+	if c.faultyPool != "" && !r.holdsWork(r.PoolUpstreams(c.faultyPool)[r.faultyEngine], h.WorkID) {
 		r.t.Fatalf("the request was sent to another engine of %s", c.faultyPool)
 	}
 	s.awaitTokens(c.tokens)
-	for _, u := range r.Pool(c.pool) {
+	for _, u := range r.PoolUpstreams(c.pool) {
 		if r.holdsWork(u, h.WorkID) {
 			return s, u
 		}
--- a/test/failure/bundle_test.go
+++ b/test/failure/bundle_test.go
@@ -123,17 +123,17 @@
 		// is called.
 		reached []int
 	}{
-		"adopt/platform-cut":    {fault: func(r *harness) { r.SetPlatform("dc1", testbed.Cut) }, reached: []int{0, 1, 2}},
+		"adopt/platform-cut":    {fault: func(r *harness) { r.SetPlatformMode("dc1", testbed.Cut) }, reached: []int{0, 1, 2}},
 		"adopt/log-slow":        {fault: func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), DelayMS: 500}, 0) }, reached: []int{0, 1, 2}},
-		"adopt/data-centre-cut": {fault: func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) }, reached: []int{0, 1, 2}},
+		"adopt/data-centre-cut": {fault: func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) }, reached: []int{0, 1, 2}},
 		"adopt/platform-cut+data-centre-cut": {
-			fault:   func(r *harness) { r.SetPlatform("dc1", testbed.Cut); r.SetPeers("dc1", "dc2", testbed.Cut) },
-			heal:    func(r *harness) { r.SetPlatform("dc1", testbed.Open); r.SetPeers("dc1", "dc2", testbed.Open) },
+			fault:   func(r *harness) { r.SetPlatformMode("dc1", testbed.Cut); r.SetPeerMode("dc1", "dc2", testbed.Cut) },
+			heal:    func(r *harness) { r.SetPlatformMode("dc1", testbed.Open); r.SetPeerMode("dc1", "dc2", testbed.Open) },
 			reached: []int{1},
 		},
 		"adopt/connection-cut":      {fault: func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), Cut: true}, 6) }, reached: []int{0, 1, 2}},
 		"adopt/log-record-repeated": {fault: func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), Duplicate: true}, 1) }, reached: []int{0, 1, 2}},
-		"adopt/connection-stalled":  {fault: func(r *harness) { r.SetPlatform("dc1", testbed.Stalled) }, reached: []int{0, 1, 2}},
+		"adopt/connection-stalled":  {fault: func(r *harness) { r.SetPlatformMode("dc1", testbed.Stalled) }, reached: []int{0, 1, 2}},
 		"adopt/daemon-killed":       {fault: func(r *harness) { r.Daemons[0].Kill() }, heal: func(r *harness) { r.must(r.StartDaemons(r.ctx)) }, reached: []int{1, 2}},
 		"adopt/daemon-frozen": {
 			fault:   func(r *harness) { r.must(r.Daemons[0].Freeze(r.ctx)) },
@@ -141,7 +141,7 @@
 			reached: []int{1, 2},
 		},
 		"adopt/daemon-frozen+platform-cut": {
-			fault:   func(r *harness) { r.must(r.Daemons[0].Freeze(r.ctx)); r.SetPlatform("dc1", testbed.Cut) },
+			fault:   func(r *harness) { r.must(r.Daemons[0].Freeze(r.ctx)); r.SetPlatformMode("dc1", testbed.Cut) },
 			heal:    func(r *harness) { r.must(r.Daemons[0].Thaw()) },
 			reached: []int{1, 2},
 		},
@@ -189,13 +189,13 @@
 	r.checkNoRollback()
 	t.Run("adopt/platform-cut", func(t *testing.T) {
 		r := r.forSubtest(t)
-		r.SetPlatform("dc1", testbed.Cut)
+		r.SetPlatformMode("dc1", testbed.Cut)
 		for range manyVersions {
 			r.publish(fullRetryBudget)
 		}
 		r.publishAndWait(shortCallTimeout)
-		r.SetPeers("dc1", "dc2", testbed.Cut)
-		r.SetPlatform("dc1", testbed.Open)
+		r.SetPeerMode("dc1", "dc2", testbed.Cut)
+		r.SetPlatformMode("dc1", testbed.Open)
 		r.publishAndWait(fullRetryBudget)
 	})
 }
@@ -214,15 +214,15 @@
 		"restart-adopt/daemon-killed":       {fault: func(*harness) {}},
 		"restart-adopt/log-down":            {fault: func(r *harness) { r.setLogFaults(logDown, 0) }},
 		"restart-adopt/log-slow":            {fault: func(r *harness) { r.setLogFaults(logsvc.Faults{DelayMS: 1000}, 0) }},
-		"restart-adopt/platform-cut":        {fault: func(r *harness) { r.SetPlatform("dc2", testbed.Cut) }},
+		"restart-adopt/platform-cut":        {fault: func(r *harness) { r.SetPlatformMode("dc2", testbed.Cut) }},
 		"restart-adopt/connection-cut":      {fault: func(r *harness) { r.setLogFaults(logsvc.Faults{Cut: true}, 0) }},
 		"restart-adopt/log-record-repeated": {fault: func(r *harness) { r.repeatLastRecord() }},
 		"restart-adopt/forged-record":       {fault: func(r *harness) { r.appendForgedRecords() }},
-		"restart-adopt/connection-stalled":  {fault: func(r *harness) { r.SetPlatform("dc2", testbed.Stalled) }},
-		"restart-adopt/data-centre-cut":     {fault: func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) }},
+		"restart-adopt/connection-stalled":  {fault: func(r *harness) { r.SetPlatformMode("dc2", testbed.Stalled) }},
+		"restart-adopt/data-centre-cut":     {fault: func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) }},
 		"restart-adopt/data-centre-cut+platform-cut": {alone: true, fault: func(r *harness) {
-			r.SetPlatform("dc2", testbed.Cut)
-			r.SetPeers("dc1", "dc2", testbed.Cut)
+			r.SetPlatformMode("dc2", testbed.Cut)
+			r.SetPeerMode("dc1", "dc2", testbed.Cut)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -244,8 +244,8 @@
 				if g := r.call(d, http.MethodGet, pathService+"/x", "", ""); g.problem == nil || g.problem.Run != "not-run" || r.checkReady(d) == nil {
 					t.Errorf("a daemon without a bundle version serves requests: %s", g)
 				}
-				r.SetPlatform("dc2", testbed.Open)
-				r.SetPeers("dc1", "dc2", testbed.Open)
+				r.SetPlatformMode("dc2", testbed.Open)
+				r.SetPeerMode("dc1", "dc2", testbed.Open)
 			}
 			r.awaitVersion(n, d)
 			r.probeDaemons(d)
@@ -272,9 +272,9 @@
 		"re-append/log-slow":            func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), DelayMS: 300}, 0) },
 		"re-append/connection-cut":      func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), Cut: true}, 4) },
 		"re-append/connection-stalled":  func(r *harness) { r.setLogFaults(logsvc.Faults{Stream: bundleStream(), StallReply: true}, 2) },
-		"re-append/data-centre-cut":     func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"re-append/data-centre-cut":     func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) },
 		"re-append/forged-record":       func(r *harness) { r.appendForgedRecords() },
-		"re-append/platform-cut":        func(r *harness) { r.SetPlatform("dc1", testbed.Cut) },
+		"re-append/platform-cut":        func(r *harness) { r.SetPlatformMode("dc1", testbed.Cut) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -289,8 +289,8 @@
 				d.Kill()
 			}
 			r.setLogFaults(logsvc.Faults{}, 0)
-			r.SetPlatform("dc1", testbed.Open)
-			r.SetPeers("dc1", "dc2", testbed.Open)
+			r.SetPlatformMode("dc1", testbed.Open)
+			r.SetPeerMode("dc1", "dc2", testbed.Open)
 			from, err := r.checkpointOffset(n)
 			r.must(err)
 			r.must(r.Log.Post(r.ctx, "/trim", logsvc.TrimRequest{Stream: bundleStream(), Before: from}))
--- a/test/failure/call_test.go
+++ b/test/failure/call_test.go
@@ -34,7 +34,7 @@
 func (r *harness) executions(match func(service.Execution) bool) int {
 	r.t.Helper()
 	n := 0
-	for _, u := range r.Pool(testbed.PoolService) {
+	for _, u := range r.PoolUpstreams(testbed.PoolService) {
 		if !u.Running() {
 			continue
 		}
@@ -99,7 +99,7 @@
 	r.t.Helper()
 	r.eventually("calls in progress", func() error {
 		got := 0
-		for _, u := range r.Pool(testbed.PoolService) {
+		for _, u := range r.PoolUpstreams(testbed.PoolService) {
 			var s service.Stats
 			if err := u.Stats(r.ctx, &s); err != nil {
 				return err
@@ -163,7 +163,7 @@
 // awaitServicesLeaving waits until a daemon considers every service to be leaving.
 func (r *harness) awaitServicesLeaving(d *testbed.Daemon) {
 	r.t.Helper()
-	for _, u := range r.Pool(testbed.PoolService) {
+	for _, u := range r.PoolUpstreams(testbed.PoolService) {
 		r.awaitLeaving(d, u.Name)
 	}
 }
@@ -238,7 +238,7 @@
 // busyService returns a service with a call in progress.
 func (r *harness) busyService() *testbed.Upstream {
 	r.t.Helper()
-	for _, u := range r.Pool(testbed.PoolService) {
+	for _, u := range r.PoolUpstreams(testbed.PoolService) {
 		var s service.Stats
 		r.must(u.Stats(r.ctx, &s))
 		if s.Active > 0 {
--- a/test/failure/drain_test.go
+++ b/test/failure/drain_test.go
@@ -67,8 +67,8 @@
 		},
 		"drain/log-slow":        func(r *harness) { r.setLogFaults(logsvc.Faults{DelayMS: 500}, 0) },
 		"drain/log-down":        func(r *harness) { r.setLogFaults(logDown, 0) },
-		"drain/platform-cut":    func(r *harness) { r.SetPlatform("dc1", testbed.Cut) },
-		"drain/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"drain/platform-cut":    func(r *harness) { r.SetPlatformMode("dc1", testbed.Cut) },
+		"drain/data-centre-cut": func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) },
 		"drain/daemon-frozen": func(r *harness) {
 			r.must(r.Daemons[0].Freeze(r.ctx))
 			r.must(r.Daemons[0].Thaw())
@@ -110,7 +110,7 @@
 	r.t.Helper()
 	var best *testbed.Upstream
 	most := -1
-	for _, u := range r.Pool(testbed.PoolDecode) {
+	for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 		list, err := r.heldOnEngine(u)
 		r.must(err)
 		if len(list) > most {
--- a/test/failure/fleet_test.go
+++ b/test/failure/fleet_test.go
@@ -122,7 +122,7 @@
 	}
 	for _, d := range r.Daemons {
 		if d.Process != nil {
-			r.t.Logf("%s: %s", d.Name, d.Tail())
+			r.t.Logf("%s: %s", d.Name, d.StderrTail())
 		}
 	}
 }
@@ -343,7 +343,7 @@
 func (r *harness) setEngineFaults(f engine.Faults, times int, pools ...string) {
 	r.t.Helper()
 	for _, pool := range pools {
-		for _, u := range r.Pool(pool) {
+		for _, u := range r.PoolUpstreams(pool) {
 			if u.Running() {
 				r.must(testbed.SetFaults(r.ctx, u.Process, f, times))
 			}
@@ -354,7 +354,7 @@
 // setServiceFaults sets the faults of all services for all calls.
 func (r *harness) setServiceFaults(f service.Faults) {
 	r.t.Helper()
-	for _, u := range r.Pool(testbed.PoolService) {
+	for _, u := range r.PoolUpstreams(testbed.PoolService) {
 		r.must(testbed.SetFaults(r.ctx, u.Process, f, 0))
 	}
 }
--- a/test/failure/grace_test.go
+++ b/test/failure/grace_test.go
@@ -79,11 +79,11 @@
 	r := startFleet(b, sixDaemons, func(l *testbed.Layout) { l.Decode = 16 })
 	measure(b, func(n int) time.Duration {
 		var names []string
-		for _, u := range r.Pool(testbed.PoolDecode)[:n+1] {
+		for _, u := range r.PoolUpstreams(testbed.PoolDecode)[:n+1] {
 			names = append(names, u.Name)
 		}
 		began := time.Now()
-		r.must(r.ListInstances(r.ctx, names...))
+		r.must(r.SetInstanceList(r.ctx, names...))
 		for _, d := range r.Daemons {
 			r.awaitLeaving(d, names[n])
 		}
@@ -101,7 +101,7 @@
 // measureRolloutDuringCut is measureRollout with one data centre cut from the platform.
 func measureRolloutDuringCut(b *testing.B) {
 	r := startFleet(b, sixDaemons)
-	r.SetPlatform("dc1", testbed.Cut)
+	r.SetPlatformMode("dc1", testbed.Cut)
 	measure(b, r.timeRollout)
 }
 
--- a/test/failure/held_test.go
+++ b/test/failure/held_test.go
@@ -18,7 +18,7 @@
 func (r *harness) heldMemory(match func(engineapi.Held) bool) ([]engineapi.Held, error) {
 	var out []engineapi.Held
 	for _, pool := range []string{testbed.PoolPrefill, testbed.PoolDecode} {
-		for _, u := range r.Pool(pool) {
+		for _, u := range r.PoolUpstreams(pool) {
 			if !u.Running() {
 				continue
 			}
--- a/test/failure/leave_test.go
+++ b/test/failure/leave_test.go
@@ -98,24 +98,24 @@
 		"leave/leaving": func(r *harness) { r.publishAndWait(markLeaving(leavingUpstreams...)) },
 		"leave/log-down": func(r *harness) {
 			r.setLogFaults(logDown, 0)
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 		},
 		"leave/instance-list-stale": func(r *harness) {
 			r.must(testbed.SetFaults(r.ctx, r.Instances, instances.Faults{Freeze: true}, 0))
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 			r.publishAndWait(markLeaving(leavingUpstreams...))
 		},
 		"leave/platform-cut": func(r *harness) { // only dc2 reads the list; dc1 is informed by dc2
-			r.SetPlatform("dc1", testbed.Cut)
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.SetPlatformMode("dc1", testbed.Cut)
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 		},
 		"leave/platform-cut+log-down": func(r *harness) { // announced by the upstreams only
-			r.SetPlatform("dc1", testbed.Cut)
-			r.SetPlatform("dc2", testbed.Cut)
+			r.SetPlatformMode("dc1", testbed.Cut)
+			r.SetPlatformMode("dc2", testbed.Cut)
 			r.reportLeaving(false)
 		},
 		"leave/data-centre-cut": func(r *harness) {
-			r.SetPeers("dc1", "dc2", testbed.Cut)
+			r.SetPeerMode("dc1", "dc2", testbed.Cut)
 			r.publishAndWait(markLeaving(leavingUpstreams...))
 		},
 		"leave/connection-cut": func(r *harness) {
@@ -123,8 +123,8 @@
 			r.publish(markLeaving(leavingUpstreams...))
 		},
 		"leave/connection-stalled": func(r *harness) {
-			r.SetPlatform("dc1", testbed.Stalled)
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.SetPlatformMode("dc1", testbed.Stalled)
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 		},
 		"leave/load-stale": func(r *harness) { // announced by the upstreams' refusals only
 			r.reportLeaving(true)
@@ -197,10 +197,10 @@
 		},
 		"leave/daemon-frozen+platform-cut": func(r *harness) {
 			r.awaitVersion(r.publish(markLeaving(leavingUpstreams...)), r.Daemons[1], r.Daemons[2])
-			r.SetPlatform("dc1", testbed.Cut)
+			r.SetPlatformMode("dc1", testbed.Cut)
 		},
 		"leave/daemon-frozen+log-down": func(r *harness) {
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 			r.awaitLeavingUpstreams(r.Daemons[1], r.Daemons[2])
 			r.setLogFaults(logDown, 0)
 		},
@@ -274,8 +274,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := startFleet(t)
-			r.SetPlatform("dc1", testbed.Cut)
-			r.must(r.ListInstances(r.ctx, leavingUpstreams...))
+			r.SetPlatformMode("dc1", testbed.Cut)
+			r.must(r.SetInstanceList(r.ctx, leavingUpstreams...))
 			r.awaitLeavingUpstreams(r.Daemons...)
 			fault(r)
 			if name == "leave/daemon-killed" {
@@ -311,7 +311,7 @@
 		s := r.startStream(r.Daemons[0], completion{prompt(1), mediumAnswer})
 		s.awaitTokens(2)
 		var from, to *testbed.Upstream
-		for _, u := range r.Pool(testbed.PoolDecode) {
+		for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 			if list, err := r.heldOnEngine(u); err == nil && len(list) > 0 {
 				from = u
 			} else {
--- a/test/failure/limit_test.go
+++ b/test/failure/limit_test.go
@@ -67,7 +67,7 @@
 func (r *harness) lookupCounts() map[string]int {
 	r.t.Helper()
 	out := map[string]int{}
-	for _, u := range r.Pool(testbed.PoolService) {
+	for _, u := range r.PoolUpstreams(testbed.PoolService) {
 		var s service.Stats
 		r.must(u.Get(r.ctx, "/stats", &s))
 		out[u.Name] = s.Lookups
--- a/test/failure/memory_test.go
+++ b/test/failure/memory_test.go
@@ -165,7 +165,7 @@
 // freezeDecode freezes all decode engines.
 func (r *harness) freezeDecode() {
 	r.t.Helper()
-	for _, u := range r.Pool(testbed.PoolDecode) {
+	for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 		r.must(u.Freeze(r.ctx))
 	}
 }
@@ -173,7 +173,7 @@
 // thawDecode resumes all decode engines that have not been killed.
 func (r *harness) thawDecode() {
 	r.t.Helper()
-	for _, u := range r.Pool(testbed.PoolDecode) {
+	for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 		if u.Running() {
 			r.must(u.Thaw())
 		}
@@ -194,11 +194,11 @@
 		"cancel/daemon-killed": func(r *harness) { r.Daemons[0].Kill() },
 		"cancel/daemon-frozen": func(r *harness) { r.must(r.Daemons[0].Freeze(r.ctx)) },
 		"cancel/upstream-killed": func(r *harness) {
-			for _, u := range r.Pool(testbed.PoolDecode) {
+			for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 				r.must(u.Post(r.ctx, "/crash", nil))
 			}
 		},
-		"cancel/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"cancel/data-centre-cut": func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -225,7 +225,7 @@
 	for name, secondFault := range map[string]func(*harness){
 		"sweep/daemon-killed":   func(r *harness) { r.stewardAfterDeath().Kill() },
 		"sweep/daemon-frozen":   func(r *harness) { r.must(r.stewardAfterDeath().Freeze(r.ctx)) },
-		"sweep/data-centre-cut": func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut); r.timeout = isolatedTimeout },
+		"sweep/data-centre-cut": func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut); r.timeout = isolatedTimeout },
 		"sweep/connection-cut": func(r *harness) {
 			r.setEngineFaults(engine.Faults{LoseCancel: true}, 3, testbed.PoolDecode)
 		},
@@ -233,7 +233,7 @@
 			r.setEngineFaults(engine.Faults{Stall: []string{engineapi.PathCancel}}, 2, testbed.PoolDecode)
 		},
 		"sweep/upstream-killed": func(r *harness) {
-			for _, u := range r.Pool(testbed.PoolDecode) {
+			for _, u := range r.PoolUpstreams(testbed.PoolDecode) {
 				r.must(u.Post(r.ctx, "/crash", nil))
 			}
 		},
--- a/test/failure/once_test.go
+++ b/test/failure/once_test.go
@@ -256,14 +256,14 @@
 		t.Run(name, func(t *testing.T) {
 			r := r.forSubtest(t)
 			key := "cut-" + name[len("claim/"):]
-			r.SetPlatform("dc1", mode.platform)
-			r.SetPeers("dc1", "dc2", mode.peers)
+			r.SetPlatformMode("dc1", mode.platform)
+			r.SetPeerMode("dc1", "dc2", mode.peers)
 			answers := r.submitConcurrently(key)
 			if n := r.checkAtMostOnce(key, answers...); n != 1 {
 				t.Errorf("executed %d times, want once through the data centre that reaches the log: %v", n, answers)
 			}
-			r.SetPlatform("dc1", testbed.Open)
-			r.SetPeers("dc1", "dc2", testbed.Open)
+			r.SetPlatformMode("dc1", testbed.Open)
+			r.SetPeerMode("dc1", "dc2", testbed.Open)
 			r.resubmitUntilResult(key, answers...)
 			r.awaitPeers()
 		})
@@ -284,8 +284,8 @@
 		"call/log-slow":            func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{DelayMS: 1000}), 0) },
 		"call/log-reply-lost":      func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{LoseReply: true}), 2) },
 		"call/log-record-repeated": func(func()) { r.setLogFaults(onClaimStreams(logsvc.Faults{Duplicate: true}), 0) },
-		"call/platform-cut":        func(func()) { r.SetPlatform("dc1", testbed.Cut) },
-		"call/data-centre-cut":     func(func()) { r.SetPeers("dc1", "dc2", testbed.Cut) },
+		"call/platform-cut":        func(func()) { r.SetPlatformMode("dc1", testbed.Cut) },
+		"call/data-centre-cut":     func(func()) { r.SetPeerMode("dc1", "dc2", testbed.Cut) },
 		"call/log-down+caller-gone": func(leave func()) {
 			r.setLogFaults(onClaimStreams(logDown), 0)
 			leave()
@@ -307,8 +307,8 @@
 				r.confirmation(answers[1])
 			}
 			r.setLogFaults(logsvc.Faults{}, 0)
-			r.SetPlatform("dc1", testbed.Open)
-			r.SetPeers("dc1", "dc2", testbed.Open)
+			r.SetPlatformMode("dc1", testbed.Open)
+			r.SetPeerMode("dc1", "dc2", testbed.Open)
 			r.resubmitUntilResult(key, answers...)
 			r.awaitPeers()
 		})
--- a/test/failure/orders_test.go
+++ b/test/failure/orders_test.go
@@ -60,7 +60,7 @@
 
 // engines returns all engines.
 func (r *harness) engines() []*testbed.Upstream {
-	return append(r.Pool(testbed.PoolPrefill), r.Pool(testbed.PoolDecode)...)
+	return append(r.PoolUpstreams(testbed.PoolPrefill), r.PoolUpstreams(testbed.PoolDecode)...)
 }
 
 // awaitServed waits until all running engines serve the model's version.
@@ -122,7 +122,7 @@
 		"order-sent/weight-store-slow+connection-cut": {before: func(r *harness) {
 			r.must(testbed.SetFaults(r.ctx, r.Weights, weights.Faults{Cut: true}, 2))
 		}},
-		"order-sent/data-centre-cut": {before: func(r *harness) { r.SetPeers("dc1", "dc2", testbed.Cut) }},
+		"order-sent/data-centre-cut": {before: func(r *harness) { r.SetPeerMode("dc1", "dc2", testbed.Cut) }},
 		"order-read-back/connection-cut": {before: func(r *harness) {
 			r.setEngineFaults(engine.Faults{CutReply: []string{engineapi.PathState}}, 3, testbed.PoolPrefill)
 		}},
@@ -152,7 +152,7 @@
 			sendOutdatedOrders(r)
 		}},
 		"order-read-back/data-centre-cut": {after: func(r *harness) {
-			r.SetPeers("dc1", "dc2", testbed.Cut)
+			r.SetPeerMode("dc1", "dc2", testbed.Cut)
 			sendOutdatedOrders(r)
 		}},
 		"order-read-back/late-order":    {after: sendOutdatedOrders},
--- a/test/failure/token_test.go
+++ b/test/failure/token_test.go
@@ -37,8 +37,8 @@
 	for name, cause := range map[string]struct{ set, heal func() }{
 		"claim/log-down": {func() { r.setLogFaults(logsvc.Faults{Down: true}, 0) }, func() { r.setLogFaults(logsvc.Faults{}, 0) }},
 		"claim/platform-cut": {
-			func() { r.SetPlatform("dc1", testbed.Cut); r.SetPlatform("dc2", testbed.Cut) },
-			func() { r.SetPlatform("dc1", testbed.Open); r.SetPlatform("dc2", testbed.Open) },
+			func() { r.SetPlatformMode("dc1", testbed.Cut); r.SetPlatformMode("dc2", testbed.Cut) },
+			func() { r.SetPlatformMode("dc1", testbed.Open); r.SetPlatformMode("dc2", testbed.Open) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,13 +56,13 @@
 	t.Run("claim/data-centre-cut", func(t *testing.T) {
 		r := r.forSubtest(t)
 		token := r.mintToken(r.Daemons[0])
-		r.SetPeers("dc1", "dc2", testbed.Cut)
+		r.SetPeerMode("dc1", "dc2", testbed.Cut)
 		away := r.orderWithToken(r.Daemons[1], token)
 		if away.problem == nil || away.problem.Run == errkind.Ran || r.executions(withKey(token)) != 0 {
 			t.Errorf("token used in a data centre that cannot reach its daemon: %s", away)
 		}
 		home := r.orderWithToken(r.Daemons[2], token)
-		r.SetPeers("dc1", "dc2", testbed.Open)
+		r.SetPeerMode("dc1", "dc2", testbed.Open)
 		if n := r.checkAtMostOnce(token, away, home); n != 1 {
 			t.Errorf("executed %d times: %s", n, home)
 		}
