--- a/cmd/loadgen/run.go
+++ b/cmd/loadgen/run.go
@@ -57,7 +57,7 @@
 			return err
 		}
 	}
-	if !rep.Held() {
+	if !rep.Passed() {
 		return errors.New("the daemons violated a guarantee, see the outcomes above")
 	}
 	return nil
@@ -67,7 +67,7 @@
 	w := loadgen.DefaultWorkload()
 	w.Rate = c.Rate
 	w.Mix = loadgen.Mix{Lookup: c.Lookups, Submit: c.Submits, Short: c.Shorts, Draft: c.Drafts}
-	w.Teams = loadgen.TeamsOf(c.Team)
+	w.Teams = loadgen.TeamsFromKeys(c.Team)
 	w.Model, w.Adapters = c.Model, c.Adapter
 	w.Service, w.LookupPath, w.SubmitPath = c.Service, c.LookupPath, c.SubmitPath
 	name := c.Name
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -131,10 +131,10 @@
 	w := loadgen.DefaultWorkload()
 	w.Rate = requestRate
 	w.Mix = loadgen.Mix{Lookup: 0.5, Submit: 0.2, Short: 0.15, Draft: 0.15}
-	w.Teams = loadgen.TeamsOf(map[string]string{testbed.Team: testbed.TeamKey})
+	w.Teams = loadgen.TeamsFromKeys(map[string]string{testbed.Team: testbed.TeamKey})
 	w.Model, w.Service = testbed.Model, testbed.ServiceName
 	w.SubmitPath = testbed.NonIdempotentPath
-	w.DraftTokens = loadgen.Sizes{Median: 40, Sigma: 0.4, Min: 10, Max: 80}
+	w.DraftTokens = loadgen.SizeDistribution{Median: 40, Sigma: 0.4, Min: 10, Max: 80}
 	w.RepeatShare, w.CancelShare = 0.5, 0
 	var urls, controlURLs []string
 	for _, daemon := range d.fleet.Daemons {
@@ -151,7 +151,7 @@
 			Urgent: loadgen.Target{FirstToken: 500 * time.Millisecond, BetweenTokens: 60 * time.Millisecond},
 			Draft:  loadgen.Target{FirstToken: 5 * time.Second, BetweenTokens: 120 * time.Millisecond},
 		},
-		Killed:     func(target string) bool { return d.daemonKilled.Load() && target == urls[killedDaemon] },
+		IsKilled:   func(target string) bool { return d.daemonKilled.Load() && target == urls[killedDaemon] },
 		Executions: loadgen.ServiceExecutions(http.DefaultClient, controlURLs),
 	})
 }
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -53,7 +53,7 @@
 	var capacity Capacity
 	for range capacitySample {
 		spec := gen.Next()
-		if !spec.Kind.Completion() {
+		if !spec.Kind.IsCompletion() {
 			continue
 		}
 		capacity.DecodeTokens += float64(answer.AnswerLength(spec.Prompt, spec.MaxTokens)) / capacitySample
--- a/internal/experiment/figures_test.go
+++ b/internal/experiment/figures_test.go
@@ -103,8 +103,8 @@
 func TestCapacity(t *testing.T) {
 	w := loadgen.DefaultWorkload()
 	w.Mix = loadgen.Mix{Draft: 1}
-	w.DraftTokens = loadgen.Sizes{Median: 1, Min: 1, Max: 1}
-	w.DraftPrompt = loadgen.Sizes{Median: 100, Min: 100, Max: 100}
+	w.DraftTokens = loadgen.SizeDistribution{Median: 1, Min: 1, Max: 1}
+	w.DraftPrompt = loadgen.SizeDistribution{Median: 100, Min: 100, Max: 100}
 	w.SharedShare = 0
 	c, err := CapacityOf(w, 2, 3, 4)
 	if err != nil {
--- a/internal/experiment/firms.go
+++ b/internal/experiment/firms.go
@@ -65,8 +65,8 @@
 	w := loadgen.DefaultWorkload()
 	setTestbedNames(&w)
 	w.Teams = teams
-	w.DraftPrompt = loadgen.Sizes{Median: 400, Sigma: 1.0, Min: 40, Max: 24_000}
-	w.DraftTokens = loadgen.Sizes{Median: 110, Sigma: 0.25, Min: 40, Max: 170}
+	w.DraftPrompt = loadgen.SizeDistribution{Median: 400, Sigma: 1.0, Min: 40, Max: 24_000}
+	w.DraftTokens = loadgen.SizeDistribution{Median: 110, Sigma: 0.25, Min: 40, Max: 170}
 	w.PreambleTokens = 256
 	return w
 }
@@ -74,7 +74,7 @@
 // setLatencyTargets sets the latency targets of every class of a bundle.
 func setLatencyTargets(b *bundle.Bundle, t loadgen.Targets) {
 	for class, target := range b.Classes {
-		want := t.Of(class)
+		want := t.ForClass(class)
 		target.FirstTokenMillis = want.FirstToken.Milliseconds()
 		target.BetweenTokensMillis = want.BetweenTokens.Milliseconds()
 		b.Classes[class] = target
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -45,7 +45,7 @@
 	}
 	daemon, service := r.bed.Daemons()[0], r.bed.Services()[0]
 	team := r.bed.Teams()[0]
-	direct, throughDaemon := loadgen.NewTimer(), loadgen.NewTimer()
+	direct, throughDaemon := loadgen.NewLatencyRecorder(), loadgen.NewLatencyRecorder()
 	for i := range overheadCalls {
 		path := fmt.Sprintf("/status/overhead-%d", i)
 		if err := r.timeGet(ctx, direct, service.URL+path, team); err != nil {
@@ -60,7 +60,7 @@
 
 // timeGet sends a GET request with the team's key and records the time until the
 // body has been read.
-func (r *runner) timeGet(ctx context.Context, t *loadgen.Timer, url string, team loadgen.Team) error {
+func (r *runner) timeGet(ctx context.Context, t *loadgen.LatencyRecorder, url string, team loadgen.Team) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.WithStack(err)
--- a/internal/experiment/slopes_sizes.go
+++ b/internal/experiment/slopes_sizes.go
@@ -194,13 +194,13 @@
 	const meanAnswer = 0.75 * streamTokens
 	r, rep, err := p.measureUnderLoad(ctx, x*n/meanAnswer, func(w *loadgen.Workload) {
 		w.Mix, w.StreamShare, w.SharedShare = loadgen.Mix{Draft: 1}, 1, 0
-		w.DraftTokens = loadgen.Sizes{Median: streamTokens, Min: streamTokens, Max: streamTokens}
-		w.DraftPrompt = loadgen.Sizes{Median: 50, Min: 50, Max: 50}
+		w.DraftTokens = loadgen.SizeDistribution{Median: streamTokens, Min: streamTokens, Max: streamTokens}
+		w.DraftPrompt = loadgen.SizeDistribution{Median: 50, Min: 50, Max: 50}
 	})
 	if err != nil {
 		return r, x, err
 	}
-	return r, float64(rep.TokensSeen) / (p.opts.Settle + p.opts.Window).Seconds() / n, nil
+	return r, float64(rep.TokensReceived) / (p.opts.Settle + p.opts.Window).Seconds() / n, nil
 }
 
 // measureClaims sends non-idempotent calls of the plain service at a rate of x a
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -37,7 +37,7 @@
 	if got.Note != "" || got.Report == nil {
 		t.Fatalf("the segment was not measured: %s", got.Note)
 	}
-	if !got.Report.Held() {
+	if !got.Report.Passed() {
 		t.Errorf("faults %+v, ledger %+v", got.Report.Faults, got.Report.Ledger)
 	}
 	if got.Report.AnsweredCompletions == 0 || got.Engines.Prefills == 0 || got.Engines.PrefillTokens == 0 || got.Report.Ledger.Keys == 0 {
--- a/internal/loadgen/collector.go
+++ b/internal/loadgen/collector.go
@@ -68,14 +68,14 @@
 	if r.Kind != "" {
 		c.refusals[KindCount{Kind: r.Kind, Run: r.Run}]++
 	}
-	if r.Outcome.Fault() && len(c.faults) < maxReportedFaults {
+	if r.Outcome.IsFault() && len(c.faults) < maxReportedFaults {
 		c.faults = append(c.faults, Fault{r.Outcome, r.Spec.Kind, r.Spec.Key, r.Target, r.Detail})
 	}
 	c.replays += r.Replays
 	if r.Spec.Kind == KindSubmit {
 		c.submits = append(c.submits, r)
 	}
-	if !r.Spec.Kind.Completion() {
+	if !r.Spec.Kind.IsCompletion() {
 		return
 	}
 	switch r.Outcome {
@@ -95,7 +95,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rep := &Report{
-		Targets: c.targets, Measured: measured, Replays: c.replays, TokensSeen: c.tokens,
+		Targets: c.targets, Measured: measured, Replays: c.replays, TokensReceived: c.tokens,
 		All: c.allRequests.section(measured + c.warmup), Steady: c.steady.section(measured),
 		Faults: c.faults, AnsweredCompletions: c.answeredCompletions, CancelledCompletions: c.cancelledCompletions,
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	recordLatency(t.total, r.Total)
-	if !r.Seen {
+	if !r.FirstMeasured {
 		return
 	}
 	recordLatency(t.firstToken, r.First)
@@ -197,15 +197,15 @@
 	}
 }
 
-// Timer records latencies that are measured outside of a Run. It is not safe for concurrent
+// LatencyRecorder records latencies that are measured outside of a Run. It is not safe for concurrent
 // use.
-type Timer struct{ h *hdrhistogram.Histogram }
+type LatencyRecorder struct{ h *hdrhistogram.Histogram }
 
-// NewTimer returns an empty timer.
-func NewTimer() *Timer { return &Timer{newHistogram()} }
+// NewLatencyRecorder returns an empty timer.
+func NewLatencyRecorder() *LatencyRecorder { return &LatencyRecorder{newHistogram()} }
 
 // Record adds one latency.
-func (t *Timer) Record(d time.Duration) { recordLatency(t.h, d) }
+func (t *LatencyRecorder) Record(d time.Duration) { recordLatency(t.h, d) }
 
 // Quantiles returns the quantiles of the recorded latencies.
-func (t *Timer) Quantiles() Quantiles { return quantiles(t.h) }
+func (t *LatencyRecorder) Quantiles() Quantiles { return quantiles(t.h) }
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -101,7 +101,7 @@
 
 // fillCompletion sets the fields of a completion, given the distributions of its prompt size
 // and of its maximum number of tokens.
-func (g *Generator) fillCompletion(s *Spec, prompt, tokens Sizes) {
+func (g *Generator) fillCompletion(s *Spec, prompt, tokens SizeDistribution) {
 	s.Model = g.workload.Model
 	if n := len(g.workload.Adapters); n > 0 {
 		s.Adapter = g.workload.Adapters[g.rng.IntN(n)]
@@ -139,7 +139,7 @@
 }
 
 // sampleSize draws a token count from the distribution s.
-func (g *Generator) sampleSize(s Sizes) int {
+func (g *Generator) sampleSize(s SizeDistribution) int {
 	n := float64(s.Median) * math.Exp(s.Sigma*g.rng.NormFloat64())
 	return min(max(int(n), s.Min), s.Max)
 }
--- a/internal/loadgen/generator_test.go
+++ b/internal/loadgen/generator_test.go
@@ -78,7 +78,7 @@
 		if s.RepeatAfter > 0 {
 			repeated++
 		}
-		if s.Kind.Completion() && (s.MaxTokens < 4 || len(s.Prompt) > 4*31_000) {
+		if s.Kind.IsCompletion() && (s.MaxTokens < 4 || len(s.Prompt) > 4*31_000) {
 			t.Fatalf("request %d out of bounds: %d tokens, %d bytes", s.Index, s.MaxTokens, len(s.Prompt))
 		}
 	}
--- a/internal/loadgen/ledger.go
+++ b/internal/loadgen/ledger.go
@@ -10,8 +10,8 @@
 // Execution is the number of times that a service executed the submit with one idempotency
 // key, as the service counted it.
 type Execution struct {
-	Key  string
-	Runs int
+	Key   string
+	Count int
 }
 
 // LedgerReport compares the responses that callers received to submits with the executions
@@ -35,7 +35,7 @@
 func reconcileLedger(results []Result, executions []Execution) LedgerReport {
 	runs := map[string]int{}
 	for _, e := range executions {
-		runs[e.Key] += e.Runs
+		runs[e.Key] += e.Count
 	}
 	resultsByKey := map[string][]Result{}
 	for _, r := range results {
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -41,8 +41,8 @@
 	return []Outcome{Answered, Refused, Broken, Cancelled, Severed, Lost, Wrong, Truncated, Doubled, Dropped}
 }
 
-// Fault reports whether the outcome violates a guarantee of the system.
-func (o Outcome) Fault() bool {
+// IsFault reports whether the outcome violates a guarantee of the system.
+func (o Outcome) IsFault() bool {
 	return o == Lost || o == Wrong || o == Truncated || o == Doubled
 }
 
@@ -54,8 +54,8 @@
 	Detail string           `json:"detail"`
 }
 
-// Honest reports whether the problem has a kind that errkind defines and a valid run state.
-func (p *Problem) Honest() bool {
+// Valid reports whether the problem has a kind that errkind defines and a valid run state.
+func (p *Problem) Valid() bool {
 	if p == nil {
 		return false
 	}
@@ -71,9 +71,9 @@
 	// chunks that carried text.
 	Text   string
 	Tokens int
-	// Terminals counts the terminal events of the response: [DONE] events, error events,
+	// TerminalEvents counts the terminal events of the response: [DONE] events, error events,
 	// complete bodies, and text after the end of a stream. A correct response has one.
-	Terminals int
+	TerminalEvents int
 	// Finish is the finish reason. Usage is the reported number of completion tokens, or -1 if
 	// none was reported.
 	Finish string
@@ -84,8 +84,8 @@
 	RetryAfter bool
 	// Err is the error of the transport or of parsing the response.
 	Err error
-	// Gone is set if the caller cancelled the request as planned.
-	Gone bool
+	// Cancelled is set if the caller cancelled the request as planned.
+	Cancelled bool
 }
 
 // Result holds the outcome and the measurements of one request.
@@ -105,11 +105,11 @@
 	// scheduled arrival to the end of the response.
 	First   time.Duration
 	MeanGap time.Duration
-	Gap95   time.Duration
+	GapP95  time.Duration
 	Total   time.Duration
-	// Seen is set if First was measured: from the tokens of a stream, or as the response time
+	// FirstMeasured is set if First was measured: from the tokens of a stream, or as the response time
 	// of a plain service.
-	Seen bool
+	FirstMeasured bool
 	// Tokens is the number of tokens of the completion.
 	Tokens int
 	// Replays counts how often the request was sent again, by the balancer or by the caller.
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -20,8 +20,8 @@
 	Draft  Target `json:"draft"`
 }
 
-// Of returns the targets of a class.
-func (t Targets) Of(c bundle.Class) Target {
+// ForClass returns the targets of a class.
+func (t Targets) ForClass(c bundle.Class) Target {
 	if c == bundle.Draft {
 		return t.Draft
 	}
@@ -37,13 +37,13 @@
 	if r.Outcome != Answered {
 		return false
 	}
-	target := t.Of(r.Spec.Kind.Class())
-	if !r.Seen {
+	target := t.ForClass(r.Spec.Kind.Class())
+	if !r.FirstMeasured {
 		return r.Total <= target.FirstToken+time.Duration(max(r.Tokens-1, 0))*target.BetweenTokens
 	}
 	gap := r.MeanGap
 	if strict {
-		gap = r.Gap95
+		gap = r.GapP95
 	}
 	return r.First <= target.FirstToken && gap <= target.BetweenTokens
 }
@@ -118,8 +118,8 @@
 	Measured time.Duration `json:"measured_ns"`
 	// Replays counts how often requests were sent again, by the balancer or by their caller.
 	// TokensSeen counts the tokens of completions that callers received.
-	Replays    int   `json:"replays"`
-	TokensSeen int64 `json:"tokens_seen"`
+	Replays        int   `json:"replays"`
+	TokensReceived int64 `json:"tokens_seen"`
 	// All covers every request of the run. Steady, Classes and Kinds cover only the requests
 	// that arrived after the warm-up.
 	All     Section   `json:"all"`
@@ -169,7 +169,7 @@
 	return n
 }
 
-// Held reports whether the run found no violation of the guarantees that it checks.
-func (r *Report) Held() bool {
+// Passed reports whether the run found no violation of the guarantees that it checks.
+func (r *Report) Passed() bool {
 	return r.Lost() == 0 && r.Doubled() == 0 && (r.Ledger == nil || r.Ledger.FalseNotRun == 0 && r.Ledger.Missing == 0)
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -38,9 +38,9 @@
 	// Severed. The outcome of the second request counts.
 	Retry   bool
 	Targets Targets
-	// Killed reports whether the test has killed the daemon with this base URL; nil means that
+	// IsKilled reports whether the test has killed the daemon with this base URL; nil means that
 	// it kills none.
-	Killed func(target string) bool
+	IsKilled func(target string) bool
 	// Client sends the requests; nil means NewClient(MaxInFlight).
 	Client *http.Client
 	// Executions returns the executions that the services counted for the keys of the run; if
@@ -79,7 +79,7 @@
 	}
 	r := &runner{
 		options:   o,
-		sender:    sender{hc: hc, targets: o.Daemons, replay: o.Replay, retry: o.Retry, timeout: o.Timeout, killed: o.Killed, workload: o.Workload},
+		sender:    sender{hc: hc, targets: o.Daemons, replay: o.Replay, retry: o.Retry, timeout: o.Timeout, killed: o.IsKilled, workload: o.Workload},
 		collector: newCollector(o.Targets, o.Warmup),
 		slots:     make(chan struct{}, o.MaxInFlight),
 	}
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -72,7 +72,7 @@
 // result. scheduled is the arrival time from which latencies are measured.
 func (c *sender) send(ctx context.Context, s Spec, scheduled time.Time) Result {
 	r := c.sendWithReplays(ctx, s, scheduled)
-	if !c.retry || r.Outcome != Severed || !s.Kind.Completion() {
+	if !c.retry || r.Outcome != Severed || !s.Kind.IsCompletion() {
 		return r
 	}
 	replays := r.Replays + 1
@@ -103,7 +103,7 @@
 			break
 		}
 	}
-	transcript.Gone = callerCtx.Err() != nil && ctx.Err() == nil
+	transcript.Cancelled = callerCtx.Err() != nil && ctx.Err() == nil
 	r.Total = time.Since(scheduled)
 	r.setOutcome(transcript, c.killed)
 	return r
@@ -128,8 +128,8 @@
 	if r.Outcome == Lost && t.Err != nil && t.Problem == nil && killed != nil && killed(r.Target) {
 		r.Outcome = Severed
 	}
-	if !r.Spec.Kind.Completion() {
-		r.First, r.Seen = r.Total, true
+	if !r.Spec.Kind.IsCompletion() {
+		r.First, r.FirstMeasured = r.Total, true
 		return
 	}
 	r.Tokens = t.Tokens
@@ -150,7 +150,7 @@
 	}
 	r.MeanGap = sum / time.Duration(len(r.gaps))
 	sorted := slices.Sorted(slices.Values(r.gaps))
-	r.Gap95 = sorted[min(len(sorted)*95/100, len(sorted)-1)]
+	r.GapP95 = sorted[min(len(sorted)*95/100, len(sorted)-1)]
 }
 
 // tokenTimer records the arrival times of tokens in a Result.
@@ -161,14 +161,14 @@
 }
 
 func newTokenTimer(scheduled time.Time, r *Result) *tokenTimer {
-	r.gaps, r.Seen = nil, false
+	r.gaps, r.FirstMeasured = nil, false
 	return &tokenTimer{result: r, scheduled: scheduled}
 }
 
 func (t *tokenTimer) recordToken() {
 	now := time.Now()
 	if t.last.IsZero() {
-		t.result.First, t.result.Seen = now.Sub(t.scheduled), true
+		t.result.First, t.result.FirstMeasured = now.Sub(t.scheduled), true
 	} else {
 		t.result.gaps = append(t.result.gaps, now.Sub(t.last))
 	}
@@ -207,16 +207,16 @@
 // readBody adds a response that is not streamed to t.
 func readBody(s Spec, resp *http.Response, body []byte, t *Transcript) error {
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), problemContentType) {
-		t.Terminals++
+		t.TerminalEvents++
 		t.Problem = &Problem{}
 		return errors.Wrap(json.Unmarshal(body, t.Problem), "problem body")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("status %d: %.100s", resp.StatusCode, body)
 	}
-	if !s.Kind.Completion() {
+	if !s.Kind.IsCompletion() {
 		t.Text = string(body)
-		t.Terminals++
+		t.TerminalEvents++
 		return nil
 	}
 	var c completionBody
@@ -224,7 +224,7 @@
 		return errors.Wrap(err, "completion body")
 	}
 	c.addTo(t)
-	t.Terminals++
+	t.TerminalEvents++
 	return nil
 }
 
--- a/internal/loadgen/sse.go
+++ b/internal/loadgen/sse.go
@@ -55,11 +55,11 @@
 func readEvent(event, data string, t *Transcript, onToken func()) error {
 	switch {
 	case event == errorEvent:
-		t.Terminals++
+		t.TerminalEvents++
 		t.Problem = &Problem{}
 		return errors.Wrap(json.Unmarshal([]byte(data), t.Problem), "error event")
 	case data == doneData:
-		t.Terminals++
+		t.TerminalEvents++
 		return nil
 	}
 	var c completionBody
@@ -87,8 +87,8 @@
 	if choice.Text == "" {
 		return false
 	}
-	if t.Terminals > 0 {
-		t.Terminals++ // text after the terminal event counts as a second response
+	if t.TerminalEvents > 0 {
+		t.TerminalEvents++ // text after the terminal event counts as a second response
 	}
 	t.Text += choice.Text
 	t.Tokens++
--- a/internal/loadgen/standins.go
+++ b/internal/loadgen/standins.go
@@ -27,7 +27,7 @@
 				return nil, errors.Errorf("%s lists %d of %d executions", c, len(list.Executions), list.Total)
 			}
 			for _, x := range list.Executions {
-				out = append(out, Execution{Key: path.Base(x.Path), Runs: 1})
+				out = append(out, Execution{Key: path.Base(x.Path), Count: 1})
 			}
 		}
 		return out, nil
--- a/internal/loadgen/verify.go
+++ b/internal/loadgen/verify.go
@@ -16,15 +16,15 @@
 // do not follow from the response.
 func Verify(s Spec, t Transcript) (Outcome, string) {
 	switch {
-	case t.Terminals > 1:
-		return Doubled, fmt.Sprintf("%d terminals", t.Terminals)
+	case t.TerminalEvents > 1:
+		return Doubled, fmt.Sprintf("%d terminals", t.TerminalEvents)
 	case t.Problem != nil:
 		return verifyProblem(t)
-	case t.Terminals == 1 && t.Status == http.StatusOK && s.Kind.Completion():
+	case t.TerminalEvents == 1 && t.Status == http.StatusOK && s.Kind.IsCompletion():
 		return verifyCompletion(s, t)
-	case t.Terminals == 1 && t.Status == http.StatusOK:
+	case t.TerminalEvents == 1 && t.Status == http.StatusOK:
 		return verifyServiceResponse(s, t)
-	case t.Gone:
+	case t.Cancelled:
 		return Cancelled, ""
 	case t.Err != nil:
 		return Lost, t.Err.Error()
@@ -36,7 +36,7 @@
 func verifyProblem(t Transcript) (Outcome, string) {
 	detail := fmt.Sprintf("%s: %s", t.Problem.Kind, t.Problem.Detail)
 	switch {
-	case !t.Problem.Honest():
+	case !t.Problem.Valid():
 		return Lost, "unknown kind or run state: " + detail
 	case t.Tokens > 0:
 		return Broken, detail
--- a/internal/loadgen/verify_test.go
+++ b/internal/loadgen/verify_test.go
@@ -23,10 +23,10 @@
 	submit := Spec{Kind: KindSubmit, Key: "r-0000001"}
 	lookup := Spec{Kind: KindLookup, Key: "r-0000001"}
 	value := service.LookupOf("/status/r-0000001").Value
-	answered := func(body string) Transcript { return Transcript{Status: 200, Terminals: 1, Text: body} }
+	answered := func(body string) Transcript { return Transcript{Status: 200, TerminalEvents: 1, Text: body} }
 	want := answer.Text("m", "", "p", 9)
 	n := answer.AnswerLength("p", 9)
-	complete := Transcript{Status: 200, Text: want, Tokens: n, Terminals: 1, Usage: n, Finish: answer.FinishReason(n, 9)}
+	complete := Transcript{Status: 200, Text: want, Tokens: n, TerminalEvents: 1, Usage: n, Finish: answer.FinishReason(n, 9)}
 	completeExcept := func(change func(*Transcript)) Transcript {
 		c := complete
 		change(&c)
@@ -40,20 +40,20 @@
 		want Outcome
 	}{
 		{"whole", completion, complete, Answered},
-		{"whole, but the caller left later", completion, completeExcept(func(t *Transcript) { t.Gone = true }), Answered},
-		{"no terminal", completion, completeExcept(func(t *Transcript) { t.Terminals = 0 }), Lost},
-		{"cut", completion, completeExcept(func(t *Transcript) { t.Terminals, t.Err = 0, errors.New("reset") }), Lost},
-		{"two terminals", completion, completeExcept(func(t *Transcript) { t.Terminals = 2 }), Doubled},
+		{"whole, but the caller left later", completion, completeExcept(func(t *Transcript) { t.Cancelled = true }), Answered},
+		{"no terminal", completion, completeExcept(func(t *Transcript) { t.TerminalEvents = 0 }), Lost},
+		{"cut", completion, completeExcept(func(t *Transcript) { t.TerminalEvents, t.Err = 0, errors.New("reset") }), Lost},
+		{"two terminals", completion, completeExcept(func(t *Transcript) { t.TerminalEvents = 2 }), Doubled},
 		{"last token missing", completion, completeExcept(func(t *Transcript) { t.Text = want[:len(want)-7] }), Truncated},
 		{"token repeated", completion, completeExcept(func(t *Transcript) { t.Text = want[:7] + want }), Wrong},
 		{"another prompt's answer", completion, completeExcept(func(t *Transcript) { t.Text = answer.Text("m", "", "q", 9) }), Wrong},
 		{"usage off by one", completion, completeExcept(func(t *Transcript) { t.Usage = n - 1 }), Wrong},
 		{"finish reason missing", completion, completeExcept(func(t *Transcript) { t.Finish = "" }), Wrong},
-		{"caller left", completion, Transcript{Gone: true, Err: context.Canceled}, Cancelled},
-		{"refused", completion, Transcript{Status: 503, Terminals: 1, Problem: refusal}, Refused},
-		{"broken after tokens", completion, Transcript{Status: 200, Tokens: 2, Terminals: 1, Problem: refusal}, Broken},
-		{"unknown kind", completion, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: "odd", Run: "ran"}}, Lost},
-		{"no run state", completion, Transcript{Status: 503, Terminals: 1, Problem: &Problem{Kind: errkind.Internal}}, Lost},
+		{"caller left", completion, Transcript{Cancelled: true, Err: context.Canceled}, Cancelled},
+		{"refused", completion, Transcript{Status: 503, TerminalEvents: 1, Problem: refusal}, Refused},
+		{"broken after tokens", completion, Transcript{Status: 200, Tokens: 2, TerminalEvents: 1, Problem: refusal}, Broken},
+		{"unknown kind", completion, Transcript{Status: 503, TerminalEvents: 1, Problem: &Problem{Kind: "odd", Run: "ran"}}, Lost},
+		{"no run state", completion, Transcript{Status: 503, TerminalEvents: 1, Problem: &Problem{Kind: errkind.Internal}}, Lost},
 		{"call answered", submit, answered(`{"path":"/submit/r-0000001","confirmation":"1"}`), Answered},
 		{"call crossed", submit, answered(`{"path":"/submit/r-0000002","confirmation":"1"}`), Wrong},
 		{"call unconfirmed", submit, answered(`{"path":"/submit/r-0000001"}`), Wrong},
@@ -102,7 +102,7 @@
 
 func TestTargetsMet(t *testing.T) {
 	targets := Targets{Draft: Target{FirstToken: 100, BetweenTokens: 10}}
-	r := Result{Spec: Spec{Kind: KindDraft}, Outcome: Answered, Seen: true, First: 100, MeanGap: 10, Gap95: 11}
+	r := Result{Spec: Spec{Kind: KindDraft}, Outcome: Answered, FirstMeasured: true, First: 100, MeanGap: 10, GapP95: 11}
 	late, slow, refused := r, r, r
 	late.First = 101
 	slow.MeanGap = 11
@@ -173,8 +173,8 @@
 			if d := cmp.Diff([]OutcomeCount{{tc.want, 6}}, rep.All.Outcomes); d != "" {
 				t.Error(d)
 			}
-			if rep.Held() == tc.want.Fault() {
-				t.Errorf("held %v with outcome %s", rep.Held(), tc.want)
+			if rep.Passed() == tc.want.IsFault() {
+				t.Errorf("held %v with outcome %s", rep.Passed(), tc.want)
 			}
 		})
 	}
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -35,8 +35,8 @@
 	return bundle.Urgent
 }
 
-// Completion reports whether requests of the kind are completions, which run on a model.
-func (k Kind) Completion() bool { return k == KindShort || k == KindDraft }
+// IsCompletion reports whether requests of the kind are completions, which run on a model.
+func (k Kind) IsCompletion() bool { return k == KindShort || k == KindDraft }
 
 // Team is a team and the bearer key that its requests carry.
 type Team struct {
@@ -52,9 +52,9 @@
 	Draft  float64 `json:"draft"`
 }
 
-// Sizes is a log-normal distribution of token counts. Values outside of Min and Max are set to
+// SizeDistribution is a log-normal distribution of token counts. Values outside of Min and Max are set to
 // the nearer of the two.
-type Sizes struct {
+type SizeDistribution struct {
 	Median int     `json:"median"`
 	Sigma  float64 `json:"sigma"`
 	Min    int     `json:"min"`
@@ -62,7 +62,7 @@
 }
 
 // Mean returns the mean of the distribution without the limits Min and Max.
-func (s Sizes) Mean() float64 { return lognormalMean(s.Median, s.Sigma) }
+func (s SizeDistribution) Mean() float64 { return lognormalMean(s.Median, s.Sigma) }
 
 // Workload describes the requests of a run.
 type Workload struct {
@@ -78,10 +78,10 @@
 	LookupPath string `json:"lookup_path"`
 	SubmitPath string `json:"submit_path"`
 
-	ShortPrompt Sizes `json:"short_prompt"`
-	ShortTokens Sizes `json:"short_tokens"`
-	DraftPrompt Sizes `json:"draft_prompt"`
-	DraftTokens Sizes `json:"draft_tokens"`
+	ShortPrompt SizeDistribution `json:"short_prompt"`
+	ShortTokens SizeDistribution `json:"short_tokens"`
+	DraftPrompt SizeDistribution `json:"draft_prompt"`
+	DraftTokens SizeDistribution `json:"draft_tokens"`
 
 	// SharedShare is the share of drafts whose prompt starts with a shared prefix: the preamble
 	// of one of Councils councils, chosen at random. A preamble has PreambleTokens tokens. Drafts
@@ -113,10 +113,10 @@
 		Service:        "portal",
 		LookupPath:     "/status",
 		SubmitPath:     "/submit",
-		ShortPrompt:    Sizes{Median: 60, Sigma: 0.6, Min: 10, Max: 400},
-		ShortTokens:    Sizes{Median: 16, Sigma: 0.4, Min: 4, Max: 48},
-		DraftPrompt:    Sizes{Median: 1200, Sigma: 1.0, Min: 40, Max: 30_000},
-		DraftTokens:    Sizes{Median: 100, Sigma: 0.5, Min: 20, Max: 400},
+		ShortPrompt:    SizeDistribution{Median: 60, Sigma: 0.6, Min: 10, Max: 400},
+		ShortTokens:    SizeDistribution{Median: 16, Sigma: 0.4, Min: 4, Max: 48},
+		DraftPrompt:    SizeDistribution{Median: 1200, Sigma: 1.0, Min: 40, Max: 30_000},
+		DraftTokens:    SizeDistribution{Median: 100, Sigma: 0.5, Min: 20, Max: 400},
 		Councils:       8,
 		PreambleTokens: 512,
 		SharedShare:    0.6,
@@ -161,8 +161,8 @@
 	return KindDraft
 }
 
-// TeamsOf returns teams sorted by name. keys maps the name of each team to its bearer key.
-func TeamsOf(keys map[string]string) []Team {
+// TeamsFromKeys returns teams sorted by name. keys maps the name of each team to its bearer key.
+func TeamsFromKeys(keys map[string]string) []Team {
 	teams := make([]Team, 0, len(keys))
 	for _, name := range slices.Sorted(maps.Keys(keys)) {
 		teams = append(teams, Team{Name: name, Key: keys[name]})
