--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -46,12 +46,12 @@
 		if err := os.MkdirAll(dir, mode); err != nil {
 			return errors.WithStack(err)
 		}
-		r, err := soak.Run(context.Background(), soak.Options{Bin: c.Bin, Dir: dir, Seed: seed, Length: c.Length, Daemons: c.Daemons, Callers: c.Callers, Herd: c.Herd, Fatal: c.Fatal, Teams: c.Teams, Limits: c.Limits})
+		r, err := soak.Run(context.Background(), soak.Options{Bin: c.Bin, Dir: dir, Seed: seed, FaultDuration: c.Length, Daemons: c.Daemons, Callers: c.Callers, CorrelatedFaults: c.Herd, FatalRequests: c.Fatal, Teams: c.Teams, RateLimits: c.Limits})
 		if err != nil {
 			return errors.Wrapf(err, "seed %d", seed)
 		}
 		fmt.Printf("seed %d: asked %d whole %d refused %d failed %d broken %d violations %d\n",
-			seed, r.Asked, r.Whole, r.Refused, r.Failed, r.Broken, len(r.Violations))
+			seed, r.Requests, r.Answered, r.Refused, r.Failed, r.CutOff, len(r.Violations))
 		if len(r.Violations) == 0 {
 			continue
 		}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -104,14 +104,14 @@
 	defer r.mu.Unlock()
 	sent.endedAt = time.Now()
 	r.requests = append(r.requests, sent)
-	r.result.Asked++
+	r.result.Requests++
 	switch {
 	case sent.complete:
-		r.result.Whole++
+		r.result.Answered++
 	case sent.status == http.StatusServiceUnavailable, sent.status == http.StatusTooManyRequests:
 		r.result.Refused++
 	case sent.status == http.StatusOK && err != nil:
-		r.result.Broken++
+		r.result.CutOff++
 	default:
 		r.result.Failed++
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,29 +30,29 @@
 	Bin, Dir string
 	// Seed determines the fault schedule.
 	Seed uint64
-	// Length is the time in which faults start. After the last fault, the run checks that the
+	// FaultDuration is the time in which faults start. After the last fault, the run checks that the
 	// daemons recover.
-	Length time.Duration
+	FaultDuration time.Duration
 	// Daemons and Callers are the numbers of daemons and of concurrent callers.
 	Daemons int
 	Callers int
-	// Herd adds series of faults in which all upstreams of a service reject requests while all
+	// CorrelatedFaults adds series of faults in which all upstreams of a service reject requests while all
 	// daemons are killed and restarted.
-	Herd bool
+	CorrelatedFaults bool
 	// Teams makes callers send the keys of two teams, one of which exceeds its quota.
 	Teams bool
-	// Limits makes upstreams report rate limits.
-	Limits bool
-	// Fatal adds callers that send fatal requests, which crash every upstream that runs them.
-	Fatal bool
+	// RateLimits makes upstreams report rate limits.
+	RateLimits bool
+	// FatalRequests adds callers that send fatal requests, which crash every upstream that runs them.
+	FatalRequests bool
 }
 
 // Result holds the findings of one run.
 type Result struct {
-	// Asked counts the requests of callers. Of these, Whole were answered completely, Refused
+	// Requests counts the requests of callers. Of these, Whole were answered completely, Refused
 	// rejected with status 429 or 503, Broken cut off during the response, and Failed ended in
 	// any other way.
-	Asked, Whole, Refused, Failed, Broken int64
+	Requests, Answered, Refused, Failed, CutOff int64
 	// Violations describes each violated guarantee; it is empty if the run passed.
 	Violations []string
 	// Schedule describes the faults, for the report of a failed run.
@@ -97,12 +97,12 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	faults := faultSchedule(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))
-	if o.Herd {
-		faults = append(faults, correlatedFaults(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))...)
+	faults := faultSchedule(o.Seed, o.FaultDuration, o.Daemons, len(r.currentUpstreams))
+	if o.CorrelatedFaults {
+		faults = append(faults, correlatedFaults(o.Seed, o.FaultDuration, o.Daemons, len(r.currentUpstreams))...)
 	}
-	if o.Limits {
-		faults = append(faults, limitFaults(o.Seed, o.Length, o.Daemons, len(r.currentUpstreams))...)
+	if o.RateLimits {
+		faults = append(faults, limitFaults(o.Seed, o.FaultDuration, o.Daemons, len(r.currentUpstreams))...)
 	}
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].start < faults[j].start })
 	for _, f := range faults {
@@ -118,7 +118,7 @@
 			r.runCaller(callers, uint64(i))
 		}()
 	}
-	for i := 0; o.Fatal && i < fatalCallerCount; i++ {
+	for i := 0; o.FatalRequests && i < fatalCallerCount; i++ {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -250,7 +250,7 @@
 // none in a run without teams and limits, where daemons need not communicate.
 func (r *run) relayAddresses() ([]string, error) {
 	var out []string
-	for i := 0; (r.options.Teams || r.options.Limits) && i < r.options.Daemons; i++ {
+	for i := 0; (r.options.Teams || r.options.RateLimits) && i < r.options.Daemons; i++ {
 		address, err := findFreeAddress()
 		if err != nil {
 			return nil, err
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,21 +13,21 @@
 // ciRuns are the runs for CI: a short one, regression tests for faults that soak runs have
 // found, and one for each of Limits and Teams. Seed, Length and Daemons determine the schedule.
 var ciRuns = []Options{
-	{Seed: 1, Length: 4 * time.Second, Daemons: 2, Callers: 6},
+	{Seed: 1, FaultDuration: 4 * time.Second, Daemons: 2, Callers: 6},
 	// Guards against a SIGHUP that ends a starting process because it has not installed its
 	// signal handler yet.
-	{Seed: 101, Length: 8 * time.Second, Daemons: 3, Callers: 6},
+	{Seed: 101, FaultDuration: 8 * time.Second, Daemons: 3, Callers: 6},
 	// Guards against exceeding the retry budget: each restarted daemon had its full share of the
 	// budget again, while all daemons were killed repeatedly and the engines rejected requests.
-	{Seed: 2, Length: 8 * time.Second, Daemons: 3, Callers: 24, Herd: true},
+	{Seed: 2, FaultDuration: 8 * time.Second, Daemons: 3, Callers: 24, CorrelatedFaults: true},
 	// Guards against forgetting the crashes that a fatal request has caused: a daemon recorded
 	// them only for one attempt, lost them at a restart and did not share them with others.
-	{Seed: 700, Length: 12 * time.Second, Daemons: 3, Callers: 12, Fatal: true},
+	{Seed: 700, FaultDuration: 12 * time.Second, Daemons: 3, Callers: 12, FatalRequests: true},
 	// Upstreams report rate limits while daemons are killed, paused and restarted.
-	{Seed: 1000, Length: 12 * time.Second, Daemons: 3, Callers: 16, Limits: true},
+	{Seed: 1000, FaultDuration: 12 * time.Second, Daemons: 3, Callers: 16, RateLimits: true},
 	// A team's quota is shared by all daemons while they are killed, paused and restarted, and
 	// keys of teams are added and removed.
-	{Seed: 900, Length: 6 * time.Second, Daemons: 3, Callers: 16, Teams: true},
+	{Seed: 900, FaultDuration: 6 * time.Second, Daemons: 3, Callers: 16, Teams: true},
 }
 
 // Guards against violations of the daemons' guarantees under combinations of faults that no
@@ -45,7 +45,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Whole == 0 {
+		if r.Answered == 0 {
 			t.Errorf("seed %d: nobody was served", seed)
 		}
 		for _, v := range r.Violations {
