--- a/cmd/matrix/main.go
+++ b/cmd/matrix/main.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	var page bytes.Buffer
-	totals, err := matrix.Render(&page, results)
+	totals, err := matrix.WriteMarkdown(&page, results)
 	if err != nil {
 		return err
 	}
@@ -59,5 +59,5 @@
 	if err != nil && !errors.As(err, &exit) {
 		return nil, errors.Wrap(err, "run the tests")
 	}
-	return matrix.Read(bytes.NewReader(out))
+	return matrix.ParseTestOutput(bytes.NewReader(out))
 }
--- a/internal/matrix/impossible.go
+++ b/internal/matrix/impossible.go
@@ -68,8 +68,8 @@
 	{receiveSteps, []Fault{"data-centre-cut"}, "the step reaches no other data centre"},
 }
 
-// Impossible returns the reason why a cell cannot occur, or "" if it can.
-func Impossible(c Cell) string {
+// ImpossibleReason returns the reason why a cell cannot occur, or "" if it can.
+func ImpossibleReason(c Cell) string {
 	for _, r := range rules {
 		if slices.Contains(r.steps, c.Step) && slices.Contains(r.faults, c.Fault) {
 			return r.reason
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -33,12 +33,12 @@
 		`{"Action":"pass","Package":"p/claims","Test":"TestX/claim/log-down+daemon-killed"}`,
 		`not JSON`,
 	}, "\n")
-	results, err := Read(strings.NewReader(output))
+	results, err := ParseTestOutput(strings.NewReader(output))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var page bytes.Buffer
-	got, err := Render(&page, results)
+	got, err := WriteMarkdown(&page, results)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/matrix/render.go
+++ b/internal/matrix/render.go
@@ -23,9 +23,9 @@
 		t.Cells, t.Proved, t.Impossible, t.Red, t.Unproved)
 }
 
-// Render writes the matrix as a Markdown page and returns its totals. Pairs of faults count only
+// WriteMarkdown writes the matrix as a Markdown page and returns its totals. Pairs of faults count only
 // if a test covers them.
-func Render(w io.Writer, r Results) (Totals, error) {
+func WriteMarkdown(w io.Writer, r Results) (Totals, error) {
 	var page strings.Builder
 	var totals Totals
 	page.WriteString(pageHeader)
@@ -53,7 +53,7 @@
 	for _, fault := range Faults() {
 		cell := Cell{Step: step, Fault: fault}
 		totals.Cells++
-		reason := Impossible(cell)
+		reason := ImpossibleReason(cell)
 		switch tests := r[cell]; {
 		case len(tests) > 0:
 			renderTests(page, totals, string(fault), tests)
--- a/internal/matrix/result.go
+++ b/internal/matrix/result.go
@@ -13,8 +13,8 @@
 // maxLineBytes bounds one line of the output of go test.
 const maxLineBytes = 1 << 20
 
-// Event holds the fields of an event of `go test -json` that the matrix uses.
-type Event struct {
+// TestEvent holds the fields of an event of `go test -json` that the matrix uses.
+type TestEvent struct {
 	Action  string `json:"Action"`
 	Package string `json:"Package"`
 	Test    string `json:"Test"`
@@ -38,13 +38,13 @@
 // Results maps each cell to the tests that cover it.
 type Results map[Cell][]Test
 
-// Read parses the output of `go test -json`. Skipped tests are not included in the results.
-func Read(r io.Reader) (Results, error) {
+// ParseTestOutput parses the output of `go test -json`. Skipped tests are not included in the results.
+func ParseTestOutput(r io.Reader) (Results, error) {
 	out := Results{}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for lines.Scan() {
-		var e Event
+		var e TestEvent
 		if json.Unmarshal(lines.Bytes(), &e) != nil {
 			continue // go test prints build errors as plain text
 		}
@@ -54,7 +54,7 @@
 }
 
 // add adds the result of a test if the event is the end of a test that covers a cell.
-func (r Results) add(e Event) {
+func (r Results) add(e TestEvent) {
 	if e.Action != "pass" && e.Action != "fail" {
 		return
 	}
