--- a/internal/experiment/arms.go
+++ b/internal/experiment/arms.go
@@ -19,15 +19,15 @@
 	Baseline bool
 }
 
-// Ours is the name of the arm with the project's own policy, reserve, with every
+// ReserveArm is the name of the arm with the project's own policy, reserve, with every
 // part switched on.
-const Ours = "reserve"
+const ReserveArm = "reserve"
 
 // Arms returns the arm with the project's own policy and the baselines, in the
 // order in which reports list them.
 func Arms() []Arm {
 	return []Arm{
-		{Name: Ours, Policy: "reserve"},
+		{Name: ReserveArm, Policy: "reserve"},
 		{Name: "least-loaded", Policy: "least-loaded", Baseline: true},
 		{Name: "round-robin", Policy: "round-robin", Baseline: true},
 	}
--- a/internal/experiment/bed.go
+++ b/internal/experiment/bed.go
@@ -34,8 +34,8 @@
 	Teams() []loadgen.Team
 	// Bundle returns a copy of the bundle that was published last.
 	Bundle() *bundle.Bundle
-	// Roll publishes b and waits until it is in force on every daemon.
-	Roll(ctx context.Context, b *bundle.Bundle) error
+	// RollOut publishes b and waits until it is in force on every daemon.
+	RollOut(ctx context.Context, b *bundle.Bundle) error
 	// Kill ends a process without a graceful shutdown. Restart starts a killed
 	// process again at the same client address.
 	Kill(ctx context.Context, name string) error
@@ -50,8 +50,8 @@
 	Close()
 }
 
-// Size says how many data centres and processes of each sort a fleet has.
-type Size struct {
+// FleetSize says how many data centres and processes of each sort a fleet has.
+type FleetSize struct {
 	DataCentres int
 	Daemons     int
 	// Prefill and Decode are the numbers of prefill and decode engines; Services
@@ -68,7 +68,7 @@
 }
 
 // StartBed starts a fleet of size s with the programs in the folder bin.
-type StartBed func(ctx context.Context, bin string, s Size) (Bed, error)
+type StartBed func(ctx context.Context, bin string, s FleetSize) (Bed, error)
 
 // divideByScale returns d divided by the time scale.
 func divideByScale(d time.Duration, scale float64) time.Duration {
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -36,12 +36,12 @@
 	PeakRate float64 `json:"peak_arrivals_per_s"`
 }
 
-// CapacityOf computes the capacity from the engine stand-in's constants. A decode
+// EstimateCapacity computes the capacity from the engine stand-in's constants. A decode
 // engine generates one token for each occupied slot in each step, and a step takes
 // from DefaultStepBase, with no slot occupied, to DefaultStepFull, with all slots
 // occupied. A prefill engine computes one prompt token in DefaultPrefillPerToken.
 // The scale divides all these times.
-func CapacityOf(w loadgen.Workload, prefill, decode int, scale float64) (Capacity, error) {
+func EstimateCapacity(w loadgen.Workload, prefill, decode int, scale float64) (Capacity, error) {
 	w.Rate = 1
 	if len(w.Teams) == 0 {
 		w.Teams = []loadgen.Team{{Name: "sample"}}
--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -9,7 +9,7 @@
 // meanWithRange returns the mean, minimum and maximum of a figure over the repeats
 // of a cell.
 func (r *Results) meanWithRange(c Cell, f Figure) plotting.Value {
-	s := r.Samples.Spread(c, f)
+	s := r.Samples.Summary(c, f)
 	return plotting.Value{Mean: s.Mean, Min: s.Min, Max: s.Max}
 }
 
--- a/internal/experiment/figures_test.go
+++ b/internal/experiment/figures_test.go
@@ -41,13 +41,13 @@
 }
 
 func TestSpread(t *testing.T) {
-	s := NewSpread([]float64{2, 4, 9})
-	want := Spread{N: 3, Mean: 5, Min: 2, Max: 9, SD: math.Sqrt(13)}
+	s := Summarize([]float64{2, 4, 9})
+	want := SummaryStats{N: 3, Mean: 5, Min: 2, Max: 9, SD: math.Sqrt(13)}
 	if d := cmp.Diff(want, s, cmpopts.EquateApprox(0, 1e-9)); d != "" {
 		t.Error(d)
 	}
-	for s, text := range map[Spread]string{
-		{}: "-", NewSpread([]float64{0.01234}): "0.0123", s: "5 (2 to 9)",
+	for s, text := range map[SummaryStats]string{
+		{}: "-", Summarize([]float64{0.01234}): "0.0123", s: "5 (2 to 9)",
 	} {
 		if got := s.String(); got != text {
 			t.Errorf("got %q, want %q", got, text)
@@ -72,12 +72,12 @@
 
 func TestVerdictUsesTheBestBaseline(t *testing.T) {
 	l := Samples{
-		testSample(Ours, 1, 30, 10), testSample(Ours, 2, 50, 20),
+		testSample(ReserveArm, 1, 30, 10), testSample(ReserveArm, 2, 50, 20),
 		testSample("least-loaded", 1, 20, 300), testSample("least-loaded", 2, 20, 300),
 		testSample("round-robin", 1, 10, 60), testSample("round-robin", 2, 10, 60),
 		testSample("without prefix", 1, 500, 0), // an ablation, not a baseline
 	}
-	other := testSample(Ours, 1, 900, 0)
+	other := testSample(ReserveArm, 1, 900, 0)
 	other.Fault = "replica killed" // another cell, which the verdict must not use
 	l = append(l, other)
 	got := VerdictOf(l, "f", "peak")
@@ -88,14 +88,14 @@
 	if v := VerdictOf(l[:2], "f", "peak"); !math.IsNaN(v.Goodput) {
 		t.Errorf("goodput x%v without a baseline", v.Goodput)
 	}
-	both := Combine([]Verdict{{Goodput: 2, WastedPrefill: 0.5, UrgentP95: 1}, {Goodput: 8, WastedPrefill: 0.5, UrgentP95: 4}})
+	both := CombineVerdicts([]Verdict{{Goodput: 2, WastedPrefill: 0.5, UrgentP95: 1}, {Goodput: 8, WastedPrefill: 0.5, UrgentP95: 4}})
 	if got, want := both.String(), "measure: goodput x4.00 wasted-prefill x0.50 urgent-p95 x2.00"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := l[0].Value(UnfinishedWork); got != 0.25 {
+	if got := l[0].Value(UnfinishedPrefills); got != 0.25 {
 		t.Errorf("unfinished share %v, want 0.25", got)
 	}
-	if got := Ratio(Spread{N: 1, Mean: 1}, Spread{N: 1}); !math.IsInf(got, 1) {
+	if got := Ratio(SummaryStats{N: 1, Mean: 1}, SummaryStats{N: 1}); !math.IsInf(got, 1) {
 		t.Errorf("ratio to a baseline of 0 is %v", got)
 	}
 }
@@ -106,7 +106,7 @@
 	w.DraftTokens = loadgen.SizeDistribution{Median: 1, Min: 1, Max: 1}
 	w.DraftPrompt = loadgen.SizeDistribution{Median: 100, Min: 100, Max: 100}
 	w.SharedShare = 0
-	c, err := CapacityOf(w, 2, 3, 4)
+	c, err := EstimateCapacity(w, 2, 3, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/firms.go
+++ b/internal/experiment/firms.go
@@ -12,7 +12,7 @@
 // the firm that runs it.
 type Firm struct {
 	Name string
-	Size Size
+	Size FleetSize
 	// GoodputWeight and WastedPrefillWeight are the weights of goodput and of wasted
 	// prefill in the policy settings of the deployment's bundle.
 	GoodputWeight       float64
@@ -27,11 +27,11 @@
 	return []Firm{
 		{
 			Name: "placa-azul", GoodputWeight: 2, WastedPrefillWeight: 1,
-			Size: Size{DataCentres: 3, Daemons: 6, Prefill: 4, Decode: 10, Services: 3, Teams: 3},
+			Size: FleetSize{DataCentres: 3, Daemons: 6, Prefill: 4, Decode: 10, Services: 3, Teams: 3},
 		},
 		{
 			Name: "jalsetu", GoodputWeight: 1, WastedPrefillWeight: 2,
-			Size: Size{DataCentres: 3, Daemons: 6, Prefill: 3, Decode: 6, Services: 3, Teams: 3},
+			Size: FleetSize{DataCentres: 3, Daemons: 6, Prefill: 3, Decode: 6, Services: 3, Teams: 3},
 		},
 	}
 }
@@ -43,8 +43,8 @@
 	betweenTokensTarget = 57 * time.Millisecond
 )
 
-// TargetsAt returns the latency targets of both classes, divided by the time scale.
-func TargetsAt(scale float64) loadgen.Targets {
+// ScaledTargets returns the latency targets of both classes, divided by the time scale.
+func ScaledTargets(scale float64) loadgen.Targets {
 	t := loadgen.Target{FirstToken: divideByScale(firstTokenTarget, scale), BetweenTokens: divideByScale(betweenTokensTarget, scale)}
 	return loadgen.Targets{Urgent: t, Draft: t}
 }
@@ -58,10 +58,10 @@
 	w.SubmitPath = testbed.NonIdempotentPath
 }
 
-// WorkloadOf returns the workload for measuring the deployments. Prompts have from
+// FirmWorkload returns the workload for measuring the deployments. Prompts have from
 // tens to tens of thousands of tokens; answers are long enough for the decode slots
 // to fill up before the prefill engines do.
-func WorkloadOf(teams []loadgen.Team) loadgen.Workload {
+func FirmWorkload(teams []loadgen.Team) loadgen.Workload {
 	w := loadgen.DefaultWorkload()
 	setTestbedNames(&w)
 	w.Teams = teams
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -15,10 +15,10 @@
 // The names of the loads. The first three are relative to the peak rate, see
 // loadLevels; the last is the urgent requests of LoadPast without its drafts.
 const (
-	LoadBelow = "below"
-	LoadPeak  = "peak"
-	LoadPast  = "past"
-	LoadIdle  = "urgent alone"
+	LoadBelow      = "below"
+	LoadPeak       = "peak"
+	LoadPast       = "past"
+	LoadUrgentOnly = "urgent alone"
 )
 
 // loadLevels lists the loads with all kinds of requests; share is the arrival rate
@@ -78,7 +78,7 @@
 // FirmResults are the figures of one deployment that are not measured by a segment.
 type FirmResults struct {
 	Name     string           `json:"name"`
-	Size     Size             `json:"size"`
+	Size     FleetSize        `json:"size"`
 	Capacity Capacity         `json:"capacity"`
 	Workload loadgen.Workload `json:"workload"`
 	Overhead Overhead         `json:"overhead"`
@@ -126,7 +126,7 @@
 }
 
 // Verdict returns the combined verdict of all deployments.
-func (r *Results) Verdict() Verdict { return Combine(r.Verdicts) }
+func (r *Results) Verdict() Verdict { return CombineVerdicts(r.Verdicts) }
 
 // measureFirm starts the fleet of a deployment, measures the overhead of a daemon
 // and all segments, and appends their samples to samples.
@@ -138,10 +138,10 @@
 		return out
 	}
 	defer bed.Close()
-	r := &runner{opts: o, firm: f, bed: bed, client: loadgen.NewClient(o.MaxInFlight), targets: TargetsAt(o.Scale)}
+	r := &runner{opts: o, firm: f, bed: bed, client: loadgen.NewClient(o.MaxInFlight), targets: ScaledTargets(o.Scale)}
 	defer r.client.CloseIdleConnections()
-	out.Workload = WorkloadOf(bed.Teams())
-	out.Capacity, err = CapacityOf(out.Workload, f.Size.Prefill, f.Size.Decode, o.Scale)
+	out.Workload = FirmWorkload(bed.Teams())
+	out.Capacity, err = EstimateCapacity(out.Workload, f.Size.Prefill, f.Size.Decode, o.Scale)
 	if err != nil {
 		out.Note = err.Error()
 		return out
@@ -200,7 +200,7 @@
 	totalShare := w.Mix.Total()
 	w.Mix.Draft = 0
 	w.Rate = peak * loadLevels[len(loadLevels)-1].share * w.Mix.Total() / totalShare
-	return segment{cell: Cell{Firm: f.Name, Load: LoadIdle, Arm: Ours}, repeat: repeat, arm: Arms()[0], workload: w}
+	return segment{cell: Cell{Firm: f.Name, Load: LoadUrgentOnly, Arm: ReserveArm}, repeat: repeat, arm: Arms()[0], workload: w}
 }
 
 // printProgress writes one line about a finished segment.
--- a/internal/experiment/observe.go
+++ b/internal/experiment/observe.go
@@ -27,8 +27,8 @@
 // maxMetricsBytes is the maximum number of bytes that are read of a metrics page.
 const maxMetricsBytes = 8 << 20
 
-// Usage is the resource usage of one daemon. The counters start with the process.
-type Usage struct {
+// DaemonUsage is the resource usage of one daemon. The counters start with the process.
+type DaemonUsage struct {
 	// At is the time of the reading.
 	At         time.Time
 	ControlIn  float64 // bytes received from other daemons
@@ -37,9 +37,9 @@
 	FramesOut  float64 // frames sent to other daemons
 	CPU        float64 // processor time in core-seconds
 	Resident   float64 // resident memory at the time of the reading, in bytes
-	// Before and After are the process's I/O counters just before and just after its
+	// IOBeforeScrape and After are the process's I/O counters just before and just after its
 	// metrics were read.
-	Before, After IO
+	IOBeforeScrape, IOAfterScrape IO
 }
 
 // IO holds the kernel's counters of the bytes that a process has read and written,
@@ -51,8 +51,8 @@
 	return IO{Read: float64(io.RChar), Written: float64(io.WChar)}, errors.WithStack(err)
 }
 
-// LogUse holds the counters of the log service since its start.
-type LogUse struct {
+// LogUsage holds the counters of the log service since its start.
+type LogUsage struct {
 	Appends, Records, Reads int
 	Bytes                   int64
 }
@@ -84,8 +84,8 @@
 // fleetReading is the usage of every daemon and of the log at one time.
 type fleetReading struct {
 	at     time.Time
-	daemon map[int]Usage // by process id, so that a restarted daemon has a new entry
-	log    LogUse
+	daemon map[int]DaemonUsage // by process id, so that a restarted daemon has a new entry
+	log    LogUsage
 }
 
 // fleetObserver reads the daemons' metrics, the kernel's counters of their processes
@@ -98,7 +98,7 @@
 // read returns a reading of the daemons that could be read. It fails if there are
 // none or the log's statistics can't be read.
 func (o fleetObserver) read(ctx context.Context) (fleetReading, error) {
-	out := fleetReading{at: time.Now(), daemon: map[int]Usage{}}
+	out := fleetReading{at: time.Now(), daemon: map[int]DaemonUsage{}}
 	var lastErr error
 	for _, d := range o.bed.Daemons() {
 		u, err := o.readUsage(ctx, d)
@@ -115,25 +115,25 @@
 	if err := loadgen.GetJSON(ctx, o.client, o.bed.Log().Control+"/stats", &st); err != nil {
 		return out, err
 	}
-	out.log = LogUse{Appends: st.Appends, Records: st.Records, Reads: st.Reads, Bytes: st.Bytes}
+	out.log = LogUsage{Appends: st.Appends, Records: st.Records, Reads: st.Reads, Bytes: st.Bytes}
 	return out, nil
 }
 
 // readUsage reads the usage of one daemon.
-func (o fleetObserver) readUsage(ctx context.Context, d Node) (Usage, error) {
-	u := Usage{At: time.Now()}
+func (o fleetObserver) readUsage(ctx context.Context, d Node) (DaemonUsage, error) {
+	u := DaemonUsage{At: time.Now()}
 	proc, err := procfs.NewProc(d.PID)
 	if err != nil {
 		return u, errors.WithStack(err)
 	}
-	if u.Before, err = readIO(proc); err != nil {
+	if u.IOBeforeScrape, err = readIO(proc); err != nil {
 		return u, err
 	}
 	page, err := o.fetchMetrics(ctx, d.Control)
 	if err != nil {
 		return u, err
 	}
-	if u.After, err = readIO(proc); err != nil {
+	if u.IOAfterScrape, err = readIO(proc); err != nil {
 		return u, err
 	}
 	for _, m := range []struct {
@@ -211,8 +211,8 @@
 		r.Messages += (last.FramesIn - first.FramesIn + last.FramesOut - first.FramesOut) / seconds
 		r.CPU += (last.CPU - first.CPU) / seconds
 		r.Resident += last.Resident
-		r.AllIn += (last.Before.Read - first.After.Read) / seconds
-		r.AllOut += (last.Before.Written - first.After.Written) / seconds
+		r.AllIn += (last.IOBeforeScrape.Read - first.IOAfterScrape.Read) / seconds
+		r.AllOut += (last.IOBeforeScrape.Written - first.IOAfterScrape.Written) / seconds
 	}
 	if n := float64(r.Daemons); n > 0 {
 		for _, v := range []*float64{&r.ControlIn, &r.ControlOut, &r.Messages, &r.CPU, &r.Resident, &r.AllIn, &r.AllOut} {
--- a/internal/experiment/observe_test.go
+++ b/internal/experiment/observe_test.go
@@ -32,13 +32,13 @@
 
 func TestRatesBetween(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	before := fleetReading{at: at(10), log: LogUse{Appends: 10}, daemon: map[int]Usage{
-		1: {At: at(10), ControlIn: 100, CPU: 1, Resident: 5, Before: IO{Read: 1}, After: IO{Read: 100}},
+	before := fleetReading{at: at(10), log: LogUsage{Appends: 10}, daemon: map[int]DaemonUsage{
+		1: {At: at(10), ControlIn: 100, CPU: 1, Resident: 5, IOBeforeScrape: IO{Read: 1}, IOAfterScrape: IO{Read: 100}},
 		2: {At: at(10), ControlIn: 0, CPU: 2, Resident: 5},
 		3: {At: at(10), ControlIn: 900, CPU: 9},
 	}}
-	after := fleetReading{at: at(14), log: LogUse{Appends: 50}, daemon: map[int]Usage{
-		1: {At: at(14), ControlIn: 500, CPU: 2, Resident: 10, Before: IO{Read: 500}, After: IO{Read: 900}},
+	after := fleetReading{at: at(14), log: LogUsage{Appends: 50}, daemon: map[int]DaemonUsage{
+		1: {At: at(14), ControlIn: 500, CPU: 2, Resident: 10, IOBeforeScrape: IO{Read: 500}, IOAfterScrape: IO{Read: 900}},
 		2: {At: at(12), ControlIn: 600, CPU: 3, Resident: 30},
 		4: {At: at(14), ControlIn: 1}, // the daemon of process 3 was restarted as process 4
 	}}
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	if err := checkLimits(Size{Decode: maxProcesses}); err == nil {
+	if err := checkLimits(FleetSize{Decode: maxProcesses}); err == nil {
 		t.Error("checkLimits accepted a fleet with too many processes")
 	}
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -127,7 +127,7 @@
 		printf("\n**Not whole:** %s", f.Note)
 	}
 	r.writeGoals(w, f)
-	for _, load := range []string{LoadPeak, LoadBelow, LoadPast, LoadIdle} {
+	for _, load := range []string{LoadPeak, LoadBelow, LoadPast, LoadUrgentOnly} {
 		r.writeTable(w, load, r.cells(f.Name, load, ""))
 	}
 	for _, fault := range Faults() {
@@ -150,10 +150,10 @@
 // met. A value that was not measured meets no goal.
 func (r *Results) writeGoals(w io.Writer, f FirmResults) {
 	v := VerdictOf(r.Samples, f.Name, LoadPeak)
-	cell := func(load string) Cell { return Cell{Firm: f.Name, Load: load, Arm: Ours} }
-	wasted := r.Samples.Spread(cell(LoadPeak), WastedPrefill)
-	urgent := Ratio(r.Samples.Spread(cell(LoadPast), UrgentFirst95), r.Samples.Spread(cell(LoadIdle), UrgentFirst95))
-	short := Ratio(r.Samples.Spread(cell(LoadPast), ShortFirst95), r.Samples.Spread(cell(LoadIdle), ShortFirst95))
+	cell := func(load string) Cell { return Cell{Firm: f.Name, Load: load, Arm: ReserveArm} }
+	wasted := r.Samples.Summary(cell(LoadPeak), WastedPrefill)
+	urgent := Ratio(r.Samples.Summary(cell(LoadPast), UrgentFirst95), r.Samples.Summary(cell(LoadUrgentOnly), UrgentFirst95))
+	short := Ratio(r.Samples.Summary(cell(LoadPast), ShortFirst95), r.Samples.Summary(cell(LoadUrgentOnly), ShortFirst95))
 	rows := []struct {
 		goal, figure string
 		met          bool
@@ -190,7 +190,7 @@
 	for _, f := range Figures() {
 		_, _ = fmt.Fprintf(w, "| %s |", f)
 		for _, c := range cells {
-			_, _ = fmt.Fprintf(w, " %s |", r.Samples.Spread(c, f))
+			_, _ = fmt.Fprintf(w, " %s |", r.Samples.Summary(c, f))
 		}
 		_, _ = fmt.Fprintln(w)
 	}
@@ -212,7 +212,7 @@
 		for _, f := range s.Report.Faults {
 			_, _ = fmt.Fprintf(w, "\n- %s %s %s #%d: %s %s %s: %s", s.Load, s.Fault, s.Arm, s.Repeat+1, f.Outcome, f.Kind, f.Key, f.Detail)
 		}
-		if s.Arm == Ours {
+		if s.Arm == ReserveArm {
 			for _, k := range s.Report.Refusals {
 				_, _ = fmt.Fprintf(w, "\n- %s %s %s #%d: %d callers got %s (%s)", s.Load, s.Fault, s.Arm, s.Repeat+1, k.Count, k.Kind, k.Run)
 			}
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -14,12 +14,12 @@
 func TestPlanIsPaired(t *testing.T) {
 	f := Firms()[0]
 	seen := map[Cell]int{}
-	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, WorkloadOf(nil), 100) {
+	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, FirmWorkload(nil), 100) {
 		seen[s.cell]++
 		if (s.fault != nil) != (s.cell.Fault != "") {
 			t.Errorf("%v: fault %v", s.cell, s.fault)
 		}
-		if s.cell.Load == LoadIdle && (s.workload.Mix.Draft != 0 || s.workload.Rate >= 140) {
+		if s.cell.Load == LoadUrgentOnly && (s.workload.Mix.Draft != 0 || s.workload.Rate >= 140) {
 			t.Errorf("the segment with urgent requests only has the mix %v at %v/s", s.workload.Mix, s.workload.Rate)
 		}
 	}
@@ -40,7 +40,7 @@
 		Runs: 2, Scale: 1,
 		Firms: []FirmResults{{Name: "f", Capacity: Capacity{PeakRate: 100}, Overhead: Overhead{Calls: 1, Daemon: loadgen.Quantiles{P99: 0.5}}}},
 		Samples: Samples{
-			testSample(Ours, 0, 40, 5), testSample("least-loaded", 0, 20, 100), testSample("round-robin", 0, 10, 200),
+			testSample(ReserveArm, 0, 40, 5), testSample("least-loaded", 0, 20, 100), testSample("round-robin", 0, 10, 200),
 			{Cell: Cell{Firm: "f", Load: "peak", Arm: "broken"}, Note: "did not start"},
 		},
 	}
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -57,37 +57,37 @@
 // The figures of the reports. "First" stands for the time to the first token, "Gap"
 // for the time between tokens, and the number for the percentile.
 const (
-	Goodput        Figure = "goodput, completions/s within both targets"
-	GoodputStrict  Figure = "goodput by the 95th percentile of gaps"
-	GoodDrafts     Figure = "good drafts/s"
-	GoodShorts     Figure = "good urgent completions/s"
-	GoodCalls      Figure = "good plain-service calls/s"
-	WastedPrefill  Figure = "wasted prefill, share of tokens"
-	UnfinishedWork Figure = "prefills without a finished decode, share"
-	UrgentFirst50  Figure = "urgent first token p50, ms"
-	UrgentFirst95  Figure = "urgent first token p95, ms"
-	UrgentFirst99  Figure = "urgent first token p99, ms"
-	UrgentGap95    Figure = "urgent between tokens p95, ms"
-	ShortFirst50   Figure = "urgent completions, first token p50, ms"
-	ShortFirst95   Figure = "urgent completions, first token p95, ms"
-	DraftFirst50   Figure = "draft first token p50, ms"
-	DraftFirst95   Figure = "draft first token p95, ms"
-	DraftFirst99   Figure = "draft first token p99, ms"
-	DraftGap50     Figure = "draft between tokens p50, ms"
-	DraftGap95     Figure = "draft between tokens p95, ms"
-	DraftGap99     Figure = "draft between tokens p99, ms"
-	RefusedShare   Figure = "refused, share"
-	UrgentRefused  Figure = "urgent refused, share"
-	BrokenShare    Figure = "broken or severed, share"
-	LostCount      Figure = "lost, wrong or truncated"
-	DoubledCount   Figure = "doubled"
-	DroppedCount   Figure = "dropped by the load generator"
+	Goodput            Figure = "goodput, completions/s within both targets"
+	GoodputStrict      Figure = "goodput by the 95th percentile of gaps"
+	GoodDrafts         Figure = "good drafts/s"
+	GoodShorts         Figure = "good urgent completions/s"
+	GoodCalls          Figure = "good plain-service calls/s"
+	WastedPrefill      Figure = "wasted prefill, share of tokens"
+	UnfinishedPrefills Figure = "prefills without a finished decode, share"
+	UrgentFirst50      Figure = "urgent first token p50, ms"
+	UrgentFirst95      Figure = "urgent first token p95, ms"
+	UrgentFirst99      Figure = "urgent first token p99, ms"
+	UrgentGap95        Figure = "urgent between tokens p95, ms"
+	ShortFirst50       Figure = "urgent completions, first token p50, ms"
+	ShortFirst95       Figure = "urgent completions, first token p95, ms"
+	DraftFirst50       Figure = "draft first token p50, ms"
+	DraftFirst95       Figure = "draft first token p95, ms"
+	DraftFirst99       Figure = "draft first token p99, ms"
+	DraftGap50         Figure = "draft between tokens p50, ms"
+	DraftGap95         Figure = "draft between tokens p95, ms"
+	DraftGap99         Figure = "draft between tokens p99, ms"
+	RefusedShare       Figure = "refused, share"
+	UrgentRefused      Figure = "urgent refused, share"
+	BrokenShare        Figure = "broken or severed, share"
+	LostCount          Figure = "lost, wrong or truncated"
+	DoubledCount       Figure = "doubled"
+	DroppedCount       Figure = "dropped by the load generator"
 )
 
 // Figures returns the figures in the order in which reports list them.
 func Figures() []Figure {
 	return []Figure{
-		Goodput, GoodputStrict, GoodDrafts, GoodShorts, GoodCalls, WastedPrefill, UnfinishedWork,
+		Goodput, GoodputStrict, GoodDrafts, GoodShorts, GoodCalls, WastedPrefill, UnfinishedPrefills,
 		UrgentFirst50, UrgentFirst95, UrgentFirst99, UrgentGap95, ShortFirst50, ShortFirst95,
 		DraftFirst50, DraftFirst95, DraftFirst99, DraftGap50, DraftGap95, DraftGap99,
 		RefusedShare, UrgentRefused, BrokenShare, LostCount, DoubledCount, DroppedCount,
@@ -111,7 +111,7 @@
 		return r.Kind(loadgen.KindLookup).Goodput + r.Kind(loadgen.KindSubmit).Goodput
 	case WastedPrefill:
 		return share(s.Engines.WastedTokens, s.Engines.PrefillTokens)
-	case UnfinishedWork:
+	case UnfinishedPrefills:
 		return s.unfinishedShare()
 	case UrgentFirst50:
 		return urgent.FirstToken.P50
@@ -172,16 +172,16 @@
 // Samples are the samples of one measurement, in the order of their runs.
 type Samples []Sample
 
-// Spread summarizes a figure over the repeats of a cell. Segments that could not be
+// Summary summarizes a figure over the repeats of a cell. Segments that could not be
 // run are left out.
-func (l Samples) Spread(c Cell, f Figure) Spread {
+func (l Samples) Summary(c Cell, f Figure) SummaryStats {
 	var values []float64
 	for _, s := range l {
 		if s.Cell == c && s.Report != nil {
 			values = append(values, s.Value(f))
 		}
 	}
-	return NewSpread(values)
+	return Summarize(values)
 }
 
 // Cells returns the different cells of the samples, in the order of their first
--- a/internal/experiment/segment.go
+++ b/internal/experiment/segment.go
@@ -103,7 +103,7 @@
 	next.Policy.GoodputWeight = r.firm.GoodputWeight
 	next.Policy.WastedPrefillWeight = r.firm.WastedPrefillWeight
 	setLatencyTargets(next, r.targets)
-	if err := r.bed.Roll(ctx, next); err != nil {
+	if err := r.bed.RollOut(ctx, next); err != nil {
 		return errors.Wrap(err, "publish bundle")
 	}
 	return r.waitIdle(ctx)
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -194,7 +194,7 @@
 
 // checkLimits returns an error if a fleet of size s would have too many processes or
 // if too much of the machine's memory is in use.
-func checkLimits(s Size) error {
+func checkLimits(s FleetSize) error {
 	if n := s.Daemons + s.Prefill + s.Decode + s.Services + platformProcesses; n > maxProcesses {
 		return errors.Errorf("the fleet needs %d processes, the limit is %d", n, maxProcesses)
 	}
--- a/internal/experiment/slopes_sizes.go
+++ b/internal/experiment/slopes_sizes.go
@@ -36,21 +36,21 @@
 	// freshFleet is set if each point needs a newly started fleet.
 	freshFleet bool
 	// fleetSize returns the size of the fleet for the value x of the parameter.
-	fleetSize func(x float64) Size
+	fleetSize func(x float64) FleetSize
 	// measure sets the parameter to x for the settling time and the window, and
 	// returns the rates in the window and the measured value of the parameter.
 	measure func(ctx context.Context, p *pointRun, x float64) (Rates, float64, error)
 }
 
 // baseSize returns the size of the small fleet from which every sweep starts.
-func baseSize() Size {
-	return Size{DataCentres: 1, Daemons: 3, Prefill: 1, Decode: 2, Services: 1, Teams: 4, Scale: 1}
+func baseSize() FleetSize {
+	return FleetSize{DataCentres: 1, Daemons: 3, Prefill: 1, Decode: 2, Services: 1, Teams: 4, Scale: 1}
 }
 
 // baseSizeWith returns a function for sizeSweep.fleetSize that applies change to the
 // base size.
-func baseSizeWith(change func(s *Size, x int)) func(float64) Size {
-	return func(x float64) Size {
+func baseSizeWith(change func(s *FleetSize, x int)) func(float64) FleetSize {
+	return func(x float64) FleetSize {
 		s := baseSize()
 		change(&s, int(x))
 		return s
@@ -59,25 +59,25 @@
 
 // sizeSweeps returns the sweeps in the order in which they run.
 func sizeSweeps() []sizeSweep {
-	fixed := baseSizeWith(func(*Size, int) {})
+	fixed := baseSizeWith(func(*FleetSize, int) {})
 	const base = "1 data centre, 3 daemons, 3 engines, 1 service, 4 teams"
 	return []sizeSweep{
 		{name: "daemons", unit: "daemon in the data centre", fixed: "no requests; 3 engines, 1 service, 4 teams", points: []float64{2, 6, 12, 24}, freshFleet: true,
-			fleetSize: baseSizeWith(func(s *Size, x int) { s.Daemons = x }), measure: measureWithoutLoad},
+			fleetSize: baseSizeWith(func(s *FleetSize, x int) { s.Daemons = x }), measure: measureWithoutLoad},
 		{name: "replicas", unit: "replica", fixed: "no requests; 3 daemons, 4 teams", points: []float64{4, 12, 24, 48}, freshFleet: true,
-			fleetSize: baseSizeWith(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 - 1 }), measure: measureWithoutLoad},
+			fleetSize: baseSizeWith(func(s *FleetSize, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 - 1 }), measure: measureWithoutLoad},
 		{name: "busy replicas", unit: "replica with 5 short completions/s", fixed: "a completion as often as replicas allow; 3 daemons, 4 teams", points: []float64{4, 8, 16, 28}, freshFleet: true,
-			fleetSize: baseSizeWith(func(s *Size, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 }), measure: measureBusyReplicas},
+			fleetSize: baseSizeWith(func(s *FleetSize, x int) { s.Services = 1; s.Prefill = x / 4; s.Decode = x - x/4 }), measure: measureBusyReplicas},
 		{name: "requests", unit: "look-up/s at a daemon", fixed: base, points: []float64{20, 60, 120, 240}, fleetSize: fixed, measure: measureLookups},
 		{name: "tokens", unit: "token/s at a daemon", fixed: "3 daemons, 6 engines, 1 service, 4 teams; streams of about 150 tokens", points: []float64{50, 150, 300, 500},
-			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Prefill, s.Decode = 2, 4 }), measure: measureTokens},
+			fleetSize: baseSizeWith(func(s *FleetSize, _ int) { s.Prefill, s.Decode = 2, 4 }), measure: measureTokens},
 		{name: "teams", unit: "team in the bundle", fixed: base + ", no requests", points: []float64{10, 400, 1600, 6400}, fleetSize: fixed, measure: measureTeams},
 		{name: "changes", unit: "bundle change/s", fixed: base + ", no requests", points: []float64{0.2, 0.5, 1, 2}, fleetSize: fixed, measure: measureBundleChanges},
 		{name: "claims", unit: "claim/s of the fleet", fixed: base, points: []float64{5, 15, 30, 60}, fleetSize: fixed, measure: measureClaims},
 		{name: "claims of a large fleet", unit: "claim/s of the fleet", fixed: "24 daemons, of which 2 read a shard; 3 engines, 1 service, 4 teams", points: []float64{5, 15, 30, 60},
-			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Daemons = 24 }), measure: measureClaims},
+			fleetSize: baseSizeWith(func(s *FleetSize, _ int) { s.Daemons = 24 }), measure: measureClaims},
 		{name: "restarts", unit: "daemon restart/s in the data centre", fixed: "no requests; 6 daemons, 3 engines, 1 service, 4 teams", points: []float64{0, 0.1, 0.25, 0.5},
-			fleetSize: baseSizeWith(func(s *Size, _ int) { s.Daemons = 6 }), measure: measureRestarts},
+			fleetSize: baseSizeWith(func(s *FleetSize, _ int) { s.Daemons = 6 }), measure: measureRestarts},
 	}
 }
 
@@ -150,7 +150,7 @@
 		rep, err = loadgen.Run(ctx, loadgen.Options{
 			Daemons: daemons, Workload: w, Seed: p.opts.Seed, Name: fmt.Sprintf("s%019d", time.Now().UnixNano()),
 			Duration: p.opts.Settle + p.opts.Window, MaxInFlight: slopesInFlight, Timeout: requestTimeout, Client: p.client,
-			Targets: TargetsAt(1),
+			Targets: ScaledTargets(1),
 		})
 		return err
 	})
@@ -222,7 +222,7 @@
 			Weight: 1, Class: bundle.Draft, KeyDigests: []string{fmt.Sprintf("%064x", i)},
 		}
 	}
-	if err := p.bed.Roll(ctx, b); err != nil {
+	if err := p.bed.RollOut(ctx, b); err != nil {
 		return Rates{}, x, err
 	}
 	r, err := p.measureWindow(ctx)
@@ -243,7 +243,7 @@
 			b := p.bed.Bundle()
 			b.Policy.RetryBudget = 0.1 + 0.001*float64(published%50)
 			publishStart := time.Now()
-			if err := p.bed.Roll(ctx, b); err != nil {
+			if err := p.bed.RollOut(ctx, b); err != nil {
 				if ctx.Err() != nil { // the window ended before the change was in force
 					return nil
 				}
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Spread holds summary statistics of a figure over the repeats of a cell.
-type Spread struct {
+// SummaryStats holds summary statistics of a figure over the repeats of a cell.
+type SummaryStats struct {
 	// N is the number of repeats that were measured.
 	N    int     `json:"n"`
 	Mean float64 `json:"mean"`
@@ -19,13 +19,13 @@
 	SD float64 `json:"sd"`
 }
 
-// NewSpread returns the summary statistics of values, which are all 0 if there are no
+// Summarize returns the summary statistics of values, which are all 0 if there are no
 // values.
-func NewSpread(values []float64) Spread {
+func Summarize(values []float64) SummaryStats {
 	if len(values) == 0 {
-		return Spread{}
+		return SummaryStats{}
 	}
-	s := Spread{N: len(values), Mean: stat.Mean(values, nil), Min: floats.Min(values), Max: floats.Max(values)}
+	s := SummaryStats{N: len(values), Mean: stat.Mean(values, nil), Min: floats.Min(values), Max: floats.Max(values)}
 	if s.N > 1 {
 		s.SD = stat.StdDev(values, nil)
 	}
@@ -34,7 +34,7 @@
 
 // String returns the mean with the minimum and maximum in brackets, or "-" if nothing
 // was measured.
-func (s Spread) String() string {
+func (s SummaryStats) String() string {
 	switch s.N {
 	case 0:
 		return "-"
@@ -60,7 +60,7 @@
 
 // Ratio returns the mean of ours divided by the baseline's. It is NaN if either was
 // not measured, 1 if both means are 0, and +Inf if only the baseline's is 0.
-func Ratio(ours, baseline Spread) float64 {
+func Ratio(ours, baseline SummaryStats) float64 {
 	switch {
 	case ours.N == 0 || baseline.N == 0:
 		return math.NaN()
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -36,7 +36,7 @@
 // methods are safe for concurrent use.
 type testbedFleet struct {
 	dir      string
-	size     Size
+	size     FleetSize
 	teams    []loadgen.Team
 	observer fleetObserver
 
@@ -47,7 +47,7 @@
 
 // StartTestbed starts a fleet with package testbed, in a temporary folder. It is a
 // StartBed.
-func StartTestbed(ctx context.Context, bin string, s Size) (Bed, error) {
+func StartTestbed(ctx context.Context, bin string, s FleetSize) (Bed, error) {
 	dir, err := os.MkdirTemp("", "corianderturn-bed-")
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -68,7 +68,7 @@
 
 // testbedLayout returns the layout of a fleet, with the engines' delays and lifetimes
 // divided by the time scale.
-func testbedLayout(s Size) testbed.Layout {
+func testbedLayout(s FleetSize) testbed.Layout {
 	out := testbed.Layout{Daemons: s.Daemons, Prefill: s.Prefill, Decode: s.Decode, Services: s.Services}
 	for i := range s.DataCentres {
 		out.DataCentres = append(out.DataCentres, fmt.Sprintf("dc-%d", i))
@@ -102,7 +102,7 @@
 	if err := b.fleet.StartDaemons(ctx); err != nil {
 		return err
 	}
-	return b.Roll(ctx, first)
+	return b.RollOut(ctx, first)
 }
 
 // Daemons implements Bed.
@@ -161,8 +161,8 @@
 	return c
 }
 
-// Roll implements Bed.
-func (b *testbedFleet) Roll(ctx context.Context, next *bundle.Bundle) error {
+// RollOut implements Bed.
+func (b *testbedFleet) RollOut(ctx context.Context, next *bundle.Bundle) error {
 	if err := bundle.Validate(next); err != nil {
 		return err
 	}
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -20,20 +20,20 @@
 	if err := testbed.Build(ctx, bin, testbed.ProgramDaemon, testbed.ProgramStandIn); err != nil {
 		t.Fatal(err)
 	}
-	bed, err := StartTestbed(ctx, bin, Size{DataCentres: 2, Daemons: 2, Prefill: 1, Decode: 2, Services: 1, Teams: 2, Scale: 2})
+	bed, err := StartTestbed(ctx, bin, FleetSize{DataCentres: 2, Daemons: 2, Prefill: 1, Decode: 2, Services: 1, Teams: 2, Scale: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer bed.Close()
 	r := &runner{
 		opts: MeasureOptions{Seed: 1, Segment: time.Second, Warmup: 200 * time.Millisecond, Timeout: 30 * time.Second, MaxInFlight: 500},
-		firm: Firms()[0], bed: bed, client: loadgen.NewClient(500), targets: TargetsAt(2),
+		firm: Firms()[0], bed: bed, client: loadgen.NewClient(500), targets: ScaledTargets(2),
 	}
 	defer r.client.CloseIdleConnections()
-	w := WorkloadOf(bed.Teams())
+	w := FirmWorkload(bed.Teams())
 	w.Rate, w.CancelShare = 30, 0
 	killed := Faults()[0]
-	got := r.runSegment(ctx, segment{cell: Cell{Arm: Ours}, arm: Arms()[0], workload: w, fault: &killed})
+	got := r.runSegment(ctx, segment{cell: Cell{Arm: ReserveArm}, arm: Arms()[0], workload: w, fault: &killed})
 	if got.Note != "" || got.Report == nil {
 		t.Fatalf("the segment was not measured: %s", got.Note)
 	}
@@ -43,7 +43,7 @@
 	if got.Report.AnsweredCompletions == 0 || got.Engines.Prefills == 0 || got.Engines.PrefillTokens == 0 || got.Report.Ledger.Keys == 0 {
 		t.Errorf("a counter is 0: engines %+v, ledger %+v", got.Engines, got.Report.Ledger)
 	}
-	if p := bed.Bundle().Policy; p.Name != Ours || p.GoodputWeight != r.firm.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
+	if p := bed.Bundle().Policy; p.Name != ReserveArm || p.GoodputWeight != r.firm.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
 		t.Errorf("the arm's policy or targets are not in the published bundle: policy %+v", p)
 	}
 	o := fleetObserver{bed: bed, client: r.client}
--- a/internal/experiment/verdict.go
+++ b/internal/experiment/verdict.go
@@ -20,14 +20,14 @@
 // VerdictOf returns the verdict of a deployment under the given load without faults.
 func VerdictOf(samples Samples, firm, load string) Verdict {
 	ratio := func(f Figure, better func(a, b float64) bool) float64 {
-		var best Spread
+		var best SummaryStats
 		for _, arm := range Arms() {
-			s := samples.Spread(Cell{Firm: firm, Load: load, Arm: arm.Name}, f)
+			s := samples.Summary(Cell{Firm: firm, Load: load, Arm: arm.Name}, f)
 			if arm.Baseline && s.N > 0 && (best.N == 0 || better(s.Mean, best.Mean)) {
 				best = s
 			}
 		}
-		return Ratio(samples.Spread(Cell{Firm: firm, Load: load, Arm: Ours}, f), best)
+		return Ratio(samples.Summary(Cell{Firm: firm, Load: load, Arm: ReserveArm}, f), best)
 	}
 	higher := func(a, b float64) bool { return a > b }
 	lower := func(a, b float64) bool { return a < b }
@@ -39,8 +39,8 @@
 	}
 }
 
-// Combine returns the geometric means of the ratios over several deployments.
-func Combine(verdicts []Verdict) Verdict {
+// CombineVerdicts returns the geometric means of the ratios over several deployments.
+func CombineVerdicts(verdicts []Verdict) Verdict {
 	mean := func(ratio func(Verdict) float64) float64 {
 		var sum float64
 		for _, v := range verdicts {
