--- a/internal/experiment/charts.go
+++ b/internal/experiment/charts.go
@@ -27,7 +27,7 @@
 		}
 		lines = append(lines, s)
 	}
-	if err := plotting.Lines(file("goodput"), plotting.Axes{Title: firm.Name, X: "arrivals/s", Y: string(Goodput)}, lines); err != nil {
+	if err := plotting.WriteLineChart(file("goodput"), plotting.Labels{Title: firm.Name, X: "arrivals/s", Y: string(Goodput)}, lines); err != nil {
 		return err
 	}
 	for name, f := range map[string]Figure{"wasted": WastedPrefill, "urgent": UrgentFirst95} {
@@ -53,7 +53,7 @@
 		}
 		groups = append(groups, g)
 	}
-	return plotting.Bars(path, plotting.Axes{Title: firm, Y: string(f)}, names, groups)
+	return plotting.WriteBarChart(path, plotting.Labels{Title: firm, Y: string(f)}, names, groups)
 }
 
 // writeFaultBars writes a bar chart of the goodput at the peak with a group for no
@@ -75,5 +75,5 @@
 			groups[i].Values = append(groups[i].Values, r.meanWithRange(Cell{Firm: firm, Load: LoadPeak, Fault: fault, Arm: arm.Name}, Goodput))
 		}
 	}
-	return plotting.Bars(path, plotting.Axes{Title: firm + " at the peak", Y: string(Goodput)}, names, groups)
+	return plotting.WriteBarChart(path, plotting.Labels{Title: firm + " at the peak", Y: string(Goodput)}, names, groups)
 }
--- a/internal/plotting/plotting.go
+++ b/internal/plotting/plotting.go
@@ -40,8 +40,8 @@
 	Points []Point
 }
 
-// Axes holds the title of a chart and the labels of its axes.
-type Axes struct {
+// Labels holds the title of a chart and the labels of its axes.
+type Labels struct {
 	Title, X, Y string
 }
 
@@ -52,9 +52,9 @@
 	Values []Value
 }
 
-// Lines writes an SVG line chart to path. Error bars span the minimum and maximum of
+// WriteLineChart writes an SVG line chart to path. Error bars span the minimum and maximum of
 // each point.
-func Lines(path string, axes Axes, series []Series) error {
+func WriteLineChart(path string, axes Labels, series []Series) error {
 	chart := newPlot(axes)
 	for i, s := range series {
 		if err := addLine(chart, i, s); err != nil {
@@ -64,9 +64,9 @@
 	return save(chart, path)
 }
 
-// Bars writes an SVG bar chart of means to path. The bars with the same name have the
+// WriteBarChart writes an SVG bar chart of means to path. The bars with the same name have the
 // same colour and one entry in the legend.
-func Bars(path string, axes Axes, names []string, groups []Group) error {
+func WriteBarChart(path string, axes Labels, names []string, groups []Group) error {
 	chart := newPlot(axes)
 	eachWidth := min(barWidth, maxBarsWidth/vg.Length(max(len(names)*len(groups), 1)))
 	labels := make([]string, len(groups))
@@ -95,7 +95,7 @@
 }
 
 // newPlot returns an empty chart with a grid and the legend at the top.
-func newPlot(axes Axes) *plot.Plot {
+func newPlot(axes Labels) *plot.Plot {
 	chart := plot.New()
 	chart.Title.Text = axes.Title
 	chart.X.Label.Text = axes.X
--- a/internal/plotting/plotting_test.go
+++ b/internal/plotting/plotting_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestChartsAreSVG(t *testing.T) {
-	axes := Axes{Title: "Goodput", X: "load", Y: "answers/s"}
+	axes := Labels{Title: "Goodput", X: "load", Y: "answers/s"}
 	v := func(m float64) Value { return Value{m, m - 1, m + 1} }
 	series := []Series{
 		{"reserve", []Point{{0.5, v(10)}, {1, v(20)}}},
@@ -23,9 +23,9 @@
 		draw   func(path string) error
 		legend []string
 	}{
-		{"lines", func(p string) error { return Lines(p, axes, series) }, []string{"reserve", "round-robin"}},
+		{"lines", func(p string) error { return WriteLineChart(p, axes, series) }, []string{"reserve", "round-robin"}},
 		{"bars", func(p string) error {
-			return Bars(p, axes, []string{"reserve", "random"}, []Group{{"peak", []Value{v(3), v(2)}}, {"past", []Value{v(4), v(1)}}})
+			return WriteBarChart(p, axes, []string{"reserve", "random"}, []Group{{"peak", []Value{v(3), v(2)}}, {"past", []Value{v(4), v(1)}}})
 		}, []string{"reserve", "random", "peak", "past"}},
 	}
 	for _, tc := range tests {
@@ -42,7 +42,7 @@
 			}
 		})
 	}
-	if err := Lines(filepath.Join(t.TempDir(), "no", "dir.svg"), axes, series); err == nil {
+	if err := WriteLineChart(filepath.Join(t.TempDir(), "no", "dir.svg"), axes, series); err == nil {
 		t.Error("Lines succeeded with a path in a folder that does not exist")
 	}
 }
