--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -23,10 +23,10 @@
 	Length  time.Duration `default:"8s" help:"Duration of fault injection in each run."`
 	Daemons int           `default:"3" help:"Number of daemon processes."`
 	Callers int           `default:"12" help:"Number of concurrent callers."`
-	Fatal   bool          `help:"Add callers that repeat requests which crash every upstream that runs them."`
-	Teams   bool          `help:"Give callers API keys, and one team more callers than its rate limit allows."`
-	Limits  bool          `help:"Let upstreams report rate limits; use with --length 16s."`
-	Herd    bool          `help:"Add fault sequences in which a service rejects requests and all daemons are killed."`
+	Fatal   bool          `help:"Add callers that repeat fatal requests, which crash every upstream that runs them."`
+	Teams   bool          `help:"Give callers the API keys of two teams, one of which exceeds its quota."`
+	Limits  bool          `help:"Make upstreams report rate limits; use with --length 16s."`
+	Herd    bool          `help:"Add correlated faults: all upstreams of a service reject requests while all daemons are killed and restarted."`
 }
 
 func main() {
--- a/internal/experiment/observe.go
+++ b/internal/experiment/observe.go
@@ -37,7 +37,7 @@
 	FramesOut  float64 // frames sent to other daemons
 	CPU        float64 // processor time in core-seconds
 	Resident   float64 // resident memory at the time of the reading, in bytes
-	// IOBeforeScrape and After are the process's I/O counters just before and just after its
+	// IOBeforeScrape and IOAfterScrape are the process's I/O counters just before and after its
 	// metrics were read.
 	IOBeforeScrape, IOAfterScrape IO
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -22,16 +22,16 @@
 const (
 	// goalGoodput is the minimum ratio of goodput at the peak to the best baseline's.
 	goalGoodput = 1.5
-	// goalWastedShare is the share of wasted prompt tokens at the peak that must not
-	// be reached; goalWastedRatio is its maximum ratio to the best baseline's share.
+	// goalWastedShare is the value below which the share of wasted prompt tokens at the
+	// peak must stay; goalWastedRatio is its maximum ratio to the best baseline's share.
 	goalWastedShare = 0.01
 	goalWastedRatio = 0.1
 	// goalUrgentRatio is the maximum ratio of the 95th percentile of the urgent time
 	// to first token under LoadPast to that under the same urgent requests without
 	// drafts.
 	goalUrgentRatio = 1.2
-	// goalOverheadMillis is the overhead of a daemon at the 99th percentile that must
-	// not be reached.
+	// goalOverheadMillis is the value below which the overhead of a daemon at the 99th
+	// percentile must stay.
 	goalOverheadMillis = 1.0
 )
 
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	// rollTimeout limits the wait for a bundle version to be in force on every daemon.
-	rollTimeout      = 20 * time.Second
+	// rollOutTimeout limits the wait for a bundle version to be in force on every daemon.
+	rollOutTimeout   = 20 * time.Second
 	rollPollInterval = 20 * time.Millisecond
 
 	metricBundleNumber = "corianderturn_bundle_number"
@@ -45,8 +45,8 @@
 	bundle *bundle.Bundle
 }
 
-// StartTestbed starts a fleet with package testbed, in a temporary folder. It is a
-// StartBed.
+// StartTestbed starts a fleet with package testbed, in a temporary folder. It can
+// be used as a StartBed.
 func StartTestbed(ctx context.Context, bin string, s FleetSize) (Bed, error) {
 	dir, err := os.MkdirTemp("", "corianderturn-bed-")
 	if err != nil {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, rollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rollOutTimeout)
 	defer cancel()
 	for _, d := range b.Daemons() {
 		if err := b.waitInForce(ctx, d, number); err != nil {
--- a/internal/loadgen/collector.go
+++ b/internal/loadgen/collector.go
@@ -197,11 +197,11 @@
 	}
 }
 
-// LatencyRecorder records latencies that are measured outside of a Run. It is not safe for concurrent
-// use.
+// LatencyRecorder records latencies that are measured outside of a Run. It is not safe for
+// concurrent use.
 type LatencyRecorder struct{ h *hdrhistogram.Histogram }
 
-// NewLatencyRecorder returns an empty timer.
+// NewLatencyRecorder returns a recorder without any latencies.
 func NewLatencyRecorder() *LatencyRecorder { return &LatencyRecorder{newHistogram()} }
 
 // Record adds one latency.
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -100,15 +100,15 @@
 	// none.
 	Kind errkind.Kind
 	Run  errkind.RunState
-	// First is the time from the scheduled arrival to the first token. MeanGap and Gap95 are
+	// First is the time from the scheduled arrival to the first token. MeanGap and GapP95 are
 	// the mean and the 95th percentile of the gaps between tokens. Total is the time from the
 	// scheduled arrival to the end of the response.
 	First   time.Duration
 	MeanGap time.Duration
 	GapP95  time.Duration
 	Total   time.Duration
-	// FirstMeasured is set if First was measured: from the tokens of a stream, or as the response time
-	// of a plain service.
+	// FirstMeasured is set if First was measured: from the tokens of a stream, or as the
+	// response time of a plain service.
 	FirstMeasured bool
 	// Tokens is the number of tokens of the completion.
 	Tokens int
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -117,7 +117,7 @@
 	// Measured is the duration of the run after the warm-up.
 	Measured time.Duration `json:"measured_ns"`
 	// Replays counts how often requests were sent again, by the balancer or by their caller.
-	// TokensSeen counts the tokens of completions that callers received.
+	// TokensReceived counts the tokens of completions that callers received.
 	Replays        int   `json:"replays"`
 	TokensReceived int64 `json:"tokens_seen"`
 	// All covers every request of the run. Steady, Classes and Kinds cover only the requests
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -52,8 +52,8 @@
 	Draft  float64 `json:"draft"`
 }
 
-// SizeDistribution is a log-normal distribution of token counts. Values outside of Min and Max are set to
-// the nearer of the two.
+// SizeDistribution is a log-normal distribution of token counts. Values outside of Min and
+// Max are set to the nearer of the two.
 type SizeDistribution struct {
 	Median int     `json:"median"`
 	Sigma  float64 `json:"sigma"`
--- a/internal/matrix/render.go
+++ b/internal/matrix/render.go
@@ -23,8 +23,8 @@
 		t.Cells, t.Proved, t.Impossible, t.Red, t.Unproved)
 }
 
-// WriteMarkdown writes the matrix as a Markdown page and returns its totals. Pairs of faults count only
-// if a test covers them.
+// WriteMarkdown writes the matrix as a Markdown page and returns its totals. Pairs of faults
+// count only if a test covers them.
 func WriteMarkdown(w io.Writer, r Results) (Totals, error) {
 	var page strings.Builder
 	var totals Totals
--- a/internal/matrix/result.go
+++ b/internal/matrix/result.go
@@ -38,7 +38,8 @@
 // Results maps each cell to the tests that cover it.
 type Results map[Cell][]Test
 
-// ParseTestOutput parses the output of `go test -json`. Skipped tests are not included in the results.
+// ParseTestOutput parses the output of `go test -json`. Skipped tests are not included in
+// the results.
 func ParseTestOutput(r io.Reader) (Results, error) {
 	out := Results{}
 	lines := bufio.NewScanner(r)
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// limitDuration is how long an upstream reports a limit: site.LimitContact, the time until
+	// limitDuration is how long an upstream reports a limit: site.LimitGracePeriod, in
 	// which daemons may exceed it, and two times site.LimitWindow, in which it is enforced.
 	limitDuration = 11 * time.Second
 	// meanLimitInterval is the mean time between the starts of two limits.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,27 +30,28 @@
 	Bin, Dir string
 	// Seed determines the fault schedule.
 	Seed uint64
-	// FaultDuration is the time in which faults start. After the last fault, the run checks that the
-	// daemons recover.
+	// FaultDuration is the time in which faults start. After the last fault, the run checks
+	// that the daemons recover.
 	FaultDuration time.Duration
 	// Daemons and Callers are the numbers of daemons and of concurrent callers.
 	Daemons int
 	Callers int
-	// CorrelatedFaults adds series of faults in which all upstreams of a service reject requests while all
-	// daemons are killed and restarted.
+	// CorrelatedFaults adds series of faults in which all upstreams of a service reject
+	// requests while all daemons are killed and restarted.
 	CorrelatedFaults bool
 	// Teams makes callers send the keys of two teams, one of which exceeds its quota.
 	Teams bool
 	// RateLimits makes upstreams report rate limits.
 	RateLimits bool
-	// FatalRequests adds callers that send fatal requests, which crash every upstream that runs them.
+	// FatalRequests adds callers that send fatal requests, which crash every upstream that
+	// runs them.
 	FatalRequests bool
 }
 
 // Result holds the findings of one run.
 type Result struct {
-	// Requests counts the requests of callers. Of these, Whole were answered completely, Refused
-	// rejected with status 429 or 503, Broken cut off during the response, and Failed ended in
+	// Requests counts the requests of callers. Of these, Answered were answered completely, Refused
+	// rejected with status 429 or 503, CutOff cut off during the response, and Failed ended in
 	// any other way.
 	Requests, Answered, Refused, Failed, CutOff int64
 	// Violations describes each violated guarantee; it is empty if the run passed.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,7 +11,8 @@
 )
 
 // ciRuns are the runs for CI: a short one, regression tests for faults that soak runs have
-// found, and one for each of Limits and Teams. Seed, Length and Daemons determine the schedule.
+// found, and one for each of RateLimits and Teams. Seed, FaultDuration and Daemons determine the
+// schedule.
 var ciRuns = []Options{
 	{Seed: 1, FaultDuration: 4 * time.Second, Daemons: 2, Callers: 6},
 	// Guards against a SIGHUP that ends a starting process because it has not installed its
--- a/internal/standin/engine/constants.go
+++ b/internal/standin/engine/constants.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The constants of the simulated engine. "Required" marks a property that the
-// users state for their own engines.
+// The defaults and limits of the simulated engine. Where a comment refers to real
+// engines, it states a property of the users' engines that the value must keep.
 const (
-	// DefaultSlots is the size of the decode batch. Required: a decode engine
-	// holds about twenty requests.
+	// DefaultSlots is the size of the decode batch. Real decode engines run about
+	// twenty requests at a time.
 	DefaultSlots = 20
 	// DefaultStepBase and DefaultStepFull are the times between tokens with an
 	// empty and with a full batch.
@@ -14,27 +14,27 @@
 	DefaultStepFull = 45 * time.Millisecond
 	// DefaultPrefillPerToken is the prefill time of one token. A typical prompt
 	// takes 200 ms, as long as a full batch takes for about 89 output tokens
-	// (45 ms / 20 each). Required: a prefill costs as much as many tens of
-	// output tokens.
+	// (45 ms / 20 each). On real engines too, a prefill costs as much as many tens
+	// of output tokens.
 	DefaultPrefillPerToken = 100 * time.Microsecond
 	// TypicalPromptTokens is the length of the prompt for which
 	// DefaultPrefillPerToken and DefaultMemoryBytes are chosen.
 	TypicalPromptTokens = 2000
-	// DefaultPrefillTTL is the time to live of a prefill result. Required: less
-	// than a second. Config.TimeScale does not apply to it.
+	// DefaultPrefillTTL is the time to live of a prefill result. Real engines keep
+	// one for less than a second. Config.TimeScale does not apply to it.
 	DefaultPrefillTTL = 800 * time.Millisecond
 	// DefaultPrefillQueue is the largest number of prompts that wait for prefill.
 	DefaultPrefillQueue = 16
 	// DefaultLinger is how long a finished stream can still be read.
 	DefaultLinger = time.Second
-	// DefaultLoadLag is the largest age of a polled load report. Required:
+	// DefaultLoadLag is the largest age of a polled load report. Real
 	// engines report their load with a lag.
 	DefaultLoadLag = 300 * time.Millisecond
 	// DefaultEventDelay is the delay with which a cache event is published.
-	// Required: engines publish cache events late.
+	// Real engines publish cache events late.
 	DefaultEventDelay = 500 * time.Millisecond
 	// DefaultEventDrop is the fraction of cache events that are never published.
-	// Required: the published events have gaps.
+	// The events of real engines have gaps.
 	DefaultEventDrop = 0.02
 	// DefaultCacheBlocks is the size of the prefix cache, in blocks of
 	// engineapi.BlockTokens tokens: about 32 typical prompts.
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -44,7 +44,8 @@
 	// StallAfter stops writing a stream after this number of chunks and keeps its
 	// connection open; 0 means never.
 	StallAfter int `json:"stall_after,omitempty"`
-	// Garble corrupts streams after GarbleAfter chunks.
+	// Garble is how streams are corrupted, from the chunk after the first GarbleAfter
+	// chunks on; empty means not at all.
 	Garble      Corruption `json:"garble,omitempty"`
 	GarbleAfter int        `json:"garble_after,omitempty"`
 	// CutExport closes the connection of an export before its end. StallExport
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -132,14 +132,14 @@
 	written  int    // chunks written
 	faults   Faults // the faults that affect this stream, if faultHit is set
 	faultHit bool
-	heldBack *engineapi.Chunk // sent after the next chunk, for GarbleReordered
+	heldBack *engineapi.Chunk // sent after the next chunk, for CorruptReordered
 }
 
 // write sends chunks and reports whether the client still receives them.
 func (cw *chunkWriter) write(chunks []engineapi.Chunk) bool {
 	for _, c := range chunks {
 		cw.applyFaults()
-		for _, damaged := range cw.garble(c) {
+		for _, damaged := range cw.corrupt(c) {
 			if json.NewEncoder(cw.w).Encode(damaged) != nil {
 				return false
 			}
@@ -175,9 +175,9 @@
 	}
 }
 
-// garble returns the chunks to send in place of c. The fault GarbleBytes writes
-// its bytes itself.
-func (cw *chunkWriter) garble(c engineapi.Chunk) []engineapi.Chunk {
+// corrupt returns the chunks to send in place of c. For CorruptBytes it writes the
+// invalid bytes itself.
+func (cw *chunkWriter) corrupt(c engineapi.Chunk) []engineapi.Chunk {
 	if !cw.faultHit || cw.written < cw.faults.GarbleAfter {
 		return []engineapi.Chunk{c}
 	}
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -15,7 +15,7 @@
 
 // The paths of the control API that all simulated services have.
 const (
-	PathFaults = "/faults" // POST and GET a Set with the service's type of faults
+	PathFaults = "/faults" // POST and GET a SetRequest with the service's type of faults
 	PathReset  = "/reset"  // POST; clears the faults and the statistics
 	PathStats  = "/stats"  // GET -> the service's statistics
 )
@@ -25,12 +25,12 @@
 type Injector[F any] struct {
 	mu      sync.Mutex
 	faults  F
-	hits    int           // affected calls since the last Set
+	hits    int           // affected calls since the last call of Set
 	maxHits int           // the faults are cleared after this many hits; 0 means never
 	changed chan struct{} // closed and replaced at each change of the faults
 }
 
-// NewInjector returns a Box with no faults set.
+// NewInjector returns an Injector with no faults set.
 func NewInjector[F any]() *Injector[F] {
 	return &Injector[F]{changed: make(chan struct{})}
 }
@@ -52,7 +52,7 @@
 }
 
 // Hit reports whether the current faults satisfy match. If they do, it returns
-// them and counts a hit against the limit given to Set.
+// them and counts the call against the limit given to Set.
 func (b *Injector[F]) Hit(match func(F) bool) (F, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/httpjson/httpjson.go
+++ b/internal/standin/httpjson/httpjson.go
@@ -51,7 +51,7 @@
 }
 
 // Stall blocks until the client of r disconnects or done is closed, and then
-// aborts the connection like Cut. It does not return.
+// aborts the connection like Abort. It does not return.
 func Stall(r *http.Request, done <-chan struct{}) {
 	select {
 	case <-r.Context().Done():
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -77,7 +77,7 @@
 	i.setAt(time.Now(), list)
 }
 
-// setAt is Set at the time now.
+// setAt is like Set, with now as the current time.
 func (i *List) setAt(now time.Time, list []infraapi.Instance) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/standin/logsvc/logsvc.go
+++ b/internal/standin/logsvc/logsvc.go
@@ -295,7 +295,7 @@
 	return out
 }
 
-// Trim removes all but the newest keep records of a stream.
+// Trim removes the oldest records of a stream until at most keep records are left.
 func (l *Log) Trim(name string, keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/site/account.go
+++ b/internal/standin/site/account.go
@@ -28,117 +28,117 @@
 // Recorder records which requests arrived at the upstreams and which were executed.
 // It is safe for concurrent use.
 type Recorder struct {
-	site *Site
-	mu   sync.Mutex
-	runs map[string][]Execution
+	site       *Site
+	mu         sync.Mutex
+	executions map[string][]Execution
 	// arrived has the ids of the requests that arrived, and prompts the ids of those
 	// with a prefill that was accepted.
 	arrived, prompts map[string]bool
 	repeats          []Repeat
 	// reachTimes has the times at which requests reached an upstream that did not
-	// reject them, and endTimes those at which requests crashed an upstream, both by
+	// reject them, and crashTimes those at which requests crashed an upstream, both by
 	// the body of the request.
-	reachTimes, endTimes map[string][]time.Time
+	reachTimes, crashTimes map[string][]time.Time
 	// idsWithKey has the ids of the requests and prefills that reached an upstream
 	// with a client's API key.
 	idsWithKey []string
 }
 
-func newAccount(s *Site) *Recorder {
-	return &Recorder{site: s, runs: map[string][]Execution{}, arrived: map[string]bool{}, prompts: map[string]bool{}, reachTimes: map[string][]time.Time{}, endTimes: map[string][]time.Time{}}
+func newRecorder(s *Site) *Recorder {
+	return &Recorder{site: s, executions: map[string][]Execution{}, arrived: map[string]bool{}, prompts: map[string]bool{}, reachTimes: map[string][]time.Time{}, crashTimes: map[string][]time.Time{}}
 }
 
-// recordRun records that an upstream begins to execute a request.
-func (a *Recorder) recordRun(id string, run Execution) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// recordExecution records that an upstream begins to execute a request.
+func (r *Recorder) recordExecution(id string, run Execution) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	run.At = time.Now()
-	a.runs[id] = append(a.runs[id], run)
+	r.executions[id] = append(r.executions[id], run)
 }
 
 // recordKey records that a request reached an upstream with a client's API key.
-func (a *Recorder) recordKey(id string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.idsWithKey = append(a.idsWithKey, id)
+func (r *Recorder) recordKey(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.idsWithKey = append(r.idsWithKey, id)
 }
 
-// RequestsWithKey returns the ids of the requests and prefills that reached an upstream with a
-// client's API key, which daemons are to remove.
-func (a *Recorder) RequestsWithKey() []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Clone(a.idsWithKey)
+// RequestsWithKey returns the ids of the requests and prefills that reached an upstream
+// with a client's API key. Daemons must remove the key, so there should be none.
+func (r *Recorder) RequestsWithKey() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.idsWithKey)
 }
 
 // recordReach records that a request or a prefill with this body reached an upstream
 // that did not reject it.
-func (a *Recorder) recordReach(body string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.reachTimes[body] = append(a.reachTimes[body], time.Now())
+func (r *Recorder) recordReach(body string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.reachTimes[body] = append(r.reachTimes[body], time.Now())
 }
 
-// recordEnd records that a request with this body crashed an upstream.
-func (a *Recorder) recordEnd(body string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.endTimes[body] = append(a.endTimes[body], time.Now())
+// recordCrash records that a request with this body crashed an upstream.
+func (r *Recorder) recordCrash(body string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.crashTimes[body] = append(r.crashTimes[body], time.Now())
 }
 
 // CrashTimes returns the times at which requests with this body crashed an upstream.
-func (a *Recorder) CrashTimes(body string) []time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Clone(a.endTimes[body])
+func (r *Recorder) CrashTimes(body string) []time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.crashTimes[body])
 }
 
 // ReachTimes returns the times at which requests and prefills with this body reached an
 // upstream that did not reject them.
-func (a *Recorder) ReachTimes(body string) []time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Clone(a.reachTimes[body])
+func (r *Recorder) ReachTimes(body string) []time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.reachTimes[body])
 }
 
 // recordArrival records the arrival of a request, whether or not it is rejected.
-func (a *Recorder) recordArrival(id, service string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.countArrival(id, service)
+func (r *Recorder) recordArrival(id, service string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.countArrival(id, service)
 }
 
 // recordPrompt records a prefill that an engine accepts. The first prefill of a
 // request does not count as an arrival, but each further one does.
-func (a *Recorder) recordPrompt(id, service string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.prompts[id] {
-		a.countArrival(id, service)
+func (r *Recorder) recordPrompt(id, service string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.prompts[id] {
+		r.countArrival(id, service)
 	}
-	a.prompts[id] = true
+	r.prompts[id] = true
 }
 
 // countArrival records an arrival, as a repeat unless it is the first of the
-// request; a.mu must be held.
-func (a *Recorder) countArrival(id, service string) {
-	if a.arrived[id] {
-		a.repeats = append(a.repeats, Repeat{At: time.Now(), Service: service})
+// request; r.mu must be held.
+func (r *Recorder) countArrival(id, service string) {
+	if r.arrived[id] {
+		r.repeats = append(r.repeats, Repeat{At: time.Now(), Service: service})
 	}
-	a.arrived[id] = true
+	r.arrived[id] = true
 }
 
 // Executions returns the executions of a request, in the order in which they began.
-func (a *Recorder) Executions(id string) []Execution {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Clone(a.runs[id])
+func (r *Recorder) Executions(id string) []Execution {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.executions[id])
 }
 
 // Repeats returns all arrivals except the first one of each request, in order of
 // time.
-func (a *Recorder) Repeats() []Repeat {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Clone(a.repeats)
+func (r *Recorder) Repeats() []Repeat {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.repeats)
 }
--- a/internal/standin/site/limit.go
+++ b/internal/standin/site/limit.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// The users' acceptance rule for the rate limits of upstreams: from LimitContact after
-// an upstream first reports a limit, it may get in any LimitWindow at most
-// limitTolerance times the requests that the limit allows, plus limitBurst.
+// The bound on the requests that daemons send to an upstream that reports a rate limit,
+// as the users require it. Once LimitGracePeriod has passed since the upstream first
+// reported the limit, it may receive in any period of LimitWindow at most limitTolerance
+// times the requests that the limit allows, plus limitBurst. See AllowedRequests.
 const (
 	LimitWindow      = 4 * time.Second
 	LimitGracePeriod = 3 * time.Second
@@ -33,8 +34,8 @@
 	u.SetLimitHeader(strconv.FormatFloat(perSecond, 'g', -1, 64))
 }
 
-// SetLimitHeader is like NameLimit, but with any text as the value of the header, valid
-// or not. An empty text ends the limit.
+// SetLimitHeader is like SetLimit, but with any text as the value of the header, valid
+// or not. With an empty text the upstream reports no limit.
 func (u *Upstream) SetLimitHeader(text string) {
 	u.limit.mu.Lock()
 	defer u.limit.mu.Unlock()
@@ -60,8 +61,8 @@
 	At time.Time
 }
 
-// AllowedRequests returns the largest number of requests in any LimitWindow that the
-// acceptance rule allows for a limit.
+// AllowedRequests returns the largest number of requests that an upstream may receive in
+// any LimitWindow while it reports the limit perSecond.
 func AllowedRequests(perSecond float64) float64 {
 	return limitTolerance*perSecond*LimitWindow.Seconds() + limitBurst
 }
@@ -74,8 +75,8 @@
 	return slices.Clone(u.limit.arrivals)
 }
 
-// MaxRequests returns the largest number of requests in any LimitWindow that begins no
-// earlier than after, and the number that LimitAllows returns for the limit.
+// MaxRequests returns the largest number of requests that arrived in any LimitWindow that
+// begins no earlier than after, and the number that AllowedRequests returns for the limit.
 func (u *Upstream) MaxRequests(after time.Time, perSecond float64) (most int, allowed float64) {
 	list := u.Requests()
 	allowed = AllowedRequests(perSecond)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -46,7 +46,7 @@
 // New starts a site with a store and no upstreams.
 func New() (*Site, error) {
 	s := &Site{Store: NewStore(), upstreams: map[string]*Upstream{}, fatalBodies: map[string]bool{}}
-	s.Account = newAccount(s)
+	s.Account = newRecorder(s)
 	var err error
 	_, s.storeAddr, err = s.listen(s.Store)
 	return s, err
@@ -71,7 +71,7 @@
 	if !s.fatalBodies[body] {
 		return false
 	}
-	s.Account.recordEnd(body)
+	s.Account.recordCrash(body)
 	if u.crashed {
 		return true
 	}
--- a/internal/standin/site/upstream.go
+++ b/internal/standin/site/upstream.go
@@ -270,7 +270,7 @@
 		u.active--
 		u.mu.Unlock()
 	}()
-	u.account.recordRun(id, Execution{Upstream: u.Name, Body: string(body), From: r.Header.Get("Last-Event-Id"), Team: r.Header.Get(headerTeam)})
+	u.account.recordExecution(id, Execution{Upstream: u.Name, Body: string(body), From: r.Header.Get("Last-Event-Id"), Team: r.Header.Get(headerTeam)})
 	if source := r.Header.Get("Kv-Source"); source != "" {
 		u.account.site.releaseHandle(source)
 	}
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -204,7 +204,7 @@
 	return strings.HasPrefix(rest, "T"), nil
 }
 
-// maxTailBytes is the maximum number of bytes that Tail returns.
+// maxTailBytes is the maximum number of bytes that StderrTail returns.
 const maxTailBytes = 2 << 10
 
 // StderrTail returns the last bytes that the process wrote to standard error.
--- a/test/failure/answers_test.go
+++ b/test/failure/answers_test.go
@@ -39,7 +39,7 @@
 	{"prefill/connection-cut", testbed.PoolPrefill, sameFaults(engine.Faults{CutReply: []string{engineapi.PathPrefill}})},
 	{"transfer/connection-cut", testbed.PoolPrefill, sameFaults(engine.Faults{CutExport: true})},
 	{"decode-first-token/connection-cut", testbed.PoolDecode, sameFaults(engine.Faults{CutAfter: 1})},
-	{"import/connection-cut", testbed.PoolDecode, garbledAfter(engine.CorruptBytes, 0)},
+	{"import/connection-cut", testbed.PoolDecode, corruptAfter(engine.CorruptBytes, 0)},
 	{"mid-stream/connection-cut", testbed.PoolDecode, sameFaults(engine.Faults{CutAfter: 9})},
 	{"last-chunk/connection-cut", testbed.PoolDecode, func(d completion) engine.Faults { return engine.Faults{CutAfter: 1 + chunksBeforeLast(d)} }},
 }
@@ -55,37 +55,37 @@
 	{"last-chunk/connection-stalled", testbed.PoolDecode, func(d completion) engine.Faults { return engine.Faults{StallAfter: 1 + chunksBeforeLast(d)} }},
 }
 
-// garbledAfter returns faults that damage a stream from chunk after on.
-func garbledAfter(how engine.Corruption, after int) func(completion) engine.Faults {
+// corruptAfter returns faults that corrupt a stream once after chunks have been sent.
+func corruptAfter(how engine.Corruption, after int) func(completion) engine.Faults {
 	return sameFaults(engine.Faults{Garble: how, GarbleAfter: after})
 }
 
-// garbledLastChunk returns faults that damage a stream from its last token on.
-func garbledLastChunk(how engine.Corruption) func(completion) engine.Faults {
+// corruptLastChunk returns faults that corrupt a stream from its last token on.
+func corruptLastChunk(how engine.Corruption) func(completion) engine.Faults {
 	return func(d completion) engine.Faults {
 		return engine.Faults{Garble: how, GarbleAfter: chunksBeforeLast(d)}
 	}
 }
 
 var damageFaults = []engineFault{
-	{"import/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 0)},
-	{"import/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOlderAttempt, 0)},
-	{"import/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 0)},
-	{"import/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 0)},
-	{"decode-first-token/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 1)},
-	{"decode-first-token/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptReordered, 1)},
-	{"decode-first-token/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 1)},
-	{"decode-first-token/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 1)},
-	{"mid-stream/crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOtherRequest, 6)},
-	{"mid-stream/late-answer", testbed.PoolDecode, garbledAfter(engine.CorruptOlderAttempt, 6)},
-	{"mid-stream/duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptRepeated, 6)},
-	{"mid-stream/truncated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptSkipped, 6)},
-	{"mid-stream/late-answer+duplicated-answer", testbed.PoolDecode, garbledAfter(engine.CorruptReordered, 6)},
-	{"mid-stream/connection-cut+crossed-answer", testbed.PoolDecode, garbledAfter(engine.CorruptBytes, 6)},
-	{"last-chunk/crossed-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptOtherRequest)},
-	{"last-chunk/late-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptOlderAttempt)},
-	{"last-chunk/duplicated-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptRepeated)},
-	{"last-chunk/truncated-answer", testbed.PoolDecode, garbledLastChunk(engine.CorruptTruncated)},
+	{"import/crossed-answer", testbed.PoolDecode, corruptAfter(engine.CorruptOtherRequest, 0)},
+	{"import/late-answer", testbed.PoolDecode, corruptAfter(engine.CorruptOlderAttempt, 0)},
+	{"import/truncated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptSkipped, 0)},
+	{"import/duplicated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptRepeated, 0)},
+	{"decode-first-token/crossed-answer", testbed.PoolDecode, corruptAfter(engine.CorruptOtherRequest, 1)},
+	{"decode-first-token/late-answer", testbed.PoolDecode, corruptAfter(engine.CorruptReordered, 1)},
+	{"decode-first-token/duplicated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptRepeated, 1)},
+	{"decode-first-token/truncated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptSkipped, 1)},
+	{"mid-stream/crossed-answer", testbed.PoolDecode, corruptAfter(engine.CorruptOtherRequest, 6)},
+	{"mid-stream/late-answer", testbed.PoolDecode, corruptAfter(engine.CorruptOlderAttempt, 6)},
+	{"mid-stream/duplicated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptRepeated, 6)},
+	{"mid-stream/truncated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptSkipped, 6)},
+	{"mid-stream/late-answer+duplicated-answer", testbed.PoolDecode, corruptAfter(engine.CorruptReordered, 6)},
+	{"mid-stream/connection-cut+crossed-answer", testbed.PoolDecode, corruptAfter(engine.CorruptBytes, 6)},
+	{"last-chunk/crossed-answer", testbed.PoolDecode, corruptLastChunk(engine.CorruptOtherRequest)},
+	{"last-chunk/late-answer", testbed.PoolDecode, corruptLastChunk(engine.CorruptOlderAttempt)},
+	{"last-chunk/duplicated-answer", testbed.PoolDecode, corruptLastChunk(engine.CorruptRepeated)},
+	{"last-chunk/truncated-answer", testbed.PoolDecode, corruptLastChunk(engine.CorruptTruncated)},
 }
 
 // Guards against daemons that accept a stream without checking its terminal marker,
