--- a/internal/experiment/figures_test.go
+++ b/internal/experiment/figures_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestSummarize(t *testing.T) {
 	s := Summarize([]float64{2, 4, 9})
 	want := SummaryStats{N: 3, Mean: 5, Min: 2, Max: 9, SD: math.Sqrt(13)}
 	if d := cmp.Diff(want, s, cmpopts.EquateApprox(0, 1e-9)); d != "" {
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestCapacity(t *testing.T) {
+func TestEstimateCapacity(t *testing.T) {
 	w := loadgen.DefaultWorkload()
 	w.Mix = loadgen.Mix{Draft: 1}
 	w.DraftTokens = loadgen.SizeDistribution{Median: 1, Min: 1, Max: 1}
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestRotation(t *testing.T) {
+func TestRotateArms(t *testing.T) {
 	seen := map[string]bool{}
 	for i := range 3 {
 		order := rotateArms(Arms(), i)
--- a/internal/experiment/observe_test.go
+++ b/internal/experiment/observe_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestSlopesStayWithinBounds(t *testing.T) {
+func TestSweepsHaveValidFleetSizes(t *testing.T) {
 	for _, v := range sizeSweeps() {
 		if len(v.points) < 4 {
 			t.Errorf("%s has %d points, want at least 4", v.name, len(v.points))
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -9,9 +9,9 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// TestPlanIsPaired checks that each repeat has one segment for every cell, that is every
-// arm under each load, and that only the segments of fault cells have a fault.
-func TestPlanIsPaired(t *testing.T) {
+// TestPlanHasEveryCellInEachRepeat checks that each repeat has one segment for every cell,
+// that is every arm under each load, and that only the segments of fault cells have a fault.
+func TestPlanHasEveryCellInEachRepeat(t *testing.T) {
 	f := Firms()[0]
 	seen := map[Cell]int{}
 	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, FirmWorkload(nil), 100) {
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -10,10 +10,10 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// TestSegmentOnProcesses runs one short segment against real processes, during which a
+// TestSegmentWithRealProcesses runs one short segment against real processes, during which a
 // replica is killed and restarted. It guards against figures that are read from a wrong
 // metric or counter, which would be 0.
-func TestSegmentOnProcesses(t *testing.T) {
+func TestSegmentWithRealProcesses(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	bin := t.TempDir()
--- a/internal/loadgen/verify_test.go
+++ b/internal/loadgen/verify_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestReconcile(t *testing.T) {
+func TestReconcileLedger(t *testing.T) {
 	result := func(key string, o Outcome, kind errkind.Kind, run errkind.RunState) Result {
 		return Result{Spec: Spec{Key: key, Kind: KindSubmit}, Outcome: o, Kind: kind, Run: run}
 	}
@@ -194,7 +194,7 @@
 
 // Guards against a closed loop, in which arrivals wait for earlier responses. No response is
 // sent at first: the run must still send MaxInFlight requests and drop the others.
-func TestArrivalsDoNotWait(t *testing.T) {
+func TestOpenLoopArrivals(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestRenderCountsOnlyWhatRan(t *testing.T) {
+func TestWriteMarkdownCountsOnlyExecutedTests(t *testing.T) {
 	output := strings.Join([]string{
 		`{"Action":"pass","Package":"p/request","Test":"TestX/mid-stream/upstream-killed"}`,
 		`{"Action":"fail","Package":"p/request","Test":"TestY/mid-stream/upstream-killed"}`,
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRulesNameKnownWords(t *testing.T) {
+func TestRulesUseListedStepsAndFaults(t *testing.T) {
 	for _, r := range rules {
 		for _, s := range r.steps {
 			for _, f := range r.faults {
--- a/internal/standin/engine/core_prefill_test.go
+++ b/internal/standin/engine/core_prefill_test.go
@@ -10,7 +10,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-func TestPrefillOrderAndLife(t *testing.T) {
+func TestPrefillOrderAndExpiry(t *testing.T) {
 	c := newTestCore(func(cfg *Config) { cfg.Role = RolePrefill })
 	for n, priority := range []int{0, 1, 5, 5} {
 		c.addPrefill(start, prefillRequest(n, priority))
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestLinkIsBookedWhileExporting(t *testing.T) {
+func TestExportsReserveLink(t *testing.T) {
 	c := newTestCore(func(cfg *Config) { cfg.Role, cfg.LinkRate, cfg.KVPerToken = RolePrefill, 1e6, 1000 })
 	var all []*prefill
 	for n := range 2 {
--- a/internal/standin/engine/core_test.go
+++ b/internal/standin/engine/core_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestHoldTime(t *testing.T) {
+func TestReservationExpiry(t *testing.T) {
 	for _, honour := range []bool{false, true} {
 		c := newTestCore(func(cfg *Config) { cfg.HonourHold = honour })
 		c.reserve(start, reserveRequest(1))
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestCancelFreesEveryForm(t *testing.T) {
+func TestCancelFreesMemoryInEveryState(t *testing.T) {
 	c := newTestCore(nil)
 	c.reserve(start, reserveRequest(1))
 	if _, ref := c.startDecode(start, decodeRequest(2)); ref != nil {
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestLoadLags(t *testing.T) {
+func TestLoadReportLag(t *testing.T) {
 	c := newTestCore(nil)
 	c.reserve(start, reserveRequest(1))
 	c.advance(start.Add(DefaultLoadLag - 1))
@@ -250,7 +250,7 @@
 
 // Guards against a burst of tokens after the process was suspended. It happens if
 // the engine runs all decode steps that were due meanwhile, here for one hour.
-func TestStopIsNotMadeUpFor(t *testing.T) {
+func TestMissedStepsAreSkippedAfterSuspension(t *testing.T) {
 	c := newTestCore(nil)
 	d := startDecoding(t, c, start, decodeRequest(1))
 	c.advance(start.Add(time.Hour))
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -122,7 +122,7 @@
 // closes the stream's connection and reads the stream again from the next index,
 // then crashes the engine and continues with a second attempt, whose prefill
 // includes the tokens delivered so far.
-func TestResumeAndPrefillAgainGiveTheSameAnswer(t *testing.T) {
+func TestResumeAndRepeatedPrefillGiveSameAnswer(t *testing.T) {
 	pre, dec := newServer(t, RolePrefill), newServer(t, RoleDecode)
 	const maxTokens = 200
 	total := answer.AnswerLength(prompt, maxTokens)
@@ -169,7 +169,7 @@
 
 // Guards against an engine that checks only the number of the generated tokens
 // in a prefill request. Then a context with wrong tokens would not be noticed.
-func TestWrongContextGivesAnotherAnswer(t *testing.T) {
+func TestWrongContextChangesAnswer(t *testing.T) {
 	req := engineapi.PrefillRequest{Model: "m", Prompt: prompt}
 	right := req
 	right.Generated = []string{answer.Token("m", "", prompt, 0)}
@@ -242,7 +242,7 @@
 	mustPost(t, dec.url+engineapi.PathCancel, req)
 }
 
-func TestControl(t *testing.T) {
+func TestControlAPI(t *testing.T) {
 	dec := newServer(t, RoleDecode)
 	control := httptest.NewServer(dec.Control())
 	defer control.Close()
--- a/internal/standin/instances/instances_test.go
+++ b/internal/standin/instances/instances_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderturn/corianderturn/infra/infraapi"
 )
 
-func TestLag(t *testing.T) {
+func TestListLag(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	first := []infraapi.Instance{{Name: "a", State: "live"}}
 	second := []infraapi.Instance{{Name: "a", State: "leaving"}}
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRepeatsShow(t *testing.T) {
+func TestRepeatedCallIsExecutedTwice(t *testing.T) {
 	s := New(Config{})
 	defer s.Close()
 	srv := httptest.NewServer(s.Handler())
@@ -150,7 +150,7 @@
 // daemon that learns that a service is leaving, from the service or from another
 // daemon, sends it no requests until the service begins a new incarnation. So the
 // simulated service must begin one when the fault Leaving is removed.
-func TestLeavingEndsWithALife(t *testing.T) {
+func TestNewIncarnationAfterLeaving(t *testing.T) {
 	s := New(Config{Slots: 7})
 	defer s.Close()
 	first := s.Load()
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestLookupsDependOnThePathAlone(t *testing.T) {
+func TestLookupDependsOnlyOnPath(t *testing.T) {
 	if diff := cmp.Diff(LookupOf("/a"), LookupOf("/a")); diff != "" || LookupOf("/a").Value == LookupOf("/b").Value {
 		t.Error("look-ups of one path differ, or look-ups of two paths are equal", diff)
 	}
--- a/internal/testbed/port_test.go
+++ b/internal/testbed/port_test.go
@@ -9,7 +9,7 @@
 // Guards against a daemon that fails with "address already in use" because another
 // Bed was given the same address before the daemon listened, or between its end and
 // its restart.
-func TestFreeAddressIsHeld(t *testing.T) {
+func TestFreeAddressIsReserved(t *testing.T) {
 	address, err := FreeAddress()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/testbed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -63,7 +63,7 @@
 	return f
 }
 
-func TestProcessLife(t *testing.T) {
+func TestProcessLifecycle(t *testing.T) {
 	ctx := testContext(t)
 	bed := New(bin, t.TempDir())
 	defer bed.Close()
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestStartShowsWhyItFailed(t *testing.T) {
+func TestStartErrorContainsOutput(t *testing.T) {
 	bed := New(bin, t.TempDir())
 	defer bed.Close()
 	_, err := bed.Start(testContext(t), "bad", ProgramStandIn, "engine", "--slots=0")
@@ -114,7 +114,7 @@
 // Guards against settings and bundles that the daemons would reject because their
 // format has changed. The settings files are loaded as a daemon loads them, and two
 // versions of the bundle are verified with the keys in the settings.
-func TestFleetFitsTheProduct(t *testing.T) {
+func TestDaemonsAcceptSettingsAndBundle(t *testing.T) {
 	ctx := testContext(t)
 	f := testFleet(t, Layout{DataCentres: []string{"dc1", "dc2"}, Daemons: 3, Prefill: 1, Decode: 2, Services: 1, InstancesFlags: []string{"--lag=0s"}})
 	want := map[string]int{PoolPrefill: 1, PoolDecode: 2, PoolService: 1}
@@ -167,7 +167,7 @@
 // Guards against links that ignore their mode or source, so that a simulated
 // partition affects the wrong data centre or none. The connections of one data
 // centre to the platform are cut, stalled and opened again.
-func TestPlatformCut(t *testing.T) {
+func TestPlatformLinkModes(t *testing.T) {
 	ctx := testContext(t)
 	f := testFleet(t, Layout{DataCentres: []string{"dc1", "dc2"}, Daemons: 2})
 	read := func(n int) error {
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestPeerLinkTellsDataCentresApart(t *testing.T) {
+func TestPeerLinkIdentifiesDataCentre(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
