--- a/relay/accrual.go
+++ b/relay/accrual.go
@@ -7,31 +7,33 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// AccrualSender hands the accrual time of a follower over to the reader of its data centre.
+// AccrualSender sends a follower's unaccrued time to the reader of its data centre.
 //
-// A daemon's share of a limit accrues over time. A follower does not add it to its own
-// ledger: with the calls that it makes anyway it sends the reader the span of time for
-// which its share is not accrued yet, and the reader accrues the share in its ledger (see
-// package quota). Followers then borrow from the reader. An AccrualSender is safe for
-// concurrent use.
+// Each daemon has a share of every rate limit, and the units of that share accrue in a
+// ledger as time passes (see package quota). Unaccrued time is the span of time for which a
+// daemon's share has not been added to any ledger yet. A follower does not add its share to
+// its own ledger. It sends its unaccrued time along with the calls that it makes anyway, the
+// reader adds the follower's share for that time to its own ledger, and followers borrow
+// units from the reader. Package quota calls this handing time over. An AccrualSender is
+// safe for concurrent use.
 type AccrualSender struct {
 	quota  *quota.Ledger
 	roster *Roster
 
 	mu     sync.Mutex
 	stamps map[string]receivedStamp // keyed by the address of the daemon that issued the stamp
-	// recipient is the daemon that was last sent accrual time.
+	// recipient is the daemon that unaccrued time was last sent to.
 	recipient Peer
 }
 
-// receivedStamp is a reading of the recipient's clock and the time of its receipt.
+// receivedStamp is a stamp that another daemon's ledger issued and the time of its receipt.
 type receivedStamp struct {
 	stamp      quota.Stamp
 	receivedAt time.Time
 }
 
-// maxStamps bounds the daemons whose stamps are kept. A succession names only a few
-// daemons.
+// maxStamps bounds the daemons whose stamps are kept. Only the stamps of the reader of this
+// data centre and of its few successors are used.
 const maxStamps = 16
 
 // NewAccrualSender returns an AccrualSender without stamps.
@@ -39,44 +41,45 @@
 	return &AccrualSender{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
 
-// handOver returns the accrual time to send with a call to a daemon. It is empty if this
-// daemon is a reader itself, or if the recipient is in another data centre, where the
-// daemons' shares differ.
-func (k *AccrualSender) handOver(now time.Time, to Peer) quota.Span {
-	if k == nil || to.DataCentre != k.roster.Self().DataCentre || k.roster.IsReader() {
+// takeUnaccrued returns the unaccrued time to send with a call to a daemon and removes it
+// from this daemon's ledger. The span is empty if this daemon is a reader itself, if the
+// recipient is in another data centre, where the daemons' shares differ, or if the recipient
+// has not sent a stamp yet.
+func (a *AccrualSender) takeUnaccrued(now time.Time, to Peer) quota.Span {
+	if a == nil || to.DataCentre != a.roster.Self().DataCentre || a.roster.IsReader() {
 		return quota.Span{}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, ok := k.stamps[to.Address]
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	s, ok := a.stamps[to.Address]
 	if !ok {
 		return quota.Span{}
 	}
-	k.recipient = to
-	return k.quota.HandOver(now, s.stamp, s.receivedAt, k.roster.LocalDaemons(now))
+	a.recipient = to
+	return a.quota.HandOver(now, s.stamp, s.receivedAt, a.roster.LocalDaemons(now))
 }
 
-// lastRecipient returns the daemon to which this one handed its accrual time over last.
+// lastRecipient returns the daemon to which this one last sent unaccrued time.
 //
-// Followers ask that daemon for loans first. After a failover they hand their time over to
-// a successor; if they went on asking the reader for loans, it would have nothing to lend,
-// and all requests of the data centre would be refused for seconds although the limits are
-// not used up.
-func (k *AccrualSender) lastRecipient() Peer {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.recipient
+// Followers ask that daemon for loans first. After a failover they send their unaccrued time
+// to a successor. If they went on asking the previous reader for loans, it would have
+// nothing to lend, and all requests of the data centre would be refused for seconds although
+// the limits are not used up.
+func (a *AccrualSender) lastRecipient() Peer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.recipient
 }
 
 // recordStamp stores the stamp of a response from the daemon at an address.
-func (k *AccrualSender) recordStamp(now time.Time, address string, stamp quota.Stamp) {
-	if k == nil {
+func (a *AccrualSender) recordStamp(now time.Time, address string, stamp quota.Stamp) {
+	if a == nil {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if _, known := k.stamps[address]; !known && len(k.stamps) >= maxStamps {
-		clear(k.stamps)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if _, known := a.stamps[address]; !known && len(a.stamps) >= maxStamps {
+		clear(a.stamps)
 	}
-	k.stamps[address] = receivedStamp{stamp, now}
+	a.stamps[address] = receivedStamp{stamp, now}
 }
--- a/relay/borrower.go
+++ b/relay/borrower.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// borrowTimeout bounds the calls to all lenders together: a few round trips within a
-	// data centre, and short compared with the time that a caller has for a look-up.
+	// borrowTimeout bounds the calls to all lenders together. It allows for a few round
+	// trips within a data centre and is short compared with the time that a caller allows
+	// for a look-up.
 	borrowTimeout = 30 * time.Millisecond
-	// maxLenders is the largest number of daemons that are asked for one retry.
+	// maxLenders is the largest number of daemons that one call of Borrow asks.
 	maxLenders = 3
 	// refusalBackoff is how long a daemon that lent nothing is not asked again for the same
 	// target.
@@ -38,7 +39,8 @@
 // Borrower asks other daemons to lend retries when the retry budget of this one is
 // exhausted. It is safe for concurrent use.
 //
-// Load pattern: a few percent of the requests are rejected, at one daemon after the other.
+// Load pattern: upstreams reject a few percent of the requests, which affects one daemon
+// after the other.
 // In a large fleet the budget of one daemon is two retries, and zero during its first
 // seconds, while the budget of the whole fleet is hundreds. Lent retries are deducted from
 // the lender's token bucket, which has the same bound as the borrower's, so that the
@@ -81,15 +83,17 @@
 	lenders := b.lenders(began, target)
 	for _, peer := range lenders[:min(len(lenders), maxLenders)] {
 		if b.borrowFrom(ctx, peer, borrowRequest{Target: target, Needs: n}) {
-			// If this process was paused during the call, the lent retry is dropped: it
-			// would be sent in a later window of the lender's budget.
+			// If this process was paused during the call, the lent retries are not used.
+			// They were deducted from an earlier window of the lender's budget than the one
+			// in which they would now be sent.
 			return clock.Elapsed(began, b.o.Now()) < 2*borrowTimeout
 		}
 	}
 	return false
 }
 
-// lenders returns the daemons that have not refused the target recently, in random order.
+// lenders returns, in random order, the daemons that have not recently refused to lend for
+// the target.
 func (b *Borrower) lenders(now time.Time, target string) []Peer {
 	var out []Peer
 	for _, peer := range b.o.Roster.Lenders(now) {
--- a/relay/borrower_test.go
+++ b/relay/borrower_test.go
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		p := peer(ln.Addr().String(), "a", 1)
-		s := NewServer(ServerOptions{Cache: NewFeedCache(), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(t0), Quarantine: newQuarantine(), Lend: l.lend, Timing: testPace, Logger: discardLogger, Now: time.Now})
+		s := NewServer(ServerOptions{Cache: NewFeedCache(), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(t0), Quarantine: newQuarantine(), Lend: l.lend, Timing: testTiming, Logger: discardLogger, Now: time.Now})
 		s.Listen(ln)
 		runUntilCleanup(t, s.Run)
 		order = append(order, p)
@@ -104,7 +104,7 @@
 }
 
 // A daemon without other known daemons has no lenders.
-func TestBorrowFromNobody(t *testing.T) {
+func TestBorrowWithoutLenders(t *testing.T) {
 	b, _ := newTestBorrower(t)
 	if b.Borrow(t.Context(), "s", 1) {
 		t.Error("a retry was lent without a lender")
--- a/relay/client.go
+++ b/relay/client.go
@@ -35,8 +35,8 @@
 	lastID  uint64
 }
 
-// read asks the reader at address for records. The answer must arrive within the wait of
-// the request plus slack. After an error the connection is closed.
+// read asks the daemon at address for records. The answer must arrive within msg.Wait plus
+// slack. After an error the connection is closed.
 func (c *client) read(ctx context.Context, address string, msg readRequest, slack time.Duration) (reply readResponse, b fleet.Batch, err error) {
 	if err = c.call(ctx, address, wire.TypeFeedRead, msg.Wait+slack, &msg, &reply); err != nil {
 		return reply, b, err
@@ -50,7 +50,7 @@
 }
 
 // discover asks the daemon at address which daemons read the store for the data centre of
-// this one.
+// the calling daemon.
 func (c *client) discover(ctx context.Context, address string, msg discoverRequest, within time.Duration) (reply discoverResponse, err error) {
 	err = c.call(ctx, address, wire.TypeReaders, within, &msg, &reply)
 	return reply, err
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -11,25 +11,28 @@
 
 const (
 	// exchangeInterval is the interval at which a reader sends its claim to the other
-	// readers: three times within claimTTL. Eight readers make 56 such calls a second.
+	// readers. A claim is thus repeated three times before it would expire (see claimTTL).
+	// Eight readers make 56 such calls a second.
 	exchangeInterval = time.Second
 	// firstExchangeDelay is the delay before the first exchange. It is short so that the
 	// seeds have exchanged their claims before other daemons ask them for a reader.
 	firstExchangeDelay = 200 * time.Millisecond
 	// In a large fleet, a daemon that is not a reader calls its reader in round
-	// announceFirstRound and then every announceEveryRounds rounds. The first call comes
-	// before the daemon relies on the number of daemons in the fleet.
+	// announceFirstRound and then every announceEveryRounds rounds, where a round takes
+	// exchangeInterval. The first call comes before the daemon relies on the number of
+	// daemons in the fleet.
 	announceEveryRounds = 10
 	announceFirstRound  = 4
 	// exchangeTimeout bounds one call of an exchange.
 	exchangeTimeout = 250 * time.Millisecond
 )
 
-// Exchange spreads the claims of readers between the readers of all data centres and the
-// seeds, which daemons ask for their reader. It is a supervise.Service.
+// Exchange sends the claims of readers to the readers of all data centres and to the seeds.
+// It is a supervise.Service.
 //
-// Without it, a starting daemon is sent to a reader that no longer runs, and two daemons
-// may both stay readers of one data centre, each with its own followers.
+// Without this exchange, a seed could direct a starting daemon to a reader that no longer
+// runs, and two daemons could both stay readers of one data centre, each with its own
+// followers.
 type Exchange struct {
 	o       ExchangeOptions
 	clients map[string]*client
@@ -43,10 +46,10 @@
 	Seeds   []string
 	Roster  *Roster
 	Samples *Samples
-	// Limits supplies and receives the upstreams' rate limits of each call; nil does
-	// neither.
+	// Limits supplies the upstreams' rate limits that each call sends, and receives those in
+	// its response. With nil, none are sent or stored.
 	Limits Limits
-	// Time hands accrual time over to the reader; nil hands none over.
+	// Time supplies the unaccrued time that is sent to the reader; with nil none is sent.
 	Time   *AccrualSender
 	Dial   Dialer
 	Logger log.Interface
@@ -84,20 +87,20 @@
 }
 
 // announceToReader calls the reader of this daemon, or the first successor that answers,
-// and adopts the succession in the response. A daemon that does not answer within
+// and stores the succession in the response. A daemon that does not answer within
 // exchangeTimeout may only be slow, so it isn't marked as unreachable; only failed reads do
 // that.
 //
-// It is needed by daemons that read the store themselves and so make no other calls to the
-// reader: all daemons of a small fleet, and those that have had followers recently. Without
-// it, such a daemon and the reader would not count each other, and each would divide the
-// fleet's limits by too few daemons.
+// The call is needed by daemons that read the store themselves and so make no other calls to
+// the reader: all daemons of a small fleet, and those that have had followers recently.
+// Without the call, such a daemon and the reader would not count each other, and each would
+// divide the fleet's limits by too few daemons.
 func (e *Exchange) announceToReader(ctx context.Context, order []Peer) {
 	for _, peer := range order {
 		if peer.Address == e.o.Self.Address {
 			continue
 		}
-		reply, err := e.call(ctx, peer.Address, discoverRequest{Self: e.o.Self, Accrued: e.o.Time.handOver(e.o.Now(), peer)})
+		reply, err := e.call(ctx, peer.Address, discoverRequest{Self: e.o.Self, Accrued: e.o.Time.takeUnaccrued(e.o.Now(), peer)})
 		if err == nil {
 			e.o.Time.recordStamp(e.o.Now(), peer.Address, reply.Stamp)
 			e.closeAllExcept(map[string]bool{peer.Address: true})
@@ -107,15 +110,16 @@
 	}
 }
 
-// exchangeWithPartners calls every partner once.
+// exchangeWithPartners calls the seeds and the other readers once, and sends them the known
+// claims and the samples of this data centre.
 func (e *Exchange) exchangeWithPartners(ctx context.Context) {
 	partners := e.partners()
 	e.closeAllExcept(partners)
 	samples := toWireSamples(e.o.Samples.TakeForOtherReaders())
 	if e.o.Roster.FleetSize(e.o.Now()) < minFleet {
-		// A daemon of a small fleet handles enough completions itself. Samples of others
-		// would also lack what it knows of its own requests, such as which prompts were
-		// queued.
+		// A daemon of a small fleet handles enough completions itself. Samples from other
+		// daemons would also lack what a daemon knows only of its own requests, such as
+		// which prompts were queued.
 		samples = nil
 	}
 	for address := range partners {
@@ -157,7 +161,7 @@
 	return out
 }
 
-// closeAllExcept closes the connections to all daemons but the partners.
+// closeAllExcept closes the connections to all daemons but those at the given addresses.
 func (e *Exchange) closeAllExcept(partners map[string]bool) {
 	for address, c := range e.clients {
 		if !partners[address] {
--- a/relay/feedcache.go
+++ b/relay/feedcache.go
@@ -9,14 +9,15 @@
 )
 
 // maxCachedBatches bounds the batches that are cached of each feed. A follower reads again
-// within Timing.AnswerWithin, in which a feed yields only a few batches. A follower that asks
-// for older records is sent a snapshot of the feed.
+// within Timing.AnswerWithin, and a feed yields only a few batches in that time. A follower
+// that asks for older records is sent a snapshot of the feed.
 const maxCachedBatches = 64
 
 // feedCount is the number of the store's feeds.
 const feedCount = 2
 
-// cachedBatch is the result of one read: the records from offset from up to batch.Next.
+// cachedBatch is the result of one read: the records from the offset "from" up to, but not
+// including, batch.Next.
 type cachedBatch struct {
 	from  uint64
 	batch fleet.Batch
@@ -40,7 +41,7 @@
 type feedState struct {
 	batches []cachedBatch
 	// state holds the newest record of each key up to offset next. It is nil before the
-	// first read.
+	// first read, and after a gap in the records.
 	state map[string]fleet.Change
 	next  uint64
 	// recoveredAt is the time of the last successful read that followed an outage of the
@@ -48,21 +49,22 @@
 	recoveredAt time.Time
 }
 
-// recoveryWindow is how long after an outage of the store snapshots are marked with Away. A
-// registration that is missing then may only have expired during the outage. Running
-// upstreams need this long to register again.
+// recoveryWindow is how long after an outage of the store snapshots carry the flag
+// fleet.Batch.Away. A registration that is missing from such a snapshot may only have
+// expired during the outage. Running upstreams need this long to register again.
 const recoveryWindow = 2 * time.Second
 
-// CachedFeed is the cached content of a feed from an offset on.
+// CachedFeed is the result of FeedCache.Get: the cached content of a feed, starting at the
+// requested offset.
 type CachedFeed struct {
-	// Known reports that the feed has been read. Batch then holds the records from the
-	// offset on or, where these are no longer cached, a snapshot.
+	// Known reports that the feed has been read. Batch then holds the records starting at
+	// the requested offset or, if some of these are not cached, a snapshot.
 	Known bool
 	Batch fleet.Batch
 	// Age is the time since the last contact with the store. It includes time during which
 	// the machine was suspended.
 	Age time.Duration
-	// StoreDown reports that a call to the store has failed since the last contact.
+	// StoreDown reports that a call to the store has failed since data was last added.
 	StoreDown bool
 	// Changed is closed when any other field than Age changes.
 	Changed <-chan struct{}
@@ -71,16 +73,16 @@
 // NewFeedCache returns an empty FeedCache.
 func NewFeedCache() *FeedCache { return &FeedCache{changed: make(chan struct{})} }
 
-// Add stores a batch of a feed that was read from the offset from on. readAt is when its
-// data came from the store.
-func (j *FeedCache) Add(readAt time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if readAt.After(j.lastContact) {
-		j.lastContact = readAt
+// Add stores a batch of a feed that was read starting at the offset "from". readAt is when
+// the store returned the data.
+func (c *FeedCache) Add(readAt time.Time, f fleet.Feed, from uint64, b fleet.Batch) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if readAt.After(c.lastContact) {
+		c.lastContact = readAt
 	}
-	j.storeDown = false
-	s := &j.feeds[f]
+	c.storeDown = false
+	s := &c.feeds[f]
 	if b.Away {
 		s.recoveredAt = readAt
 	}
@@ -96,21 +98,21 @@
 		s.addBatch(cachedBatch{from: from, batch: b})
 		s.apply(b)
 	}
-	j.notify()
+	c.notify()
 }
 
-// MarkStoreDown records that the store failed to answer this daemon.
-func (j *FeedCache) MarkStoreDown() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.storeDown = true
-	j.notify()
+// MarkStoreDown records that a call of this daemon to the store has failed.
+func (c *FeedCache) MarkStoreDown() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.storeDown = true
+	c.notify()
 }
 
 // notify wakes the callers that wait for a change.
-func (j *FeedCache) notify() {
-	close(j.changed)
-	j.changed = make(chan struct{})
+func (c *FeedCache) notify() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
 // addBatch caches a batch and drops the oldest one if there are too many.
@@ -136,27 +138,27 @@
 	}
 }
 
-// Get returns the cached records of a feed from the offset from on, or a snapshot if whole
-// is set.
-func (j *FeedCache) Get(now time.Time, f fleet.Feed, from uint64, whole bool) CachedFeed {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := &j.feeds[f]
-	l := CachedFeed{Known: s.state != nil, StoreDown: j.storeDown, Changed: j.changed}
-	if !l.Known {
-		return l
+// Get returns the cached records of a feed, starting at the offset "from", or a snapshot if
+// whole is set.
+func (c *FeedCache) Get(now time.Time, f fleet.Feed, from uint64, whole bool) CachedFeed {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := &c.feeds[f]
+	cached := CachedFeed{Known: s.state != nil, StoreDown: c.storeDown, Changed: c.changed}
+	if !cached.Known {
+		return cached
 	}
-	l.Age = clock.Elapsed(j.lastContact, now)
+	cached.Age = clock.Elapsed(c.lastContact, now)
 	if b, ok := s.changesSince(from); ok && !whole {
-		l.Batch = b
+		cached.Batch = b
 	} else {
-		l.Batch = s.snapshot(now)
+		cached.Batch = s.snapshot(now)
 	}
-	return l
+	return cached
 }
 
-// changesSince returns the records from an offset on; ok is false if some of them may be
-// missing.
+// changesSince returns the records starting at the offset "from"; ok is false if some of
+// them may be missing.
 func (s *feedState) changesSince(from uint64) (b fleet.Batch, ok bool) {
 	b = fleet.Batch{Next: from}
 	for _, r := range s.batches {
@@ -172,12 +174,12 @@
 			b.Next = r.batch.Next
 		}
 	}
-	// A caller with a larger offset than this daemon has read elsewhere; there is nothing
-	// new for it.
+	// If the offset is beyond s.next, the caller has read newer records from another source,
+	// and there is nothing new for it here.
 	return b, b.Next >= s.next
 }
 
-// snapshot returns the newest records of all keys.
+// snapshot returns a batch with the newest record of each key.
 func (s *feedState) snapshot(now time.Time) fleet.Batch {
 	b := fleet.Batch{Next: s.next, Whole: true, Changes: make([]fleet.Change, 0, len(s.state))}
 	b.Away = !s.recoveredAt.IsZero() && clock.Elapsed(s.recoveredAt, now) < recoveryWindow
--- a/relay/feedcache_test.go
+++ b/relay/feedcache_test.go
@@ -67,11 +67,11 @@
 		"as a whole":                   {6, true, []string{"+z"}, 7, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			j := NewFeedCache()
-			j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(4, "a", "b", "c", "z"))
-			j.Add(t0, fleet.FeedUpstreams, 4, removals(6, "a", "b"))
-			j.Add(t0, fleet.FeedUpstreams, 6, removals(7, "c"))
-			l := j.Get(t0, fleet.FeedUpstreams, tc.from, tc.whole)
+			c := NewFeedCache()
+			c.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(4, "a", "b", "c", "z"))
+			c.Add(t0, fleet.FeedUpstreams, 4, removals(6, "a", "b"))
+			c.Add(t0, fleet.FeedUpstreams, 6, removals(7, "c"))
+			l := c.Get(t0, fleet.FeedUpstreams, tc.from, tc.whole)
 			if !l.Known || l.Batch.Next != tc.next || l.Batch.Whole != tc.isAll {
 				t.Errorf("%+v; want next %d, whole %t", l, tc.next, tc.isAll)
 			}
@@ -83,15 +83,15 @@
 }
 
 func TestFeedCacheIsBounded(t *testing.T) {
-	j := NewFeedCache()
-	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0))
+	c := NewFeedCache()
+	c.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0))
 	for i := range uint64(3 * maxCachedBatches) {
-		j.Add(t0, fleet.FeedUpstreams, i, removals(i+1, "r"))
+		c.Add(t0, fleet.FeedUpstreams, i, removals(i+1, "r"))
 	}
-	if l := j.Get(t0, fleet.FeedUpstreams, 2*maxCachedBatches-1, false); !l.Batch.Whole {
+	if l := c.Get(t0, fleet.FeedUpstreams, 2*maxCachedBatches-1, false); !l.Batch.Whole {
 		t.Error("more than maxCachedBatches batches are kept")
 	}
-	if l := j.Get(t0, fleet.FeedUpstreams, 2*maxCachedBatches, false); l.Batch.Whole || len(l.Batch.Changes) != maxCachedBatches {
+	if l := c.Get(t0, fleet.FeedUpstreams, 2*maxCachedBatches, false); l.Batch.Whole || len(l.Batch.Changes) != maxCachedBatches {
 		t.Errorf("%d records kept, whole %t", len(l.Batch.Changes), l.Batch.Whole)
 	}
 }
@@ -99,14 +99,14 @@
 // Guards against followers of a healthy reader that never learn of an upstream. The reader
 // skips records 2 and 3; its state is then incomplete and must not be served as a snapshot.
 func TestFeedCacheOmitsIncompleteSnapshot(t *testing.T) {
-	j := NewFeedCache()
-	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(2, "a"))
-	j.Add(t0, fleet.FeedUpstreams, 4, removals(6, "b"))
-	if l := j.Get(t0, fleet.FeedUpstreams, 2, false); l.Known {
+	c := NewFeedCache()
+	c.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(2, "a"))
+	c.Add(t0, fleet.FeedUpstreams, 4, removals(6, "b"))
+	if l := c.Get(t0, fleet.FeedUpstreams, 2, false); l.Known {
 		t.Errorf("%+v", l)
 	}
-	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(7, "a"))
-	if l := j.Get(t0, fleet.FeedUpstreams, 7, false); !l.Known {
+	c.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(7, "a"))
+	if l := c.Get(t0, fleet.FeedUpstreams, 7, false); !l.Known {
 		t.Error("unknown after a snapshot")
 	}
 }
@@ -115,20 +115,20 @@
 // the store is unavailable, and the reader's first batch after the outage contains the
 // removals. Followers must receive the Away mark with it, and with a snapshot for the
 // length of recoveryWindow.
-func TestFeedCacheReportsStoreDown(t *testing.T) {
-	j := NewFeedCache()
-	j.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0, "a", "b"))
+func TestFeedCacheKeepsAwayMark(t *testing.T) {
+	c := NewFeedCache()
+	c.Add(t0, fleet.FeedUpstreams, 0, snapshotOf(0, "a", "b"))
 	first := removals(1, "a")
 	first.Away = true
-	j.Add(t0, fleet.FeedUpstreams, 0, first)
-	j.Add(t0, fleet.FeedUpstreams, 1, removals(2, "b"))
+	c.Add(t0, fleet.FeedUpstreams, 0, first)
+	c.Add(t0, fleet.FeedUpstreams, 1, removals(2, "b"))
 	for from, want := range map[uint64]bool{0: true, 1: false} {
-		if l := j.Get(t0, fleet.FeedUpstreams, from, false); l.Batch.Away != want {
+		if l := c.Get(t0, fleet.FeedUpstreams, from, false); l.Batch.Away != want {
 			t.Errorf("from %d: away %t", from, l.Batch.Away)
 		}
 	}
 	for at, want := range map[time.Duration]bool{recoveryWindow - 1: true, recoveryWindow: false} {
-		if l := j.Get(after(at), fleet.FeedUpstreams, 0, true); l.Batch.Away != want {
+		if l := c.Get(after(at), fleet.FeedUpstreams, 0, true); l.Batch.Away != want {
 			t.Errorf("snapshot after %v: away %t", at, l.Batch.Away)
 		}
 	}
@@ -137,21 +137,21 @@
 // The age depends on the last contact with the store by either feed. A feed that was never
 // read is unknown.
 func TestFeedCacheAge(t *testing.T) {
-	j := NewFeedCache()
-	if j.Get(t0, fleet.FeedConfig, 0, false).Known {
+	c := NewFeedCache()
+	if c.Get(t0, fleet.FeedConfig, 0, false).Known {
 		t.Error("known before the first read")
 	}
-	j.Add(t0, fleet.FeedConfig, 0, fleet.Batch{Next: 3, Whole: true})
-	j.Add(after(time.Second), fleet.FeedConfig, 3, fleet.Batch{Next: 3}) // an empty batch also counts as contact
-	if l := j.Get(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != 2*time.Second {
+	c.Add(t0, fleet.FeedConfig, 0, fleet.Batch{Next: 3, Whole: true})
+	c.Add(after(time.Second), fleet.FeedConfig, 3, fleet.Batch{Next: 3}) // an empty batch also counts as contact
+	if l := c.Get(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != 2*time.Second {
 		t.Errorf("age %v", l.Age)
 	}
-	j.Add(after(2*time.Second), fleet.FeedUpstreams, 0, snapshotOf(1, "a"))
-	if l := j.Get(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != time.Second {
+	c.Add(after(2*time.Second), fleet.FeedUpstreams, 0, snapshotOf(1, "a"))
+	if l := c.Get(after(3*time.Second), fleet.FeedConfig, 3, false); l.Age != time.Second {
 		t.Errorf("age %v after a read of the other feed", l.Age)
 	}
-	j.MarkStoreDown()
-	if !j.Get(t0, fleet.FeedConfig, 3, false).StoreDown {
+	c.MarkStoreDown()
+	if !c.Get(t0, fleet.FeedConfig, 3, false).StoreDown {
 		t.Error("does not report that the store is unavailable")
 	}
 }
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -17,7 +17,8 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// fleetSizes are the numbers of daemons with which each load is run.
+// fleetSizes are the numbers of daemons with which each load, a scenario of events that
+// affect the whole fleet, is run.
 var fleetSizes = []int{30, 100, 300}
 
 const (
@@ -71,7 +72,7 @@
 	}
 }
 
-// checkLearned checks that all running daemons have seen a change within a bound.
+// checkLearned checks that all running daemons have applied a change within a bound.
 func (w *testFleet) checkLearned(t *testing.T, change string, from time.Time, bound time.Duration) {
 	t.Helper()
 	late, missing := w.lastLearned(change, from, w.running())
@@ -95,7 +96,7 @@
 
 // Load: a fleet without any events. Guards against calls whose number grows with the number
 // of daemons.
-func TestCalm(t *testing.T) {
+func TestIdleFleet(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		time.Sleep(30 * time.Second)
@@ -104,8 +105,8 @@
 }
 
 // Load: all daemons start within 0.3 s while upstreams register one by one. Guards against
-// thousands of calls before the first request of a caller, which occur if each daemon reads
-// the store until it has found a reader, and that reader has no data yet.
+// thousands of calls before the first request of a caller. They occur if each daemon reads
+// the store itself until it has found a reader, and as long as that reader has no data.
 func TestStart(t *testing.T) {
 	for _, n := range fleetSizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -144,7 +145,7 @@
 // Load: all daemons are killed at once and started again. Guards against a fleet of 300
 // that needs tens of seconds to be ready because the store's rate limit refuses the calls
 // that all daemons make at once.
-func TestRestartOfAll(t *testing.T) {
+func TestRestartOfAllDaemons(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		w.kill(w.daemons...)
@@ -179,9 +180,10 @@
 	})
 }
 
-// Load: the store refuses every call for 16 s, or answers none, and then has a new version
-// of the configuration and a draining upstream. Guards against 41,000 calls by 295 daemons
-// to a store that is recovering, caused by daemons that each read each feed every 250 ms.
+// Load: the store refuses every call for 16 s, or leaves every call without an answer. Once
+// it is available again, it has a new version of the configuration and a draining upstream.
+// Guards against 41,000 calls by 295 daemons to a store that is recovering, caused by daemons
+// that each read each feed every 250 ms.
 func TestOutage(t *testing.T) {
 	for name, set := range map[string]func(s *fakeStore, away bool){
 		"refuses": func(s *fakeStore, away bool) { s.down = away },
@@ -206,9 +208,9 @@
 
 // Guards against running upstreams that get no requests after an outage. Registrations
 // expire while the store is unavailable, and all but one are restored within 1.5 s of its
-// return. Followers must not take the first batch that their reader reads after the outage
-// for deliberate removals.
-func TestLapsesDuringOutageAreDistinguished(t *testing.T) {
+// return. Followers must not take the removals in the first batch that their reader reads
+// after the outage for deliberate ones.
+func TestExpiredLeasesAfterOutage(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		w.store.update(func() { w.store.down = true })
 		time.Sleep(5 * time.Second)
@@ -235,7 +237,7 @@
 // Load: the store refuses a third of the daemons, including the readers, and serves the
 // others. Guards against followers of a refused reader that learn nothing or all call the
 // store.
-func TestSomeAreRefused(t *testing.T) {
+func TestStoreRefusesSomeDaemons(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		w.store.update(func() {
@@ -254,8 +256,8 @@
 
 // Guards against a configuration that arrives three seconds late in a data centre whose
 // reader the store refuses. For nine seconds the store serves only one daemon of each data
-// centre, while new versions are published. A successor that serves the reader must not
-// drop out of its order.
+// centre, while new versions are published. The successor that the reader reads through must
+// stay in the reader's succession.
 func TestRefusedForLong(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
@@ -330,7 +332,7 @@
 // Load: a data centre is partitioned from the others and from the store for 6 s. Guards
 // against daemons that each call the unreachable store, and against changes that arrive
 // late there after the partition.
-func TestDataCentreCutOff(t *testing.T) {
+func TestDataCentrePartition(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		cut := map[string]bool{}
@@ -361,9 +363,9 @@
 	})
 }
 
-// Load: the store trims its history while all daemons follow it. Guards against daemons
+// Load: the store trims records that the daemons have yet to read. Guards against daemons
 // that each read a snapshot from the store.
-func TestHistoryForgotten(t *testing.T) {
+func TestTrimmedHistory(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		left := w.store.markDraining()
@@ -380,7 +382,7 @@
 
 // Load: a configuration with many routes every 0.33 s. Guards against daemons that each
 // read every version from the store.
-func TestConfigurationsInSuccession(t *testing.T) {
+func TestFrequentConfigurations(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		var last time.Time
@@ -400,7 +402,7 @@
 
 // Guards against a daemon that serves nothing when it is started while the store is
 // unavailable. It must get its snapshot from another daemon.
-func TestStartWhileTheStoreIsAway(t *testing.T) {
+func TestStartDuringOutage(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		w.store.update(func() { w.store.down = true })
 		time.Sleep(300 * time.Millisecond) // the readers' data is still fresh
--- a/relay/fleetsize.go
+++ b/relay/fleetsize.go
@@ -1,11 +1,12 @@
 package relay
 
-// FleetSize returns the number of daemons of a fleet from the numbers heard of in each data
-// centre. A data centre of which nothing is heard is assumed to be as large as the largest
-// known one.
+// FleetSize returns the number of daemons of a fleet, given the known number of daemons of
+// each data centre (heard) and all data centres. A data centre without a known daemon is
+// assumed to have as many daemons as the largest known one.
 //
-// Otherwise, if all daemons are restarted while a data centre is partitioned, each side
-// counts only itself, and each uses the whole of the fleet's shared limits.
+// If it were assumed to be empty, and all daemons were restarted while that data centre is
+// partitioned from the others, each side of the partition would count only its own daemons
+// and use the whole of the fleet's shared limits.
 func FleetSize(heard map[string]int, dataCentres []string) int {
 	sum, largest := 0, 0
 	for _, n := range heard {
--- a/relay/limits.go
+++ b/relay/limits.go
@@ -2,17 +2,17 @@
 
 import "github.com/corianderturn/corianderturn/ratelimit"
 
-// Limits provides the rate limits that upstreams report in their responses, and receives
-// those that other daemons have learned. Implementations are safe for concurrent use and do
-// not block.
+// Limits supplies the rate limits that upstreams report in their responses to this daemon,
+// and receives those that other daemons have learned. Implementations are safe for
+// concurrent use and do not block.
 //
-// Without it, a daemon that sends nothing to an upstream does not learn that the upstream's
-// limit has changed or was removed, and a daemon that has just started exceeds the limit
-// until it gets its first response.
+// If daemons did not exchange these limits, a daemon that sends nothing to an upstream would
+// not learn that the upstream's limit has changed or was removed, and a daemon that has just
+// started would exceed the limit until it gets its first response.
 type Limits interface {
 	// Changes returns the limits that changed recently, or all limits in force if all is set.
 	Changes(all bool) []ratelimit.Record
-	// Update stores limits received from another daemon.
+	// Update stores the limits that another daemon sent.
 	Update(list []ratelimit.Record)
 }
 
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -22,9 +22,11 @@
 	maxLoanIdle = idleTimeout / 2
 )
 
-// LoanRequest asks a daemon to lend units of an account.
+// LoanRequest asks a daemon to lend units of an account. An account is one rate limit, that
+// of a team or of an upstream, and units are the amounts that it limits (see package quota).
 type LoanRequest struct {
-	// Team, or Upstream and Life, identify the account; see quota.Account.
+	// Team, or Upstream and Life, identify the account. Life is the incarnation of the
+	// upstream (see quota.Account).
 	Team     string `msgpack:"t"`
 	Upstream string `msgpack:"u,omitempty"`
 	Life     int64  `msgpack:"l,omitempty"`
@@ -38,12 +40,12 @@
 	Wants float64 `msgpack:"w"`
 	// PartialOK reports that fewer units than Needs are useful too.
 	PartialOK bool `msgpack:"p,omitempty"`
-	// From is the borrower. Accrued is accrual time that it hands over to the lender (see
-	// AccrualSender).
+	// From is the borrower. Accrued is unaccrued time of the borrower, for which the lender
+	// adds the borrower's share to its ledger (see AccrualSender).
 	From    Peer       `msgpack:"f"`
 	Accrued quota.Span `msgpack:"a"`
-	// Terms are the rate of the account and the lifetime of its units. The lender has its
-	// own; they are not sent.
+	// Terms are the rate of the account and the lifetime of its units. They are not sent,
+	// because the lender knows the terms itself.
 	Terms quota.Terms `msgpack:"-"`
 }
 
@@ -92,8 +94,8 @@
 
 // LoanResult is the result of a loan request to other daemons.
 type LoanResult struct {
-	// Lent reports that the needed units were lent. Left is the sum of the units that the
-	// asked lenders have left.
+	// Lent reports that the needed units were lent. Left is the number of units of the
+	// account that the asked lenders still have together.
 	Lent bool
 	Left float64
 	// Wait is the shortest time after which one of the lenders will have accrued the
@@ -101,10 +103,11 @@
 	Wait time.Duration
 }
 
-// Borrow asks other daemons one after the other until the needed units are lent.
+// Borrow asks other daemons for a loan, one after the other, until the needed units are
+// lent.
 func (l *Loans) Borrow(ctx context.Context, ask LoanRequest) (out LoanResult) {
-	// The call goes on if the caller of the request disconnects, because cancelling it
-	// would close the connection to the lender.
+	// The calls to lenders go on if the client whose request waits for the units
+	// disconnects, because cancelling a call would close the connection to the lender.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), loanTimeout)
 	defer cancel()
 	for _, peer := range l.o.Roster.LoanCandidates(l.o.Now(), l.o.Time.lastRecipient()) {
@@ -144,7 +147,7 @@
 		conn.client.close()
 	}
 	conn.lastUsed = asked
-	call.From, call.Accrued = l.o.Roster.Self(), l.o.Time.handOver(asked, peer)
+	call.From, call.Accrued = l.o.Roster.Self(), l.o.Time.takeUnaccrued(asked, peer)
 	err := conn.client.call(ctx, peer.Address, wire.TypeLoan, loanTimeout, &call, &loan)
 	fields := l.o.Logger.WithFields(log.Fields{
 		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Remaining,
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -30,19 +30,19 @@
 	}
 	p := peer(ln.Addr().String(), dataCentre, 800)
 	s := NewServer(ServerOptions{
-		Cache: newTestJournal(time.Now(), "a"), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Quota: l,
+		Cache: newTestFeedCache(time.Now(), "a"), Roster: NewRoster(p, nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Quota: l,
 		LendUnits: func(c LoanRequest) quota.Loan {
 			return l.Lend(time.Now(), c.Account(), loanTerms, c.Needs, c.Wants, 0, c.PartialOK)
 		},
-		Timing: testPace, Logger: discardLogger, Now: time.Now,
+		Timing: testTiming, Logger: discardLogger, Now: time.Now,
 	})
 	s.Listen(ln)
 	runUntilCleanup(t, s.Run)
 	return p
 }
 
-// newTestLoans returns the Loans and the ledger of a daemon of data centre a. own is its
-// reader, others are those of other data centres.
+// newTestLoans returns the Loans and the ledger of a daemon of data centre a. own is the
+// reader of that data centre, others are the readers of other data centres.
 func newTestLoans(t *testing.T, own Peer, others ...Peer) (*Loans, *quota.Ledger) {
 	t.Helper()
 	r := NewRoster(peer("me", "a", 1), []string{"a", "b"})
@@ -50,8 +50,8 @@
 	l := quota.NewLedger(time.Now(), false)
 	loans := NewLoans(LoansOptions{Roster: r, Time: NewAccrualSender(l, r), Quota: l, Dial: DialTCP, Logger: discardLogger, Now: time.Now})
 	t.Cleanup(func() {
-		for _, line := range loans.conns {
-			line.client.close()
+		for _, conn := range loans.conns {
+			conn.client.close()
 		}
 	})
 	return loans, l
@@ -92,7 +92,7 @@
 
 // Guards against lenders that count as unreachable because they closed an idle connection,
 // or because the caller of a request disconnected during the loan.
-func TestConnectionsOfLoansAreNotLost(t *testing.T) {
+func TestLenderStaysReachable(t *testing.T) {
 	lender := serveLoans(t, newTestLedger(1), "a")
 	loans, _ := newTestLoans(t, lender)
 	now := time.Now()
@@ -114,9 +114,9 @@
 	}
 }
 
-// Guards against limits that remain unused because followers do not hand their accrual time
-// over to the reader, or do not ask the reader for loans.
-func TestFollowersHandOverAccruals(t *testing.T) {
+// Guards against limits that remain unused because followers do not send their unaccrued
+// time to the reader, or do not ask the reader for loans.
+func TestFollowersSendUnaccruedTime(t *testing.T) {
 	ledger := newTestLedger(0.1)
 	reader := serveLoans(t, ledger, "a")
 	d := newTestDaemon(&fakeFeedStore{}, reader, testSelf)
@@ -136,19 +136,19 @@
 		t.Errorf("the reader has %v, %v before", after, before)
 	}
 	if got := d.o.Time.lastRecipient(); got.Address != reader.Address {
-		t.Errorf("the time was handed over to %v", got)
+		t.Errorf("unaccrued time was sent to %v", got)
 	}
-	if keepers := d.o.Roster.LoanCandidates(d.now, d.o.Time.lastRecipient()); len(keepers) == 0 || keepers[0].Address != reader.Address {
-		t.Errorf("the lenders are %v", keepers)
+	if candidates := d.o.Roster.LoanCandidates(d.now, d.o.Time.lastRecipient()); len(candidates) == 0 || candidates[0].Address != reader.Address {
+		t.Errorf("the lenders are %v", candidates)
 	}
-	if span := d.o.Time.handOver(d.now, peer("other", "b", 1)); span.Length != 0 {
-		t.Error("time is handed over to another data centre")
+	if span := d.o.Time.takeUnaccrued(d.now, peer("other", "b", 1)); span.Length != 0 {
+		t.Error("unaccrued time is sent to another data centre")
 	}
 }
 
 // Guards against a restarted reader that knows few of its followers and therefore accrues
-// too large a share for each.
-func TestShareOfFollowerWithLargerCount(t *testing.T) {
+// too large a share for each of them.
+func TestShareUsesLargerCountOfFollower(t *testing.T) {
 	r := NewRoster(peer("r", "a", 1), []string{"a", "b", "c"})
 	if got := r.Share(t0); got != 0 {
 		t.Errorf("a share of %v before another daemon is known", got)
--- a/relay/message.go
+++ b/relay/message.go
@@ -43,7 +43,7 @@
 type readStatus uint8
 
 const (
-	// statusFresh: the batch matches the store as of the given age.
+	// statusFresh: the batch is what the store held readResponse.Age ago.
 	statusFresh readStatus = iota
 	// statusStale: the reader's last contact with the store is too long ago, although none
 	// of its calls to the store has failed since.
@@ -56,10 +56,11 @@
 type readRequest struct {
 	Feed  fleet.Feed    `msgpack:"f"`
 	From  uint64        `msgpack:"o"`
-	Whole bool          `msgpack:"h,omitempty"` // asks for a snapshot and ignores From
-	Wait  time.Duration `msgpack:"w"`           // for the first new record
-	// Patient is set by a caller with no other daemon left to ask. The server then keeps
-	// the call until it has fresh data or Wait is over, and does not refuse it earlier.
+	Whole bool          `msgpack:"h,omitempty"` // asks for a snapshot; From is then ignored
+	Wait  time.Duration `msgpack:"w"`           // longest wait for the first new record
+	// Patient is set by a caller with no other daemon left to ask. The server then holds
+	// the call until it has fresh data or Wait is over. Otherwise it answers earlier if it
+	// cannot get fresh data.
 	Patient bool `msgpack:"p,omitempty"`
 	Self    Peer `msgpack:"s"`
 	// KnownVersion is the version of the succession that the caller has.
@@ -71,7 +72,7 @@
 	// QuarantineUpTo is the sequence number up to which the caller has received quarantine
 	// records.
 	QuarantineUpTo uint64 `msgpack:"t,omitempty"`
-	// Accrued is accrual time that the caller hands over (see AccrualSender).
+	// Accrued is unaccrued time of the caller (see AccrualSender).
 	Accrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -93,9 +94,10 @@
 	// number QuarantineUpTo.
 	Quarantine     []quarantine.Record `msgpack:"q,omitempty"`
 	QuarantineUpTo uint64              `msgpack:"t,omitempty"`
-	// Stamp is the reader's clock reading, which the caller needs to hand over accrual time.
+	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
+	// unaccrued time to that daemon.
 	Stamp quota.Stamp `msgpack:"y"`
-	// Limits are the upstreams' rate limits known to this daemon.
+	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
@@ -104,10 +106,13 @@
 type sample struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 
-	Model                  string
+	Model string
+	// Prompt, Expected and Size are the numbers of tokens of the prompt, of the answer as
+	// expected and of the actual answer.
 	Prompt, Expected, Size int
 	// HeldMillis, PerTokenMicros and ReadNanos are durations in milliseconds, microseconds
-	// and nanoseconds. ReadNanos is the prefill time of one prompt token.
+	// and nanoseconds. ReadNanos is the prefill time of one prompt token; ReadLost is set if
+	// the prefill timed out.
 	HeldMillis, PerTokenMicros, ReadNanos int64
 	ReadLost                              bool
 }
@@ -157,7 +162,7 @@
 	Unreachable []string `msgpack:"q,omitempty"`
 	// Samples are sent by readers and come from the daemons of their data centre.
 	Samples []sample `msgpack:"e,omitempty"`
-	// Accrued is accrual time that the caller hands over (see AccrualSender).
+	// Accrued is unaccrued time of the caller (see AccrualSender).
 	Accrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -168,17 +173,19 @@
 type discoverResponse struct {
 	Succession Succession `msgpack:"c"`
 	Claims     []claim    `msgpack:"r,omitempty"`
-	// Stamp is the reader's clock reading, which the caller needs to hand over accrual time.
+	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
+	// unaccrued time to that daemon.
 	Stamp quota.Stamp `msgpack:"y"`
-	// Limits are the upstreams' rate limits known to this daemon.
+	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
 
-// version returns a hash of what followers act on: the addresses of the readers and the
+// version returns a hash of what followers act on: the addresses in the succession and the
 // numbers of daemons. The numbers are rounded to logarithmic steps, so that a daemon that
 // starts or ends rarely changes the version. The steps are a factor of 1.2 for Daemons and
-// of 1.05 for ShareCount and LocalDaemons. An error of a twentieth in the latter does no harm because
-// the daemons' shares add up to that much less than the whole limit (see package retry).
+// of 1.05 for ShareCount and LocalDaemons. An error of a twentieth in the last two does no
+// harm because the daemons' shares add up to that much less than the whole limit (see
+// package retry).
 func (s Succession) version() uint64 {
 	h := xxhash.New()
 	for _, list := range [][]Peer{s.Order, s.Others} {
--- a/relay/pack_test.go
+++ b/relay/pack_test.go
@@ -22,7 +22,7 @@
 }
 
 // Small and compressed batches are unchanged after encoding and decoding.
-func TestPackIsWhole(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	for name, b := range map[string]fleet.Batch{
 		"nothing": {Next: 7},
 		"records": {Next: 2, Away: true, Whole: true, Changes: []fleet.Change{
@@ -48,15 +48,15 @@
 }
 
 // Load: a configuration of 1,400 routes for sixty followers of a reader whose link carries
-// 20 Mbit/s. At 16 KB each they take 0.4 s.
-func TestPackIsSmall(t *testing.T) {
+// 20 Mbit/s. At 16 KB each, the compressed batches take 0.4 s.
+func TestLargeBatchIsCompressed(t *testing.T) {
 	raw, err := encodeBatch(fleet.Batch{Changes: []fleet.Change{{Config: &fleet.Config{Routes: routes(1400)}}}})
 	if err != nil || len(raw) > 40<<10 {
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
 }
 
-func TestUnpackRefuses(t *testing.T) {
+func TestDecodeBatchRejectsInvalidInput(t *testing.T) {
 	for name, raw := range map[string][]byte{
 		"nothing": nil, "another format": {9, 1}, "cut short": {formatFlate, 1, 2}, "no records": {formatPlain, 0xc1}, "too deep": append([]byte{formatPlain}, make([]byte, 3)...),
 	} {
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -20,7 +20,7 @@
 	// with each further failure. A reader's pause grows up to maxReaderProbeInterval,
 	// because registrations that expired during an outage must be restored within 2 s of
 	// its end, and the probe may take a quarter of that. The pause of a successor grows up
-	// to maxSuccessorProbeInterval; its probes are needed where the store refuses only the
+	// to maxSuccessorProbeInterval; its probes are needed in case the store refuses only the
 	// reader.
 	minProbeInterval          = 250 * time.Millisecond
 	maxReaderProbeInterval    = 500 * time.Millisecond
@@ -29,8 +29,8 @@
 	// to get the pause between two probes of one follower. All followers of a data centre
 	// together then make about one call a second.
 	followerProbeInterval = time.Second
-	// maxIsolatedProbeInterval is the longest pause of a daemon without a known reader, or of
-	// one in a small fleet.
+	// maxIsolatedProbeInterval is the longest pause between two probes of a daemon without a
+	// known reader, or of a daemon in a small fleet.
 	maxIsolatedProbeInterval = time.Second
 	// minSearchInterval is the shortest interval between two searches for a reader. It
 	// doubles up to maxSearchInterval while no reader is found. smallFleetSearchInterval is
@@ -44,7 +44,7 @@
 	startupPeriod         = 8 * time.Second
 	// seedWait is how long a starting daemon waits for one of the seeds to answer, and
 	// seedRetryInterval the pause between two attempts. The daemons of a fleet start within
-	// 0.3 s of each other, in any order, and a small one needs 0.1 s more. Without this
+	// 0.3 s of each other, in any order, and a small daemon needs 0.1 s more. Without this
 	// wait, 292 of 295 daemons read the store directly for their first 5 s.
 	seedWait          = 600 * time.Millisecond
 	seedRetryInterval = 100 * time.Millisecond
@@ -82,10 +82,11 @@
 //
 // It is designed for events that affect hundreds of daemons at once: a start, a restart of
 // the whole fleet, the loss of a reader, a store that fails for all or for some daemons, a
-// network partition of a data centre. In each of them the number of calls to the store
-// follows the number of data centres: a reader and a few successors call the store and all
-// other daemons call them. A daemon that reaches no other daemon calls the store itself, at
-// growing intervals, so that it can go on serving.
+// network partition of a data centre. In each of these events the number of calls to the
+// store grows with the number of data centres, not of daemons: a reader and a few successors
+// call the store, and all other daemons call the reader or a successor. A daemon that
+// reaches no other daemon calls the store itself, at growing intervals, so that it can go on
+// serving.
 type Plan struct {
 	self      Peer
 	startedAt time.Time
@@ -97,10 +98,12 @@
 	listedAt          time.Time // when the store was last asked for its list of readers
 	searchedAt        time.Time
 	searches          int // consecutive searches without a result
-	// backoffUntil holds, by address, until when a peer without fresh data is not asked.
+	// backoffUntil holds, by address, the time before which a peer without fresh data is not
+	// asked again.
 	backoffUntil map[string]time.Time
-	// noFreshPeer reports that a peer has answered without fresh data and none with fresh
-	// data since. This follower then probes the store itself, first at store.nextProbe.
+	// noFreshPeer reports that a peer has answered without fresh data, and that no peer has
+	// answered with fresh data since. This follower then probes the store itself, for the
+	// first time at store.nextProbe.
 	noFreshPeer bool
 	store       storeBackoff
 }
@@ -117,7 +120,7 @@
 	p := &Plan{self: self, startedAt: now, roster: roster, rng: rng, seeds: seeds, backoffUntil: map[string]time.Time{}}
 	for _, address := range seeds {
 		if address == self.Address {
-			roster.BecomeReader() // starting daemons ask the seeds for their reader, so a seed leads at first
+			roster.BecomeReader() // starting daemons ask the seeds for their reader, so a seed begins as a reader
 		}
 	}
 	p.startSearch(now)
@@ -156,16 +159,16 @@
 	if step, ok := p.searchStep(now, order); ok {
 		return step
 	}
-	leads := len(order) == 0 || order[0].Address == p.self.Address
-	if leads || hasFollowers || p.smallFleet(now) {
+	actsAsReader := len(order) == 0 || order[0].Address == p.self.Address
+	if actsAsReader || hasFollowers || p.smallFleet(now) {
 		return p.readerStep(now, f, order)
 	}
 	return p.followerStep(now, f, order)
 }
 
-// searchStep returns the next step of the search for a reader; ok is false if none is due.
+// searchStep returns the next step of the search for a reader, and false if none is due.
 func (p *Plan) searchStep(now time.Time, order []Peer) (Step, bool) {
-	leads := len(order) > 0 && order[0].Address == p.self.Address
+	isReader := len(order) > 0 && order[0].Address == p.self.Address
 	interval := min(minSearchInterval<<max(0, min(p.searches, 8)-1), maxSearchInterval)
 	if len(order) > 0 && p.smallFleet(now) {
 		interval = smallFleetSearchInterval
@@ -173,7 +176,7 @@
 	if now.Sub(p.startedAt) < startupPeriod {
 		interval = startupSearchInterval
 	}
-	known := leads || len(order) > 0 && !p.smallFleet(now)
+	known := isReader || len(order) > 0 && !p.smallFleet(now)
 	if known {
 		p.candidates, p.searches = nil, 0
 	}
@@ -196,8 +199,8 @@
 	return Step{}, false
 }
 
-// readerStep returns the step of a daemon that reads the store itself: a read of the store
-// or, while the store fails, of another daemon that may have fresh data.
+// readerStep returns the step of a daemon that reads the store itself: a read from the store
+// or, while the store fails, from another daemon that may have fresh data.
 func (p *Plan) readerStep(now time.Time, f fleet.Feed, order []Peer) Step {
 	if p.storeDue(now, f) {
 		return Step{Action: AskStore, Probe: p.noFreshPeer || p.store.failures > 0}
@@ -227,7 +230,8 @@
 }
 
 // storeDue reports whether a call to the store is due. While the store fails, only the
-// upstreams feed makes calls; the configuration feed would only double them.
+// upstreams feed makes calls; calls for the configuration feed would only double their
+// number.
 func (p *Plan) storeDue(now time.Time, f fleet.Feed) bool {
 	return p.store.failures == 0 || f == fleet.FeedUpstreams && !now.Before(p.store.nextProbe)
 }
@@ -243,8 +247,8 @@
 	return max(until.Sub(now), minProbeInterval/10)
 }
 
-// available reports whether a peer may be asked, which it may not be for a time after an
-// answer without fresh data.
+// available reports whether a peer may be asked now. After an answer without fresh data, a
+// peer is not asked again until its backoff is over.
 func (p *Plan) available(now time.Time, peer Peer) bool {
 	until, ok := p.backoffUntil[peer.Address]
 	if ok && !now.Before(until) {
@@ -315,17 +319,17 @@
 	return time.Duration(float64(d) * (1 + jitter*(2*p.rng.Float64()-1)))
 }
 
-// ReaderFound stores the succession that the daemon at an address returned and ends the search. A
-// seed that does not answer may only have started later than this daemon, so it isn't
-// marked as unreachable.
+// ReaderFound stores the succession that the daemon at an address returned and ends the
+// search. There is no counterpart for a daemon that does not answer a search: a seed may
+// only start later than this daemon, so it isn't marked as unreachable.
 func (p *Plan) ReaderFound(address string, s Succession) {
 	p.roster.MarkReachable(address)
 	p.roster.SetSuccession(s)
 	p.candidates = nil
 }
 
-// ReadersListed adds the readers that the store listed to the search: those of this data centre
-// first, at most maxSuccessors in all.
+// ReadersListed adds the readers that the store listed to the addresses that the search has
+// yet to ask: those of this data centre first, at most maxSuccessors in all.
 func (p *Plan) ReadersListed(peers []Peer) {
 	for _, near := range []bool{true, false} {
 		for _, peer := range peers {
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -10,8 +10,8 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// newTestPlan returns the plan of daemon m in a large fleet. It has received an order, and
-// x as the reader of another data centre.
+// newTestPlan returns the plan of daemon m in a large fleet. The daemon has received a
+// succession with the given order and with x as the reader of another data centre.
 func newTestPlan(order ...string) *Plan {
 	r := NewRoster(peer("m", "a", 192), nil)
 	var peers []Peer
@@ -80,7 +80,7 @@
 
 // A daemon searches for its reader at the seeds, which it retries for a while, then among
 // the readers that the store lists. Only then does it read the store itself.
-func TestPlanLooksForAReader(t *testing.T) {
+func TestPlanSearchesForReader(t *testing.T) {
 	p := NewPlan(t0, peer("m", "a", 192), []string{"s1", "m2", "s2"}, NewRoster(peer("m", "a", 192), nil), rand.New(rand.NewPCG(1, 1)))
 	var got []string
 	now := t0
@@ -115,7 +115,7 @@
 }
 
 // A daemon that is itself a seed reads the store at once.
-func TestPlanOfASeedReads(t *testing.T) {
+func TestSeedReadsStoreAtOnce(t *testing.T) {
 	p := NewPlan(t0, peer("m", "a", 192), []string{"m", "s"}, NewRoster(peer("m", "a", 192), nil), rand.New(rand.NewPCG(1, 1)))
 	if got := p.Next(t0, upstreamsFeed, false).String(); got != "store" || !p.ReadsStore(t0) {
 		t.Error(got)
@@ -125,7 +125,7 @@
 // Guards against followers that each probe an unavailable store every 250 ms. During an
 // outage of ten minutes, which also affects the readers, the interval of a follower's
 // probes must grow with the number of daemons.
-func TestPlanProbesByTurns(t *testing.T) {
+func TestPlanLimitsFollowerProbes(t *testing.T) {
 	for order, most := range map[string]int{"r": 12, "m": 1400} {
 		p := newTestPlan(order, "s")
 		probes := 0
@@ -145,7 +145,7 @@
 }
 
 // While the store is unavailable, only the upstreams feed probes it.
-func TestPlanOneFeedProbes(t *testing.T) {
+func TestOnlyUpstreamsFeedProbes(t *testing.T) {
 	p := newTestPlan("m")
 	p.StoreFailed(t0)
 	p.PeerStoreDown(t0, peer("x", "b", 0))
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestPlanComesBackToItsReader(t *testing.T) {
+func TestPlanReturnsToReader(t *testing.T) {
 	p := newTestPlan("r", "s")
 	p.PeerUnreachable(t0, peer("r", "a", 0))
 	if got := p.Next(after(unreachableTTL), upstreamsFeed, false).String(); got != "r" {
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-// countNotRefusing returns how many running daemons do not refuse the request.
+// countNotRefusing returns how many running daemons do not refuse a request with testDigest.
 func (w *testFleet) countNotRefusing() (n int) {
 	for _, d := range w.running() {
 		if _, refused := d.quarantine.Refuses(time.Now(), func() quarantine.Digest { return testDigest }); !refused {
@@ -82,8 +82,8 @@
 
 // Guards against daemons that still send a request after three upstreams have ended during
 // it. The three ends are half a second apart, and the fault of the test case occurs after
-// the first. Followers must receive the records too, and each record without delay by an
-// earlier one.
+// the first. Followers must receive the records too, and a record must not be delayed
+// because an earlier one was sent shortly before.
 func TestEndsAreTold(t *testing.T) {
 	refuse := func(w *testFleet, which func(i int, d *daemon) bool) {
 		w.store.update(func() {
@@ -139,48 +139,49 @@
 }
 
 // countingQuarantine counts the responses with quarantine records. It stops the test if
-// there are more than a follower may cause.
+// there are more than maxAnswers, the number that one follower may cause.
 type countingQuarantine struct {
 	*quarantine.Keeper
-	most    int64
-	stop    func()
-	answers atomic.Int64
+	maxAnswers int64
+	stop       func()
+	answers    atomic.Int64
 }
 
 // Since implements Quarantine.
 func (c *countingQuarantine) Since(seen uint64) ([]quarantine.Record, uint64) {
-	if c.answers.Add(1) > c.most {
+	if c.answers.Add(1) > c.maxAnswers {
 		c.stop()
 	}
 	return c.Keeper.Since(seen)
 }
 
-// newQuarantineServer returns a server with fresh data and one quarantine record. It names
-// another daemon as the reader.
-func newQuarantineServer(self, reader Peer, news *countingQuarantine, freshFor time.Duration) *Server {
-	news.Keeper = newQuarantine()
-	news.ApplyRemote([]quarantine.Record{{Digest: testDigest, Upstream: "u", Millis: time.Now().UnixMilli()}})
+// newQuarantineServer returns a server with data that stays fresh for at least freshFor, and
+// one quarantine record. It names another daemon as the reader.
+func newQuarantineServer(self, reader Peer, records *countingQuarantine, freshFor time.Duration) *Server {
+	records.Keeper = newQuarantine()
+	records.ApplyRemote([]quarantine.Record{{Digest: testDigest, Upstream: "u", Millis: time.Now().UnixMilli()}})
 	roster := NewRoster(self, nil)
 	roster.SetSuccession(Succession{Order: []Peer{reader}, Daemons: 300})
 	return NewServer(ServerOptions{
-		Cache: newTestJournal(time.Now().Add(freshFor)), Roster: roster, Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()),
-		Quarantine: news, Timing: testPace, Logger: discardLogger, Now: time.Now,
+		Cache: newTestFeedCache(time.Now().Add(freshFor)), Roster: roster, Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()),
+		Quarantine: records, Timing: testTiming, Logger: discardLogger, Now: time.Now,
 	})
 }
 
 // Guards against thousands of calls a second between a follower and two daemons that name
 // each other as the reader. This happens while the store is unavailable: the follower asks
-// both by turns. If it sent each of them the sequence number of the other one, which that
-// one does not recognize, each would answer at once with all records.
+// the two daemons by turns. If it sent to one daemon the sequence number that it got from the
+// other, that daemon would not recognize the number and would answer at once with all
+// records.
 func TestFollowerOfTwoByTurns(t *testing.T) {
 	const length = 20 * time.Second
-	most := 2 * int64(length/testPace.AnswerWithin)
+	most := 2 * int64(length/testTiming.AnswerWithin)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), length)
 		defer cancel()
 		links := &network{listeners: map[string]*pipeListener{}}
 		first, second := peer("a:1", "a", 800), peer("b:1", "a", 800)
-		news := map[Peer]*countingQuarantine{first: {most: most, stop: cancel}, second: {most: most, stop: cancel}}
+		news := map[Peer]*countingQuarantine{first: {maxAnswers: most, stop: cancel}, second: {maxAnswers: most, stop: cancel}}
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		for self, reader := range map[Peer]Peer{first: second, second: first} {
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -16,24 +16,26 @@
 	// claimTTL is how long a reader's claim is valid. Readers repeat their claim every
 	// exchangeInterval.
 	claimTTL = 4 * time.Second
-	// countTTL is how long after its last call a daemon is counted. The fleet's retries are
+	// countTTL is how long after its last contact a daemon is counted. The fleet's retries are
 	// divided by the count. A count that is too large only makes the shares smaller; one
 	// that is too small would let the fleet exceed its limit.
 	countTTL = 30 * time.Second
-	// unreachableTTL is how long a daemon that failed to answer is not asked again.
+	// unreachableTTL is how long a daemon that failed to answer is not called again.
 	unreachableTTL = 10 * time.Second
 	// A daemon replaces a reader of lower weight only after it has been known for
 	// takeoverDelay and if its weight is takeoverWeightRatio times the reader's. Each
 	// change of the reader costs one call of each follower.
 	takeoverDelay       = 5 * time.Second
 	takeoverWeightRatio = 1.5
-	// maxSuccessors is how many successors of a reader are announced. If a random half of
-	// the fleet is killed at once, one of the five daemons is left in 31 of 32 cases.
+	// maxSuccessors is how many successors a succession lists after the reader. If a random
+	// half of the fleet is killed at once, at least one of these five daemons survives in 31
+	// of 32 cases.
 	maxSuccessors = 4
 )
 
-// Roster holds the known daemons and elects the reader of a data centre: the daemon that
-// already is the reader, otherwise the one with the largest weight. It is safe for
+// Roster holds the known daemons and elects the reader of a data centre. The current reader
+// stays elected unless a daemon of much larger weight is known (see takeoverWeightRatio). If
+// there is no reader, the daemon with the largest weight is elected. A Roster is safe for
 // concurrent use.
 //
 // Load pattern: hundreds of daemons that start, or lose their reader, at the same moment.
@@ -45,7 +47,7 @@
 
 	mu          sync.Mutex
 	peers       map[string]*knownPeer // by address
-	unreachable map[string]time.Time  // by address, until when the daemon is not asked
+	unreachable map[string]time.Time  // by address, the time until which the daemon is not called
 	// received is the last succession of this data centre that another daemon sent.
 	received Succession
 	// isReader reports that this daemon is the reader of its data centre.
@@ -127,7 +129,8 @@
 	r.maxLocal = max(r.maxLocal, s.LocalDaemons)
 }
 
-// BecomeReader makes this daemon the reader of its data centre until the roster elects another one.
+// BecomeReader makes this daemon the reader of its data centre until the roster elects
+// another one.
 func (r *Roster) BecomeReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,12 +159,13 @@
 	delete(r.unreachable, address)
 }
 
-// RecordAnswer records that a daemon answered a read of this one.
+// RecordAnswer records that a daemon answered a read request of this one.
 //
-// Suppose that the store refuses a reader, and that a successor reads the store for it. The
-// successor doesn't call the reader, so without RecordAnswer it would drop out of the reader's
-// order after peerTTL. The reader would then try the next successors, which the store may
-// refuse as well, and a new configuration would arrive seconds late.
+// Suppose that the store refuses the calls of a reader, which then reads through one of its
+// successors. That successor doesn't call the reader, so without RecordAnswer the reader
+// would drop it from its succession after peerTTL. The reader would then ask the next
+// successors, which the store may refuse as well, and a new configuration would arrive
+// seconds late.
 func (r *Roster) RecordAnswer(now time.Time, p Peer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -219,9 +223,9 @@
 	return r.otherReaders(now)
 }
 
-// Lenders returns the daemons that may be asked for a loan of the fleet's shared limits:
-// the reader and the successors of this data centre and, in a small fleet, where these are
-// few, also the readers of the others.
+// Lenders returns the daemons that may be asked for a loan of the fleet's shared limits: the
+// reader and the successors of this data centre. In a small fleet, where a data centre has
+// few daemons, it also returns the readers of the other data centres.
 func (r *Roster) Lenders(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -236,7 +240,7 @@
 	return slices.DeleteFunc(out, func(p Peer) bool { return p.Address == r.self.Address || r.isUnreachable(now, p.Address) })
 }
 
-// otherReaders is Others for callers that hold the lock.
+// otherReaders is OtherReaders for callers that hold the lock.
 func (r *Roster) otherReaders(now time.Time) []Peer {
 	out := slices.Clone(r.received.Others)
 	for _, e := range r.peers {
@@ -276,13 +280,14 @@
 	return s
 }
 
-// followsReaderIn reports whether this daemon is a follower in a data centre.
+// followsReaderIn reports whether this daemon is a follower of the reader of the given data
+// centre.
 func (r *Roster) followsReaderIn(dataCentre string) bool {
 	return dataCentre == r.self.DataCentre && !r.isReader && len(r.received.Order) > 0
 }
 
-// receivedOrder returns the reachable daemons of the order that this daemon received, or
-// fallback if there are none.
+// receivedOrder returns the reachable daemons of the failover order that another daemon sent
+// to this one, or fallback if there are none.
 func (r *Roster) receivedOrder(now time.Time, unreachable []string, fallback []Peer) []Peer {
 	order := slices.DeleteFunc(slices.Clone(r.received.Order), func(p Peer) bool {
 		return r.isUnreachable(now, p.Address) || slices.Contains(unreachable, p.Address)
@@ -293,9 +298,9 @@
 	return order
 }
 
-// electOrder returns the failover order of a data centre. The first is the current reader,
-// unless a daemon of much larger weight has been known for takeoverDelay. The others follow
-// by weight.
+// electOrder returns the reader of a data centre, followed by its successors in failover
+// order. The reader is the current one unless a daemon of much larger weight has been known
+// for takeoverDelay. The successors are ordered by weight.
 func (r *Roster) electOrder(now time.Time, dataCentre string, unreachable []string) []Peer {
 	var readers, all []Peer
 	var eligible []Peer
@@ -365,8 +370,8 @@
 	return out
 }
 
-// ShareCount returns the number of daemons by which the fleet's shared limits are divided: the
-// largest number known since this process started, plus an estimate for data centres
+// ShareCount returns the number of daemons by which the fleet's shared limits are divided:
+// the largest number known since this process started, plus an estimate for data centres
 // without any known daemon. It is 0 while no other daemon is known.
 func (r *Roster) ShareCount(now time.Time) int {
 	r.mu.Lock()
@@ -385,8 +390,8 @@
 	return r.countDaemons(now)
 }
 
-// countDaemons updates the largest numbers of daemons that were known and returns that of
-// the fleet.
+// countDaemons counts the known daemons, raises maxDaemons, maxSharing and maxLocal if the
+// counts are larger, and returns maxDaemons.
 func (r *Roster) countDaemons(now time.Time) int {
 	counts := map[string]int{r.self.DataCentre: r.countIn(now, r.self.DataCentre)}
 	for _, e := range r.peers {
@@ -402,8 +407,8 @@
 	return r.maxDaemons
 }
 
-// countIn counts the daemons of a data centre with contact within countTTL, including this
-// one, and drops entries that are older.
+// countIn counts the daemons of a data centre whose last contact is less than countTTL ago,
+// including this daemon, and drops the entries of all others.
 func (r *Roster) countIn(now time.Time, dataCentre string) int {
 	n := 0
 	if dataCentre == r.self.DataCentre {
--- a/relay/roster_test.go
+++ b/relay/roster_test.go
@@ -30,7 +30,7 @@
 
 // If there is no reader yet, the daemon with the largest weight is elected; its successors
 // are ordered by weight.
-func TestRosterNamesTheHeaviest(t *testing.T) {
+func TestRosterElectsLargestWeight(t *testing.T) {
 	r := NewRoster(peer("seed", "a", 800), nil)
 	for _, p := range []Peer{peer("b3", "b", 192), peer("b1", "b", 192), peer("b2", "b", 800), peer("a1", "a", 192)} {
 		r.RecordCall(t0, p)
@@ -46,7 +46,7 @@
 
 // Guards against a change of reader, and a call by each of its followers, whenever a daemon
 // of larger weight is heard of.
-func TestRosterKeepsWhoReads(t *testing.T) {
+func TestRosterKeepsCurrentReader(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.BecomeReader()
 	r.RecordCall(t0, peer("b", "a", 192))
@@ -65,7 +65,7 @@
 // Guards against two daemons that both stay readers of one data centre. This state arises
 // if a reader freezes, a successor takes over, and the first one resumes. It ends when they
 // exchange claims.
-func TestRosterOneOfTwoReadersGivesWay(t *testing.T) {
+func TestRosterOneOfTwoReadersStepsDown(t *testing.T) {
 	a, b := peer("a1", "a", 192), peer("a2", "a", 192)
 	first, second := NewRoster(a, nil), NewRoster(b, nil)
 	first.BecomeReader()
@@ -81,7 +81,7 @@
 
 // Guards against daemons that are sent to a reader that has ended. A claim must expire even
 // if other daemons pass it on to each other.
-func TestRosterClaimsLapse(t *testing.T) {
+func TestRosterClaimsExpire(t *testing.T) {
 	reader, x, y := NewRoster(peer("b1", "b", 800), nil), NewRoster(peer("x", "a", 192), nil), NewRoster(peer("y", "c", 192), nil)
 	reader.BecomeReader()
 	x.AddClaims(t0, reader.Claims(t0))
@@ -93,7 +93,7 @@
 	wantPeers(t, "others later", y.OtherReaders(after(claimTTL)))
 }
 
-func TestRosterFollowsWhatItIsTold(t *testing.T) {
+func TestRosterUsesReceivedSuccession(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.SetSuccession(Succession{Order: []Peer{peer("r", "a", 800), peer("m", "a", 192), peer("s", "a", 100)}, Others: []Peer{peer("x", "b", 1)}, Daemons: 40})
 	wantPeers(t, "told", r.Order(t0), "r", "m", "s")
@@ -110,10 +110,10 @@
 	}
 }
 
-func TestRosterSilenceEnds(t *testing.T) {
+func TestRosterUnreachableExpires(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
-	told := Succession{Order: []Peer{peer("r", "a", 800), peer("s", "a", 192)}}
-	r.SetSuccession(told)
+	received := Succession{Order: []Peer{peer("r", "a", 800), peer("s", "a", 192)}}
+	r.SetSuccession(received)
 	r.MarkUnreachable(t0, "r")
 	wantPeers(t, "silent", r.Order(t0), "s")
 	if d := cmp.Diff([]string{"r"}, r.Unreachable(t0)); d != "" {
@@ -161,10 +161,10 @@
 }
 
 // Guards against a configuration that arrives three seconds late in a data centre whose
-// reader the store refuses. A successor that serves the reader makes no calls to it. If it
-// counted as ended after peerTTL, the reader would turn to the next successor, which the
-// store may refuse too.
-func TestRosterKeepsWhoServesIt(t *testing.T) {
+// reader the store refuses. The successor that the reader reads through makes no calls to
+// the reader. If the reader dropped it after peerTTL, it would ask the next successor, which
+// the store may refuse too.
+func TestRosterKeepsAnsweringSuccessor(t *testing.T) {
 	r := NewRoster(peer("m", "a", 800), nil)
 	r.BecomeReader()
 	for at := time.Duration(0); at <= 2*peerTTL; at += time.Second {
--- a/relay/samples.go
+++ b/relay/samples.go
@@ -17,10 +17,11 @@
 	// maxSamplesPerExchange bounds the samples in one call between readers.
 	maxSamplesPerExchange = 64
 	// maxKeptSamples bounds the samples that are kept for followers, and maxSamplesAtStart
-	// those that a new follower is sent at once.
+	// the samples in the first response to a new follower.
 	maxKeptSamples    = 256
 	maxSamplesAtStart = 24
-	// sampleTTL is how long a sample is passed on. What it measures changes within minutes.
+	// sampleTTL is how long a sample is passed on. The measured quantities change within
+	// minutes.
 	sampleTTL = 15 * time.Second
 )
 
@@ -28,12 +29,13 @@
 // followers to their reader, between readers, and from readers to their followers. It is
 // safe for concurrent use.
 //
-// Without it, in a fleet of 295 daemons, the daemon that assigns roles to engines sees 22
-// of 6,600 completions and never learns their cost. If the engines prefill four times
-// slower than it assumes, their prefill pool then stays at half of the size that is needed.
+// If samples were not distributed, the daemon that assigns roles to engines in a fleet of
+// 295 daemons would see 22 of 6,600 completions and never learn their cost. If the engines
+// prefill four times slower than that daemon assumes, the prefill pool then stays at half of
+// the size that is needed.
 //
 // Load pattern: a fleet of hundreds of daemons, each of which sees a request every two
-// seconds. If there are more samples than may be passed on, the newest ones are.
+// seconds. If there are more samples than may be passed on, only the newest are passed on.
 type Samples struct {
 	mu sync.Mutex
 	// toReader are this daemon's own samples that have not been sent to its reader, and
@@ -114,9 +116,9 @@
 	}
 }
 
-// Since returns the newest samples for the follower at an address that has received those
-// up to the sequence number seen, and the number to use in the next call. Samples that the
-// follower sent itself are left out.
+// Since returns the newest samples that the follower at an address has not received yet,
+// without those that it sent itself. seen is the sequence number up to which it has received
+// samples, and next the one to use in the next call.
 func (s *Samples) Since(now time.Time, address string, seen uint64) (out []estimate.Sample, next uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/relay/samples_test.go
+++ b/relay/samples_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestSamplesGoOnceToEach(t *testing.T) {
+func TestSamplesAreSentOnce(t *testing.T) {
 	s := NewSamples(t0)
 	s.AddOwn(t0, newSample(1))
 	s.AddFromFollower(t0, "f", []estimate.Sample{newSample(2)})
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSamplesPassWhole(t *testing.T) {
+func TestSampleWireRoundTrip(t *testing.T) {
 	want := []estimate.Sample{{
 		Model: "m", PromptTokens: 3000, ExpectedTokens: 500, AnswerTokens: 700,
 		Held: 3500 * time.Millisecond, PerToken: 5 * time.Millisecond, PrefillPerToken: 30 * time.Microsecond, PrefillTimedOut: true,
--- a/relay/server.go
+++ b/relay/server.go
@@ -26,7 +26,7 @@
 	// idleTimeout is how long a connection without calls is kept open.
 	idleTimeout = 10 * time.Second
 	// freshDataWait is how long a call waits for fresh data when this daemon has only just
-	// begun to read the store. A slow store takes 0.3 s.
+	// begun to read the store. A slow store takes 0.3 s to answer.
 	freshDataWait = 300 * time.Millisecond
 	// startupDiscoverWait is how long after its start a daemon delays answers about which
 	// daemon is the reader. When a whole fleet starts, the daemons start within 0.3 s, and
@@ -44,19 +44,20 @@
 	Roster    *Roster
 	Followers *FollowerActivity
 	Samples   *Samples
-	// Quarantine supplies the quarantine records that followers are sent with the upstreams
-	// feed.
+	// Quarantine supplies the quarantine records that are sent to followers in responses for
+	// the upstreams feed.
 	Quarantine Quarantine
-	// Limits supplies and receives the upstreams' rate limits of all calls; nil does
-	// neither.
+	// Limits receives the upstreams' rate limits in requests and supplies those in
+	// responses. With nil, none are stored or sent.
 	Limits Limits
 	// OnSamples receives samples that other daemons have taken of completions on engines.
 	OnSamples func(list []estimate.Sample)
 	// Lend deducts n retries for a target from this daemon's budget, or returns false if
 	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
-	// Quota receives the accrual time that followers hand over (see AccrualSender); with nil
-	// the time is lost. LendUnits lends units of an account; with nil nothing is lent.
+	// Quota is the ledger that accrues the followers' shares for the unaccrued time that they
+	// send (see AccrualSender); with nil the time is lost. LendUnits lends units of an
+	// account; with nil nothing is lent.
 	Quota     *quota.Ledger
 	LendUnits func(ask LoanRequest) quota.Loan
 	Timing    Timing
@@ -67,8 +68,8 @@
 // Quarantine holds records of requests during which upstreams ended. quarantine.Keeper
 // implements it. Implementations are safe for concurrent use.
 type Quarantine interface {
-	// HasRecords reports whether there are records after the sequence number seen, and returns a
-	// channel that is closed when records are added.
+	// HasRecords reports whether there are records after the sequence number seen, and
+	// returns a channel that is closed when records are added.
 	HasRecords(seen uint64) (more bool, changed <-chan struct{})
 	// Since returns the records after the sequence number seen, and the number to use in
 	// the next call.
@@ -123,7 +124,7 @@
 func (s *Server) Listen(ln net.Listener) { s.ln = netutil.LimitListener(ln, maxConns) }
 
 // Run implements supervise.Service. When it ends it closes the followers' connections, so
-// that they turn to the next daemon of the succession at once.
+// that the followers ask the next daemon of the succession at once.
 func (s *Server) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -225,7 +226,7 @@
 		if s.o.LendUnits == nil {
 			return &quota.Loan{}, nil
 		}
-		s.acceptAccrual(call.From, call.Accrued)
+		s.acceptUnaccrued(call.From, call.Accrued)
 		s.o.Limits.Update(call.Limits)
 		loan := s.o.LendUnits(call)
 		return &loan, nil
@@ -248,7 +249,7 @@
 		s.o.Samples.AddFromReader(s.o.Now(), samples)
 		s.o.OnSamples(samples)
 	}
-	s.acceptAccrual(call.Self, call.Accrued)
+	s.acceptUnaccrued(call.Self, call.Accrued)
 	s.o.Limits.Update(call.Limits)
 	s.awaitStartup(ctx)
 	now := s.o.Now()
@@ -260,8 +261,9 @@
 	}
 }
 
-// acceptAccrual credits the accrual time that a daemon of this data centre hands over.
-func (s *Server) acceptAccrual(from Peer, span quota.Span) {
+// acceptUnaccrued adds the share of a daemon of this data centre to the ledger, for the
+// unaccrued time that the daemon sent.
+func (s *Server) acceptUnaccrued(from Peer, span quota.Span) {
 	if span.Length > 0 && from.DataCentre == s.o.Roster.Self().DataCentre {
 		now := s.o.Now()
 		s.o.Roster.RaiseLocalDaemons(span.KnownDaemons)
@@ -269,8 +271,8 @@
 	}
 }
 
-// awaitStartup waits until startupDiscoverWait after the start, when most other daemons
-// have called this one.
+// awaitStartup waits until startupDiscoverWait has passed since the start. By then, in a
+// fleet that starts as a whole, most other daemons have called this one.
 func (s *Server) awaitStartup(ctx context.Context) {
 	left := s.started.Add(startupDiscoverWait).Sub(s.o.Now())
 	if left <= 0 {
@@ -284,12 +286,13 @@
 	}
 }
 
-// handleRead answers a read as soon as there is fresh data with something new, or at the
-// latest when the wait of the request is over.
+// handleRead answers a read as soon as there is fresh data with something new for the caller,
+// and at the latest when the wait of the request is over. Without fresh data it answers
+// earlier with a status that says so, unless the request is patient (see readRequest).
 func (s *Server) handleRead(ctx context.Context, call readRequest) (*readResponse, error) {
 	s.o.Roster.RecordCall(s.o.Now(), call.Self)
 	s.o.Followers.RecordCall(s.o.Now())
-	s.acceptAccrual(call.Self, call.Accrued)
+	s.acceptUnaccrued(call.Self, call.Accrued)
 	s.o.Limits.Update(call.Limits)
 	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
 		s.o.Samples.AddFromFollower(s.o.Now(), call.Self.Address, samples)
@@ -300,26 +303,26 @@
 	freshTimer := time.NewTimer(freshDataWait)
 	defer freshTimer.Stop()
 	for timedOut, freshWaitOver := false, false; ; {
-		look := s.o.Cache.Get(s.o.Now(), call.Feed, call.From, call.Whole)
-		fresh := look.Known && look.Age < s.o.Timing.MaxAge
+		cached := s.o.Cache.Get(s.o.Now(), call.Feed, call.From, call.Whole)
+		fresh := cached.Known && cached.Age < s.o.Timing.MaxAge
 		hasQuarantineNews, quarantineChanged := s.o.Quarantine.HasRecords(call.QuarantineUpTo)
-		hasNews := call.Whole || look.Batch.Whole || look.Batch.Next > call.From || call.Feed == fleet.FeedUpstreams && hasQuarantineNews
+		hasNews := call.Whole || cached.Batch.Whole || cached.Batch.Next > call.From || call.Feed == fleet.FeedUpstreams && hasQuarantineNews
 		switch {
 		case fresh && (hasNews || timedOut):
-			return s.respondWithBatch(call, look)
-		case !fresh && look.StoreDown && (timedOut || !call.Patient):
+			return s.respondWithBatch(call, cached)
+		case !fresh && cached.StoreDown && (timedOut || !call.Patient):
 			return s.addNews(call, &readResponse{Status: statusStoreDown}), nil
 		case !fresh && (timedOut || freshWaitOver && !call.Patient):
 			return s.addNews(call, &readResponse{Status: statusStale}), nil
 		}
 		var expired <-chan time.Time
 		if fresh {
-			timer := time.NewTimer(s.o.Timing.MaxAge - look.Age)
+			timer := time.NewTimer(s.o.Timing.MaxAge - cached.Age)
 			defer timer.Stop()
 			expired = timer.C
 		}
 		select {
-		case <-look.Changed:
+		case <-cached.Changed:
 		case <-quarantineChanged:
 		case <-expired:
 		case <-waitTimer.C:
@@ -333,12 +336,12 @@
 }
 
 // respondWithBatch returns a response with records.
-func (s *Server) respondWithBatch(call readRequest, look CachedFeed) (*readResponse, error) {
-	body, err := s.encode(call.Feed, call.From, look.Batch)
+func (s *Server) respondWithBatch(call readRequest, cached CachedFeed) (*readResponse, error) {
+	body, err := s.encode(call.Feed, call.From, cached.Batch)
 	if err != nil {
 		return nil, err
 	}
-	return s.addNews(call, &readResponse{Status: statusFresh, Age: look.Age, Batch: body}), nil
+	return s.addNews(call, &readResponse{Status: statusFresh, Age: cached.Age, Batch: body}), nil
 }
 
 // encode encodes a batch, reusing the result for all followers that ask for the same
@@ -360,8 +363,9 @@
 	return body, err
 }
 
-// addNews adds the succession, if the caller has another version of it. For the upstreams
-// feed it also adds samples, quarantine records and limits.
+// addNews adds to a response what is sent besides the records of the feed: the stamp and, if
+// the caller has another version of it, the succession. For the upstreams feed it also adds
+// samples, quarantine records and limits.
 func (s *Server) addNews(call readRequest, reply *readResponse) *readResponse {
 	current := s.succession(call.Self.DataCentre)
 	reply.Stamp = s.o.Quota.Stamp(s.o.Now())
--- a/relay/share.go
+++ b/relay/share.go
@@ -20,8 +20,8 @@
 	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.maxLocal))
 }
 
-// LocalDaemons returns the largest number of daemons known in this data centre since this process
-// started.
+// LocalDaemons returns the largest number of daemons known in this data centre since this
+// process started.
 func (r *Roster) LocalDaemons(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,21 +29,21 @@
 	return r.maxLocal
 }
 
-// RaiseLocalDaemons raises the number of daemons known in this data centre to the number that
-// another daemon knows.
+// RaiseLocalDaemons raises the number of daemons known in this data centre to n, the number
+// that another daemon knows, if n is larger.
 //
-// Without it, a restarted reader, which knows few daemons, would accrue too large a share
-// for the time that its followers hand over.
+// If the number were not raised, a restarted reader, which knows few daemons, would accrue
+// too large a share for the unaccrued time that its followers send.
 func (r *Roster) RaiseLocalDaemons(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.maxLocal = max(r.maxLocal, n)
 }
 
-// LoanCandidates returns the daemons that may hold accrued units, in the order in which to ask
-// them: the one to which this daemon handed its accrual time last (holder), the reader of
-// this data centre, and the readers of the others. In a small fleet, where each daemon
-// accrues for itself, it returns all lenders.
+// LoanCandidates returns the daemons that may hold accrued units, in the order in which to
+// ask them: holder, which is the daemon to which this one last sent unaccrued time, the
+// reader of this data centre, and the readers of the others. In a small fleet, where each
+// daemon accrues its own share, it returns all lenders.
 func (r *Roster) LoanCandidates(now time.Time, holder Peer) []Peer {
 	lenders := r.Lenders(now)
 	r.mu.Lock()
--- a/relay/store.go
+++ b/relay/store.go
@@ -32,12 +32,13 @@
 	// Quarantine receives the quarantine records that come with reads of the upstreams
 	// feed.
 	Quarantine Quarantine
-	// Limits supplies and receives the rate limits that go with these reads; nil does
-	// neither.
+	// Limits supplies the upstreams' rate limits that requests to other daemons contain, and
+	// receives those in responses. With nil, none are sent or stored.
 	Limits Limits
 	// OnSamples receives samples that other daemons have taken of completions on engines.
 	OnSamples func(list []estimate.Sample)
-	// Time hands accrual time over to the reader that is asked; nil hands none over.
+	// Time supplies the unaccrued time that is sent to the reader with each read; with nil
+	// none is sent.
 	Time *AccrualSender
 	// Self describes this daemon. Seeds are the addresses of the daemons that are asked for
 	// a reader first.
@@ -66,8 +67,9 @@
 	listTimeout = 300 * time.Millisecond
 	// discoverTimeout bounds the call that asks another daemon for the reader.
 	// startupDiscoverTimeout does so while this daemon starts, because the other one may be
-	// starting too and delay its answer (see startupDiscoverWait). Both feeds wait for the
-	// answer, and a frozen daemon still accepts connections.
+	// starting too and delay its answer (see startupDiscoverWait). The timeouts are short
+	// because the reads of both feeds wait for the answer, and a frozen daemon still accepts
+	// connections.
 	discoverTimeout        = 200 * time.Millisecond
 	startupDiscoverTimeout = startupDiscoverWait + discoverTimeout
 )
@@ -96,14 +98,16 @@
 // newsCursors are the sequence numbers up to which one reader has sent its samples and its
 // quarantine records to this daemon.
 //
-// Each reader has its own sequence. Suppose that one cursor were used for all of them, and
-// that two daemons name each other as the reader while the store is unavailable. A follower
-// asks them by turns and would send each the cursor of the other. Each would take it for
-// that of a new follower and answer at once, thousands of times a second.
+// Each reader has its own sequence numbers. Suppose that a follower had one cursor for all
+// readers, and that two daemons name each other as the reader while the store is
+// unavailable. The follower asks the two by turns and would send each of them the cursor of
+// the other. Each daemon would not recognize the number, treat the caller as a new follower
+// and answer at once, thousands of times a second.
 type newsCursors struct{ samples, quarantine uint64 }
 
-// maxCursors bounds the readers whose cursors are kept. A succession names only a few
-// daemons.
+// maxCursors bounds the readers whose cursors are kept. A daemon reads through only a few
+// others: the reader of its data centre, the successors and the readers of other data
+// centres.
 const maxCursors = 64
 
 // NewStore returns a store that has not searched for a reader yet.
@@ -130,7 +134,7 @@
 }
 
 // ReadsForOthers reports whether this daemon reads the store itself at present, and does so
-// either in normal operation or for followers. Only a daemon that provides reads the
+// either in normal operation or because it has followers. Only such daemons read the
 // quarantine log.
 //
 // If every daemon that reads the store also read the quarantine log, the loss of a reader
@@ -250,7 +254,8 @@
 	s.plan.ReadersListed(peers)
 }
 
-// readFromPeer reads from another daemon; ok is false if that one has no fresh data.
+// readFromPeer reads from another daemon; ok is false if that daemon returned no fresh data,
+// or if the call was cancelled.
 func (s *Store) readFromPeer(ctx context.Context, q query, step Step) (b fleet.Batch, ok bool) {
 	s.setSource(step.Peer.Instance)
 	call := s.buildRequest(q, step)
@@ -304,7 +309,7 @@
 	defer s.mu.Unlock()
 	call := readRequest{
 		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Timing.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
-		KnownVersion: s.successionVersion, Accrued: s.o.Time.handOver(s.o.Now(), step.Peer),
+		KnownVersion: s.successionVersion, Accrued: s.o.Time.takeUnaccrued(s.o.Now(), step.Peer),
 	}
 	if q.feed == fleet.FeedUpstreams {
 		cursors := s.cursors[step.Peer.Address]
@@ -363,8 +368,9 @@
 }
 
 // recordStoreReply updates the plan and the cache with the result of a call to the store.
-// It marks the first batch after a failure with Away, for followers too: a registration
-// that is missing from it may only have expired during the outage.
+// It sets the flag Away of the first batch after a failure, also in the copy for followers,
+// because a registration that the batch removes or lacks may only have expired during the
+// outage.
 func (s *Store) recordStoreReply(q query, b *fleet.Batch, err error) {
 	now := s.o.Now()
 	s.mu.Lock()
@@ -390,8 +396,8 @@
 	s.o.Cache.Add(now, q.feed, q.from, *b)
 }
 
-// gatherDelay returns how long to go on gathering records before the next call to the
-// store.
+// gatherDelay returns how long to wait before the next call to the store, so that records
+// that are written shortly after each other are read in one call (see Timing.Gather).
 func (s *Store) gatherDelay(f fleet.Feed) time.Duration {
 	now := s.o.Now()
 	s.mu.Lock()
@@ -404,8 +410,8 @@
 }
 
 // storeWait returns how long the store may hold a read. The wait is shortened while this
-// daemon has followers. After a failure it is zero: the first batch after an outage is
-// marked with Away, and a long wait would add to it registrations that were removed on
+// daemon has followers. After a failure it is zero: the first batch after an outage carries
+// the flag Away, and with a long wait it could also contain removals that were made on
 // purpose after the recovery.
 func (s *Store) storeWait(q query) time.Duration {
 	s.mu.Lock()
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -67,47 +67,49 @@
 
 func (emptyDirectory) Readers(context.Context) ([]Peer, error) { return nil, nil }
 
-// testDaemon is a Store with the parts of one daemon and a clock that only the test moves.
+// testDaemon is the Store of one daemon, with the parts that it uses and a clock that only
+// the test moves.
 type testDaemon struct {
 	*Store
-	journal *FeedCache
-	asked   *FollowerActivity
-	source  *fakeFeedStore
-	now     time.Time
+	cache     *FeedCache
+	followers *FollowerActivity
+	source    *fakeFeedStore
+	now       time.Time
 }
 
 var (
-	testPace = TimingFor(minBound)
-	testSelf = peer("me", "a", 192)
+	testTiming = TimingFor(minBound)
+	testSelf   = peer("me", "a", 192)
 )
 
-// newTestDaemon returns a daemon of a large fleet that has received an order.
+// newTestDaemon returns a daemon of a large fleet that has received a succession with the
+// given order.
 func newTestDaemon(s *fakeFeedStore, order ...Peer) *testDaemon {
-	out := &testDaemon{journal: NewFeedCache(), asked: NewFollowerActivity(), source: s, now: time.Now()}
+	out := &testDaemon{cache: NewFeedCache(), followers: NewFollowerActivity(), source: s, now: time.Now()}
 	roster := NewRoster(testSelf, nil)
 	roster.SetSuccession(Succession{Order: order, Daemons: 300})
 	out.Store = NewStore(Options{
-		Direct: s, Directory: emptyDirectory{}, Cache: out.journal, Roster: roster, Followers: out.asked, Dial: DialTCP, Timing: testPace,
+		Direct: s, Directory: emptyDirectory{}, Cache: out.cache, Roster: roster, Followers: out.followers, Dial: DialTCP, Timing: testTiming,
 		Quarantine: newQuarantine(), Samples: NewSamples(out.now), OnSamples: func([]estimate.Sample) {}, Self: testSelf, Random: rand.New(rand.NewPCG(1, 1)), Logger: discardLogger, Now: func() time.Time { return out.now },
 	})
 	return out
 }
 
-// newFollower returns a daemon whose reader listens at an address. It is the first
-// successor itself.
+// newFollower returns a daemon whose reader listens at an address. The daemon is the first
+// successor of that reader.
 func newFollower(s *fakeFeedStore, reader string) *testDaemon {
 	return newTestDaemon(s, Peer{Instance: "reader", DataCentre: "a", Address: reader}, testSelf)
 }
 
-// serveJournal runs a reader's server with a feed cache and returns its address.
-func serveJournal(t *testing.T, j *FeedCache) string {
+// serveFeedCache runs a reader's server with a feed cache and returns its address.
+func serveFeedCache(t *testing.T, c *FeedCache) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := ln.Addr().String()
-	s := NewServer(ServerOptions{Cache: j, Roster: NewRoster(peer(address, "a", 800), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testPace, Logger: discardLogger, Now: time.Now})
+	s := NewServer(ServerOptions{Cache: c, Roster: NewRoster(peer(address, "a", 800), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testTiming, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -128,19 +130,19 @@
 	return d.Read(t.Context(), fleet.FeedUpstreams, from, 2*time.Second)
 }
 
-// newTestJournal returns a feed cache with a snapshot at offset 1, followed by removals of the
-// given names, both read at the given time.
-func newTestJournal(readAt time.Time, removed ...string) *FeedCache {
-	j := NewFeedCache()
-	j.Add(readAt, fleet.FeedUpstreams, 0, snapshotOf(1, "a", "b", "z"))
+// newTestFeedCache returns a feed cache with a snapshot at offset 1, followed by removals of
+// the given names, both read at the given time.
+func newTestFeedCache(readAt time.Time, removed ...string) *FeedCache {
+	c := NewFeedCache()
+	c.Add(readAt, fleet.FeedUpstreams, 0, snapshotOf(1, "a", "b", "z"))
 	if len(removed) > 0 {
-		j.Add(readAt, fleet.FeedUpstreams, 1, removals(uint64(1+len(removed)), removed...))
+		c.Add(readAt, fleet.FeedUpstreams, 1, removals(uint64(1+len(removed)), removed...))
 	}
-	return j
+	return c
 }
 
 func TestFollowersDoNotReadStore(t *testing.T) {
-	d := newFollower(&fakeFeedStore{}, serveJournal(t, newTestJournal(time.Now(), "a", "b")))
+	d := newFollower(&fakeFeedStore{}, serveFeedCache(t, newTestFeedCache(time.Now(), "a", "b")))
 	b, err := d.readFrom(t, 1)
 	if err != nil || b.Next != 3 {
 		t.Fatalf("%+v, %v", b, err)
@@ -165,21 +167,21 @@
 func TestFollowersDoWithoutTheirReader(t *testing.T) {
 	for name, reader := range map[string]func(*testing.T) string{
 		"cut from the store": func(t *testing.T) string {
-			return serveJournal(t, newTestJournal(time.Now().Add(-testPace.MaxAge)))
+			return serveFeedCache(t, newTestFeedCache(time.Now().Add(-testTiming.MaxAge)))
 		},
 		"cut while it is asked": func(t *testing.T) string {
-			return serveJournal(t, newTestJournal(time.Now().Add(testPace.AnswerWithin/2-testPace.MaxAge)))
+			return serveFeedCache(t, newTestFeedCache(time.Now().Add(testTiming.AnswerWithin/2-testTiming.MaxAge)))
 		},
 		"waits for the store": func(t *testing.T) string {
-			j := newTestJournal(time.Now().Add(-testPace.MaxAge))
+			j := newTestFeedCache(time.Now().Add(-testTiming.MaxAge))
 			j.MarkStoreDown()
-			return serveJournal(t, j)
+			return serveFeedCache(t, j)
 		},
-		"not read yet": func(t *testing.T) string { return serveJournal(t, NewFeedCache()) },
+		"not read yet": func(t *testing.T) string { return serveFeedCache(t, NewFeedCache()) },
 		"records missing": func(t *testing.T) string {
-			j := newTestJournal(time.Now())
+			j := newTestFeedCache(time.Now())
 			j.Add(time.Now(), fleet.FeedUpstreams, 5, removals(6, "z"))
-			return serveJournal(t, j)
+			return serveFeedCache(t, j)
 		},
 		"stands still": func(t *testing.T) string { return listenAndHandle(t, func(net.Conn) {}) },
 		"gone":         func(*testing.T) string { return "127.0.0.1:1" },
@@ -216,8 +218,8 @@
 	}
 }
 
-// listenAndHandle accepts connections until the end of the test, calls f with each and
-// closes them then.
+// listenAndHandle returns an address at which it accepts connections until the end of the
+// test. It calls f with each connection and closes all of them when the test ends.
 func listenAndHandle(t *testing.T, f func(net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -243,12 +245,12 @@
 // Guards against records that reach followers seconds late. A follower's call that waits at
 // the reader must be answered as soon as the reader gets a record, not when the wait is
 // over.
-func TestServerAnswersWithTheRecord(t *testing.T) {
-	j := newTestJournal(time.Now())
-	d := newFollower(&fakeFeedStore{}, serveJournal(t, j))
+func TestServerAnswersOnNewRecord(t *testing.T) {
+	c := newTestFeedCache(time.Now())
+	d := newFollower(&fakeFeedStore{}, serveFeedCache(t, c))
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { j.Add(time.Now(), fleet.FeedUpstreams, 1, removals(2, "b")) })
+	wg.Go(func() { c.Add(time.Now(), fleet.FeedUpstreams, 1, removals(2, "b")) })
 	for from := uint64(1); from < 2; { // the first answer may be empty
 		b, err := d.readFrom(t, from)
 		if err != nil {
@@ -263,13 +265,13 @@
 
 // Guards against two daemons that take each other for the reader, so that neither reads the
 // store. A daemon with followers must read the store itself.
-func TestAskedDaemonReadsStore(t *testing.T) {
-	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, serveJournal(t, newTestJournal(time.Now())))
-	d.asked.RecordCall(d.now)
+func TestDaemonWithFollowersReadsStore(t *testing.T) {
+	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, serveFeedCache(t, newTestFeedCache(time.Now())))
+	d.followers.RecordCall(d.now)
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if diff := cmp.Diff([]time.Duration{testPace.Hold}, d.source.calls()); diff != "" {
+	if diff := cmp.Diff([]time.Duration{testTiming.Hold}, d.source.calls()); diff != "" {
 		t.Error(diff)
 	}
 	d.now = d.now.Add(followerTimeout)
@@ -279,16 +281,16 @@
 }
 
 // Guards against a follower that waits for a successor which itself waits for the frozen
-// reader. When a follower calls the successor, that one must cancel its own call to the
-// reader.
-func TestAskedDaemonStopsOwnCall(t *testing.T) {
+// reader. When a follower calls the successor, the successor must cancel its own call to
+// the reader.
+func TestFollowerCallCancelsOwnRead(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	d := newFollower(&fakeFeedStore{records: []string{"a", "b"}}, listenAndHandle(t, func(net.Conn) { arrived <- struct{}{} }))
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
 		<-arrived
-		d.asked.RecordCall(d.now)
+		d.followers.RecordCall(d.now)
 	})
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
@@ -301,16 +303,16 @@
 // Guards against running upstreams that are dropped after an outage of the store. The first
 // batch after the outage contains removals of expired leases. It must be marked with Away,
 // also for followers that made no reads during the outage.
-func TestFirstReadAfterOutageIsMarked(t *testing.T) {
+func TestFirstBatchAfterOutageIsMarkedAway(t *testing.T) {
 	s := &fakeFeedStore{records: []string{"a"}}
 	d := newTestDaemon(s, testSelf)
-	d.journal.Add(d.now, fleet.FeedUpstreams, 0, snapshotOf(0, "a"))
+	d.cache.Add(d.now, fleet.FeedUpstreams, 0, snapshotOf(0, "a"))
 	s.setDown(true)
 	if _, err := d.readFrom(t, 0); err == nil {
 		t.Fatal("no error from a store that is down")
 	}
-	if !d.journal.Get(d.now, fleet.FeedUpstreams, 0, false).StoreDown {
-		t.Error("the journal does not report that the store is unavailable")
+	if !d.cache.Get(d.now, fleet.FeedUpstreams, 0, false).StoreDown {
+		t.Error("the cache does not report that the store is unavailable")
 	}
 	s.setDown(false)
 	d.now = d.now.Add(2 * maxReaderProbeInterval)
@@ -321,7 +323,7 @@
 	if diff := cmp.Diff([]time.Duration{2 * time.Second, 0}, s.calls()); diff != "" {
 		t.Errorf("the first read after a failure waits: %s", diff)
 	}
-	if l := d.journal.Get(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.StoreDown {
+	if l := d.cache.Get(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.StoreDown {
 		t.Errorf("followers are sent %+v", l)
 	}
 	if next, err := d.readFrom(t, 1); err != nil || next.Away {
@@ -340,15 +342,15 @@
 		asked bool
 		want  time.Duration
 	}{
-		{100 * time.Millisecond, false, testPace.Gather - 100*time.Millisecond},
-		{100 * time.Millisecond, true, testPace.SharedGather - 100*time.Millisecond},
-		{testPace.Gather, false, 0},
+		{100 * time.Millisecond, false, testTiming.Gather - 100*time.Millisecond},
+		{100 * time.Millisecond, true, testTiming.SharedGather - 100*time.Millisecond},
+		{testTiming.Gather, false, 0},
 	} {
 		d.now = d.lastRecords[fleet.FeedUpstreams].Add(tc.later)
-		d.asked = NewFollowerActivity()
-		d.o.Followers = d.asked
+		d.followers = NewFollowerActivity()
+		d.o.Followers = d.followers
 		if tc.asked {
-			d.asked.RecordCall(d.now)
+			d.followers.RecordCall(d.now)
 		}
 		if got := d.gatherDelay(fleet.FeedUpstreams); got != tc.want {
 			t.Errorf("%v after records, with followers %t: pause of %v, want %v", tc.later, tc.asked, got, tc.want)
@@ -370,12 +372,12 @@
 	}
 }
 
-func TestServerEndsConnections(t *testing.T) {
+func TestServerClosesConnections(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(ServerOptions{Cache: newTestJournal(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testPace, Logger: discardLogger, Now: time.Now})
+	s := NewServer(ServerOptions{Cache: newTestFeedCache(time.Now(), "a"), Roster: NewRoster(peer("r", "a", 1), nil), Followers: NewFollowerActivity(), Samples: NewSamples(time.Now()), Quarantine: newQuarantine(), Timing: testTiming, Logger: discardLogger, Now: time.Now})
 	s.Listen(ln)
 	ctx, stop := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
--- a/relay/timing.go
+++ b/relay/timing.go
@@ -7,20 +7,20 @@
 // store must be in force on all daemons.
 type Timing struct {
 	// AnswerWithin is how long a reader holds a call without new records, and Slack how
-	// much longer its answer may take. A shorter hold costs more frames, each of which
-	// takes about 50 µs of CPU time on both sides; a longer one delays the detection of an
-	// unreachable reader.
+	// much longer its answer may take. A shorter AnswerWithin costs more messages, each of
+	// which takes about 50 µs of CPU time on both sides; a longer one delays the detection
+	// of an unreachable reader.
 	AnswerWithin, Slack time.Duration
 	// MaxAge is the age at which a reader's data becomes stale. The follower of a
 	// partitioned reader then has half of the bound left to ask another daemon.
 	MaxAge time.Duration
 	// Hold is the longest wait at the store for a read of the upstreams feed by a daemon
-	// with followers, and ConfigHold that of the configuration feed. Even if an answer is
-	// lost, the timeout and one retry fit in the bound.
+	// with followers, and ConfigHold the same for the configuration feed. Even if an answer
+	// is lost, the timeout and one retry fit in the bound.
 	Hold, ConfigHold time.Duration
 	// Gather is the pause before the next read after a read that returned records, so that
 	// the records of many upstreams that register or drain together are read in few calls.
-	// SharedGather is the same for a daemon with followers.
+	// SharedGather is that pause for a daemon with followers.
 	Gather, SharedGather time.Duration
 }
 
--- a/relay/world_store_test.go
+++ b/relay/world_store_test.go
@@ -18,7 +18,8 @@
 	"github.com/corianderturn/corianderturn/roles"
 )
 
-// fakeStore is the store that all daemons of a test share. Its two feeds keep all records.
+// fakeStore is the store that all daemons of a test share. It keeps all records of its two
+// feeds, but reads from before firstOffset fail as if the older records had been trimmed.
 type fakeStore struct {
 	began time.Time
 
@@ -64,7 +65,7 @@
 	s.update(func() { s.killed[instance] = killed })
 }
 
-// put appends a record to a feed and returns the time.
+// put appends a record to a feed and returns the current time.
 func (s *fakeStore) put(f fleet.Feed, c fleet.Change) time.Time {
 	s.update(func() { s.feeds[f] = append(s.feeds[f], c) })
 	return time.Now()
@@ -99,7 +100,8 @@
 
 var errRefused = errors.New("the store answered 503")
 
-// serveCall counts a call with a weight and returns an error if the call is not served.
+// serveCall counts a call of a daemon as weight calls and returns an error if the store does
+// not serve it.
 func (s *fakeStore) serveCall(ctx context.Context, instance string, weight float64) error {
 	s.mu.Lock()
 	if s.killed[instance] {
@@ -210,13 +212,13 @@
 // fakeGroup is a daemon's membership of the roles group. The member that joined first owns
 // the lease.
 type fakeGroup struct {
-	view storeClient
-	self Peer
+	client storeClient
+	self   Peer
 }
 
 func (m fakeGroup) Join(ctx context.Context, _ uint64, ttl time.Duration) (roles.Membership, error) {
-	s := m.view.store
-	if err := s.serveCall(ctx, m.view.instance, 0.1); err != nil {
+	s := m.client.store
+	if err := s.serveCall(ctx, m.client.instance, 0.1); err != nil {
 		return roles.Membership{}, err
 	}
 	s.mu.Lock()
@@ -237,8 +239,8 @@
 }
 
 func (m fakeGroup) Leave(ctx context.Context) error {
-	s := m.view.store
-	if err := s.serveCall(ctx, m.view.instance, 0.1); err != nil {
+	s := m.client.store
+	if err := s.serveCall(ctx, m.client.instance, 0.1); err != nil {
 		return err
 	}
 	s.mu.Lock()
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -34,7 +34,7 @@
 	began   time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	pace    Timing
+	timing  Timing
 }
 
 const (
@@ -51,7 +51,7 @@
 
 // newTestFleet returns n daemons, spread over the data centres and not started yet.
 func newTestFleet(t *testing.T, n int) *testFleet {
-	w := &testFleet{t: t, network: &network{listeners: map[string]*pipeListener{}}, began: time.Now(), pace: TimingFor(testBound)}
+	w := &testFleet{t: t, network: &network{listeners: map[string]*pipeListener{}}, began: time.Now(), timing: TimingFor(testBound)}
 	w.ctx, w.stop = context.WithCancel(t.Context())
 	w.store = newFakeStore(w.began)
 	for i := range n {
@@ -131,36 +131,36 @@
 	d.mu.Lock()
 	d.version, d.members, d.learned, d.started, d.ready = 0, nil, map[string]time.Time{}, time.Now(), time.Time{}
 	d.mu.Unlock()
-	journal, asked := NewFeedCache(), NewFollowerActivity()
+	cache, followers := NewFeedCache(), NewFollowerActivity()
 	d.roster = NewRoster(d.self, nil)
 	d.samples = NewSamples(time.Now())
-	view := storeClient{w.store, d.self.Instance}
+	client := storeClient{w.store, d.self.Instance}
 	d.quarantine = quarantine.NewKeeper(quarantine.Options{
-		Log: quarantineLog{view}, IsReader: func() bool { return d.feeds.ReadsForOthers() }, Wait: 4 * time.Second, Retention: time.Minute, Logger: discardLogger, Now: time.Now,
+		Log: quarantineLog{client}, IsReader: func() bool { return d.feeds.ReadsForOthers() }, Wait: 4 * time.Second, Retention: time.Minute, Logger: discardLogger, Now: time.Now,
 	})
 	server := NewServer(ServerOptions{
-		Cache: journal, Roster: d.roster, Followers: asked, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Timing: w.pace, Logger: discardLogger, Now: time.Now,
+		Cache: cache, Roster: d.roster, Followers: followers, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Timing: w.timing, Logger: discardLogger, Now: time.Now,
 	})
 	server.Listen(w.network.listen(d.self.Address))
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return w.network.dial(ctx, d.self.Address, address)
 	}
 	d.feeds = NewStore(Options{
-		Direct: fleet.TimeoutStore{Store: view, Timeout: 800 * time.Millisecond}, Directory: view, Cache: journal, Roster: d.roster, Followers: asked,
-		Dial: dial, Timing: w.pace, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Self: d.self, Seeds: w.seeds(), Random: rand.New(rand.NewPCG(7, uint64(d.number))), Logger: discardLogger, Now: time.Now,
+		Direct: fleet.TimeoutStore{Store: client, Timeout: 800 * time.Millisecond}, Directory: client, Cache: cache, Roster: d.roster, Followers: followers,
+		Dial: dial, Timing: w.timing, Samples: d.samples, Quarantine: d.quarantine, OnSamples: d.receiveSamples, Self: d.self, Seeds: w.seeds(), Random: rand.New(rand.NewPCG(7, uint64(d.number))), Logger: discardLogger, Now: time.Now,
 	})
 	d.watch = fleet.NewWatcher(fleet.Options{
 		Store: d.feeds, Intervals: fleet.Intervals{PollWait: 4 * time.Second, Retry: 250 * time.Millisecond},
 		OnView: d.apply, Logger: discardLogger, Now: time.Now,
 	})
-	member := roles.NewRunner(roles.Options{
-		Group: fakeGroup{view, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, QuietPeriod: 3 * time.Second, RenewalInterval: 700 * time.Millisecond,
+	runner := roles.NewRunner(roles.Options{
+		Group: fakeGroup{client, d.self}, View: func() *fleet.View { return nil }, TTL: 3 * time.Second, QuietPeriod: 3 * time.Second, RenewalInterval: 700 * time.Millisecond,
 		CallTimeout: 600 * time.Millisecond, Candidate: d.feeds.ReadsStore, Logger: discardLogger, Now: time.Now,
 	})
 	exchange := NewExchange(ExchangeOptions{
 		Self: d.self, Seeds: w.seeds(), Roster: d.roster, Samples: d.samples, Dial: dial, Logger: discardLogger, Now: time.Now,
 	})
-	for _, run := range []func(context.Context) error{server.Run, d.watch.Run, member.Run, exchange.Run, d.quarantine.Run} {
+	for _, run := range []func(context.Context) error{server.Run, d.watch.Run, runner.Run, exchange.Run, d.quarantine.Run} {
 		d.wg.Go(func() {
 			if err := run(ctx); err != nil {
 				w.t.Errorf("%s: %v", d.self.Instance, err)
