--- a/fleet/content.go
+++ b/fleet/content.go
@@ -2,7 +2,8 @@
 
 import "github.com/corianderturn/corianderturn/bundle"
 
-// A pool of an engine service is named after the service with the role as suffix.
+// Each service has a pool of its name. An engine service also has a pool for each role,
+// named after the service with one of these suffixes.
 const (
 	prefillSuffix = "/prefill"
 	decodeSuffix  = "/decode"
@@ -14,7 +15,7 @@
 	b := &bundle.Bundle{
 		Models:    map[string]bundle.Model{},
 		Pools:     map[string]bundle.Pool{},
-		Upstreams: make(map[string]bundle.Upstream, len(r.members)),
+		Upstreams: make(map[string]bundle.Upstream, len(r.upstreams)),
 		Services:  map[string]bundle.Service{},
 		Classes:   map[bundle.Class]bundle.ClassTarget{},
 		Policy:    bundle.PolicyConfig{GoodputWeight: 1, WastedPrefillWeight: 1, QueueShare: queueShare},
@@ -33,7 +34,7 @@
 			Priority:            route.Priority,
 		}
 	}
-	for name, m := range r.members {
+	for name, m := range r.upstreams {
 		b.Upstreams[name] = r.bundleUpstream(m)
 	}
 	return b
@@ -68,7 +69,7 @@
 	}
 }
 
-func (r *Registry) bundleUpstream(m *member) bundle.Upstream {
+func (r *Registry) bundleUpstream(m *upstreamEntry) bundle.Upstream {
 	up := bundle.Upstream{
 		Pool: m.Service, DataCentre: m.DataCentre, Address: m.Address, State: bundle.StateServing, Incarnation: m.Born,
 	}
--- a/fleet/model.go
+++ b/fleet/model.go
@@ -1,6 +1,11 @@
 // Package fleet combines the current configuration with the registered upstreams into
-// the view that requests are routed by: a table of routes, and a bundle for packages
-// board and policy.
+// the view by which requests are routed: a table of routes, and a bundle (the form of
+// configuration that packages board and policy read).
+//
+// An upstream is a back end: a model engine or a replica of a plain service. It registers
+// itself in the platform's store under a lease. Its registration ends when the upstream
+// withdraws it, or expires when the lease is not renewed. A caller is a client that sends
+// requests to a daemon.
 //
 // Registry does no I/O: it consumes events with their time and produces immutable
 // Views. Watcher reads the events from a Store and is the only writer of its Registry.
@@ -37,7 +42,8 @@
 	PlainTokens int
 }
 
-// Kind is the retry semantics of a route's requests.
+// Kind is the kind of a route's requests: whether a request may be executed more than once,
+// and whether the response is a stream.
 type Kind uint8
 
 // The kinds. The zero value is the most restrictive one.
@@ -57,9 +63,9 @@
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout bounds the time to the end of the response. FirstTarget is the latency
-	// target of the first byte or event and GapTarget that of the interval between two
-	// events; 0 means no target.
+	// Timeout bounds the time from the request to the end of its response. FirstTarget is
+	// the latency target of the first byte or event, and GapTarget is the target of the
+	// interval between two events; a target of 0 means none.
 	Timeout, FirstTarget, GapTarget time.Duration
 	// Priority orders requests; 0 is the highest.
 	Priority int
@@ -102,7 +108,7 @@
 	// unlimited.
 	LinkBytesPerSecond int64
 	// HandleLife is how long an engine keeps the KV cache of a finished prefill.
-	// MaxHold is the longest reservation of a slot.
+	// MaxHold is the longest time for which a slot may be reserved.
 	HandleLife, MaxHold time.Duration
 	// RoleSwitch is how long an engine is unavailable while it changes its role.
 	RoleSwitch time.Duration
@@ -110,7 +116,7 @@
 	EventTokens int
 }
 
-// CallerLimits bounds the size of client requests and the time that clients may take.
+// CallerLimits bounds the size of requests and the time that callers may take to send them.
 type CallerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -130,9 +136,9 @@
 
 // Registration is the record by which an upstream announces itself. It is comparable.
 type Registration struct {
-	// Name stays the same when the upstream restarts. Born identifies the incarnation:
-	// the start time by the upstream's own wall clock in Unix milliseconds, or 0 if the
-	// upstream does not report it.
+	// Name stays the same when the upstream restarts. Born identifies the incarnation, that
+	// is, one run of the upstream's process: it is the start time by the upstream's own wall
+	// clock in Unix milliseconds, or 0 if the upstream does not report it.
 	Name       string
 	Born       int64
 	Service    string
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -10,17 +10,16 @@
 
 const (
 	// reregistrationGrace is how long an upstream stays in use after its registration
-	// expired. By the platform's specification, upstreams that are alive register
-	// again within about two seconds of the end of a store outage, and the others are
-	// gone.
+	// expired. By the platform's specification, every upstream that still runs registers
+	// again within about two seconds of the end of a store outage.
 	reregistrationGrace = 2 * time.Second
-	// massExpiryShare is the share of a service's upstreams above which registrations
-	// that disappear between two reads count as expired leases, not as withdrawals.
-	// Upstreams leave a few at a time, whereas after a failure of the store all leases
-	// expire together.
+	// massExpiryShare is a share of a service's upstreams. If the registrations of more
+	// than this share disappear between two reads, they count as expired, not as
+	// withdrawn. Upstreams withdraw a few at a time, whereas after a failure of the store
+	// all leases expire together.
 	massExpiryShare = 0.5
 	// queueShare is the part of the first token's latency target that a request may
-	// wait for a slot. A client that is refused after that wait has most of the target
+	// wait for a slot. A caller that is refused after that wait has most of the target
 	// left for a retry.
 	queueShare = 0.125
 )
@@ -45,7 +44,7 @@
 	config     *Config
 	routes     *RouteTable
 	teams      *TeamTable
-	members    map[string]*member
+	upstreams  map[string]*upstreamEntry
 	viewNumber uint64
 	changed    bool
 	// changedUpstreams are the names of the upstreams that changed since the last view.
@@ -53,17 +52,17 @@
 	lastView         View
 }
 
-// member is one registered upstream.
-type member struct {
+// upstreamEntry is the registry's entry for one upstream.
+type upstreamEntry struct {
 	Registration
-	// expiredAt is when the registration expired although the upstream may be alive;
-	// zero if it has not expired.
+	// expiredAt is when the registration expired; zero if it has not. The upstream may
+	// still run.
 	expiredAt time.Time
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{members: map[string]*member{}, changedUpstreams: map[string]bool{}}
+	return &Registry{upstreams: map[string]*upstreamEntry{}, changedUpstreams: map[string]bool{}}
 }
 
 // SetConfig replaces the configuration if c is newer, and returns whether it did. An
@@ -73,19 +72,19 @@
 	if c == nil || r.config != nil && c.Version <= r.config.Version {
 		return false, nil
 	}
-	roll, err := NewTeamTable(c.Teams)
+	teamTable, err := NewTeamTable(c.Teams)
 	if err != nil {
 		return false, err
 	}
-	r.config, r.routes, r.teams, r.changed = c, NewRouteTable(c.Routes), roll, true
+	r.config, r.routes, r.teams, r.changed = c, NewRouteTable(c.Routes), teamTable, true
 	return true, nil
 }
 
 // Put adds or updates an upstream's registration.
 func (r *Registry) Put(reg Registration) {
-	m := r.members[reg.Name]
+	m := r.upstreams[reg.Name]
 	if m == nil {
-		r.members[reg.Name] = &member{Registration: reg}
+		r.upstreams[reg.Name] = &upstreamEntry{Registration: reg}
 		r.markChanged(reg.Name)
 		return
 	}
@@ -102,24 +101,23 @@
 }
 
 // HandleMissing handles registrations that have disappeared from the store. afterOutage means
-// that the store was unreachable before they were found missing.
+// that the store was unreachable until the read that found them missing.
 //
-// Upstreams cannot renew their leases while the store is down. If every registration
-// that disappeared then were removed, all daemons would refuse all requests
-// ("no upstream") although the upstreams are healthy. So registrations that disappeared
-// during an outage, or together with most of their service, count as expired, and their
-// upstreams stay in use for reregistrationGrace. All other registrations that disappear
-// were withdrawn: their upstreams get no new requests. An upstream that was draining is
-// removed in either case.
+// Upstreams cannot renew their leases while the store is down. If the registry removed
+// every upstream whose registration disappears in an outage, all daemons would refuse all
+// requests ("no upstream") although the upstreams are healthy. Registrations that
+// disappear during an outage, or together with most of their service, therefore count as
+// expired, and their upstreams stay in use for reregistrationGrace. All others count as
+// withdrawn, and their upstreams are removed at once, as are upstreams that were draining.
 func (r *Registry) HandleMissing(now time.Time, names []string, afterOutage bool) {
 	removedByService := map[string]int{}
 	for _, name := range names {
-		if m := r.members[name]; m != nil {
+		if m := r.upstreams[name]; m != nil {
 			removedByService[m.Service]++
 		}
 	}
 	for _, name := range names {
-		m := r.members[name]
+		m := r.upstreams[name]
 		if m == nil {
 			continue
 		}
@@ -129,7 +127,7 @@
 			}
 			continue
 		}
-		delete(r.members, name)
+		delete(r.upstreams, name)
 		r.markChanged(name)
 	}
 }
@@ -138,7 +136,7 @@
 // leases: more than two, and more than massExpiryShare of the service.
 func (r *Registry) isMassExpiry(service string, n int) bool {
 	total := 0
-	for _, m := range r.members {
+	for _, m := range r.upstreams {
 		if m.Service == service {
 			total++
 		}
@@ -146,8 +144,8 @@
 	return n > 2 && float64(n) > massExpiryShare*float64(total)
 }
 
-// Replace applies a complete list of registrations. Those that are not in it are
-// dropped as HandleMissing describes.
+// Replace applies a complete list of registrations. Known registrations that are not in
+// the list are passed to HandleMissing.
 func (r *Registry) Replace(now time.Time, list []Registration, afterOutage bool) {
 	listed := make(map[string]bool, len(list))
 	for _, reg := range list {
@@ -155,7 +153,7 @@
 		r.Put(reg)
 	}
 	var missing []string
-	for name := range r.members {
+	for name := range r.upstreams {
 		if !listed[name] {
 			missing = append(missing, name)
 		}
@@ -167,13 +165,13 @@
 // reregistrationGrace. It returns when the next grace period ends; zero if none is
 // running.
 func (r *Registry) Expire(now time.Time) (next time.Time) {
-	for name, m := range r.members {
+	for name, m := range r.upstreams {
 		if m.expiredAt.IsZero() {
 			continue
 		}
 		graceEnd := m.expiredAt.Add(reregistrationGrace)
 		if !now.Before(graceEnd) {
-			delete(r.members, name)
+			delete(r.upstreams, name)
 			r.markChanged(name)
 		} else if next.IsZero() || graceEnd.Before(next) {
 			next = graceEnd
@@ -202,8 +200,8 @@
 
 // fullView builds a view from the complete state of the registry.
 func (r *Registry) fullView() View {
-	v := View{Config: r.config, Routes: r.routes, Teams: r.teams, Registrations: make(map[string]Registration, len(r.members))}
-	for name, m := range r.members {
+	v := View{Config: r.config, Routes: r.routes, Teams: r.teams, Registrations: make(map[string]Registration, len(r.upstreams))}
+	for name, m := range r.upstreams {
 		v.Registrations[name] = m.Registration
 	}
 	v.Bundle = &bundle.Version{Bundle: r.buildBundle(), Number: r.viewNumber}
@@ -215,7 +213,7 @@
 	v, content := r.lastView, *r.lastView.Bundle.Bundle
 	v.Registrations, content.Upstreams = maps.Clone(v.Registrations), maps.Clone(content.Upstreams)
 	for name := range r.changedUpstreams {
-		if m := r.members[name]; m != nil {
+		if m := r.upstreams[name]; m != nil {
 			v.Registrations[name], content.Upstreams[name] = m.Registration, r.bundleUpstream(m)
 			continue
 		}
--- a/fleet/registry_test.go
+++ b/fleet/registry_test.go
@@ -60,16 +60,16 @@
 	return out
 }
 
-// Guards against serving a deleted route again because an older version of the
-// configuration arrived after a newer one and replaced it.
+// Guards against serving a deleted route again because version 4 of the configuration
+// arrived after version 5 and replaced it.
 func TestConfigNeverGoesBack(t *testing.T) {
 	r := NewRegistry()
 	for _, step := range []struct {
 		version uint64
-		taken   bool
+		newer   bool
 	}{{5, true}, {4, false}, {5, false}, {9, true}} {
-		if got, err := r.SetConfig(testConfig(step.version)); got != step.taken || err != nil {
-			t.Errorf("version %d: taken %t, want %t", step.version, got, step.taken)
+		if got, err := r.SetConfig(testConfig(step.version)); got != step.newer || err != nil {
+			t.Errorf("version %d: newer %t, want %t", step.version, got, step.newer)
 		}
 	}
 	if r.config.Version != 9 {
@@ -77,10 +77,10 @@
 	}
 }
 
-// Guards against sending new requests for seconds to an upstream that reported that it
-// is draining, or that withdrew its registration, while the store is reachable. The
-// grace period applies after outages only.
-func TestLeavingUpstreamIsLeftOutAtOnce(t *testing.T) {
+// Guards against an upstream that keeps getting new requests for seconds after it has
+// reported that it is draining or has withdrawn its registration. The grace period must
+// not apply to it, because the store is reachable.
+func TestDrainingAndWithdrawnUpstreamsGetNoNewRequests(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"), appRegistration("d"))
 	draining := appRegistration("a")
 	draining.Draining = true
@@ -94,8 +94,9 @@
 
 // Guards against refusing every request ("no-upstream") although the upstreams are
 // healthy. While the store is down, leases expire, and the first read after the outage
-// returns no registration. Two seconds later all but one have registered again.
-func TestLapsedUpstreamsStayForTheGrace(t *testing.T) {
+// returns no registration. One of the two upstreams registers again within the grace
+// period; the other does not.
+func TestExpiredUpstreamsStayForGracePeriod(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"))
 	r.Replace(at(0), nil, true)
 	if got := servingUpstreams(t, r); len(got) != 2 {
@@ -112,9 +113,9 @@
 }
 
 // Guards against sending a request to an upstream 2.2 s after it withdrew its
-// registration. The store had been unreachable for one daemon, and the grace period also
-// covered registrations withdrawn after the outage.
-func TestWithdrawalAfterTheReturnHasNoGrace(t *testing.T) {
+// registration. This happened when the grace period after an outage also covered
+// registrations that were withdrawn after the outage.
+func TestWithdrawalAfterOutageHasNoGracePeriod(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"))
 	r.Replace(at(0), []Registration{appRegistration("a"), appRegistration("b"), appRegistration("c")}, true)
 	r.HandleMissing(at(1000), []string{"b"}, false)
@@ -123,10 +124,10 @@
 	}
 }
 
-// Guards against the failure of TestLapsedUpstreamsStayForTheGrace when the daemon sees
-// no outage: the store loses all leases at once while the daemon can read it. The loss
-// of most of a service must not be handled like upstreams that leave one by one.
-func TestMassLossIsALapse(t *testing.T) {
+// Guards against refusing every request when the store loses the leases of a service while
+// the daemon can read it. The daemon sees no outage, but registrations of most of a service
+// that disappear together must still count as expired.
+func TestMassRemovalCountsAsExpiry(t *testing.T) {
 	r := newTestRegistry(appRegistration("a"), appRegistration("b"), appRegistration("c"), appRegistration("d"))
 	r.HandleMissing(at(0), []string{"a", "b", "c"}, false)
 	if got := servingUpstreams(t, r); len(got) != 4 {
@@ -138,7 +139,7 @@
 	}
 }
 
-func TestContent(t *testing.T) {
+func TestViewBundle(t *testing.T) {
 	prefill := Registration{Name: "p", Service: "llm", Address: "p:1", DataCentre: "dc1", Role: RolePrefill}
 	decode := Registration{Name: "d", Service: "llm", Address: "d:1", DataCentre: "dc1", Role: RoleDecode}
 	r := newTestRegistry(prefill, decode, appRegistration("a"))
@@ -174,9 +175,9 @@
 	}
 }
 
-// Guards against routing by registrations that no longer exist: an incremental view must
-// equal a view that is built from the complete state.
-func TestViewsMadeOfChangesAreWhole(t *testing.T) {
+// Guards against routing by registrations that no longer exist. After random changes, each
+// incremental view must equal a view that is built from the complete state.
+func TestIncrementalViewEqualsFullView(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := NewRegistry()
 	_, _ = r.SetConfig(&Config{Version: 1, Services: map[string]Service{"s": {}}})
--- a/fleet/retrydetector.go
+++ b/fleet/retrydetector.go
@@ -10,26 +10,28 @@
 	// taken over the current window and the previous one.
 	deadlineWindow = 30 * time.Second
 	// firstAttemptTolerance is how much shorter than the longest deadline the deadline
-	// of a first attempt may be: clients start their deadline before they connect.
+	// of a first attempt may be: callers start their deadline before they connect.
 	firstAttemptTolerance = 40 * time.Millisecond
 	// minFirstAttemptShare is a precondition for detecting retries: at least this share
-	// of a route's requests must have the longest deadline. Where clients choose their
-	// deadlines freely, the share is lower, and a shorter deadline says nothing about
-	// retries. When such requests counted as retries, half of them were refused because
-	// their first token was expected to be late.
+	// of a route's requests must have the longest deadline. Where callers choose their
+	// deadlines freely, the share is lower, and a shorter deadline does not indicate a
+	// retry. When requests of such routes counted as retries, half of them were refused
+	// because their first token was expected to be late.
 	minFirstAttemptShare = 0.35
-	// minSampleWeight is the smallest weight of a new request in the moving average of
-	// that share.
+	// minSampleWeight is the smallest weight of a new request in the moving average
+	// deadlineStats.firstAttemptShare.
 	minSampleWeight = 0.02
 	// minRequests is the number of requests that a route must have had before retries
-	// are detected. The share is too high at first: each of the first requests is likely
-	// to have the longest deadline so far, even where clients choose deadlines freely.
+	// are detected. The share of first attempts is overestimated until then: each of the
+	// first requests is likely to have the longest deadline so far, even where callers
+	// choose deadlines freely.
 	minRequests = 12
 )
 
-// RetryDetector detects client retries after a refusal from the deadlines of requests. All
-// clients of a route send the same deadline with a first attempt, and the remaining
-// time with a retry. RetryDetector reads no clock and is safe for concurrent use.
+// RetryDetector detects by its deadline whether a request is a retry, that is, whether its
+// caller repeats it after a refusal. It assumes that all callers of a route state the same
+// deadline with a first attempt, and the remaining time with a retry. RetryDetector reads
+// no clock and is safe for concurrent use.
 type RetryDetector struct {
 	mu      sync.Mutex
 	byRoute map[string]*deadlineStats
@@ -50,7 +52,7 @@
 // NewRetryDetector returns a detector without statistics.
 func NewRetryDetector() *RetryDetector { return &RetryDetector{byRoute: map[string]*deadlineStats{}} }
 
-// RecordDeadline records the deadline of a request and returns how long its client has already
+// RecordDeadline records the deadline of a request and returns how long its caller has already
 // waited since its first attempt; 0 for a first attempt.
 func (p *RetryDetector) RecordDeadline(now time.Time, route string, deadline time.Duration) time.Duration {
 	p.mu.Lock()
--- a/fleet/retrydetector_test.go
+++ b/fleet/retrydetector_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Guards against refusing half of a route's requests because their first token would be
-// late, while engines are idle. This happened where clients choose their deadlines
-// freely: every deadline below the longest one was taken for a retry.
-func TestDeadlinesThatDifferTellNothing(t *testing.T) {
+// Guards against refusing half of a route's requests, while engines are idle, because their
+// first token is expected to be late. This happened where callers choose their deadlines
+// freely: every request with less than the longest deadline counted as a retry.
+func TestFreelyChosenDeadlinesAreNotRetries(t *testing.T) {
 	p := NewRetryDetector()
-	taken := 0
+	detected := 0
 	for i := range 400 {
 		deadline := 11*time.Second + time.Duration(i*7919%3000)*time.Millisecond
 		if p.RecordDeadline(at(i), "drafts", deadline) > 0 && i < 400 {
-			taken++
+			detected++
 		}
 	}
-	if taken > 0 {
-		t.Errorf("%d of 400 requests were taken for returns", taken)
+	if detected > 0 {
+		t.Errorf("%d of 400 requests were detected as retries", detected)
 	}
 }
 
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -23,8 +23,8 @@
 	return t
 }
 
-// Match returns the route of a host with the longest prefix of the path. The port of
-// the host, if any, is ignored.
+// Match returns the route of a host whose prefix is the longest that matches the path. The
+// port of the host, if any, is ignored.
 func (t *RouteTable) Match(host, path string) (Route, bool) {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.byHost[host] {
@@ -35,9 +35,9 @@
 	return Route{}, false
 }
 
-// SelectService selects the service for one request by weight; draw is a random number, uniform
-// in [0, 1). Services without a positive weight get no requests. If no service has a
-// positive weight, the first one gets them all.
+// SelectService selects the service for one request at random by weight; draw is the random
+// number, uniform in [0, 1). Services without a positive weight get no requests. If no
+// service has a positive weight, the first one gets them all.
 func (r Route) SelectService(draw float64) string {
 	if len(r.Targets) == 0 {
 		return ""
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestSelectService(t *testing.T) {
 	split := Route{Targets: []Target{{"a", 90}, {"off", 0}, {"b", 10}}}
 	for _, tc := range []struct {
 		route Route
--- a/fleet/teams.go
+++ b/fleet/teams.go
@@ -8,9 +8,9 @@
 	"github.com/corianderturn/corianderturn/teams"
 )
 
-// maxUnits is the largest number accepted in a team's limit: units per second, units of
-// burst or tokens per request. It is far beyond any real limit, and small enough that
-// sums of such numbers are exact in float64.
+// maxUnits is the largest rate, burst or number of tokens per request that a team's limit
+// may have. It is far beyond any real limit, and small enough that sums of such numbers
+// are exact in float64.
 const maxUnits = 1e15
 
 // TeamTable looks up the teams of a configuration by key and by name. It is immutable.
@@ -19,9 +19,9 @@
 	byName map[string]Team
 }
 
-// NewTeamTable builds the lookup of the given teams. It returns an error if they are invalid.
+// NewTeamTable returns a table of the given teams, or an error if they are invalid.
 //
-// Without the checks, a key that two teams share would identify one of them at random,
+// Without the validation, a key that two teams share would identify one of them at random,
 // and a negative or NaN limit would refuse all requests of a team, or none.
 func NewTeamTable(list []Team) (*TeamTable, error) {
 	r := &TeamTable{byName: make(map[string]Team, len(list))}
--- a/fleet/teams_test.go
+++ b/fleet/teams_test.go
@@ -10,12 +10,12 @@
 )
 
 // Guards against replacing a valid configuration by one with invalid teams.
-func TestVersionsThatContradictThemselves(t *testing.T) {
+func TestInvalidTeamsAreRejected(t *testing.T) {
 	key := []teams.Digest{teams.DigestOf("k")}
 	good := []Team{{Name: "red", Keys: key, Limit: quota.Limit{Rate: 5}}, {Name: "blue"}}
 	r := NewRegistry()
-	if taken, err := r.SetConfig(&Config{Version: 1, Teams: good}); !taken || err != nil {
-		t.Fatal(taken, err)
+	if newer, err := r.SetConfig(&Config{Version: 1, Teams: good}); !newer || err != nil {
+		t.Fatal(newer, err)
 	}
 	for name, list := range map[string][]Team{
 		"two teams with one key":  {{Name: "red", Keys: key}, {Name: "blue", Keys: key}},
@@ -23,11 +23,11 @@
 		"a team without a name":   {{Keys: key}},
 		"a negative rate":         {{Name: "red", Limit: quota.Limit{Rate: -1}}},
 		"an absurd rate":          {{Name: "red", Limit: quota.Limit{Rate: 1e300}}},
-		"a rate of no number":     {{Name: "red", Limit: quota.Limit{Rate: math.NaN()}}},
+		"a rate that is NaN":      {{Name: "red", Limit: quota.Limit{Rate: math.NaN()}}},
 		"a negative burst":        {{Name: "red", Limit: quota.Limit{Burst: -1}}},
 		"negative plain tokens":   {{Name: "red", PlainTokens: -1}},
 	} {
-		if taken, err := r.SetConfig(&Config{Version: 2, Teams: list}); taken || err == nil {
+		if newer, err := r.SetConfig(&Config{Version: 2, Teams: list}); newer || err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/fleet/watcher.go
+++ b/fleet/watcher.go
@@ -49,15 +49,15 @@
 	Next uint64
 	// Away means that the store was unreachable before this call.
 	Away bool
-	// Whole means that Changes is a snapshot with the newest record of every key; keys
-	// that are not in it have been removed.
+	// Whole means that Changes is a snapshot: it has the newest record of every key, and
+	// keys that are not in it have been removed.
 	Whole bool
 }
 
 // Store reads the feeds. Implementations are safe for concurrent use.
 type Store interface {
-	// Snapshot returns a snapshot, with the newest record of every key, and the offset
-	// after it.
+	// Snapshot returns the newest record of every key, and the offset of the first record
+	// after the snapshot.
 	Snapshot(ctx context.Context, f Feed) (Batch, error)
 	// Read returns the records from an offset on, or a snapshot instead (Batch.Whole). It
 	// waits up to wait for the first record. It returns ErrTrimmed if the store no longer
@@ -74,7 +74,8 @@
 	Retry time.Duration
 }
 
-// TimeoutStore is a Store with a timeout on each call. A Read may also take its wait.
+// TimeoutStore is a Store with a timeout on each call. For a Read, the time that it may wait
+// for records is added to the timeout.
 type TimeoutStore struct {
 	Store   Store
 	Timeout time.Duration
@@ -195,8 +196,9 @@
 	wait := w.options.Intervals.PollWait
 	if w.isFailing(f) {
 		// Registrations that the first read after an outage reports as removed count as
-		// expired. A read that waits could also report registrations that were withdrawn
-		// long after the outage, and these would count as expired too.
+		// expired. This read must not wait for records: it could otherwise report
+		// registrations that were withdrawn long after the outage, and these would count
+		// as expired too.
 		wait = 0
 	}
 	if snapshot {
--- a/fleet/watcher_test.go
+++ b/fleet/watcher_test.go
@@ -156,10 +156,10 @@
 	waitForView(t, views, func(v View) bool { return len(v.Registrations) == 0 })
 }
 
-// Guards against a daemon that keeps an old configuration forever because the store
-// trimmed records that the daemon had not read yet, and the daemon goes on reading at the
-// trimmed offset.
-func TestWatcherReadsWholeAfterTrim(t *testing.T) {
+// Guards against a daemon that keeps an old configuration forever: the store has trimmed
+// records that the daemon had not read yet, and the daemon keeps reading at the trimmed
+// offset instead of reading a snapshot.
+func TestWatcherReadsSnapshotAfterTrim(t *testing.T) {
 	s := newFakeStore()
 	s.add(FeedConfig, Change{Config: testConfig(3)})
 	_, views := startWatcher(t, s)
@@ -171,10 +171,10 @@
 	waitForView(t, views, hasVersion(5))
 }
 
-// Guards against refusing requests while the store is down because the view was
-// discarded, and against missing a new version after the outage because the reader
-// stopped at the error.
-func TestWatcherKeepsTheViewWhileTheStoreIsDown(t *testing.T) {
+// Guards against a watcher that discards its view while the store is down, so that requests
+// are refused, and against one that stops reading at the error and misses new versions
+// after the outage.
+func TestWatcherKeepsViewDuringStoreOutage(t *testing.T) {
 	s := newFakeStore()
 	a := appRegistration("a")
 	s.add(FeedConfig, Change{Config: testConfig(3)})
@@ -193,9 +193,9 @@
 }
 
 // Guards against sending a request to an upstream 2.0 s after it withdrew its
-// registration. The first read after an outage waited in the store, ended a second later
-// with that withdrawal, and the registration was handled as expired.
-func TestWithdrawalAfterTheReturnIsNoLapse(t *testing.T) {
+// registration. This happened when the first read after an outage was a long poll: a
+// second after the outage it returned the withdrawal, which then counted as an expiry.
+func TestFirstReadAfterOutageDoesNotWait(t *testing.T) {
 	s := newFakeStore()
 	a, b := appRegistration("a"), appRegistration("b")
 	s.add(FeedConfig, Change{Config: testConfig(3)})
@@ -206,7 +206,7 @@
 	s.update(func() { s.down = true })
 	waittest.Until(t, "the failure is noticed", func() bool { return w.isFailing(FeedUpstreams) })
 	s.update(func() { s.down = false })
-	waittest.Until(t, "the return is noticed", func() bool { return !w.isFailing(FeedUpstreams) })
+	waittest.Until(t, "the end of the outage is noticed", func() bool { return !w.isFailing(FeedUpstreams) })
 	s.add(FeedUpstreams, Change{Gone: "b"})
 	// The test clock does not advance: an upstream that counts as expired would never be
 	// removed.
--- a/router/attached.go
+++ b/router/attached.go
@@ -34,10 +34,10 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Attached is a daemon that runs on its users' own platform. It shares the
-// request-handling core with Router, but takes its configuration and upstreams from
-// the platform's store, and leaves to the platform what Router does itself to
-// coordinate daemons (idempotency claims, stewards, the peer mesh, signed bundles).
+// Attached is a daemon that runs on a platform that its users operate. It handles requests
+// with the same request.Runner as Router, but takes its configuration and upstreams from
+// the platform's store. It has no idempotency claims, stewards, peer mesh or signed bundles:
+// what Router does with these is left to the platform.
 type Attached struct {
 	settings atomic.Pointer[settings.Attached]
 	logger   log.Interface
@@ -52,40 +52,49 @@
 	watcher *fleet.Watcher
 	// callerDeadlines estimates how long callers that retry after a refusal have waited.
 	callerDeadlines *fleet.RetryDetector
-	// costs holds the learned costs of completions.
+	// costs holds the estimated costs of completions.
 	costs *costsByService
-	// finishedSamples and prefillSamples limit the rate at which samples of other daemons
-	// are taken (see learnSamples).
-	finishedSamples, prefillSamples *rate.Limiter
-	// store is the platform's store, and group its list of the daemons that have joined.
+	// completionSampleLimiter and prefillSampleLimiter limit the rate at which this daemon
+	// uses samples (measurements of engines) from other daemons; see learnSamples.
+	completionSampleLimiter, prefillSampleLimiter *rate.Limiter
+	// store is the platform's store. group is the list of daemons that the store keeps.
 	store *platform.Store
 	group *platform.Group
-	// relay serves other daemons what this one has read from the store; nil when the
-	// settings have no relay address.
+	// relay sends other daemons the records that this one has read from the store; nil when
+	// the settings have no relay address.
 	relay *relay.Server
-	// The next fields are nil too without a relay address. exchange connects to the daemons
-	// that read the store for other data centres; feeds reads the store or asks the daemon
-	// that does; journal keeps the records that were read; roster lists the other daemons;
-	// readRequests remembers when others last asked this daemon to read for them; samples
-	// collects measurements of engines to be shared; timeKeeper hands accrued time to
-	// other daemons (see package quota).
-	exchange     *relay.Exchange
-	feeds        *relay.Store
-	journal      *relay.FeedCache
-	roster       *relay.Roster
-	readRequests *relay.FollowerActivity
-	samples      *relay.Samples
-	timeKeeper   *relay.AccrualSender
-	// retryBorrower borrows retries from other daemons; nil when the settings have no relay
-	// address.
+	// The fields from exchange to retryBorrower are also nil when the settings have no relay
+	// address. The reader of a data centre is the daemon that reads the store for the others
+	// there, its followers (see package relay).
+	//
+	// exchange shares known daemons, samples and rate limits with the readers of other data
+	// centres.
+	exchange *relay.Exchange
+	// feeds reads the store, or asks the reader.
+	feeds *relay.Store
+	// feedCache caches the records that feeds has read.
+	feedCache *relay.FeedCache
+	// roster holds the known daemons and elects the reader.
+	roster *relay.Roster
+	// followerActivity records when followers last read through this daemon.
+	followerActivity *relay.FollowerActivity
+	// samples collects measurements of engines that are to be sent to other daemons.
+	samples *relay.Samples
+	// accrualSender sends the reader the spans of time for which the reader accrues this
+	// daemon's share of rate limits (see package quota).
+	accrualSender *relay.AccrualSender
+	// retryBorrower borrows retries from other daemons.
 	retryBorrower *relay.Borrower
-	// roles orders engines to change roles while this daemon holds the lease for it.
-	roles         *roles.Runner
+	// roles orders engines to change roles while this daemon holds the lease that permits it.
+	roles *roles.Runner
+	// daemonCounter counts the daemons that share the retry budget.
 	daemonCounter *daemonCounter
-	teamLimits    *teamLimits
+	// teamLimits enforces the rate limits of teams.
+	teamLimits *teamLimits
 	// upstreamLimits enforces the rate limits that upstreams announce in their answers.
 	upstreamLimits *upstreamLimits
-	// quarantine records the requests during which upstreams crashed.
+	// quarantine records the requests during which upstreams crashed, and refuses a request
+	// that has crashed several.
 	quarantine      *quarantine.Keeper
 	runner          *request.Runner
 	callersListener *frontend.Listener
@@ -124,8 +133,8 @@
 const heapShare = 0.7
 
 // limitResources sets the Go memory limit and GOMAXPROCS from the instance's limits.
-// Without a memory limit the garbage collector lets the heap double between two cycles,
-// and a burst of requests then makes the process run out of memory.
+// Without a memory limit the garbage collector lets the heap double between two cycles, so
+// that the process runs out of memory in a burst of requests.
 func (a *Attached) limitResources() {
 	const megabyte = 1 << 20
 	debug.SetMemoryLimit(int64(float64(a.settings.Load().Limits.MemoryMB) * heapShare * megabyte))
@@ -139,7 +148,7 @@
 	a.callerDeadlines = fleet.NewRetryDetector()
 	a.costs = newCostsByService()
 	a.daemonCounter = &daemonCounter{a: a, startedAt: time.Now()}
-	a.finishedSamples, a.prefillSamples = newSampleLimiter(), newSampleLimiter()
+	a.completionSampleLimiter, a.prefillSampleLimiter = newSampleLimiter(), newSampleLimiter()
 	a.budgets = retry.NewBudgets(time.Now(), retryBounds(a.settings.Load()))
 	a.teamLimits = newTeamLimits(a)
 	if a.metrics, err = telemetry.NewMetrics(); err != nil {
@@ -152,8 +161,8 @@
 // Timeouts and limits of the connections to the store and to upstreams. A connection on
 // which the other side is silent is closed after unackedTimeout if sent bytes are
 // unacknowledged, and otherwise after probeInterval times the number of keep-alive probes
-// plus one. A long poll at the store sends nothing while it waits: with three probes, a
-// lost connection was noticed too late to apply a new version in time, so the store's
+// plus one. Nothing is sent during a long poll at the store. With three probes, the loss of
+// such a connection was noticed too late to apply a new version in time, so the store's
 // connections use one probe. The timeouts are several times the round trip of a network
 // path (milliseconds), and short compared with the callers' deadlines.
 const (
@@ -180,8 +189,9 @@
 // partition get requests again within seconds of its end.
 const maxEjection = 2 * time.Second
 
-// contactMargin is subtracted from the wait of a long poll at the store, so that the next
-// read, which does not wait for new records, ends within the settings' store.contact time.
+// contactMargin is the time that a long poll which times out leaves for the next read, which
+// does not wait for new records. Both reads together must end within the settings'
+// store.contact time.
 const contactMargin = 200 * time.Millisecond
 
 // storeClient returns an HTTP client for calls to the store.
@@ -207,18 +217,18 @@
 // of a second; the step timeouts leave room for a full prefill queue and are shorter than
 // the lifetime of a reservation. stallTimeout bounds the gap between two events of a
 // stream: it is several times the gap that callers count as late, and shorter than the
-// one at which they disconnect.
+// gap after which they disconnect.
 const (
 	reserveTimeout = 150 * time.Millisecond
 	prefillTimeout = 1200 * time.Millisecond
 	importTimeout  = 1500 * time.Millisecond
 	stallTimeout   = 1200 * time.Millisecond
 	maxAttempts    = 3
-	// firstTryTargets is the timeout of the first try of an idempotent call, as a multiple
+	// firstTryTimeoutFactor is the timeout of the first try of an idempotent call, as a multiple
 	// of its class's target for the first byte. 99 in 100 answers of a healthy replica
 	// arrive within it, and it leaves time for a second try before the callers' deadlines.
-	firstTryTargets = 1.5
-	maxRefusals     = 1000 // high, because the deadline already bounds the wait for a slot
+	firstTryTimeoutFactor = 1.5
+	maxRefusals           = 1000 // high, because the deadline already bounds the wait for a slot
 )
 
 // provisionRequests creates the runner of requests.
@@ -239,7 +249,7 @@
 		Seed:        a.seed,
 		ChunkTokens: a.chunkTokens,
 		Limits: request.Limits{
-			MaxAttempts: maxAttempts, MaxRefusals: maxRefusals, PrefillRepeatable: true, KeepSilentStreams: true, CountArrivals: true, CallTimeoutFactor: firstTryTargets, RetryServerErrors: true,
+			MaxAttempts: maxAttempts, MaxRefusals: maxRefusals, PrefillRepeatable: true, KeepSilentStreams: true, CountArrivals: true, CallTimeoutFactor: firstTryTimeoutFactor, RetryServerErrors: true,
 			Reserve: reserveTimeout, Prefill: prefillTimeout, Import: importTimeout, Stall: stallTimeout,
 		},
 		UpstreamLimits: a.upstreamLimits,
@@ -253,7 +263,7 @@
 func (a *Attached) provisionListeners() error {
 	s := a.settings.Load()
 	front := platform.NewCallerHandler(platform.CallerHandlerOptions{
-		Runner: a.runner, View: a.watcher.View, Quota: a.teamLimits, Draining: a.Draining, RecordDeadline: a.callerWaited, Outcomes: a.metrics.Instruments,
+		Runner: a.runner, View: a.watcher.View, Quota: a.teamLimits, Draining: a.Draining, RecordDeadline: a.estimateCallerWait, Outcomes: a.metrics.Instruments,
 		BodyTimeout: s.Callers.BodyTimeout, WriteTimeout: s.Callers.WriteTimeout, Logger: a.logger,
 	})
 	const reservedDescriptors = 264 // file descriptors for files, the store and upstreams
@@ -273,9 +283,9 @@
 	return nil
 }
 
-// callerWaited estimates how long a caller has already waited for an answer on a route.
-// Callers that retry after a refusal state a deadline that is shorter by this time.
-func (a *Attached) callerWaited(route string, deadline time.Duration) time.Duration {
+// estimateCallerWait estimates how long a caller has already waited since its first attempt.
+// A caller that retries after a refusal states a deadline that is shorter by this time.
+func (a *Attached) estimateCallerWait(route string, deadline time.Duration) time.Duration {
 	return a.callerDeadlines.RecordDeadline(time.Now(), route, deadline)
 }
 
--- a/router/attached_test.go
+++ b/router/attached_test.go
@@ -105,7 +105,8 @@
 	return resp.StatusCode
 }
 
-// reply is the answer to a caller; err is set if the connection broke before its end.
+// reply is the answer to a caller; err is set if the connection broke before the end of the
+// answer.
 type reply struct {
 	status int
 	header http.Header
@@ -114,7 +115,8 @@
 	err    error
 }
 
-// ask sends one request with the given id.
+// ask sends one request with the given id. header holds the names and values of additional
+// header fields in turn.
 func (f *attachedFleet) ask(ctx context.Context, path, id string, header ...string) reply {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.daemon.CallersAddress().String()+path, strings.NewReader("body of "+id))
 	if err != nil {
@@ -142,7 +144,8 @@
 	}
 }
 
-// waitNothingHeld waits until the engines have freed all reservations, handles and runs.
+// waitNothingHeld waits until the engines hold no reservations and no handles (KV caches of
+// finished prefills) and run no requests.
 func (f *attachedFleet) waitNothingHeld() {
 	f.t.Helper()
 	waittest.Until(f.t, "reservations and handles are freed", func() bool {
@@ -156,7 +159,7 @@
 	})
 }
 
-func TestAttachedServes(t *testing.T) {
+func TestAttachedServesEachRoute(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	for _, path := range []string{site.PathDraft, site.PathLetter, site.PathOrder, site.PathLookUp} {
 		id := "id" + strings.ReplaceAll(path, "/", "")
@@ -195,7 +198,9 @@
 	}
 }
 
-func TestAttachedResumesWhereTheCallerLeft(t *testing.T) {
+// A caller whose stream broke off repeats the request with the number of the last event that
+// it received. The answer must begin with the next event.
+func TestAttachedResumesAfterLastEventID(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	got := f.ask(t.Context(), site.PathDraft+"x", "r", "Last-Event-Id", "3")
 	want := site.Event("r", 4) + site.Event("r", 5)
@@ -288,7 +293,7 @@
 }
 
 // Guards against engines that keep generating for callers that have disconnected, because the
-// connection to the upstream is not closed with the caller's.
+// daemon does not close its connection to the engine when the caller disconnects.
 func TestAttachedCallerLeaves(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	for _, name := range []string{"d0", "d1"} {
@@ -306,9 +311,9 @@
 }
 
 // Guards against serving removed routes, rejecting new ones, and refusing callers while the
-// store is unreachable. The configuration changes while the store loses its history, fails
-// and recovers; the daemon must keep its last view meanwhile and then read the store from
-// the start.
+// store is unreachable. The store fails, loses its history and recovers while the
+// configuration changes. The daemon must keep its last view during the outage and read a
+// snapshot after it.
 func TestAttachedConfigurationFollows(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	status := func(path string) int { return f.ask(t.Context(), path, "probe").status }
@@ -322,7 +327,7 @@
 	}
 	f.site.Store.SetDown(true)
 	if got := status("/newer/x"); got != http.StatusOK {
-		t.Errorf("with the store away: %d", got)
+		t.Errorf("while the store is down: %d", got)
 	}
 	f.site.Configure(7, "/last/")
 	f.site.Store.DropHistory()
@@ -330,7 +335,7 @@
 	waittest.Until(t, "the last route", func() bool { return status("/last/x") == http.StatusOK })
 }
 
-func TestAttachedLeavesOutWhatLeaves(t *testing.T) {
+func TestAttachedSkipsLeavingUpstreams(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	f.site.Register(f.upstreams["s0"], "draining")
 	waittest.Until(t, "s0 leaves the view", func() bool { return !f.serving("s0") })
@@ -348,6 +353,7 @@
 	}
 }
 
+// serving reports whether the daemon may send new requests to an upstream.
 func (f *attachedFleet) serving(name string) bool {
 	s := f.daemon.holder.Snapshot()
 	for _, pool := range []string{"app", "llm/decode", "llm/prefill"} {
@@ -360,9 +366,9 @@
 	return false
 }
 
-// Guards against a shutdown that breaks off requests: a stream runs when the daemon starts to
-// drain, and a caller with a kept-alive connection sends another request. Both must be
-// answered before the listener closes and the process ends.
+// Guards against a shutdown that breaks off requests. A stream runs when the daemon starts to
+// drain, and a caller with a kept-alive connection sends another request during the drain. Both
+// must be answered before the listener closes and the process ends.
 func TestAttachedDrains(t *testing.T) {
 	f := newAttachedFleet(t, func(s *settings.Attached) { s.Drain.Notice = 300 * time.Millisecond })
 	for _, name := range []string{"d0", "d1"} {
@@ -399,7 +405,7 @@
 
 // Retries are lent to other daemons only for configured services, and only as many as the
 // budget holds.
-func TestAttachedLends(t *testing.T) {
+func TestAttachedLendsRetries(t *testing.T) {
 	f := newAttachedFleet(t, nil)
 	if f.daemon.lendRetries("unknown", 1) {
 		t.Error("lent retries to a service that is not configured")
--- a/router/drain_test.go
+++ b/router/drain_test.go
@@ -35,7 +35,7 @@
 	authorKey   bundle.Key
 	reviewerKey bundle.Key
 	client      *http.Client
-	beforeRun   func(*Router) // called before each daemon's Run; may be nil
+	beforeRun   func(*Router) // called with each daemon before its Run; may be nil
 }
 
 func newServiceFixture(t *testing.T) *serviceFixture {
@@ -99,8 +99,8 @@
 	}
 }
 
-// startReady runs a daemon until the test ends and waits until it is ready. stop starts
-// its drain.
+// startReady runs a daemon until the test ends and waits until it is ready. limit is its
+// drain timeout; stop starts its drain.
 func (s *serviceFixture) startReady(name string, limit time.Duration, seeds ...string) (r *Router, stop func(), done <-chan error) {
 	s.t.Helper()
 	r, stop, done = s.start(name, s.logURL, limit, seeds...)
@@ -186,8 +186,8 @@
 }
 
 // Guards against a graceful shutdown that breaks off a call forwarded by another daemon. The
-// daemon that minted the token drains and has no connections of callers itself; its drain
-// must wait for the forwarded call too, and send the answer before it closes peer links.
+// daemon that drains has minted the call's token and has no caller connections of its own. Its
+// drain must wait for the forwarded call, and send the answer before it closes peer links.
 func TestDrainFinishesForwardedCalls(t *testing.T) {
 	s := newServiceFixture(t)
 	owner, stop, done := s.startReady("owner", testTimeout)
--- a/router/feeds.go
+++ b/router/feeds.go
@@ -14,7 +14,7 @@
 	"github.com/corianderturn/corianderturn/relay"
 )
 
-// provisionFeeds builds what reads the store's feeds. With a relay address in the
+// provisionFeeds creates the clients that read the store's feeds. With a relay address in the
 // settings, the daemons of a data centre share the reads: one reads the store and relays
 // the feeds to the others. Without one, this daemon reads the store itself.
 func (a *Attached) provisionFeeds() error {
@@ -55,16 +55,16 @@
 	return nil
 }
 
-// provisionRelay builds the relay server and the clients that exchange records, samples,
-// retries and quota units with other daemons.
+// provisionRelay creates the relay server and the clients that exchange records, samples,
+// retries and units of rate limits with other daemons.
 func (a *Attached) provisionRelay(self relay.Peer, ln net.Listener) {
 	s := a.settings.Load()
-	a.journal, a.roster, a.readRequests = relay.NewFeedCache(), relay.NewRoster(self, s.Relay.DataCentres), relay.NewFollowerActivity()
+	a.feedCache, a.roster, a.followerActivity = relay.NewFeedCache(), relay.NewRoster(self, s.Relay.DataCentres), relay.NewFollowerActivity()
 	a.samples = relay.NewSamples(time.Now())
-	a.timeKeeper = relay.NewAccrualSender(a.teamLimits.ledger, a.roster)
-	a.teamLimits.borrower.lenders = relay.NewLoans(relay.LoansOptions{Roster: a.roster, Time: a.timeKeeper, Quota: a.teamLimits.ledger, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now})
+	a.accrualSender = relay.NewAccrualSender(a.teamLimits.ledger, a.roster)
+	a.teamLimits.borrower.lenders = relay.NewLoans(relay.LoansOptions{Roster: a.roster, Time: a.accrualSender, Quota: a.teamLimits.ledger, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now})
 	a.relay = relay.NewServer(relay.ServerOptions{
-		Cache: a.journal, Roster: a.roster, Followers: a.readRequests, Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples,
+		Cache: a.feedCache, Roster: a.roster, Followers: a.followerActivity, Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples,
 		Timing: relay.TimingFor(s.Store.ChangeTimeout()), Lend: a.lendRetries, Quota: a.teamLimits.ledger, LendUnits: a.lendUnits, Logger: a.logger, Now: time.Now,
 	})
 	a.relay.Listen(ln)
@@ -72,30 +72,30 @@
 		Roster: a.roster, Dial: relay.DialTCP, Random: rand.New(rand.NewPCG(a.seed, rngBorrow)), Logger: a.logger, Now: time.Now,
 	})
 	a.exchange = relay.NewExchange(relay.ExchangeOptions{
-		Self: self, Seeds: s.Relay.Seeds, Roster: a.roster, Samples: a.samples, Limits: a.upstreamLimits, Time: a.timeKeeper, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now,
+		Self: self, Seeds: s.Relay.Seeds, Roster: a.roster, Samples: a.samples, Limits: a.upstreamLimits, Time: a.accrualSender, Dial: relay.DialTCP, Logger: a.logger, Now: time.Now,
 	})
 }
 
-// relayOptions returns the options of the store client that reads through a relay; direct
-// is the store itself.
+// relayOptions returns the options of the client that reads the store or asks the reader of
+// the data centre; direct is the store.
 func (a *Attached) relayOptions(self relay.Peer, direct fleet.Store) relay.Options {
 	s := a.settings.Load()
 	return relay.Options{
-		Direct: direct, Directory: a.group, Cache: a.journal, Roster: a.roster, Followers: a.readRequests,
-		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples, Time: a.timeKeeper, Dial: relay.DialTCP, Timing: relay.TimingFor(s.Store.ChangeTimeout()), Self: self, Seeds: s.Relay.Seeds,
+		Direct: direct, Directory: a.group, Cache: a.feedCache, Roster: a.roster, Followers: a.followerActivity,
+		Samples: a.samples, Quarantine: a.quarantine, Limits: a.upstreamLimits, OnSamples: a.learnSamples, Time: a.accrualSender, Dial: relay.DialTCP, Timing: relay.TimingFor(s.Store.ChangeTimeout()), Self: self, Seeds: s.Relay.Seeds,
 		Random: rand.New(rand.NewPCG(a.seed, rngRelay)), Logger: a.logger, Now: time.Now, OnRead: a.countStoreRead,
 	}
 }
 
-// Sequence numbers of the random generators that spread the calls to other daemons; each
-// selects its own sequence of the daemon's seed.
+// Stream numbers of the random generators that select the daemons to call. Generators with
+// different stream numbers produce independent sequences from the daemon's seed.
 const (
 	rngRelay  uint64 = 101
 	rngBorrow uint64 = 102
 )
 
-// countStoreRead counts a read of a feed by how it was served: by the store, by another
-// daemon, or not at all.
+// countStoreRead counts a read of a feed by its result: answered by the store, answered by
+// another daemon, or failed.
 func (a *Attached) countStoreRead(f fleet.Feed, w relay.Outcome) {
 	result := [...]string{relay.Direct: telemetry.ReadDirect, relay.ViaPeer: telemetry.ReadViaReader, relay.Failed: telemetry.ReadFailed}[w]
 	a.metrics.StoreRead(f.String(), result)
--- a/router/homes.go
+++ b/router/homes.go
@@ -14,20 +14,21 @@
 
 const (
 	// With at most smallFleetMax live daemons, every daemon reads every claim shard; with
-	// largeFleetMin or more, only the shard's homes do. Between the two numbers a daemon
-	// keeps its mode, so that one restart does not make every daemon start or stop reading
-	// shards.
+	// largeFleetMin or more, only the shard's homes do (see homes). Between the two numbers
+	// a daemon keeps its mode, so that one restart does not make every daemon start or stop
+	// reading shards.
 	smallFleetMax = 16
 	largeFleetMin = 20
-	// homesPerShard is the number of daemons that read a shard in a large fleet. With two,
-	// one has the shard's stream in memory while the other is replaced.
+	// homesPerShard is the number of homes of a shard in a large fleet. With two, one has
+	// the shard's stream in memory while the other is replaced.
 	homesPerShard = 2
-	// homeCallTimeout bounds one call to one home, so that after a call to a frozen home
-	// there is time to call the next one within claims.Options.DecisionTimeout.
+	// homeCallTimeout bounds one call to one home, so that if the home does not answer there
+	// is time to call the next one within claims.Options.DecisionTimeout.
 	homeCallTimeout = 500 * time.Millisecond
 )
 
-// errNoHome is returned when no other live daemon is known that reads the shard.
+// errNoHome is returned when the membership view has no other live daemon as a home of the
+// shard.
 var errNoHome = errors.New("no live daemon is known that reads the claim shard")
 
 // homePeers is the part of peer.Service that homes uses to find and call other daemons.
@@ -43,25 +44,25 @@
 // disagree and a shard has too many homes or none, the order of records in the log still
 // decides every claim.
 //
-// Reason: if every daemon read every shard, the traffic of each would grow with the
-// claims of the whole fleet (300 KB/s at 970 claims a second). Daemons would exceed
+// If every daemon of a large fleet read every shard, the traffic of each would grow with
+// the claims of the whole fleet (300 KB/s at 970 claims a second). Daemons would exceed
 // their bandwidth limit for control traffic, and the log would serve each record
 // hundreds of times.
 type homes struct {
-	peers homePeers
-	large atomic.Bool // the fleet was large when follow last decided
+	peers      homePeers
+	largeFleet atomic.Bool // the mode at the last call of readsShard
 }
 
-// follow reports whether this daemon reads a shard. It implements claims.Options.Follow.
-func (h *homes) follow(shard int) bool {
+// readsShard reports whether this daemon reads a shard. It implements claims.Options.Follow.
+func (h *homes) readsShard(shard int) bool {
 	view := h.peers.View()
 	switch n := len(view.Live()); {
 	case n <= smallFleetMax:
-		h.large.Store(false)
+		h.largeFleet.Store(false)
 	case n >= largeFleetMin:
-		h.large.Store(true)
+		h.largeFleet.Store(true)
 	}
-	if !h.large.Load() {
+	if !h.largeFleet.Load() {
 		return true
 	}
 	for _, m := range view.TopRanked(claims.Stream(shard), homesPerShard) {
@@ -72,15 +73,16 @@
 	return false
 }
 
-// ask gets the state of a claim from a home of its shard. It implements claims.HomeLookupFunc.
-func (h *homes) ask(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error) {
+// lookupAtHome gets the state of a claim from a home of its shard. It implements
+// claims.HomeLookupFunc.
+func (h *homes) lookupAtHome(ctx context.Context, shard int, get wire.ClaimGet) (wire.ClaimState, error) {
 	return callHome[wire.ClaimState](ctx, h, shard, wire.TypeClaim, get)
 }
 
-// relay has a home of the shard append claims to the log. It implements
+// appendAtHome has a home of the shard append claims to the log. It implements
 // claims.HomeAppendFunc. If two homes append the same claims, readers of the log use the
 // first record.
-func (h *homes) relay(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
+func (h *homes) appendAtHome(ctx context.Context, shard int, put wire.ClaimAppend) (wire.ClaimAppended, error) {
 	return callHome[wire.ClaimAppended](ctx, h, shard, wire.TypeClaimAppend, put)
 }
 
--- a/router/homes_test.go
+++ b/router/homes_test.go
@@ -24,7 +24,7 @@
 )
 
 // homeFleet is a set of daemons, each with its own membership table that lists some of the
-// others as live. They call each other's gates directly, without a network.
+// others as live. The daemons call each other's claim gates directly, without a network.
 type homeFleet struct {
 	memberTables []*members.Table
 	gates        map[wire.NodeID]*claims.Gate
@@ -76,20 +76,21 @@
 	return err
 }
 
-func (f *homeFleet) homes(i int) *homes { return &homes{peers: fleetPeers{f, f.memberTables[i]}} }
+func (f *homeFleet) homesOf(i int) *homes { return &homes{peers: fleetPeers{f, f.memberTables[i]}} }
 
-func all(int, int) bool { return true }
+func allLive(int, int) bool { return true }
 
-// TestShardsAreRead counts the daemons that read each shard: all of them in a small fleet, two
-// in a large one, and in between as many as before.
-func TestShardsAreRead(t *testing.T) {
+// TestReadersOfEachShard counts the daemons that read each shard: all of them in a small fleet
+// and homesPerShard in a large one. With a number of daemons between these sizes, a daemon must
+// keep the mode (small or large fleet) that it was in.
+func TestReadersOfEachShard(t *testing.T) {
 	const shards = 16
 	for n, want := range map[int]int{1: 1, 7: 7, smallFleetMax: smallFleetMax, largeFleetMin: homesPerShard, 64: homesPerShard} {
-		f := newHomeFleet(n, all)
+		f := newHomeFleet(n, allLive)
 		for shard := range shards {
 			got := 0
 			for i := range n {
-				if f.homes(i).follow(shard) {
+				if f.homesOf(i).readsShard(shard) {
 					got++
 				}
 			}
@@ -98,12 +99,12 @@
 			}
 		}
 	}
-	between := newHomeFleet(smallFleetMax+1, all).homes(0)
+	between := newHomeFleet(smallFleetMax+1, allLive).homesOf(0)
 	for _, large := range []bool{false, true} {
-		between.large.Store(large)
+		between.largeFleet.Store(large)
 		reads := 0
 		for shard := range shards {
-			if between.follow(shard) {
+			if between.readsShard(shard) {
 				reads++
 			}
 		}
@@ -113,10 +114,10 @@
 	}
 }
 
-// Guards against refusing claims of a shard when its first home does not answer and is not yet
-// detected as dead, although the second home is live.
-func TestSecondHomeIsAsked(t *testing.T) {
-	f := newHomeFleet(30, all)
+// Guards against refusing claims of a shard because its first home does not answer and is not
+// yet detected as dead, although the shard's second home is live.
+func TestSecondHomeIsCalledIfFirstFails(t *testing.T) {
+	f := newHomeFleet(30, allLive)
 	list := f.memberTables[0].View().TopRanked(claims.Stream(0), homesPerShard)
 	f.unreachable[list[0].Node] = true
 	caller := 0
@@ -124,15 +125,16 @@
 		caller++
 	}
 	f.gates[list[1].Node], _ = claims.New(claims.Options{Log: infra.NewLog("http://127.0.0.1:0", nil), Self: list[1].Node})
-	_, _ = f.homes(caller).ask(t.Context(), 0, wire.ClaimGet{})
+	_, _ = f.homesOf(caller).lookupAtHome(t.Context(), 0, wire.ClaimGet{})
 	if first, second := f.calls[list[0].Node].Load(), f.calls[list[1].Node].Load(); first != 1 || second != 1 {
 		t.Errorf("the homes were called %d and %d times, want once each", first, second)
 	}
 }
 
 // Guards against two daemons running one request. The daemons disagree about which of them are
-// live, so a shard has several sets of homes, and some of these append and answer claims of
-// one key at the same time. The order of the log must decide, not a home's membership view.
+// live, so a shard has several sets of homes, and homes from different sets append and look up
+// claims of one key at the same time. The order of records in the log must decide which claim
+// is granted, not the membership view of a home.
 func TestHomesThatDisagreeGrantOnce(t *testing.T) {
 	const daemons, keys, callers = 24, 12, 6
 	f := newHomeFleet(daemons, func(i, j int) bool { return (i*7+j*3)%11 != 0 })
@@ -145,9 +147,9 @@
 	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: platformIdleConns}}
 	defer hc.CloseIdleConnections()
 	for i := range daemons {
-		h := f.homes(i)
+		h := f.homesOf(i)
 		g, err := claims.New(claims.Options{
-			Log: infra.NewLog(url, hc), Self: fleetNode(i), Follow: h.follow, LookupAtHome: h.ask, AppendAtHome: h.relay,
+			Log: infra.NewLog(url, hc), Self: fleetNode(i), Follow: h.readsShard, LookupAtHome: h.lookupAtHome, AppendAtHome: h.appendAtHome,
 			DecisionTimeout: testTimeout, Logger: &log.Logger{Handler: discard.Default, Level: log.FatalLevel},
 		})
 		if err != nil {
--- a/router/instances.go
+++ b/router/instances.go
@@ -12,30 +12,30 @@
 	"github.com/corianderturn/corianderturn/internal/clock"
 )
 
-// rngInstances selects the random generator, of those derived from the daemon's seed, that
-// spreads the reads of the instance list.
+// rngInstances is the stream number (see newRand) of the random generator that randomises
+// the interval between reads of the instance list.
 const rngInstances uint64 = 100
 
 const (
-	// entryBytes is the approximate size of one entry of the list, in bytes;
-	// BenchmarkInstanceList measures it.
+	// entryBytes is the approximate size of one entry of the platform's instance list, in
+	// bytes; BenchmarkInstanceList measures it.
 	entryBytes = 115
 	// maxListRate bounds the average rate of reading the list, in bytes a second: a
 	// twentieth of the 20 KB/s that a daemon may use for control traffic.
 	maxListRate = 1000
 	// smallListMax is the number of entries up to which the list is read at the interval
-	// of the settings, whatever it costs.
+	// of the settings, even if that exceeds maxListRate.
 	smallListMax = 32
 )
 
 // listInterval returns the time until the next read of a list of n entries, randomised
-// by plus or minus 10% to spread the reads of the daemons in a data centre. A daemon that
-// reads that an upstream is leaving announces it in its heartbeats, so the others learn of
-// it before their own next read.
+// by plus or minus 10% to spread the reads of the daemons in a data centre. The interval may
+// be long: the first daemon that reads that an upstream is leaving announces it in its
+// heartbeats, so that the others learn of it before their own next read.
 //
-// Reason for growing with n: at 12,370 instances a read each second is 1.4 MB/s and 3% of
-// a core for each daemon, which slows the platform's list service down and exceeds the
-// daemon's bandwidth limit for control traffic many times.
+// The interval grows with n because at 12,370 instances a read each second would take
+// 1.4 MB/s and 3% of a core on each daemon. This would slow down the platform's list service
+// and exceed the daemon's bandwidth limit for control traffic many times.
 func listInterval(minInterval time.Duration, n int, rng *rand.Rand) time.Duration {
 	excess := max(0, n-smallListMax)
 	d := max(minInterval, time.Duration(excess)*entryBytes*time.Second/maxListRate)
@@ -44,7 +44,8 @@
 
 // instanceWatcher polls the platform's list of instances. The list may be outdated, so
 // it is not used to detect failures; it only provides addresses at which peers may listen,
-// and the names of upstreams that are leaving. It is a supervise.Service.
+// and the names of upstreams that are leaving, that is, shutting down. instanceWatcher is a
+// supervise.Service.
 type instanceWatcher struct {
 	router *Router
 	seeds  atomic.Pointer[[]string]
@@ -91,7 +92,8 @@
 	return len(list), true
 }
 
-// apply stores the daemons' addresses of a list and marks its leaving upstreams.
+// apply stores the addresses of the daemons in a list, and marks the upstreams that the list
+// reports as leaving.
 func (w *instanceWatcher) apply(now time.Time, list []infraapi.Instance) {
 	var seeds, leaving []string
 	for _, i := range list {
--- a/router/instances_test.go
+++ b/router/instances_test.go
@@ -11,9 +11,8 @@
 )
 
 // Guards against each daemon reading megabytes a second of the platform's instance list. The
-// list contains every instance, so reading it once a second costs more as the fleet grows;
-// the interval must grow with it.
-func TestListIsReadWithinItsBytes(t *testing.T) {
+// list contains every instance, so the interval between two reads must grow with the fleet.
+func TestListIntervalBoundsReadRate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{0, 24, smallListMax, 100, 1000, designInstances} {
 		for range 100 {
--- a/router/lending.go
+++ b/router/lending.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// A borrowState older than borrowStateTTL is evicted once there are maxBorrowStates.
+	// When there are maxBorrowStates borrowStates, those whose last refusal is at least
+	// borrowStateTTL ago are evicted.
 	borrowStateTTL  = time.Minute
 	maxBorrowStates = 1024
 )
 
-// unitBorrower borrows quota units from other daemons for this daemon's accounts. It is
-// safe for concurrent use.
+// unitBorrower borrows units of rate limits (a unit is one request or one token) from other
+// daemons for this daemon's accounts. It is safe for concurrent use.
 type unitBorrower struct {
 	ledger  *quota.Ledger
 	lenders loanClient // nil if there is no relay connection to other daemons
@@ -33,8 +34,8 @@
 // borrowState is the state of borrowing for one account.
 type borrowState struct {
 	sem chan struct{} // semaphore of one, held while a loan is requested; guards the other fields
-	// refusedAt is when the last loan was refused because no daemon had enough units,
-	// answer is the refusal, and backoff suppresses further loan requests for a while.
+	// refusedAt is when the last loan was refused, answer is that refusal, and backoff
+	// suppresses further loan requests for a while.
 	refusedAt time.Time
 	answer    relay.LoanResult
 	backoff   quota.Backoff
@@ -50,21 +51,23 @@
 	return &unitBorrower{ledger: l, states: map[quota.Account]*borrowState{}}
 }
 
-// loanRequest describes the units that a request needs from an account.
+// loanRequest describes the units that a caller's request needs from an account.
 type loanRequest struct {
 	account quota.Account
 	terms   quota.Terms
-	// units are spent on the request, reserve must stay in the account afterwards, and
-	// prefetch is borrowed in addition, for the expected requests.
+	// units are spent on the request, reserve must stay in the account afterwards for more
+	// urgent requests, and prefetch is borrowed in addition for requests expected soon.
 	units, reserve, prefetch float64
-	// maxBackoff bounds the backoff after a refused loan; 0 stands for the shortest one.
+	// maxBackoff bounds the backoff after a refused loan; with 0 the backoff is the shortest
+	// that package quota allows.
 	maxBackoff time.Duration
-	// call is a template of the call to the lenders, with its Rank and Limits.
+	// call holds the Rank and Limits of the call to the lenders; borrow fills in the rest.
 	call relay.LoanRequest
 }
 
-// borrowAndSpend borrows what the account lacks from other daemons and spends it. Requests
-// for one account borrow one at a time.
+// borrowAndSpend borrows the units that the account lacks from other daemons and spends the
+// units of the request. Requests for one account borrow one at a time. If ok is false, answer
+// is the refusal, if there was one.
 func (l *unitBorrower) borrowAndSpend(ctx context.Context, req loanRequest) (ticket quota.Ticket, answer relay.LoanResult, ok bool) {
 	if l.lenders == nil {
 		return ticket, answer, false
@@ -92,8 +95,9 @@
 	return ticket, answer, ok
 }
 
-// backingOff reports whether requesting a loan is of no use now: others cannot be
-// reached, have refused one recently, or a loan is being requested.
+// backingOff reports whether no loan should be requested now, because there is no relay
+// connection, because other daemons refused such a loan recently, or because another loan
+// for the account is being requested.
 func (l *unitBorrower) backingOff(now time.Time, req loanRequest) bool {
 	if l.lenders == nil {
 		return true
@@ -108,8 +112,8 @@
 	}
 }
 
-// prefetch borrows what the next request needs, unless a loan for the account is being
-// requested already.
+// prefetch borrows the units that the next request will need, unless a loan for the account
+// is being requested already.
 func (l *unitBorrower) prefetch(ctx context.Context, req loanRequest) {
 	st := l.state(req.account)
 	select {
@@ -127,8 +131,8 @@
 	}
 }
 
-// borrow requests a loan of what the account lacks. If no single daemon has enough but all
-// of them together do, it requests whatever each has.
+// borrow requests a loan of the units that the account lacks. If no single daemon has enough
+// but all of them together do, it requests partial loans.
 func (l *unitBorrower) borrow(ctx context.Context, now time.Time, req loanRequest) relay.LoanResult {
 	own := l.ledger.Available(now, req.account, req.terms)
 	call := req.call
--- a/router/lending_test.go
+++ b/router/lending_test.go
@@ -9,7 +9,7 @@
 	"github.com/corianderturn/corianderturn/relay"
 )
 
-// fakeLender lends from a fixed number of units. It implements loanClient.
+// fakeLender lends units until those that it has are used up. It implements loanClient.
 type fakeLender struct {
 	ledger *quota.Ledger
 	units  float64
@@ -25,10 +25,10 @@
 	return relay.LoanResult{Lent: true, Left: l.units}
 }
 
-// Guards against a refused loan for a less urgent request that makes an urgent request back off
-// too. Less urgent requests must leave a reserve for urgent ones, so lenders may still have
-// units for the urgent one.
-func TestUrgentRequestBorrowsAfterLessUrgentOneCouldNot(t *testing.T) {
+// Guards against an urgent request that backs off because a loan for a less urgent request was
+// refused. Less urgent requests must leave a reserve for urgent ones, so lenders may still have
+// units for an urgent request.
+func TestBackoffDoesNotBlockMoreUrgentRequest(t *testing.T) {
 	ledger := quota.NewLedger(time.Now(), false)
 	l := newUnitBorrower(ledger)
 	l.lenders = &fakeLender{ledger: ledger, units: 1.5}
--- a/router/observe.go
+++ b/router/observe.go
@@ -44,8 +44,8 @@
 	o.holder.Update(func(b *board.Board) { b.RecordAnswered(now, upstream) })
 }
 
-// Unanswered notes that an upstream did not answer in time. reached is true if its host
-// refused the connection, so that the network path works.
+// Unanswered records that an upstream did not answer in time. reached is true if its host
+// refused the connection, which shows that the network path works.
 func (o observer) Unanswered(now time.Time, upstream string, reached bool) {
 	o.holder.Update(func(b *board.Board) { b.RecordUnanswered(now, upstream, reached) })
 }
@@ -63,15 +63,15 @@
 // PrefillTimedOut does nothing: only attached daemons use timed-out prefills in estimates.
 func (o observer) PrefillTimedOut(time.Time, string) {}
 
-// HandedOff notes whether a decode engine accepted the result of a prefill engine.
+// HandedOff records whether a decode engine accepted the result of a prefill engine.
 func (o observer) HandedOff(now time.Time, prefill, decode string, taken bool) {
 	o.holder.Update(func(b *board.Board) { b.RecordHandoff(now, prefill, decode, taken) })
 }
 
-// Full notes that an upstream refused a reservation for lack of room.
+// Full records that an upstream refused a reservation because it was full.
 func (o observer) Full(_ time.Time, upstream string) { o.inflight.MarkFull(upstream) }
 
-// PromptRefused notes that a prefill engine refused a prompt.
+// PromptRefused records that a prefill engine refused a prompt.
 func (o observer) PromptRefused(_ time.Time, upstream string) { o.inflight.MarkPromptRefused(upstream) }
 
 func (o observer) Leaving(now time.Time, upstream string) {
@@ -111,7 +111,8 @@
 	}
 }
 
-// measuredPolicies returns a lookup of policies by name; m counts their decisions.
+// measuredPolicies returns a function that looks up a policy by name. The policies that it
+// returns record their decisions in m.
 func measuredPolicies(m *telemetry.Metrics) func(name string) (policy.Policy, bool) {
 	return func(name string) (policy.Policy, bool) {
 		p, ok := policy.ByName(name)
--- a/router/peers.go
+++ b/router/peers.go
@@ -13,15 +13,15 @@
 	"github.com/corianderturn/corianderturn/peer"
 )
 
-// handlePeers registers the handlers of heartbeats and calls from other daemons.
-func (r *Router) handlePeers() {
+// registerPeerHandlers registers the handlers of heartbeats and calls from other daemons.
+func (r *Router) registerPeerHandlers() {
 	r.peers.OnSendHeartbeat(r.fillHeartbeat)
 	r.peers.OnHeartbeat(r.onHeartbeat)
 	r.peers.Handle(wire.TypeBundleGet, r.serveBundle)
 	r.peers.Handle(wire.TypeClaim, r.serveClaim)
 	r.peers.Handle(wire.TypeClaimAppend, r.serveClaimAppend)
 	r.peers.Handle(wire.TypeForward, r.serveForward)
-	r.peers.Handle(wire.TypeBoard, r.handleBoard)
+	r.peers.Handle(wire.TypeBoard, r.applyBoardRows)
 }
 
 // fillHeartbeat adds the bundle version, the drain state and the upstreams that are
@@ -75,8 +75,8 @@
 	return r.frontend.ServeForward(ctx, f), nil
 }
 
-// handleBoard applies the states of upstreams that their steward sent.
-func (r *Router) handleBoard(_ context.Context, _ wire.NodeID, body []byte) (any, error) {
+// applyBoardRows applies the states of upstreams that the steward of these upstreams sent.
+func (r *Router) applyBoardRows(_ context.Context, _ wire.NodeID, body []byte) (any, error) {
 	rows, err := decode[wire.Board](body)
 	if err != nil {
 		return nil, err
@@ -86,10 +86,11 @@
 	return nil, nil
 }
 
-// forward sends a request to the daemon that minted its idempotency token. Only that
-// daemon can run the request, and this one cannot tell whether it has already run under
-// the token. Every failure to reach it is therefore reported as "unknown whether it ran",
-// even if this request was not sent.
+// forward sends a request to the owner of its idempotency token, that is, the daemon that
+// minted the token. Only the owner can run requests with the token, and this daemon cannot
+// tell whether the owner has already run the request. Every failure to reach the owner is
+// therefore reported as "unknown whether it ran", even if this daemon did not send the
+// request.
 func (r *Router) forward(ctx context.Context, to wire.NodeID, f wire.Forward) (wire.ForwardReply, *errkind.Error) {
 	var reply wire.ForwardReply
 	if r.isDead(to) {
@@ -106,15 +107,16 @@
 // of a frame for the request's headers.
 const maxForwardBody = wire.MaxFrame - 128<<10
 
-// forwardTooLarge returns the error for a body that exceeds a frame. An error for an
-// unreachable owner would make the caller retry for ever. Whether the request ran is
-// unknown, since the token's owner may have received it directly before.
+// forwardTooLarge returns the error for a body that does not fit in a frame of the peer
+// protocol. It must not be the error for an unreachable owner, which callers retry for ever.
+// Whether the request ran is unknown, since the caller may have sent it directly to the
+// token's owner before.
 func forwardTooLarge() *errkind.Error {
 	return errkind.New(errkind.BodyTooLarge, "the body is too large to reach the instance that minted the token").WithRun(errkind.Unknown)
 }
 
-// forwardError maps the error of a forwarded call to an errkind error. A call that the
-// token's owner certainly did not process gets a kind that callers may retry.
+// forwardError maps the error of a forwarded call to an errkind error. If the token's owner
+// certainly did not process the call, the kind of the error allows the caller to retry.
 func forwardError(err error) *errkind.Error {
 	switch {
 	case err == nil:
@@ -132,8 +134,8 @@
 	return errors.As(err, &remote) && remote.Kind == peer.FailureBusy
 }
 
-// mintToken returns an idempotency token whose requests only this daemon can run. A
-// draining daemon mints none, since it would exit before the token is used.
+// mintToken returns an idempotency token. Only this daemon can run requests with the token.
+// A draining daemon mints none, since it may exit before the token is used.
 func (r *Router) mintToken(team string) (string, *errkind.Error) {
 	if r.draining.Load() {
 		return "", errkind.New(errkind.Draining, "this instance will be gone before its token is used")
--- a/router/provision.go
+++ b/router/provision.go
@@ -31,8 +31,8 @@
 // 16 claim shards, each with one connection to read and one to append.
 const platformIdleConns = 32
 
-// Sequence numbers of the random generators derived from the daemon's seed, one for each
-// subsystem that uses randomness.
+// Stream numbers (see newRand) of the random generators, one for each subsystem that uses
+// randomness.
 const (
 	rngPeers uint64 = iota + 1
 	rngWatch
@@ -54,7 +54,8 @@
 	// defaultRetryRatio is the number of retries allowed per request until the first
 	// bundle, which sets its own.
 	defaultRetryRatio = 0.1
-	// retryDepth is the capacity of a target's token bucket of retries.
+	// retryDepth is the capacity of the token bucket that limits the retries of a model or
+	// plain service.
 	retryDepth = 10
 	// retrySlack retries in each retryWindow are allowed in addition, so that a daemon
 	// with few requests can retry.
@@ -63,7 +64,8 @@
 )
 
 // retryLimits returns the retry limits of one daemon for a bundle's ratio of retries to
-// requests. They do not bound the sum over all daemons. A ratio of 0 disables retries.
+// requests. Each daemon has these limits by itself; the retries of all daemons together are
+// not bounded. A ratio of 0 disables retries.
 func retryLimits(ratio float64) retry.Limits {
 	if ratio <= 0 {
 		return retry.Limits{Window: retryWindow}
@@ -105,11 +107,11 @@
 		Logger:  r.logger,
 		Rand:    r.newRand(rngPeers),
 	})
-	r.handlePeers()
+	r.registerPeerHandlers()
 	return nil
 }
 
-// tlsConfigurer loads the TLS configurations of a section of the settings.
+// tlsConfigurer is a section of the settings that configures TLS.
 type tlsConfigurer interface {
 	Configs() (server, client *tls.Config, err error)
 }
@@ -174,9 +176,9 @@
 		AnswerLimit:  c.MaxAnswerBytes,
 		Linger:       c.BatchDelay,
 		IsDead:       r.isDead,
-		Follow:       h.follow,
-		LookupAtHome: h.ask,
-		AppendAtHome: h.relay,
+		Follow:       h.readsShard,
+		LookupAtHome: h.lookupAtHome,
+		AppendAtHome: h.appendAtHome,
 
 		AppendsPerSecond: c.AppendsPerSecond,
 		TokenTTL:         c.TokenLifetime,
@@ -281,8 +283,7 @@
 	})
 }
 
-// isSteward reports whether this daemon is the steward of an upstream: the one daemon that
-// polls and orders it.
+// isSteward reports whether this daemon is the steward of an upstream.
 func (r *Router) isSteward(name, dataCentre string) bool {
 	return r.peers.View().IsSteward(name, dataCentre)
 }
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/corianderturn/corianderturn/quarantine"
 )
 
-// newQuarantineKeeper returns a keeper with the options that are the same for Router and
-// Attached filled in.
+// newQuarantineKeeper returns a quarantine keeper. It adds to o the options that are the same
+// for Router and Attached.
 func newQuarantineKeeper(o quarantine.Options, m *telemetry.Instruments, logger log.Interface) *quarantine.Keeper {
 	o.Dial, o.Logger, o.Now = quarantine.DialTCP, logger, time.Now
 	o.OnProbe = func(s quarantine.ProbeResult) { m.UpstreamProbe(s.String()) }
@@ -19,5 +19,5 @@
 }
 
 // readsQuarantineLog reports whether this daemon reads the quarantine log itself: it does
-// if it reads the store without a relay, or is the one that reads the store for others.
+// if there is no relay, or if this daemon provides others with what it reads from the store.
 func (a *Attached) readsQuarantineLog() bool { return a.feeds == nil || a.feeds.ReadsForOthers() }
--- a/router/quarantine_own_test.go
+++ b/router/quarantine_own_test.go
@@ -24,7 +24,7 @@
 	return ln.Addr().String()
 }
 
-// Guards against a request that crashes three upstreams per daemon, and again after each
+// Guards against a request that crashes three upstreams per daemon, and three more after each
 // restart of a daemon, because Router daemons do not share and store the crashes they see.
 // Here three upstreams crash, one seen by one daemon and two by another. A third daemon, and
 // one that starts after all of them have stopped, must refuse the request.
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -144,9 +144,9 @@
 const extraAttempts = 3
 
 // Guards against a request that crashes every replica of its service: nine within seconds, and
-// again after they have been replaced. Its caller repeats it with the same path and body and a
-// new id, at another daemon each time, also after all daemons have restarted. Daemons must
-// recognise the request by its content, share the crashes they see, and keep them over restarts.
+// their replacements too. The caller repeats the request with the same path and body and a new
+// id, at another daemon each time, also after all daemons have restarted. Daemons must recognise
+// the request by its content, share the crashes that they see, and remember them over restarts.
 func TestRequestThatEndsUpstreams(t *testing.T) {
 	for _, path := range []string{site.PathLetter, site.PathDraft, site.PathOrder, site.PathLookUp} {
 		f := newCrashFleet(t)
--- a/router/quota.go
+++ b/router/quota.go
@@ -14,13 +14,14 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// quotaBounds returns how exactly the settings require team limits to be enforced.
+// quotaBounds returns the accuracy with which the settings require team limits to be
+// enforced.
 func quotaBounds(s *settings.Attached) quota.Bounds {
 	return quota.Bounds{Window: s.Quota.Window, Excess: s.Quota.Excess, Slack: s.Quota.Slack}
 }
 
 const (
-	// With the units for a waiting request, a daemon also borrows those that it expects its
+	// A daemon that borrows units for a request also borrows the units that it expects its
 	// callers to use within prefetchHorizon.
 	prefetchHorizon = 500 * time.Millisecond
 	// minRetryAfter is the shortest Retry-After that a refused caller gets.
@@ -53,17 +54,17 @@
 // Run implements supervise.Service.
 func (l *teamLimits) Run(ctx context.Context) error {
 	for clock.Sleep(ctx, quota.TickInterval) {
-		share, keepsTime := l.share(time.Now())
-		l.ledger.Tick(time.Now(), share, keepsTime)
+		share, accruesLocally := l.share(time.Now())
+		l.ledger.Tick(time.Now(), share, accruesLocally)
 	}
 	return nil
 }
 
 // share returns this daemon's fraction of each limit, 0 while it is unknown. Units accrue as
-// time passes (see package quota). keepsTime reports whether this daemon accrues the units of
-// its share itself; otherwise it hands its time over to the daemon that reads the store for
-// its data centre, which accrues them.
-func (l *teamLimits) share(now time.Time) (share float64, keepsTime bool) {
+// time passes (see package quota). accruesLocally reports whether this daemon accrues the
+// units of its share itself; otherwise the daemon that reads the store for its data centre
+// accrues them on its behalf.
+func (l *teamLimits) share(now time.Time) (share float64, accruesLocally bool) {
 	minDaemons := l.a.settings.Load().Retries.Daemons
 	if l.a.roster == nil {
 		if n := int(l.a.daemonCounter.joinedDaemons.Load()); n > 0 {
@@ -77,8 +78,8 @@
 	return share, l.a.roster.IsReader()
 }
 
-// Admit spends units of a team's limit on a request, or refuses it. refund returns the
-// units of a request that did not run. It implements platform.Quota.
+// Admit spends units of a team's limit on a request, or refuses the request. refund returns
+// the units to the account; it is for requests that did not run. It implements platform.Quota.
 func (l *teamLimits) Admit(ctx context.Context, team fleet.Team, id string, units float64) (refund func(), err *errkind.Error) {
 	if team.Limit.Rate <= 0 || units <= 0 {
 		return func() {}, nil
@@ -107,7 +108,7 @@
 	own := l.ledger.Available(now, account, terms)
 	wait := l.ledger.RetryAfter(now, account, terms, units-own-answer.Left)
 	if answer.Wait > 0 {
-		wait = answer.Wait // the lenders have seen refused callers of other daemons too
+		wait = answer.Wait // the lenders also know the demand at other daemons
 	}
 	wait = max(wait, minRetryAfter)
 	l.a.metrics.TeamRefused(team.Name, units)
--- a/router/retries.go
+++ b/router/retries.go
@@ -14,7 +14,8 @@
 	"github.com/corianderturn/corianderturn/settings"
 )
 
-// retryBounds returns the bounds of retries over all daemons from the settings.
+// retryBounds returns the bounds that the settings set for the retries of all daemons
+// together.
 func retryBounds(s *settings.Attached) retry.Bounds {
 	r := s.Retries
 	return retry.Bounds{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window, MinDaemons: r.Daemons, FirstStart: s.Orders.Bootstrap}
@@ -49,9 +50,9 @@
 	return nil
 }
 
-// count returns the number of daemons, 0 while it is unknown. A daemon that has heard of
-// no other may be partitioned, so it counts itself as the only one only if the settings
-// allow for a single daemon.
+// count returns the number of daemons, 0 while it is unknown. A daemon that has not heard of
+// any other may be partitioned, so it assumes that it is the only one only if the settings
+// give 1 as the smallest number of daemons.
 func (c *daemonCounter) count(now time.Time) int {
 	if c.a.roster == nil {
 		return int(c.joinedDaemons.Load())
@@ -65,14 +66,14 @@
 	return 0
 }
 
-// joinPeriod is how long after its start a daemon uses the group's generation as the number
-// of daemons. The daemons of a fleet start together; later, the generation grows with
-// restarts and exceeds the number of daemons.
+// joinPeriod is how long after its start a daemon updates its count of daemons from the
+// generation of the store's group. The daemons of a fleet start together, so the generation
+// is then their number; later it grows with each restart and exceeds their number.
 const joinPeriod = 10 * time.Second
 
 // noteGeneration records the generation of the store's group, which grows by one with each
-// daemon that joins. Without a relay address it is the only estimate of the number of
-// daemons.
+// daemon that joins. Without a relay address, the generation is the only estimate of the
+// number of daemons.
 func (c *daemonCounter) noteGeneration(generation uint64) {
 	n := int64(generation)
 	if n > c.joinedDaemons.Load() && (time.Since(c.startedAt) <= joinPeriod || c.joinedDaemons.Load() == 0) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// report logs this daemon's share of the retry budget and sets its metrics.
+// report logs this daemon's share of the retry budget and sets the metrics of the share.
 func (c *daemonCounter) report(now time.Time) {
 	s := c.a.budgets.Share()
 	c.a.metrics.SetRetryShare(s.Daemons, s.Retries)
--- a/router/roles.go
+++ b/router/roles.go
@@ -21,9 +21,9 @@
 	leaseTTL      = 3 * time.Second
 	leaseInterval = 700 * time.Millisecond
 	orderTimeout  = 600 * time.Millisecond
-	// bootstrapDelay is how long after the first start of the whole system no orders are
-	// sent. The lease settles on one holder within about two renewals, and that daemon must
-	// then have held it for leaseTTL.
+	// bootstrapDelay is the time after the first start of the whole system in which no
+	// orders are sent. Within about two renewals one daemon holds the lease, and it must
+	// then have held the lease for leaseTTL before it sends orders.
 	bootstrapDelay = 5 * time.Second
 )
 
@@ -53,10 +53,10 @@
 }
 
 // leaseCandidate reports whether this daemon may acquire the lease. Only daemons that
-// read the store themselves may, since they get the most information from the others.
+// read the store themselves may, since they get the most samples from other daemons.
 func (a *Attached) leaseCandidate() bool { return a.feeds == nil || a.feeds.ReadsStore() }
 
-// costsByService holds the learned costs of completions for each service. It is safe for
+// costsByService holds the estimated costs of the completions of each service. It is safe for
 // concurrent use.
 type costsByService struct {
 	mu        sync.Mutex
@@ -67,7 +67,7 @@
 	return &costsByService{byService: map[string]*roles.CostEstimator{}}
 }
 
-// get returns the learned costs of a service and creates them if needed.
+// get returns the cost estimator of a service and creates it if needed.
 func (w *costsByService) get(service string) *roles.CostEstimator {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,7 +83,8 @@
 // would make the number of time series grow with the configuration.
 const classStream bundle.Class = "stream"
 
-// attachedMetrics records latencies under classStream instead of the request's class.
+// attachedMetrics records the latencies of tokens under classStream instead of the request's
+// class.
 type attachedMetrics struct{ requestMetrics }
 
 func (m attachedMetrics) FirstToken(_ bundle.Class, wait time.Duration) {
@@ -94,7 +95,8 @@
 	m.requestMetrics.NextToken(classStream, wait)
 }
 
-// attachedObserver also learns the costs of completions and shares them with other daemons.
+// attachedObserver is an observer that also estimates the costs of completions and sends its
+// samples to other daemons.
 type attachedObserver struct {
 	observer
 	a *Attached
@@ -131,11 +133,11 @@
 	}
 }
 
-// Rate limit of the samples that are taken from other daemons, in samples a second.
-// Estimates use about the last 200 samples. Without a limit, the samples of a whole fleet
-// would all be from the last second, and a burst, in which every prompt waits for others,
-// would double the estimated cost of a prompt. At learnRate the samples cover the last
-// half minute.
+// Rate limit of the samples that are used from other daemons, in samples a second.
+// Estimates use about the last 200 samples. Without a limit, these would all be from the
+// last second in a large fleet, and a burst of requests, in which every prompt waits for
+// others, would double the estimated cost of a prompt. At learnRate the last 200 samples
+// cover half a minute.
 const (
 	learnRate  = 6
 	learnBurst = 24
@@ -154,9 +156,9 @@
 	}
 	list = slices.DeleteFunc(list, func(s estimate.Sample) bool {
 		if s.Held > 0 {
-			return !a.finishedSamples.AllowN(now, 1)
+			return !a.completionSampleLimiter.AllowN(now, 1)
 		}
-		return !a.prefillSamples.AllowN(now, 1)
+		return !a.prefillSampleLimiter.AllowN(now, 1)
 	})
 	for _, s := range list {
 		costs := a.costs.get(s.Model)
--- a/router/router.go
+++ b/router/router.go
@@ -31,12 +31,12 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// drainSlack is added to the drain times of the settings to send the last answers and
-// cancellations.
-const drainSlack = 5 * time.Second
+// defaultDrainSlack is the time that a drain may take in addition to the drain times of the
+// settings, to send the last answers and cancellations.
+const defaultDrainSlack = 5 * time.Second
 
-// Router is one daemon with its subsystems. New sets its fields; they are not reassigned
-// later.
+// Router is a daemon that coordinates with its peers itself. New sets the fields; they are
+// not reassigned later.
 type Router struct {
 	settings *settings.Settings
 	logger   log.Interface
@@ -52,10 +52,12 @@
 	peers   *peer.Service
 	// watcher follows the versions of the bundle (the signed configuration).
 	watcher *watch.Watcher
-	// gate grants idempotency claims, so that a request with a key runs at most once.
+	// gate grants idempotency claims, so that a request with an idempotency key runs at most
+	// once.
 	gate    *claims.Gate
 	engines *upstream.Engines
-	// quarantine records the requests during which upstreams crashed.
+	// quarantine records the requests during which upstreams crashed, and refuses a request
+	// that has crashed several.
 	quarantine *quarantine.Keeper
 	// upstreamLimits enforces the rate limits that plain services announce in their
 	// answers. upstreamShare computes the fraction of them that this daemon may use.
@@ -65,6 +67,8 @@
 	frontend       *frontend.Server
 	tree           *supervise.Tree
 
+	// steward does the tasks of a steward for the upstreams of which this daemon is the
+	// steward.
 	steward   *steward.Runner
 	instances *instanceWatcher
 	draining  atomic.Bool
@@ -73,7 +77,7 @@
 	// drainRequested is closed when an operator requests a drain.
 	drainRequested chan struct{}
 	drainOnce      sync.Once
-	// drainSlack is the constant drainSlack, or less in tests.
+	// drainSlack is defaultDrainSlack; tests set a shorter time.
 	drainSlack time.Duration
 	// superseded receives a value when another process has started as a later incarnation
 	// of this instance.
@@ -94,10 +98,11 @@
 }
 
 // New builds a daemon and opens its listeners, so that an address in use is reported
-// here. Run starts the subsystems. Call it soon after New: a longer pause is treated like a
-// suspension of the process, after which the daemon first refreshes its view.
+// here. Run starts the subsystems. It should be called soon after New: a long pause counts
+// as a suspension of the process, after which the daemon sends no requests until it has
+// refreshed its view of the peers and of the bundle.
 func New(s *settings.Settings, o Options) (*Router, error) {
-	r := &Router{settings: s, logger: o.Logger, seed: s.Policy.Seed, drainSlack: drainSlack, drainRequested: make(chan struct{}), superseded: make(chan struct{}, 1)}
+	r := &Router{settings: s, logger: o.Logger, seed: s.Policy.Seed, drainSlack: defaultDrainSlack, drainRequested: make(chan struct{}), superseded: make(chan struct{}, 1)}
 	if r.seed == 0 {
 		r.seed = rand.Uint64()
 	}
@@ -149,8 +154,8 @@
 
 // Run serves until ctx ends or an operator requests a drain, then drains: the daemon stops
 // accepting requests, finishes those in flight within the time limits of the settings, and
-// only then stops its heartbeats, so that stewards do not cancel its last requests as
-// orphaned.
+// only then stops its heartbeats. Without heartbeats, stewards would consider the daemon
+// dead and cancel its last requests as orphaned.
 func (r *Router) Run(ctx context.Context) error {
 	treeCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -174,9 +179,9 @@
 	return err
 }
 
-// onMemberEvent makes Run return when a later incarnation of this instance has joined.
-// This process was then suspended or partitioned, the platform has replaced it, and
-// stewards are freeing its engine memory: new work would be cancelled.
+// onMemberEvent makes Run return when a later incarnation of this instance has joined. In
+// that case this process was suspended or partitioned and the platform has replaced it.
+// Stewards free the engine memory of its requests, so new requests would be cancelled.
 func (r *Router) onMemberEvent(a members.Change) {
 	if a.Event != members.Superseded {
 		return
@@ -198,8 +203,8 @@
 	limit, cancelLimit := context.WithTimeout(ctx, d.Delay+d.Timeout)
 	defer cancelLimit()
 	// A non-idempotent call continues when its caller's context ends. The runner must
-	// therefore end it as soon as the time limit passes: later, when the frontend's drain
-	// has timed out, the caller's connection is closed without an answer.
+	// therefore end such calls as soon as the time limit passes: when the frontend's drain
+	// times out shortly afterwards, it closes connections without an answer.
 	defer context.AfterFunc(limit, r.runner.FailInFlight)()
 	err := r.frontend.Drain(ctx)
 	// The frontend does not wait for requests that peers forwarded, so wait for the runner
@@ -218,7 +223,8 @@
 
 // inflightEnder ends the requests in flight when the supervision tree stops without a
 // drain, at the same time as the frontend closes its connections. A non-idempotent call
-// continues without its caller and would otherwise leave it without an answer.
+// continues when its caller's context ends. If the runner did not end the call, the
+// connection would be closed before the caller gets an answer.
 type inflightEnder struct{ runner *request.Runner }
 
 // Name implements supervise.Service.
@@ -249,8 +255,9 @@
 //
 // Both views must be checked: the other daemons answer heartbeats within milliseconds
 // after the process resumes, before it has learned of new bundle versions from the log or
-// a peer. It would otherwise send requests to an upstream that began to leave minutes ago,
-// or an outdated order to an upstream that ignores fencing numbers.
+// a peer. With an outdated bundle it would send requests to an upstream that began to leave
+// minutes ago, or an outdated order to an upstream that does not check fencing numbers
+// (see package orders).
 func (r *Router) stale(now time.Time) bool {
 	return r.peers.Frozen(now) || !r.watcher.Ready()
 }
@@ -264,7 +271,8 @@
 	return v.Bundle
 }
 
-// newRand returns a random generator for one subsystem, derived from the daemon's seed.
+// newRand returns a random generator for one subsystem. Generators with different stream
+// numbers produce independent sequences from the daemon's seed.
 func (r *Router) newRand(stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(r.seed, stream))
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -100,7 +100,7 @@
 	old := newRouter(t, "one", url)
 	oldDone := run(ctx, old)
 	other := newRouter(t, "two", url, old.PeersAddress())
-	witnessDone := run(ctx, other)
+	otherDone := run(ctx, other)
 	waitLive(t, other, 2)
 	next := newRouter(t, "one", url, other.PeersAddress())
 	nextDone := run(ctx, next)
@@ -108,7 +108,7 @@
 		t.Errorf("the replaced daemon ended with %v", err)
 	}
 	cancel()
-	for _, done := range []<-chan error{witnessDone, nextDone} {
+	for _, done := range []<-chan error{otherDone, nextDone} {
 		if err := waittest.Receive(t, "the daemon ends", done); err != nil {
 			t.Error(err)
 		}
--- a/router/stale_test.go
+++ b/router/stale_test.go
@@ -39,11 +39,12 @@
 	return s.URL
 }
 
-// Guards against requests and orders that are sent by an outdated bundle after a process was
-// suspended for minutes. Its peers answer at once when it resumes, but it has not read all new
-// versions from the log; a fresh membership view alone must not count as up to date. The test
-// starts a daemon in this state, which the watcher cannot distinguish from a resumed one.
-func TestNothingIsDispatchedOnAnOldBundle(t *testing.T) {
+// Guards against requests and orders that a daemon sends according to an outdated bundle after it
+// was suspended for minutes. When the daemon resumes, its peers answer at once, but it has not
+// yet read all new versions from the log; a fresh membership view alone must not count as up to
+// date. The test starts a daemon that never reads the last version, which for the watcher is the
+// same as a daemon that has just resumed.
+func TestNoDispatchWithStaleBundle(t *testing.T) {
 	s := newServiceFixture(t)
 	r, _, _ := s.start("one", laggingLog(t, s.logURL), testTimeout)
 	waittest.Until(t, "a version is in force", func() bool { return r.bundle() != nil })
--- a/router/teams_test.go
+++ b/router/teams_test.go
@@ -65,7 +65,7 @@
 
 // Guards against a team limit that is not enforced, one that also affects other teams, and
 // refusals that have no Retry-After header or are caused by requests that did not run. A team
-// at its limit is served again after a while.
+// that has reached its limit must be served again after a while.
 func TestAttachedLimit(t *testing.T) {
 	f := newAttachedFleet(t, func(s *settings.Attached) { s.Quota.Window, s.Quota.Excess, s.Quota.Slack = time.Second, 0, 0 })
 	f.site.SetTeams(site.Team{Name: "red", Keys: []string{"r"}, Rate: 8, Burst: 1}, site.Team{Name: "blue", Keys: []string{"b"}})
--- a/router/upstreamlimits.go
+++ b/router/upstreamlimits.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// prefetchWorkers is the number of goroutines that borrow units in advance, one loan at a
-	// time each. maxQueuedPrefetches bounds the loans that wait for them.
+	// prefetchWorkers is the number of goroutines that borrow units in advance, each one loan
+	// at a time. maxQueuedPrefetches bounds the loans that wait for a free worker.
 	prefetchWorkers     = 2
 	maxQueuedPrefetches = 16
-	// maxUpstreamBackoff bounds the backoff after a refused loan. Lenders state when they will
-	// have units again, but hundreds of daemons may compete for one request a second.
+	// maxUpstreamBackoff bounds the backoff after a refused loan. The backoff would otherwise
+	// last until a lender expects to have units again, which is too long when hundreds of
+	// daemons compete for one request a second.
 	maxUpstreamBackoff = time.Second
 )
 
@@ -31,8 +32,8 @@
 // supervise.Service, and is safe for concurrent use.
 type upstreamLimits struct {
 	o        upstreamLimitOptions
-	book     *ratelimit.Table
-	gate     *ratelimit.Limiter
+	table    *ratelimit.Table
+	limiter  *ratelimit.Limiter
 	ledger   *quota.Ledger
 	borrower *unitBorrower
 	// prefetchQueue holds loans to be borrowed before a request needs them.
@@ -41,11 +42,11 @@
 
 // upstreamLimitOptions holds the dependencies of upstreamLimits. All fields are required.
 type upstreamLimitOptions struct {
-	// Ledger accrues units of the limits, and Borrower adds borrowed ones to it.
+	// Ledger accrues units of the limits, and Borrower adds borrowed units to it.
 	Ledger   *quota.Ledger
 	Borrower *unitBorrower
-	// Lookup returns an upstream with its current Life, which changes when the upstream
-	// restarts, and its pool.
+	// Lookup returns an upstream with its current Incarnation, which changes when the
+	// upstream restarts, and its pool.
 	Lookup func(name string) (u ratelimit.Upstream, pool string)
 	// Share returns the fraction of each limit that this daemon may use.
 	Share   func(now time.Time) float64
@@ -53,11 +54,11 @@
 	Logger  log.Interface
 }
 
-// newUpstreamLimits returns upstream limits without any limit in force.
+// newUpstreamLimits returns an upstreamLimits that knows no limits yet.
 func newUpstreamLimits(o upstreamLimitOptions) *upstreamLimits {
-	book := ratelimit.NewTable()
+	table := ratelimit.NewTable()
 	return &upstreamLimits{
-		o: o, book: book, gate: ratelimit.NewLimiter(book, o.Ledger), ledger: o.Ledger, borrower: o.Borrower,
+		o: o, table: table, limiter: ratelimit.NewLimiter(table, o.Ledger), ledger: o.Ledger, borrower: o.Borrower,
 		prefetchQueue: make(chan loanRequest, maxQueuedPrefetches),
 	}
 }
@@ -100,7 +101,7 @@
 		wg.Go(func() { l.runPrefetchWorker(ctx) })
 	}
 	for clock.Sleep(ctx, ratelimit.Window) {
-		inForce := l.book.InForce(time.Now())
+		inForce := l.table.InForce(time.Now())
 		l.o.Metrics.SetLimitedUpstreams(len(inForce))
 		for _, h := range inForce {
 			l.o.Logger.WithFields(log.Fields{"upstream": h.Upstream.Name, "limit": h.Limit, "sent_here": h.Sent}).Info("upstream rate limit in force")
@@ -121,8 +122,8 @@
 	}
 }
 
-// ObserveRateLimit takes what the headers of an answer state about its upstream's rate limit. It
-// implements upstream.RateLimitObserver.
+// ObserveRateLimit records what the headers of an answer state about the rate limit of the
+// upstream that sent it. It implements upstream.RateLimitObserver.
 func (l *upstreamLimits) ObserveRateLimit(n upstream.RateLimitNotice) {
 	if n.Invalid != "" {
 		l.o.Logger.WithFields(log.Fields{"upstream": n.Upstream, "limit": truncate(n.Invalid)}).Warn("invalid rate limit from upstream: previous limit kept")
@@ -142,11 +143,11 @@
 	return text[:min(len(text), maxBytes)]
 }
 
-// applyReport records what an answer stated about its upstream's limit, seen here or reported
-// by another daemon, and logs a change of the limit.
+// applyReport records what an answer stated about the limit of its upstream, and logs a change
+// of the limit. The answer was received by this daemon or reported by another one.
 func (l *upstreamLimits) applyReport(report ratelimit.Observation) {
 	now := time.Now()
-	change, changed := l.book.Observe(now, report)
+	change, changed := l.table.Observe(now, report)
 	if !changed {
 		return
 	}
@@ -163,7 +164,7 @@
 // Changes returns the limits to send to other daemons: those that changed recently, or all. It
 // implements relay.Limits.
 func (l *upstreamLimits) Changes(all bool) []ratelimit.Record {
-	return l.book.RecentChanges(time.Now(), all)
+	return l.table.RecentChanges(time.Now(), all)
 }
 
 // Update applies limits that another daemon sent. It implements relay.Limits.
@@ -175,20 +176,21 @@
 	}
 }
 
-// Exhausted returns the upstreams that may not be sent this request now because this daemon has
-// no units left for them, and queues loans for them. It implements request.UpstreamLimits.
+// Exhausted returns the upstreams to which this daemon may not send a request now because it has
+// no units of their limits left, and queues loans of such units. It implements
+// request.UpstreamLimits.
 func (l *upstreamLimits) Exhausted(now time.Time, s ratelimit.Request) (out []string) {
-	asked := false
-	for _, u := range l.book.Limited() {
+	demandRecorded := false
+	for _, u := range l.table.Limited() {
 		found, pool := l.o.Lookup(u.Name)
 		if pool != s.Pool || found != u {
 			continue
 		}
-		if !asked {
-			l.gate.RecordDemand(now, s)
-			asked = true
+		if !demandRecorded {
+			l.limiter.RecordDemand(now, s)
+			demandRecorded = true
 		}
-		if !l.gate.Allows(now, u, s) {
+		if !l.limiter.Allows(now, u, s) {
 			out = append(out, u.Name)
 			l.queuePrefetch(now, u, s)
 		}
@@ -199,8 +201,8 @@
 	return out
 }
 
-// queuePrefetch queues a loan of what the next request with the pool and rank of s will need
-// to be sent to an upstream.
+// queuePrefetch queues a loan of the units that the next request with the pool and rank of s
+// needs for an upstream.
 func (l *upstreamLimits) queuePrefetch(now time.Time, u ratelimit.Upstream, s ratelimit.Request) {
 	req, ok := l.loanRequestFor(now, u, s)
 	if !ok || l.borrower.backingOff(now, req) {
@@ -215,26 +217,26 @@
 // loanRequestFor returns the loan that one request to an upstream needs. ok is false if the
 // upstream has no limit.
 func (l *upstreamLimits) loanRequestFor(now time.Time, u ratelimit.Upstream, s ratelimit.Request) (req loanRequest, ok bool) {
-	lack, ok := l.gate.LoanRequest(now, u, s)
+	lack, ok := l.limiter.LoanRequest(now, u, s)
 	if !ok {
 		return req, false
 	}
 	req = loanRequest{account: u.Account(), terms: lack.Terms, units: 1, reserve: lack.Reserve, prefetch: lack.Ahead, maxBackoff: maxUpstreamBackoff}
 	req.call.Rank = s.Rank
-	if r, ok := l.book.Record(now, u); ok {
+	if r, ok := l.table.Record(now, u); ok {
 		req.call.Limits = []ratelimit.Record{r}
 	}
 	return req, true
 }
 
-// Take spends a unit that this daemon holds on a request to an upstream. refund is nil if the
-// upstream has no limit. It implements request.UpstreamLimits.
+// Take spends one unit of this daemon on a request to an upstream; ok is false if the daemon has
+// none left. refund is nil if the upstream has no limit. It implements request.UpstreamLimits.
 func (l *upstreamLimits) Take(now time.Time, name string, s ratelimit.Request) (refund func(), ok bool) {
-	if len(l.book.Limited()) == 0 {
+	if len(l.table.Limited()) == 0 {
 		return nil, true
 	}
 	u, _ := l.o.Lookup(name)
-	ticket, limited, ok := l.gate.Acquire(now, u, s)
+	ticket, limited, ok := l.limiter.Acquire(now, u, s)
 	if !limited || !ok {
 		return nil, ok
 	}
@@ -242,7 +244,8 @@
 	return l.refundFunc(ticket), true
 }
 
-// refundFunc returns a function that returns the units of a request that was not sent.
+// refundFunc returns a function that puts the units of t back. It is called if the request was
+// not sent.
 func (l *upstreamLimits) refundFunc(t quota.Ticket) func() {
 	return func() { l.ledger.Refund(time.Now(), t) }
 }
@@ -262,7 +265,7 @@
 	if !ok {
 		return nil, false
 	}
-	l.book.RecordSent(time.Now(), u)
+	l.table.RecordSent(time.Now(), u)
 	l.o.Metrics.LimitDecisions(telemetry.LimitBorrowed, 1)
 	return l.refundFunc(ticket), true
 }
@@ -276,7 +279,7 @@
 		upstreams = append(upstreams, u)
 	}
 	share := l.o.Share(now)
-	wait := l.gate.RetryAfter(now, s, upstreams, share)
+	wait := l.limiter.RetryAfter(now, s, upstreams, share)
 	l.o.Metrics.LimitDecisions(telemetry.LimitRefused, 1)
 	l.o.Logger.WithFields(log.Fields{
 		"request": request, "upstreams": names, "rank": s.Rank, "part": share, "retry_after_ms": wait.Milliseconds(),
@@ -289,7 +292,7 @@
 func (l *upstreamLimits) lend(call relay.LoanRequest) quota.Loan {
 	u := ratelimit.Upstream{Name: call.Upstream, Incarnation: call.Life}
 	_, pool := l.o.Lookup(u.Name)
-	return l.gate.Lend(time.Now(), u, ratelimit.Request{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.PartialOK)
+	return l.limiter.Lend(time.Now(), u, ratelimit.Request{Pool: pool, Rank: call.Rank}, call.Needs, call.Wants, call.PartialOK)
 }
 
 // lendUnits lends another daemon units of an upstream's limit or of a team's.
--- a/router/upstreamlimits_own.go
+++ b/router/upstreamlimits_own.go
@@ -12,8 +12,8 @@
 )
 
 // equalShare accrues a Router's share of the rate limits that plain services announce. The
-// share is 1/n, where n is the largest number of daemons that was ever known to be live at the
-// same time. It is a supervise.Service.
+// share is 1/n, where n is the largest number of daemons that this daemon has ever seen live
+// at the same time. equalShare is a supervise.Service.
 //
 // The share does not grow when daemons die: in a network partition each side considers the
 // other one dead, and both together would use up to twice the limit.
@@ -54,7 +54,7 @@
 	return slices.ContainsFunc(r.instances.peerSeeds(), func(address string) bool { return address != r.peersAddress })
 }
 
-// provisionLimits creates the enforcement of upstream rate limits.
+// provisionLimits creates the subsystems that enforce the rate limits of upstreams.
 func (r *Router) provisionLimits(Options) error {
 	ledger := quota.NewLedger(time.Now(), false)
 	r.upstreamShare = &equalShare{r: r, ledger: ledger}
--- a/router/upstreamlimits_test.go
+++ b/router/upstreamlimits_test.go
@@ -82,7 +82,7 @@
 	const limit = 5.0
 	u := f.upstream(t, "u4")
 	u.SetLimit(limit)
-	named := time.Now()
+	limitSetAt := time.Now()
 	stop := f.startLoad(site.PathLookUp, 60)
 	time.Sleep(site.LimitGracePeriod + site.LimitWindow + time.Second) // long enough for a full window
 	for _, r := range stop() {
@@ -90,7 +90,7 @@
 			t.Fatalf("%+v, although another upstream has no limit", r)
 		}
 	}
-	if got, allowed := u.MaxRequests(named.Add(site.LimitGracePeriod), limit); float64(got) > allowed {
+	if got, allowed := u.MaxRequests(limitSetAt.Add(site.LimitGracePeriod), limit); float64(got) > allowed {
 		t.Errorf("%d requests in %v, %g are allowed", got, site.LimitWindow, allowed)
 	}
 }
@@ -126,7 +126,7 @@
 func TestServiceInNeedRefusesAtOnce(t *testing.T) {
 	f := newLimitFleet(t)
 	const limit = 4.0
-	named := time.Now()
+	limitSetAt := time.Now()
 	for _, name := range []string{"u4", "u5"} {
 		f.upstream(t, name).SetLimit(limit)
 	}
@@ -147,7 +147,7 @@
 		t.Errorf("%d served, %d refused", served, refused)
 	}
 	for _, name := range []string{"u4", "u5"} {
-		if got, allowed := f.upstream(t, name).MaxRequests(named.Add(500*time.Millisecond), limit); float64(got) > allowed {
+		if got, allowed := f.upstream(t, name).MaxRequests(limitSetAt.Add(500*time.Millisecond), limit); float64(got) > allowed {
 			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, site.LimitWindow, allowed)
 		}
 	}
@@ -178,10 +178,10 @@
 }
 
 // Guards against engines with rate limits that get more prefills or decodes than these allow.
-func TestScarceEnginesReceiveNoExcessCalls(t *testing.T) {
+func TestEngineRateLimitsAreNotExceeded(t *testing.T) {
 	f := newLimitFleet(t)
 	const limit = 3.0
-	named := time.Now()
+	limitSetAt := time.Now()
 	f.upstream(t, "u0").SetLimit(limit) // a prefill engine
 	f.upstream(t, "u2").SetLimit(limit)
 	stop := f.startLoad(site.PathDraft, 30)
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, name := range []string{"u0", "u2"} {
-		got, allowed := f.upstream(t, name).MaxRequests(named.Add(500*time.Millisecond), limit)
+		got, allowed := f.upstream(t, name).MaxRequests(limitSetAt.Add(500*time.Millisecond), limit)
 		if float64(got) > allowed || len(f.upstream(t, name).Requests()) == 0 {
 			t.Errorf("%s: %d requests in %v, %g are allowed", name, got, site.LimitWindow, allowed)
 		}
@@ -200,7 +200,7 @@
 }
 
 // Guards against a newly started daemon that exceeds the limit of an upstream because it has
-// not received the limits known to the others.
+// not received the limits that the other daemons know.
 func TestNewDaemonReceivesLimits(t *testing.T) {
 	f := newLimitFleet(t)
 	f.upstream(t, "u4").SetLimit(5)
@@ -209,7 +209,7 @@
 		asked++
 		f.ask(0, site.PathLookUp, "more", fmt.Sprint("more", asked))
 		for _, d := range f.daemons {
-			if len(d.upstreamLimits.book.Limited()) == 0 {
+			if len(d.upstreamLimits.table.Limited()) == 0 {
 				return false
 			}
 		}
@@ -217,7 +217,7 @@
 	})
 	f.start(limitDaemons + 1)
 	waittest.Until(t, "the new daemon has received the limit", func() bool {
-		limit, ok := f.daemons[limitDaemons].upstreamLimits.book.Limit(ratelimit.Upstream{Name: "u4"})
+		limit, ok := f.daemons[limitDaemons].upstreamLimits.table.Limit(ratelimit.Upstream{Name: "u4"})
 		return ok && limit == 5
 	})
 }
