--- a/request/arrivals.go
+++ b/request/arrivals.go
@@ -1,14 +1,14 @@
 package request
 
 // arrivals counts the calls that reached, or may have reached, upstreams on behalf of one
-// request. It uses the accounting of upstreams that limit repeated requests: the first prompt
+// request. It counts in the same way as upstreams that limit repeated requests: the first prompt
 // that an engine accepts is free; every other prompt and every decode call counts as one
-// arrival, also when it is rejected. From this it derives how many retry permits the next
-// attempt needs.
+// arrival, also when it is rejected. The number of retry permits that the next attempt needs
+// follows from this count.
 //
-// Charging one permit per attempt is not enough: an attempt that sends the prompt a second
-// time causes two arrivals, and an attempt that is planned again because nothing reached its
-// decode engine causes one for which no permit was taken. When engines refuse reserved slots,
+// One permit per attempt is not enough: an attempt that sends the prompt a second time causes
+// two arrivals, and an attempt that is planned again because nothing reached its decode engine
+// causes one arrival for which no permit was taken. When engines refuse reserved slots,
 // upstreams would then see twice the repeats that the budget allows.
 type arrivals struct {
 	// counted is the number of arrivals so far; permits is the number of retry permits taken
@@ -46,8 +46,8 @@
 }
 
 // uncertain records that a call may or may not have reached its upstream. A prompt is then
-// counted like a rejected one: if the engine did accept it, it was the free prompt, and
-// counting it makes up for a later accepted prompt that is not counted.
+// counted like a rejected one. If an engine did accept it, it was the free prompt; a later
+// accepted prompt is then treated as the free one and not counted, so that the total is right.
 //
 // If such a prompt were not counted, a slow engine could receive two or three prompts of a
 // request, none of them confirmed, followed by a decode call without a prompt, and one
--- a/request/arrivals_internal_test.go
+++ b/request/arrivals_internal_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestRetriesCoverArrivalsWhateverComesOfPrompts tries every sequence of four attempts and
+// TestPermitsCoverArrivalsForAllPromptOutcomes tries every sequence of four attempts and
 // checks that the permits taken always cover the arrivals after the first one. It guards
-// against uncounted prompts whose delivery is unknown, followed by a decode call without a
-// prompt.
-func TestRetriesCoverArrivalsWhateverComesOfPrompts(t *testing.T) {
+// against not counting prompts whose delivery is unknown when a decode call without a prompt
+// follows.
+func TestPermitsCoverArrivalsForAllPromptOutcomes(t *testing.T) {
 	const attempts = 4
-	var play func(a arrivals, left, prompts, runs int, read bool, history string)
-	play = func(a arrivals, left, prompts, runs int, read bool, history string) {
-		arrived := prompts + runs
+	var try func(a arrivals, left, prompts, decodes int, read bool, history string)
+	try = func(a arrivals, left, prompts, decodes int, read bool, history string) {
+		arrived := prompts + decodes
 		if read {
 			arrived-- // the first prompt that an engine accepts is free
 		}
@@ -23,7 +23,7 @@
 		skip := a
 		skip.permits += skip.permitsNeeded(false)
 		skip.sent(StepDecode)
-		play(skip, left-1, prompts, runs+1, read, history+" run")
+		try(skip, left-1, prompts, decodes+1, read, history+" run")
 		for _, outcome := range []string{"accepted", "rejected", "unknown"} {
 			next, history := a, history+" prompt-"+outcome
 			next.permits += next.permitsNeeded(true)
@@ -32,15 +32,15 @@
 			case "accepted":
 				next.accepted(StepPrefill)
 				next.sent(StepDecode)
-				play(next, left-1, prompts+1, runs+1, true, history+" run")
+				try(next, left-1, prompts+1, decodes+1, true, history+" run")
 			case "rejected":
 				next.rejected(StepPrefill)
-				play(next, left-1, prompts+1, runs, read, history)
+				try(next, left-1, prompts+1, decodes, read, history)
 			case "unknown":
 				next.uncertain(StepPrefill)
-				play(next, left-1, prompts+1, runs, read, history)
+				try(next, left-1, prompts+1, decodes, read, history)
 			}
 		}
 	}
-	play(arrivals{}, attempts, 0, 0, false, "")
+	try(arrivals{}, attempts, 0, 0, false, "")
 }
--- a/request/attached_test.go
+++ b/request/attached_test.go
@@ -10,7 +10,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// machineScript feeds events to one machine that has the limits of an attached daemon.
+// machineScript feeds events to one machine that has the limits of an attached daemon (one that
+// runs on an existing platform, see package platform).
 type machineScript struct {
 	t   *testing.T
 	m   *Machine
@@ -51,7 +52,8 @@
 	s.step(Event{Kind: EventCallFailed, Delivery: upstream.Refused})
 }
 
-// toDecode completes the reservation and the prefill, so that the decode call is next.
+// toDecode completes the reservation and the prefill, so that the machine dispatches the decode
+// call.
 func (s *machineScript) toDecode() *machineScript {
 	s.step(Event{Kind: EventReserved, Reservation: "hold"})
 	return s.step(Event{Kind: EventPrefilled, Prefill: &engineapi.PrefillReply{Handle: "handle", PromptTokens: 3}})
@@ -75,10 +77,10 @@
 	return *a
 }
 
-// Guards against charging refused reservations: in a burst most engines are full, so a refused
-// reservation must cost neither an attempt nor a retry permit, and the engine must remain
-// selectable.
-func TestRefusedReservationIsNoAttempt(t *testing.T) {
+// Guards against requests that fail in a burst, when most engines are full: a refused
+// reservation must not count as an attempt, take a retry permit or exclude the engine from the
+// next plan.
+func TestRefusedReservationIsNotCountedAsAttempt(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	for range attachedLimits().MaxRefusals {
 		s.planOn("d0", "p0").refused()
@@ -98,7 +100,7 @@
 
 // Guards against an engine that refuses a prompt and is not reported as full. Unlike a refused
 // reservation, a refused prompt takes a retry permit, because the engine has to process it.
-func TestRefusedPromptTellsThatTheEngineIsFull(t *testing.T) {
+func TestRefusedPromptReportsFullEngine(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").step(Event{Kind: EventReserved, Reservation: "hold"}).refused()
 	if a := s.wantAction(ActionReportFull, "full"); a.Target.Name != "p0" || a.Step != StepPrefill {
@@ -126,7 +128,7 @@
 // engine refuses the decode call because the prefill result has expired or the engine is
 // changing its role. If only one of the two engines were excluded, the next attempt could fail
 // in the same way.
-func TestRefusedHandoffLeavesOutBothEnds(t *testing.T) {
+func TestRefusedHandoffExcludesBothEngines(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode().refused()
 	if a := s.wantAction(ActionReportHandoff, "a refused handoff"); a.Target.Name != "d0" || a.From.Name != "p0" || a.Accepted {
@@ -148,17 +150,17 @@
 
 // Guards against starting an at-most-once draft again: the decode call is sent and its
 // connection breaks before the first token, so the engine may be running it.
-func TestUncertainDecodeIsTheLast(t *testing.T) {
+func TestNoRetryAfterDecodeOfUnknownDelivery(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 3})
 	s.planOn("d0", "p0").toDecode().step(Event{Kind: EventCallFailed, Delivery: upstream.Maybe})
 	if a := s.wantAction(ActionFail, "the end"); a.Err.Run != errkind.Unknown {
-		t.Errorf("run %q", a.Err.Run)
+		t.Errorf("run state %q", a.Err.Run)
 	}
 }
 
 // Guards against cutting off an answer that no other engine may produce: a slow engine is
 // silent for longer than the stall timeout.
-func TestSilenceKeepsNonReplayableStreams(t *testing.T) {
+func TestSilentStreamIsKeptIfNotRetryable(t *testing.T) {
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode()
 	s.now = s.now.Add(10 * time.Second)
@@ -169,9 +171,9 @@
 	s.wantAction(ActionEmit, "the late token")
 }
 
-// Guards against a resumable draft that waits for a silent engine until its caller leaves:
-// tokens arrive and then stop, and another engine may continue the answer.
-func TestStalledResumableStreamGoesOnElsewhere(t *testing.T) {
+// Guards against a draft that waits for a silent engine until its caller leaves: tokens arrive
+// and then stop, although another engine may continue the answer.
+func TestStalledStreamContinuesOnAnotherEngine(t *testing.T) {
 	s := newMachineScript(t, Completion{MaxSends: 2})
 	s.planOn("d0", "p0").toDecode()
 	s.step(Event{Kind: EventChunk, Chunk: engineapi.Chunk{WorkID: engineapi.WorkID{RequestID: "r", Attempt: 1}, Text: "one"}})
@@ -187,7 +189,7 @@
 }
 
 // An engine's own error answer is passed on unchanged if no other engine may be tried.
-func TestEnginesOwnFailureIsPassedOn(t *testing.T) {
+func TestEngineErrorAnswerIsForwarded(t *testing.T) {
 	own := &CallAnswer{Status: 500, Body: []byte("out of luck")}
 	failed := Event{Kind: EventCallFailed, Delivery: upstream.Maybe, Answer: own}
 	once := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
@@ -200,10 +202,10 @@
 	again.wantAction(ActionPlan, "another engine")
 }
 
-// Guards against breaking off a stream that its engine would have continued: a busy engine is
+// Guards against cutting off a stream that its engine would have continued: a busy engine is
 // silent for longer than the stall timeout while the retry budget is empty. The call must not
 // be given up before the permits for another attempt are granted.
-func TestSilentStreamIsGivenUpOnlyForARetry(t *testing.T) {
+func TestSilentStreamIsGivenUpOnlyWithPermits(t *testing.T) {
 	s := newMachineScript(t, Completion{MaxSends: 2})
 	s.m.limits.CountArrivals = true
 	s.planOn("d0", "p0").toDecode()
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -7,7 +7,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// dispatch starts one call of the current attempt.
+// dispatch starts one call of the current attempt and records that it may reach its engine.
 func (m *Machine) dispatch(now time.Time, s Step) {
 	m.call++
 	m.lastStep = s
@@ -27,7 +27,7 @@
 	})
 }
 
-// enterCall sets the state that belongs to a call and the call's timeout. Where the plan
+// enterCall sets the state that belongs to a call and the call's timeout. If the plan
 // predicts a queueing delay or a KV cache transfer, the predicted time is added to the
 // timeout.
 func (m *Machine) enterCall(now time.Time, s Step) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// undoCall restores the state from before a call that certainly had no effect.
+// undoCall reverts the bookkeeping of the latest call, which is known to have had no effect.
 func (m *Machine) undoCall(d upstream.Delivery) {
 	m.run.settle(m.lastStep, d)
 	if d == upstream.Refused {
@@ -134,13 +134,13 @@
 		return
 	}
 	if m.limits.KeepSilentStreams && m.lastStep == StepDecode && !m.mayRetry() {
-		// No other engine may produce this answer, so a silent stream is not given up: the
-		// engine may be busy, and the request's deadline bounds the wait.
+		// No other engine may produce this answer, so the call is not given up when the
+		// stream is silent: the engine may be busy, and the request's deadline bounds the wait.
 		m.stepDeadline = time.Time{}
 		return
 	}
 	if needs := m.permitsForTimeOut(); needs > 0 {
-		m.stepDeadline = now.Add(m.limits.Stall) // when to ask the budget again
+		m.stepDeadline = now.Add(m.limits.Stall) // when to request the permits again
 		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Permits: needs})
 		return
 	}
@@ -148,11 +148,11 @@
 }
 
 // permitsForTimeOut returns how many retry permits must be granted before the call in flight
-// may be given up for its silence. It returns 0 where the permits are requested with the next
-// attempt's plan instead.
+// may be given up because its stream is silent. It returns 0 if the call may be given up at
+// once and the permits are requested with the next attempt's plan.
 //
-// Without this check, the stream of a busy engine is cut off, the retry is then denied, and an
-// answer that would have continued ends as a broken stream.
+// Without this check, the stream of a busy engine would be cut off, the retry would then be
+// denied, and an answer that would have continued would end as a broken stream.
 func (m *Machine) permitsForTimeOut() int {
 	if !m.limits.KeepSilentStreams || !m.limits.CountArrivals || m.lastStep != StepDecode {
 		return 0
@@ -160,12 +160,12 @@
 	return m.arrivals.permitsNeeded(true)
 }
 
-// handlePermitted gives up the silent call if the budget has granted the permits for another
-// attempt.
+// handlePermitted gives up a call whose stream is silent if the retry budget has granted the
+// permits for another attempt.
 func (m *Machine) handlePermitted(now time.Time, ev Event) {
 	m.arrivals.permits += ev.Permits
-	waits := m.state == StateImporting || m.state == StateStreaming
-	if ev.Permits > 0 && ev.Call == m.call && waits {
+	awaitsChunks := m.state == StateImporting || m.state == StateStreaming
+	if ev.Permits > 0 && ev.Call == m.call && awaitsChunks {
 		m.timeOutCall(now)
 	}
 }
--- a/request/call.go
+++ b/request/call.go
@@ -28,7 +28,7 @@
 	attempt      int
 	bundleNumber uint64
 	sends        int       // dispatches that were not refused
-	arrivals     arrivals  // determines how many retry permits the next dispatch needs
+	arrivals     arrivals  // determine how many retry permits the next dispatch needs
 	notAfter     time.Time // no dispatch at or after this time; zero means no limit
 	// digest identifies the caller's request in the quarantine; it is computed on first use.
 	digest func() quarantine.Digest
@@ -36,7 +36,7 @@
 	// is the time that the latest dispatch got.
 	usualTimeout, givenTimeout time.Duration
 	firstByteTarget            time.Duration // the class's target for the first byte; 0 if it has none
-	// returnLimit returns the units taken from the replica's rate limit; it is cleared once
+	// returnLimit puts the units taken from the replica's rate limit back; it is cleared once
 	// the call is sent. limitedCount is the number of replicas that the last plan excluded
 	// because of their rate limits.
 	returnLimit  func()
@@ -104,12 +104,12 @@
 func (k *serviceCall) tryReplicas(ctx context.Context) (*CallAnswer, *errkind.Error) {
 	k.r.o.RetryBudget(k.c.Service).OnFirstAttempt(k.r.o.Now())
 	limits := k.r.limits()
-	var gateway, answer *CallAnswer // gateway is the latest answer that worthRetry accepted
+	var retryable, answer *CallAnswer // retryable is the latest answer that was worth a retry
 	var err *errkind.Error
 	for {
 		plan, timeout, failed := k.chooseReplica()
 		if failed == nil && !k.takePermits() {
-			return finalAnswer(gateway, answer, err)
+			return finalAnswer(retryable, answer, err)
 		}
 		if answer, err = nil, failed; err == nil {
 			answer, err = k.send(ctx, plan.Replica, timeout)
@@ -118,19 +118,20 @@
 			return answer, nil
 		}
 		if err == nil {
-			gateway = answer
+			retryable = answer
 		}
 		if !k.mayRetry(ctx, err, limits) {
-			return finalAnswer(gateway, answer, err)
+			return finalAnswer(retryable, answer, err)
 		}
 	}
 }
 
-// finalAnswer returns an earlier retryable answer of the service if no replica was left for
-// another try, or if the last replica gave no answer.
-func finalAnswer(gateway, answer *CallAnswer, err *errkind.Error) (*CallAnswer, *errkind.Error) {
-	if gateway != nil && err != nil && (err.Kind == errkind.NoUpstream || err.Kind == errkind.UpstreamLimit || err.Kind == errkind.CrashesUpstreams || attemptFailed(err.Kind)) {
-		return gateway, nil
+// finalAnswer returns what the caller gets after the last try: the answer or error of that
+// try, or the latest retryable answer of an earlier try if no replica was left for another one,
+// the last replica gave no answer, or the request was quarantined in the meantime.
+func finalAnswer(retryable, answer *CallAnswer, err *errkind.Error) (*CallAnswer, *errkind.Error) {
+	if retryable != nil && err != nil && (err.Kind == errkind.NoUpstream || err.Kind == errkind.UpstreamLimit || err.Kind == errkind.CrashesUpstreams || attemptFailed(err.Kind)) {
+		return retryable, nil
 	}
 	return answer, err
 }
@@ -152,8 +153,8 @@
 	}
 }
 
-// mayRetry reports whether another attempt is allowed after err, or, when err is nil, after an
-// answer that worthRetry accepted.
+// mayRetry reports whether another attempt is allowed after err or, if err is nil, after an
+// answer for which worthRetry returned true.
 func (k *serviceCall) mayRetry(ctx context.Context, err *errkind.Error, limits Limits) bool {
 	now := k.r.o.Now()
 	if err != nil && !attemptFailed(err.Kind) || ctx.Err() != nil || !now.Before(k.c.Deadline) {
@@ -165,7 +166,8 @@
 	return true
 }
 
-// takePermits takes the retry permits for the next dispatch from the budget.
+// takePermits takes the retry permits that the next dispatch needs; it returns false if the
+// retry budget lacks them.
 func (k *serviceCall) takePermits() bool {
 	needs := k.arrivals.permitsNeeded(false)
 	if needs == 0 {
@@ -185,8 +187,9 @@
 	return kind == errkind.UpstreamFailed || kind == errkind.UpstreamRefused
 }
 
-// chooseReplica plans one attempt and repeats the checks whose result may have changed since:
-// quarantine, deadline, caller, a stopped process and a leaving replica.
+// chooseReplica plans one attempt and checks that the call may still be dispatched: the request
+// is not quarantined, its deadline has not passed, its caller has not left, this process was
+// not stopped in the meantime, and the replica takes new work.
 func (k *serviceCall) chooseReplica() (policy.ServicePlan, time.Duration, *errkind.Error) {
 	k.attempt++
 	callOnce(&k.returnLimit)
@@ -238,8 +241,8 @@
 
 // hadUsualTime reports whether the last dispatch got at least half of the usual timeout.
 //
-// A caller may state a deadline that no replica can meet, or a retry may have little time
-// left. If such timeouts counted as failures of the replica, a few of them would eject every
+// A caller may state a deadline that no replica can meet, or little time may be left for a
+// retry. If such timeouts counted as failures of the replica, a few of them would eject every
 // replica, and all teams would get no-upstream errors from a healthy service.
 func (k *serviceCall) hadUsualTime() bool { return 2*k.givenTimeout >= k.usualTimeout }
 
@@ -286,7 +289,7 @@
 	}
 	k.r.reportServiceAnswer(rep.Name, answer, err)
 	if mayHaveCrashed(ctx, StepCall, err) {
-		k.reportBroken(rep, now)
+		k.reportLostRun(rep, now)
 	}
 	if err == nil {
 		k.r.o.Quarantine.RecordCompletion(k.r.o.Now(), k.digest)
@@ -302,9 +305,10 @@
 	return nil, k.logFailure(k.sendError(ctx, rep, err))
 }
 
-// sendTimeout returns the timeout of a dispatch. If the call may be dispatched again, a
-// replica that is well past the first-byte target is given up for another one: it may be
-// partitioned or frozen, which a kept-alive connection reveals only after seconds.
+// sendTimeout returns the timeout of a dispatch. If the call may be dispatched again, a replica
+// that does not answer within CallTimeoutFactor times the first-byte target is given up for
+// another one: it may be partitioned or frozen, which a kept-alive connection reveals only
+// after seconds.
 func (k *serviceCall) sendTimeout(left time.Duration) time.Duration {
 	first := time.Duration(k.r.o.Limits.CallTimeoutFactor * float64(k.firstByteTarget))
 	if first <= 0 || k.c.atMostOnce() || k.c.MaxSends > 0 && k.sends+1 >= k.c.MaxSends {
--- a/request/canceller.go
+++ b/request/canceller.go
@@ -13,8 +13,9 @@
 
 // CancelLimits bound the cancel calls that continue after their requests have ended.
 type CancelLimits struct {
-	// Try is the timeout of one call. After Age the canceller gives up and leaves the work to
-	// the steward's sweep, which frees memory that engines hold for ended requests.
+	// Try is the timeout of one call. Age is how long a cancel is repeated; after that, the
+	// work is left to the steward's sweep (package steward), which frees memory that engines
+	// hold for ended requests.
 	Try time.Duration
 	Age time.Duration
 	// MinPause and MaxPause bound the pause between tries, which doubles each time.
@@ -106,9 +107,10 @@
 	l.insert(task)
 }
 
-// cancelQueue holds the tasks of one upstream, those not tried yet first. Otherwise a task
-// that is not acknowledged would delay all later ones for as long as it is repeated, and a
-// healthy engine would keep the memory of cancelled requests. canceller.mu guards tasks.
+// cancelQueue holds the tasks of one upstream, those not tried yet first. In plain order of
+// arrival, a task that is not acknowledged would delay all later ones for as long as it is
+// repeated, and a healthy engine would keep the memory of cancelled requests. canceller.mu
+// guards tasks.
 type cancelQueue struct {
 	tasks []cancelTask
 	added chan struct{} // buffered; signals that a task was added
@@ -191,7 +193,8 @@
 	}
 }
 
-// take removes the first task of a queue, or the queue itself when it is empty.
+// take removes and returns the first task of a queue. If there is none, it removes the queue
+// and returns false.
 func (c *canceller) take(addr string, l *cancelQueue) (cancelTask, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +207,8 @@
 	return task, true
 }
 
-// putBack appends a task that failed and reports whether the first task is an untried one.
+// putBack appends a task whose call failed and reports whether the first task in the queue has
+// not been tried yet.
 func (c *canceller) putBack(l *cancelQueue, task cancelTask) (untried bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,6 +216,7 @@
 	return l.tasks[0].tries == 0
 }
 
+// dropQueue removes a queue and records its remaining tasks as not acknowledged.
 func (c *canceller) dropQueue(addr string, l *cancelQueue) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,7 +253,7 @@
 	}
 }
 
-// close ends all queues and waits for their goroutines.
+// close drops all queues and waits until their goroutines have ended.
 func (c *canceller) close() {
 	c.stop()
 	c.wg.Wait()
--- a/request/canceller_test.go
+++ b/request/canceller_test.go
@@ -12,10 +12,10 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Guards against one unacknowledged cancel, such as the resume of a draft that has already
-// ended, delaying the cancels queued after it on the same engine. The engine would hold the
-// memory of cancelled requests for ten seconds although it is healthy.
-func TestStuckCancelHoldsUpNoOther(t *testing.T) {
+// Guards against one call that is never acknowledged, such as the resume of a draft that has
+// already ended, delaying the cancels queued after it for the same engine. The engine would
+// then hold the memory of cancelled requests for ten seconds although it is healthy.
+func TestUnacknowledgedCancelDoesNotDelayOthers(t *testing.T) {
 	f := newFleet(t, func(o *request.Options) {
 		o.Cancel = request.DefaultCancelLimits()
 		o.Cancel.Age, o.Cancel.MinPause, o.Cancel.MaxPause = time.Hour, time.Hour, time.Hour
--- a/request/chunks.go
+++ b/request/chunks.go
@@ -13,9 +13,9 @@
 	finishReasonLength = "length"
 )
 
-// handleChunk handles one line of the current stream. A faulty engine or proxy may repeat,
-// reorder or mix up lines. Only the next token of the current attempt becomes part of the
-// answer, so that the caller gets each of its own tokens once and in order.
+// handleChunk handles one chunk of the current stream. A faulty engine or proxy may repeat or
+// reorder chunks, or send chunks of another request. Only the next token of the current attempt
+// becomes part of the answer, so that the caller gets each of its own tokens once and in order.
 func (m *Machine) handleChunk(now time.Time, c *engineapi.Chunk) {
 	if m.state != StateImporting && m.state != StateStreaming {
 		m.drops.Late++
@@ -65,8 +65,9 @@
 }
 
 // handlePause handles EventPaused, which stops the stall timeout, and EventUnpaused, which
-// restarts it with twice the time because a resumed stream may have to wait for a slot.
-// Without it, a paused draft would be treated as stalled and started again on another engine.
+// restarts it with twice the time because a resumed stream may have to wait for a slot. If the
+// timeout continued during a pause, a paused draft would be treated as stalled and started
+// again on another engine.
 func (m *Machine) handlePause(now time.Time, ev Event) {
 	if ev.Attempt != m.attempt || m.state != StateStreaming {
 		return
--- a/request/complete.go
+++ b/request/complete.go
@@ -70,8 +70,8 @@
 	callDone    func()
 	attemptDone func()
 	teamDone    func()
-	// heldLimits are the units that the attempt took from its engines' rate limits and has not
-	// used. limitedCount is the number of engines that the last plan excluded because of their
+	// heldLimits returns the units that the attempt took from its engines' rate limits and has
+	// not used. limitedCount is the number of engines that the last plan excluded because of their
 	// rate limits.
 	heldLimits   engineLimits
 	limitedCount int
@@ -80,7 +80,7 @@
 	undeliveredPrefill int
 	aheadTokens        int // prompt tokens that the prefill engine has to compute before this prompt
 	lastTokenAt        time.Time
-	firstTokenAt       time.Time // delivered by attempt firstTokenAttempt
+	firstTokenAt       time.Time // when the first token was delivered, by attempt firstTokenAttempt
 	firstTokenAttempt  int
 	verdict            Verdict // of the latest plan
 	shownState         State   // the state shown on the administration listener
@@ -328,14 +328,15 @@
 	})
 }
 
-// endCall cancels the call in flight.
+// endCall cancels the call in flight and ends its Inflight entry.
 func (d *driver) endCall() {
 	d.cancelCall()
 	callOnce(&d.callDone)
 }
 
-// endAttempt cancels the call in flight and ends the attempt's accounting: rate limits, paused
-// drafts, its decode slot and wasted prefill tokens.
+// endAttempt cancels the call in flight and releases what the attempt occupies: rate limit
+// units, the draft that it paused and its decode slot. It also counts prompt tokens that were
+// prefilled in vain.
 func (d *driver) endAttempt() {
 	d.endCall()
 	d.heldLimits.returnAll()
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -22,7 +22,7 @@
 	cancel context.CancelFunc
 	c      request.Completion
 	sink   *sink
-	// check runs after the answer and before the engines are thawed.
+	// check runs after the answer, while frozen engines are still frozen.
 	check func()
 }
 
@@ -36,13 +36,14 @@
 	}
 }
 
-// longAnswer makes the answer so long that only a cancel frees its memory.
+// longAnswer makes the answer so long that only a cancel ends it and frees its memory.
 func (c *faultCase) longAnswer() { c.c.MaxTokens = 1 << 20 }
 
 // neverEnds slows down d0's decoding so much that only a cancel frees its memory.
 func (c *faultCase) neverEnds() { c.faults(0, engine.Faults{SlowStep: 1e6}) }
 
-// chunksDropped returns a check that the runner has dropped chunks of the counted kind.
+// chunksDropped returns a check that the runner has dropped chunks of the kind that count
+// returns.
 func (c *faultCase) chunksDropped(count func(request.Drops) int) func() {
 	return func() {
 		if d := locked(c.fleet, func() request.Drops { return c.drops }); count(d) == 0 {
@@ -61,20 +62,20 @@
 }
 
 var (
-	completeAnswer = want{}
-	goneNotRun     = want{errkind.ClientGone, errkind.NotRun}
-	goneUnknown    = want{errkind.ClientGone, errkind.Unknown}
-	goneRan        = want{errkind.ClientGone, errkind.Ran}
-	staleNotRun    = want{errkind.StaleView, errkind.NotRun}
-	staleUnknown   = want{errkind.StaleView, errkind.Unknown}
-	staleRan       = want{errkind.StaleView, errkind.Ran}
+	completeAnswer    = want{}
+	callerGoneNotRun  = want{errkind.ClientGone, errkind.NotRun}
+	callerGoneUnknown = want{errkind.ClientGone, errkind.Unknown}
+	callerGoneRan     = want{errkind.ClientGone, errkind.Ran}
+	staleNotRun       = want{errkind.StaleView, errkind.NotRun}
+	staleUnknown      = want{errkind.StaleView, errkind.Unknown}
+	staleRan          = want{errkind.StaleView, errkind.Ran}
 )
 
 // TestComplete checks for every fault at every step that the caller gets exactly one answer
 // with its own tokens, each once, that an incomplete answer does not end as a complete one,
-// that "not run" is reported only if it is true, and that no engine keeps memory for the
-// request. Faults hit d0 and p0, the first choices; d1 and p1 are healthy. Frozen engines
-// continue after the request has ended.
+// that the run state is "not run" only if the request did not run, and that no engine keeps
+// memory for the request. Faults hit d0 and p0, the first choices; d1 and p1 are healthy.
+// Frozen engines continue after the request has ended.
 func TestComplete(t *testing.T) {
 	for name, tc := range faultCases() {
 		t.Run(name, func(t *testing.T) {
@@ -94,9 +95,9 @@
 				c.check()
 			}
 			for _, n := range f.engines {
-				n.thaw()
+				n.unfreeze()
 			}
-			f.nothingHeld()
+			f.waitUntilNothingHeld()
 		})
 	}
 }
@@ -120,25 +121,25 @@
 func faultCases() map[string]faultCaseSpec {
 	out := map[string]faultCaseSpec{}
 	for step, s := range callOfStep {
-		hit := func(hook func(c *faultCase, n *engineNode) http.HandlerFunc) func(*faultCase) {
+		hookStep := func(hook func(c *faultCase, n *engineNode) http.HandlerFunc) func(*faultCase) {
 			return func(c *faultCase) { n := c.engines[s.engine]; n.onCall(s.path, hook(c, n)) }
 		}
-		out[step+"/upstream-killed"] = faultCaseSpec{hit(func(_ *faultCase, n *engineNode) http.HandlerFunc {
+		out[step+"/upstream-killed"] = faultCaseSpec{hookStep(func(_ *faultCase, n *engineNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) { n.kill(); cut(w, r) }
 		}), completeAnswer}
-		out[step+"/upstream-frozen"] = faultCaseSpec{hit(func(_ *faultCase, n *engineNode) http.HandlerFunc {
+		out[step+"/upstream-frozen"] = faultCaseSpec{hookStep(func(_ *faultCase, n *engineNode) http.HandlerFunc {
 			return func(http.ResponseWriter, *http.Request) { n.freeze() }
 		}), completeAnswer}
-		out[step+"/connection-cut"] = faultCaseSpec{hit(func(*faultCase, *engineNode) http.HandlerFunc { return cut }), completeAnswer}
-		out[step+"/connection-stalled"] = faultCaseSpec{hit(func(*faultCase, *engineNode) http.HandlerFunc { return stall }), completeAnswer}
-		gone := goneUnknown
+		out[step+"/connection-cut"] = faultCaseSpec{hookStep(func(*faultCase, *engineNode) http.HandlerFunc { return cut }), completeAnswer}
+		out[step+"/connection-stalled"] = faultCaseSpec{hookStep(func(*faultCase, *engineNode) http.HandlerFunc { return stall }), completeAnswer}
+		gone := callerGoneUnknown
 		if step == "reserve" {
-			gone = goneNotRun
+			gone = callerGoneNotRun
 		}
-		out[step+"/caller-gone"] = faultCaseSpec{hit(func(c *faultCase, _ *engineNode) http.HandlerFunc {
+		out[step+"/caller-gone"] = faultCaseSpec{hookStep(func(c *faultCase, _ *engineNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				c.cancel()
-				stall(w, r) // an answer that arrives together with the caller's departure could be handled first
+				stall(w, r) // without it, the call's answer could be handled before the caller's departure
 			}
 		}), gone}
 	}
@@ -159,9 +160,10 @@
 	}
 }
 
+// acceptFaults are faults between the acceptance of the request and its first call.
 func acceptFaults() map[string]faultCaseSpec {
 	return map[string]faultCaseSpec{
-		"accept/caller-gone": {func(c *faultCase) { c.cancel(); c.check = c.noNewWork("d0") }, goneNotRun},
+		"accept/caller-gone": {func(c *faultCase) { c.cancel(); c.check = c.noNewWork("d0") }, callerGoneNotRun},
 		"accept/daemon-frozen": {func(c *faultCase) {
 			c.stale = true
 			c.check = c.noNewWork("d0")
@@ -212,7 +214,7 @@
 		"own-word/reserve/leaving": {func(c *faultCase) {
 			c.faults(0, engine.Faults{Leaving: true})
 			c.check = func() {
-				if !locked(c.fleet, func() bool { return len(c.left) > 0 && c.left[0] == "d0" }) {
+				if !locked(c.fleet, func() bool { return len(c.announcedLeaving) > 0 && c.announcedLeaving[0] == "d0" }) {
 					c.t.Error("the observer got no leaving notice")
 				}
 			}
@@ -220,6 +222,7 @@
 	}
 }
 
+// streamFaults are faults while the answer streams.
 func streamFaults() map[string]faultCaseSpec {
 	first, last := 1, 1+tokens // chunks before the fault: the import notice, then tokens
 	out := map[string]faultCaseSpec{}
@@ -233,19 +236,19 @@
 			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
 			c.check = c.noNewWork("d1")
 		}, completeAnswer}
-		crossed := func(g engine.Corruption) func(*faultCase) {
+		misrouted := func(g engine.Corruption) func(*faultCase) {
 			return func(c *faultCase) {
 				c.faults(1, engine.Faults{Garble: g, GarbleAfter: after})
 				c.check = c.chunksDropped(func(d request.Drops) int { return d.Misrouted })
 			}
 		}
-		out[step+"/crossed-answer"] = faultCaseSpec{crossed(engine.CorruptOtherRequest), completeAnswer}
-		out[step+"/late-answer"] = faultCaseSpec{crossed(engine.CorruptOlderAttempt), completeAnswer}
+		out[step+"/crossed-answer"] = faultCaseSpec{misrouted(engine.CorruptOtherRequest), completeAnswer}
+		out[step+"/late-answer"] = faultCaseSpec{misrouted(engine.CorruptOlderAttempt), completeAnswer}
 		out[step+"/duplicated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptRepeated, GarbleAfter: after}), completeAnswer}
 		out[step+"/truncated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptTruncated, GarbleAfter: after}), completeAnswer}
 		out[step+"/upstream-killed"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, c.engines["d0"].kill) }, completeAnswer}
 		out[step+"/upstream-frozen"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, func() { c.engines["d0"].freeze(); c.neverEnds() }) }, completeAnswer}
-		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.longAnswer(); c.onTokenAt(token, c.cancel) }, goneRan}
+		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.longAnswer(); c.onTokenAt(token, c.cancel) }, callerGoneRan}
 		out[step+"/leaving"] = faultCaseSpec{func(c *faultCase) {
 			c.onTokenAt(token, func() { c.leave("d0") })
 			c.check = c.noNewWork("d1")
@@ -266,6 +269,7 @@
 	return out
 }
 
+// endFaults are faults that occur while the answer ends or that end the request with an error.
 func endFaults() map[string]faultCaseSpec {
 	return map[string]faultCaseSpec{
 		"answer/caller-gone": {func(c *faultCase) { // the write to the caller fails
@@ -275,7 +279,7 @@
 				}
 				return nil
 			}
-		}, goneRan},
+		}, callerGoneRan},
 		"answer/daemon-frozen": {func(c *faultCase) { // stopped for longer than the deadline
 			c.onTokenAt(5, func() { c.set(func() { c.skew = 2 * maxWait }) })
 		}, want{errkind.DeadlineExceeded, errkind.Ran}},
@@ -294,7 +298,7 @@
 // cancelFaults are faults that lose the cancel itself. The engine continues until a cancel
 // takes effect, so a cancel that is lost for good shows as memory that is never freed.
 func cancelFaults() map[string]faultCaseSpec {
-	first := func(times int, hook http.HandlerFunc) func(*faultCase) {
+	failFirst := func(times int, hook http.HandlerFunc) func(*faultCase) {
 		return func(c *faultCase) {
 			c.longAnswer()
 			c.onTokenAt(5, c.cancel)
@@ -307,25 +311,25 @@
 		}
 	}
 	return map[string]faultCaseSpec{
-		"cancel/connection-cut":     {first(3, cut), goneRan},
-		"cancel/connection-stalled": {first(2, stall), goneRan},
+		"cancel/connection-cut":     {failFirst(3, cut), callerGoneRan},
+		"cancel/connection-stalled": {failFirst(2, stall), callerGoneRan},
 		"cancel/truncated-answer": {func(c *faultCase) { // the cancel takes effect, but its answer is lost
 			c.longAnswer()
 			c.onTokenAt(5, c.cancel)
 			c.faults(2, engine.Faults{LoseCancel: true})
-		}, goneRan},
+		}, callerGoneRan},
 		"cancel/upstream-frozen": {func(c *faultCase) {
 			c.longAnswer()
 			c.onTokenAt(5, func() { c.engines["d0"].freeze(); c.cancel() })
-		}, goneRan},
+		}, callerGoneRan},
 		"cancel/upstream-killed": {func(c *faultCase) {
 			c.longAnswer()
 			c.onTokenAt(5, func() { c.engines["d0"].kill(); c.cancel() })
-		}, goneRan},
+		}, callerGoneRan},
 		"cancel/daemon-frozen": {func(c *faultCase) { // a daemon with stale data still frees what it holds
 			c.longAnswer()
 			c.onTokenAt(5, func() { c.set(func() { c.stale = true }); c.cancel() })
-		}, goneRan},
+		}, callerGoneRan},
 	}
 }
 
@@ -344,7 +348,7 @@
 		"transfer/caller-gone": {func(c *faultCase) {
 			broken(engine.Faults{StallExport: true})(c)
 			c.engines["p0"].onCall(engineapi.PathExport, func(http.ResponseWriter, *http.Request) { c.cancel() })
-		}, goneUnknown},
+		}, callerGoneUnknown},
 	}
 }
 
--- a/request/decision_test.go
+++ b/request/decision_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// checkRetry checks that the line of a retry contains the request, the budget and its answer.
+// checkRetry checks the log line of a retry: it names the request and the budget (target), and
+// contains the permits needed, the permits left and whether they were granted.
 func checkRetry(t *testing.T, e *log.Entry) {
 	t.Helper()
 	want := log.Fields{
--- a/request/dispatch.go
+++ b/request/dispatch.go
@@ -9,8 +9,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// dispatch repeats the checks whose result may have changed since the plan and starts one
-// call.
+// dispatch starts one call. If the call must not be sent or needs a draft to pause and finds
+// none, the machine gets an event instead.
 func (d *driver) dispatch(a Action) {
 	d.endCall()
 	if ev, ok := d.blocked(a); ok {
@@ -47,11 +47,11 @@
 	}
 }
 
-// blocked returns the event to handle instead of making the call if the call must not be sent.
-// A process that was stopped (SIGSTOP, a paused virtual machine) continues with its next call
-// as if no time had passed, with stale data: upstreams may have left, and the steward's sweep
-// may have freed the engine memory of its requests. Frozen detects this by a gap between
-// heartbeats.
+// blocked checks whether a call must not be sent and, if so, returns the event that the machine
+// gets in its place. A process that was stopped (SIGSTOP, a paused virtual machine) continues
+// with its next call as if no time had passed, with stale data: upstreams may have left, and
+// the steward's sweep may have freed the engine memory of its requests. Frozen detects this by
+// a gap between heartbeats.
 func (d *driver) blocked(a Action) (Event, bool) {
 	now := d.r.o.Now()
 	if d.r.o.Frozen(now) || grantExpired(d.notAfter, now) {
@@ -74,11 +74,11 @@
 }
 
 // countInflight adds the call's load to Inflight. The decode engine is counted from the
-// attempt's first call to the attempt's end. The KV links of both engines are booked before
-// prefill starts.
+// attempt's first call to the attempt's end. The KV links of both engines are booked when
+// the prefill starts.
 func (d *driver) countInflight(a Action) {
 	if d.attemptDone == nil {
-		d.attemptDone = d.r.o.Inflight.Begin(a.Plan.Decode.Name, d.holdTokens())
+		d.attemptDone = d.r.o.Inflight.Begin(a.Plan.Decode.Name, d.reservedTokens())
 		d.slotPool = a.Plan.Decode.Pool
 	}
 	if a.Step == StepPrefill {
@@ -92,23 +92,23 @@
 	return engineapi.WorkID{RequestID: d.c.ID, Attempt: a.Attempt}
 }
 
-func (d *driver) envelope(a Action) engineapi.CallMetadata {
+func (d *driver) callMetadata(a Action) engineapi.CallMetadata {
 	return engineapi.CallMetadata{Upstream: a.Target.Name, Deadline: d.c.Deadline, CallerRequest: d.c.Original}
 }
 
-// reserveRequest asks for a slot that stays reserved for the timeouts of the prefill and of the
-// start of decoding together, within the limits of the request's deadline and of the pool. A
-// shorter reservation would waste a prefill that is merely slow.
+// reserveRequest returns the request for a slot that stays reserved for the timeouts of the
+// prefill and of the start of decoding together, within the limits of the request's deadline
+// and of the pool. A shorter reservation would waste a prefill that is merely slow.
 func (d *driver) reserveRequest(a Action) engineapi.ReserveRequest {
 	l := d.m.limits
 	hold := min(l.Prefill+a.Plan.FirstToken+l.Import, d.c.Deadline.Sub(d.r.o.Now()))
-	if bound := d.maxHold(a); bound > 0 {
+	if bound := d.maxReservationTime(a); bound > 0 {
 		hold = min(hold, bound)
 	}
 	tokens, headroom := d.reservation()
 	return engineapi.ReserveRequest{
 		WorkID:   d.workID(a),
-		Envelope: d.envelope(a),
+		Envelope: d.callMetadata(a),
 		Tokens:   tokens,
 		Headroom: headroom,
 		Owner:    d.r.o.Owner,
@@ -119,9 +119,9 @@
 	}
 }
 
-// maxHold returns the longest reservation time that the engine's pool accepts; 0 means no
+// maxReservationTime returns the longest reservation time that the engine's pool accepts; 0 means no
 // limit.
-func (d *driver) maxHold(a Action) time.Duration {
+func (d *driver) maxReservationTime(a Action) time.Duration {
 	s := d.r.o.Snapshot()
 	if s == nil || s.Bundle == nil {
 		return 0
@@ -141,7 +141,7 @@
 func (d *driver) prefillRequest(a Action) engineapi.PrefillRequest {
 	return engineapi.PrefillRequest{
 		WorkID:    d.workID(a),
-		Envelope:  d.envelope(a),
+		Envelope:  d.callMetadata(a),
 		Owner:     d.r.o.Owner,
 		Model:     d.c.Model,
 		Adapter:   d.c.Adapter,
@@ -154,7 +154,7 @@
 func (d *driver) decodeRequest(a Action) engineapi.DecodeRequest {
 	return engineapi.DecodeRequest{
 		WorkID:      d.workID(a),
-		Envelope:    d.envelope(a),
+		Envelope:    d.callMetadata(a),
 		Reservation: a.Reservation,
 		Handle:      a.Handle,
 		Owner:       d.r.o.Owner,
@@ -168,7 +168,7 @@
 }
 
 func (d *driver) reserve(ctx context.Context, a Action, msg engineapi.ReserveRequest, pausedDraft *pausableDraft) {
-	if pausedDraft != nil { // if it fails, the engine stays full and refuses the reservation
+	if pausedDraft != nil { // if the pause fails, the engine stays full and refuses the reservation
 		_, _ = d.r.o.Engines.Pause(ctx, pausedDraft.target.Address, pausedDraft.work)
 	}
 	reply, err := d.r.o.Engines.Reserve(ctx, a.Target.Address, msg)
@@ -235,7 +235,7 @@
 	for answering, sawDone := false, false; ; answering = true {
 		if err := stream.Next(&ev.Chunk); err != nil {
 			if !sawDone && mayHaveCrashed(ctx, a.Step, err) {
-				d.reportBroken(a, sent, answering)
+				d.reportLostRun(a, sent, answering)
 			}
 			d.sendEvent(ctx, Event{Kind: EventStreamEnded, Call: a.Call})
 			return
@@ -250,9 +250,10 @@
 	}
 }
 
+// sendCallFailed reports the failure of a call that was sent at the given time.
 func (d *driver) sendCallFailed(ctx context.Context, a Action, sent time.Time, err error) {
 	if mayHaveCrashed(ctx, a.Step, err) {
-		d.reportBroken(a, sent, false)
+		d.reportLostRun(a, sent, false)
 	}
 	d.r.reportRefusal(a.Target.Name, err)
 	d.sendEvent(ctx, Event{
--- a/request/events.go
+++ b/request/events.go
@@ -18,8 +18,8 @@
 	EventPlanned
 	// EventPlanFailed is the result of ActionPlan when no plan could be made; Err says why.
 	EventPlanFailed
-	// EventRetryDenied is the result of ActionPlan when the retry budget lacks the permits
-	// that the plan needs.
+	// EventRetryDenied is the result of ActionPlan when the retry budget lacks the permits that
+	// the plan needs.
 	EventRetryDenied
 	// EventPermitted is the result of ActionPermit. Permits is the number of retry permits taken,
 	// 0 if the budget lacked them.
@@ -30,8 +30,8 @@
 	EventPrefilled
 	// EventOpened reports that the engine accepted decode or resume call Call.
 	EventOpened
-	// EventCallFailed reports that call Call failed. Delivery says how far it got; Refusal is
-	// set if it was refused.
+	// EventCallFailed reports that call Call failed. Delivery says whether the upstream may have
+	// executed it; Refusal is set if the upstream refused it.
 	EventCallFailed
 	// EventUpstreamLeaving reports that call Call was not sent because its upstream takes no new work.
 	EventUpstreamLeaving
@@ -49,8 +49,8 @@
 	EventCallerGone
 	// EventDrainLimit reports that the daemon has reached its shutdown limit.
 	EventDrainLimit
-	// EventPaused reports that attempt Attempt was paused to make room, so that no token is
-	// due; EventUnpaused reports that it continues.
+	// EventPaused reports that attempt Attempt was paused to free its slot for an urgent
+	// request, so that no token is due; EventUnpaused reports that the attempt continues.
 	EventPaused
 	EventUnpaused
 	// EventSlotAvailable tells a queued request to ask for a slot again.
@@ -84,8 +84,8 @@
 	Chunk   engineapi.Chunk
 }
 
-// deniesCall reports whether the event says that its call failed or was never sent, without an
-// answer from the engine.
+// deniesCall reports whether the event says that its call was never sent, or that it failed
+// without an answer from the engine.
 func (ev Event) deniesCall() bool {
 	switch ev.Kind {
 	case EventUpstreamLeaving, EventStaleView, EventQuarantined:
@@ -106,11 +106,11 @@
 	// is set after a failed attempt. AfterWait is set when the attempt has waited for a slot since
 	// its last plan.
 	ActionPlan ActionKind = iota
-	// ActionPermit asks the retry budget for Permits permits before call Call is given up for
-	// its silence.
+	// ActionPermit requests Permits permits from the retry budget. Call, whose stream is silent,
+	// is given up only if they are granted.
 	ActionPermit
-	// ActionDispatch makes call Call of Step to Target according to Plan. It ends the call
-	// before it.
+	// ActionDispatch makes call Call of Step to Target according to Plan, after cancelling the
+	// previous call if that is still in flight.
 	ActionDispatch
 	// ActionCancel repeats the cancel of Attempt on Target until it is acknowledged, and ends
 	// the call in flight.
@@ -172,6 +172,7 @@
 	Unanswered, Reached bool
 	// TimedOut is set for ActionReportFailure if the call timed out.
 	TimedOut bool
+	// From and Accepted belong to ActionReportHandoff.
 	From     Target
 	Accepted bool
 }
--- a/request/failure.go
+++ b/request/failure.go
@@ -67,12 +67,12 @@
 	m.planNextAttempt(true)
 }
 
-// handleUnsentCall plans the attempt again after a call that was never sent. Since this cost
-// the upstream nothing, it is not charged as a failed attempt until the bound on refused
-// reservations is reached.
+// handleUnsentCall plans the attempt again after a call that was never sent. Since such a call
+// costs the upstream nothing, it counts as a failed attempt only after MaxRefusals unsent calls
+// and refused reservations.
 func (m *Machine) handleUnsentCall() {
-	free := m.refusals < m.limits.MaxRefusals
-	if !free {
+	uncharged := m.refusals < m.limits.MaxRefusals
+	if !uncharged {
 		m.retry(m.callFailedError(), true)
 		return
 	}
@@ -83,8 +83,9 @@
 	m.planNextAttempt(false)
 }
 
-// handleRefusedReservation plans the attempt again after a refused reservation, which costs
-// only that call; beyond MaxRefusals it counts as a failed attempt.
+// handleRefusedReservation plans the attempt again after a refused reservation. Nothing of the
+// request was sent, so the refusal counts as a failed attempt only after MaxRefusals unsent
+// calls and refused reservations.
 func (m *Machine) handleRefusedReservation(ev Event) {
 	if m.refusals >= m.limits.MaxRefusals {
 		m.retry(refusedError(ev.Refusal), true)
@@ -127,6 +128,7 @@
 	m.retry(m.callFailedError(), true)
 }
 
+// callFailedError returns the error of an attempt whose latest call failed.
 func (m *Machine) callFailedError() *errkind.Error {
 	return errkind.New(errkind.UpstreamFailed, "the "+m.lastStep.String()+" call failed")
 }
@@ -139,9 +141,9 @@
 	return e
 }
 
-// retry ends the attempt and plans another one, or fails the request. charged is false for a
-// failure that this daemon's own check found before anything was sent: it takes no retry
-// permit.
+// retry ends the attempt and plans another one, or fails the request. charged states that the
+// next attempt takes a retry permit; it is false if the attempt ended because a check of this
+// daemon failed before anything was sent.
 func (m *Machine) retry(cause *errkind.Error, charged bool) {
 	m.cause = cause
 	m.exclude = append(slices.Clone(m.exclude), m.failedUpstreams()...)
--- a/request/gate.go
+++ b/request/gate.go
@@ -21,7 +21,7 @@
 // Outcome is the result of a granted request.
 type Outcome struct {
 	Run errkind.RunState
-	// Answer is stored, within size limits, for a repeat of the same key.
+	// Answer is stored, within size limits, for a later request with the same key.
 	Answer *CallAnswer
 }
 
@@ -39,11 +39,12 @@
 	// Deadline is the wall-clock time from which on the request must not be dispatched,
 	// because the key may then be forgotten and granted again. Compare it with time.Now right
 	// before the first byte is sent upstream, since the process may have been frozen after the
-	// grant. After the deadline the caller gets errkind.Unknown, because another attempt may
-	// have run by then; Finish still gets errkind.NotRun. Zero when Run is false.
+	// grant. For a request that was not dispatched before the deadline, the caller gets
+	// errkind.Unknown, because the request may have run under a later grant, whereas Finish gets
+	// errkind.NotRun. Deadline is zero when Run returns false.
 	Deadline() time.Time
-	// Finish records the outcome. Call it exactly once when Run is true. errkind.NotRun
-	// promises that nothing was sent upstream and nothing will be.
+	// Finish records the outcome. Call it exactly once if Run returns true. An outcome of
+	// errkind.NotRun states that nothing was sent upstream and nothing will be.
 	Finish(out Outcome)
 }
 
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -33,7 +33,7 @@
 // maxWait is a generous upper limit for every wait.
 const maxWait = 20 * time.Second
 
-// inOrder is a policy that picks the first replicas of each pool that are not excluded.
+// inOrder is a policy that picks, in each pool, the first replica that is not excluded.
 type inOrder struct{ f *fleet }
 
 func (inOrder) Name() string { return "in-order" }
@@ -72,19 +72,19 @@
 
 // fleet is a runner with stand-in engines and services.
 type fleet struct {
-	t       testing.TB
-	runner  *request.Runner
-	engines map[string]*engineNode
-	mu      sync.Mutex
-	members []policy.Replica
-	stale   bool          // result of Options.Frozen
-	skew    time.Duration // added to the clock
-	onPlan  func(attempt int)
-	left    []string // upstreams that announced that they are leaving
-	drops   request.Drops
-	wasted  int         // prompt tokens of prefills that led to no token
-	budget  atomic.Bool // true: the retry budget is empty
-	slots   int         // of each decode engine; 0 means the stand-in's default
+	t                testing.TB
+	runner           *request.Runner
+	engines          map[string]*engineNode
+	mu               sync.Mutex
+	members          []policy.Replica
+	stale            bool          // result of Options.Frozen
+	skew             time.Duration // added to the clock
+	onPlan           func(attempt int)
+	announcedLeaving []string // upstreams that announced that they are leaving
+	drops            request.Drops
+	wasted           int         // prompt tokens of prefills that led to no token
+	budgetEmpty      atomic.Bool // true: the retry budget is empty
+	slots            int         // of each decode engine; 0 means the stand-in's default
 }
 
 // engineNode is a stand-in engine that can be frozen or killed and whose calls can be
@@ -94,7 +94,7 @@
 	server *httptest.Server
 	mu     sync.Mutex
 	hooks  map[string]http.HandlerFunc // by path; run before the engine gets the call
-	frozen chan struct{}               // closed by thaw; nil when not frozen
+	frozen chan struct{}               // closed by unfreeze; nil when not frozen
 	killed bool
 }
 
@@ -116,7 +116,7 @@
 		Services:    upstream.NewServices(hc, upstream.NoRateLimitObserver{}),
 		Observer:    observer{f},
 		Metrics:     metrics{f},
-		RetryBudget: func(string) request.RetryBudget { return switchableBudget{&f.budget} },
+		RetryBudget: func(string) request.RetryBudget { return switchableBudget{&f.budgetEmpty} },
 		Frozen:      func(time.Time) bool { return locked(f, func() bool { return f.stale }) },
 		Now:         func() time.Time { return time.Now().Add(locked(f, func() time.Duration { return f.skew })) },
 		Limits: request.Limits{
@@ -172,7 +172,7 @@
 func (o observer) PromptRefused(time.Time, string) {}
 
 func (o observer) Leaving(_ time.Time, name string) {
-	o.f.set(func() { o.f.left = append(o.f.left, name) })
+	o.f.set(func() { o.f.announcedLeaving = append(o.f.announcedLeaving, name) })
 }
 
 // metrics records dropped chunks and wasted prefill tokens.
@@ -204,7 +204,7 @@
 	}
 	n := &engineNode{Engine: e, hooks: map[string]http.HandlerFunc{}}
 	n.server = httptest.NewServer(n.handler(e.Handler()))
-	f.t.Cleanup(func() { n.thaw(); e.Close(); n.server.CloseClientConnections(); n.server.Close() })
+	f.t.Cleanup(func() { n.unfreeze(); e.Close(); n.server.CloseClientConnections(); n.server.Close() })
 	f.engines[name] = n
 	f.join(name, strings.TrimPrefix(n.server.URL, "http://"))
 }
@@ -224,8 +224,8 @@
 	})
 }
 
-// wait blocks while the engine is frozen. Calls delivered before continue after the thaw, as
-// in a stopped process.
+// wait blocks while the engine is frozen. Calls that arrived before or during the freeze
+// continue after unfreeze, as in a stopped process.
 func (n *engineNode) wait() {
 	n.mu.Lock()
 	frozen := n.frozen
@@ -243,7 +243,7 @@
 	}
 }
 
-func (n *engineNode) thaw() {
+func (n *engineNode) unfreeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.frozen != nil {
@@ -318,8 +318,8 @@
 	return policy.NewSnapshot(&bundle.Bundle{Models: models}, 1, time.Now(), slices.Clone(f.members), nil)
 }
 
-// nothingHeld waits until no engine holds memory.
-func (f *fleet) nothingHeld() {
+// waitUntilNothingHeld waits until no engine holds memory.
+func (f *fleet) waitUntilNothingHeld() {
 	f.t.Helper()
 	waitUntil(f.t, "no memory held", func() bool {
 		for _, n := range f.engines {
@@ -340,8 +340,8 @@
 	}
 }
 
-// sink records one answer and fails the test when the runner violates the contract of
-// request.Sink.
+// sink is a request.Sink that records one answer. It fails the test if tokens come out of order
+// or after the end, or if the request ends twice.
 type sink struct {
 	t       testing.TB
 	mu      sync.Mutex
@@ -416,11 +416,11 @@
 	}
 }
 
-// wantFailed fails the test unless s ended with kind and run.
+// wantFailed fails the test unless s ended with an error of the given kind and run state.
 func (s *sink) wantFailed(kind errkind.Kind, run errkind.RunState) {
 	s.t.Helper()
 	if s.err == nil || s.err.Kind != kind || s.err.Run != run {
-		s.t.Errorf("got end %q, error %v (run %q); want %s, %s", s.reason, s.err, runOf(s.err), kind, run)
+		s.t.Errorf("got end %q, error %v (run state %q); want %s, %s", s.reason, s.err, runOf(s.err), kind, run)
 	}
 }
 
--- a/request/lattice.go
+++ b/request/lattice.go
@@ -38,7 +38,7 @@
 // only reads the output of a running attempt.
 func (s Step) carriesRequest() bool { return s == StepPrefill || s == StepDecode || s == StepCall }
 
-// level is a run state with an order: notRun < unknown < ran.
+// level is a run state as an ordered value: notRun < unknown < ran.
 type level uint8
 
 const (
@@ -80,11 +80,12 @@
 type runState struct {
 	// prefillRepeatable is Limits.PrefillRepeatable.
 	prefillRepeatable bool
-	settled           level // of the calls whose outcome is known
-	pending           level // that the call in flight may reach
+	settled           level // level over the calls whose outcome is known
+	pending           level // level of the call in flight if it was delivered
 }
 
-// begin records a dispatch. An earlier call without a known outcome stays unknown.
+// begin records a dispatch. If the outcome of the call before it is not known, that call counts
+// as possibly delivered from now on.
 func (r *runState) begin(s Step) {
 	r.settled = r.settled.join(r.pending)
 	r.pending = r.levelOf(s, upstream.Maybe)
@@ -96,7 +97,7 @@
 	r.pending = notRun
 }
 
-// generated records that the request produced output, so that it has run.
+// generated records that the request produced output and therefore has run.
 func (r *runState) generated() { r.settled = ran }
 
 // levelOf is the package function levelOf, except that repeatable prefills count as notRun.
@@ -107,5 +108,5 @@
 	return levelOf(s, d)
 }
 
-// level returns the highest level over all attempts.
+// level returns the highest level over all calls of the request.
 func (r *runState) level() level { return r.settled.join(r.pending) }
--- a/request/lattice_test.go
+++ b/request/lattice_test.go
@@ -9,9 +9,9 @@
 	"github.com/corianderturn/corianderturn/upstream"
 )
 
-// TestRunStateAfterEachCall checks the run state after one call of each step with each delivery. It guards
-// against reporting "not run" for a request that ran, which its caller would then submit a
-// second time.
+// TestRunStateAfterEachCall checks the run state after one call of each step with each
+// delivery. It guards against reporting "not run" for a request that ran: its caller would then
+// submit it a second time.
 func TestRunStateAfterEachCall(t *testing.T) {
 	const n, u, r = errkind.NotRun, errkind.Unknown, errkind.Ran
 	for _, tc := range []struct {
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestLatticeJoin checks that later attempts never lower the run state that earlier ones
-// established.
-func TestLatticeJoin(t *testing.T) {
+// TestRunStateNeverDecreases checks that a later call never lowers the run state that earlier
+// calls established.
+func TestRunStateNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s runState
 		floor := notRun
--- a/request/limits.go
+++ b/request/limits.go
@@ -12,16 +12,18 @@
 )
 
 // UpstreamLimits enforces the rate limits that upstreams announce, jointly with the other
-// daemons. Units that were taken for a request that is not sent are given back.
+// daemons. A unit is the right to send one request. Units that were taken for a request that is
+// not sent are returned.
 // Implementations are safe for concurrent use.
 type UpstreamLimits interface {
 	// Exhausted returns the upstreams of a pool that must not get another request now.
 	Exhausted(now time.Time, s ratelimit.Request) []string
 	// Take takes the units that one request to an upstream needs; ok is false if they are not
-	// left. giveBack returns them; it is nil if the upstream has no limit.
-	Take(now time.Time, upstream string, s ratelimit.Request) (giveBack func(), ok bool)
-	// Borrow is like Take with units of other daemons. It takes tens of milliseconds at most.
-	Borrow(ctx context.Context, upstream string, s ratelimit.Request) (giveBack func(), ok bool)
+	// left. release returns them; it is nil if the upstream has no limit.
+	Take(now time.Time, upstream string, s ratelimit.Request) (release func(), ok bool)
+	// Borrow is like Take but takes units that other daemons hold. It returns within tens of
+	// milliseconds.
+	Borrow(ctx context.Context, upstream string, s ratelimit.Request) (release func(), ok bool)
 	// RetryAfter returns how long a request must wait before it is tried again when none of the
 	// given upstreams has units left for it.
 	RetryAfter(now time.Time, request string, s ratelimit.Request, upstreams []string) time.Duration
@@ -41,7 +43,7 @@
 	return 0
 }
 
-// The ranks of the classes of the daemon's own interface; other classes use their priority.
+// The ranks of the two built-in classes. Other classes use the priority set in the bundle.
 const (
 	limitRankUrgent = iota
 	limitRankDraft
@@ -62,9 +64,9 @@
 	return b.Classes[class].Priority
 }
 
-// pickWithinLimits calls pick until take succeeds in taking the units for what was picked. If
-// take fails, it returns the upstream that has no units left, which the next pick then
-// excludes. The returned list contains all excluded upstreams.
+// pickWithinLimits calls pick until take gets the rate limit units for the picked upstreams. If
+// take fails, it names the upstream that has no units left, and pick is called again with that
+// upstream excluded. The returned list contains all excluded upstreams.
 func pickWithinLimits[P any](excluded []string, pick func(excluded []string) (P, *errkind.Error), take func(P) (exhausted string, ok bool)) (P, []string, *errkind.Error) {
 	for {
 		picked, err := pick(excluded)
@@ -91,21 +93,22 @@
 	return errkind.New(errkind.UpstreamLimit, "the upstreams take no more requests now").WithRetryAfter(wait)
 }
 
-func (k *serviceCall) seeker(s *policy.Snapshot) ratelimit.Request {
+// limitRequest returns the call's request for rate limit units.
+func (k *serviceCall) limitRequest(s *policy.Snapshot) ratelimit.Request {
 	return ratelimit.Request{Pool: s.Bundle.Services[k.c.Service].Pool, Rank: limitRank(s.Bundle, k.c.Class, k.c.Priority)}
 }
 
-// pickReplica picks a replica whose rate limit has units left here or, if there is none, one
-// for which other daemons lend units.
+// pickReplica picks a replica for which this daemon has rate limit units left or, if there is
+// none, one for which it can borrow units from other daemons.
 func (k *serviceCall) pickReplica(s *policy.Snapshot, p policy.Policy) (policy.ServicePlan, *errkind.Error) {
-	limits, q, seeker := k.r.o.UpstreamLimits, k.planQuery(), k.seeker(s)
+	limits, q, limitReq := k.r.o.UpstreamLimits, k.planQuery(), k.limitRequest(s)
 	pick := func(out []string) (policy.ServicePlan, *errkind.Error) {
 		q.Exclude = slices.Concat(k.exclude, out)
 		return p.PickService(s, k.r.o.Inflight, k.c.Service, q, k.rng)
 	}
-	plan, spent, err := pickWithinLimits(limits.Exhausted(q.Now, seeker), pick, func(plan policy.ServicePlan) (string, bool) {
+	plan, spent, err := pickWithinLimits(limits.Exhausted(q.Now, limitReq), pick, func(plan policy.ServicePlan) (string, bool) {
 		var ok bool
-		k.returnLimit, ok = limits.Take(q.Now, plan.Replica.Name, seeker)
+		k.returnLimit, ok = limits.Take(q.Now, plan.Replica.Name, limitReq)
 		return plan.Replica.Name, ok
 	})
 	k.limitedCount = len(spent)
@@ -114,18 +117,18 @@
 	}
 	plan, spent, borrowErr := pickWithinLimits(nil, pick, func(plan policy.ServicePlan) (string, bool) {
 		var ok bool
-		k.returnLimit, ok = limits.Borrow(k.caller, plan.Replica.Name, seeker)
+		k.returnLimit, ok = limits.Borrow(k.caller, plan.Replica.Name, limitReq)
 		return plan.Replica.Name, ok
 	})
 	if borrowErr == nil || len(spent) == 0 {
 		return plan, borrowErr
 	}
-	return plan, limitError(err, limits.RetryAfter(k.r.o.Now(), k.c.ID, seeker, spent))
+	return plan, limitError(err, limits.RetryAfter(k.r.o.Now(), k.c.ID, limitReq, spent))
 }
 
-// engineLimits holds the functions that return the units which an attempt took from its
-// engines' rate limits. Each is nil if no units are held, and is cleared when the call that
-// uses them is sent.
+// engineLimits holds the functions that put back the units which an attempt took from its
+// engines' rate limits. Each function is nil if no units are held, and is cleared when the call
+// that uses the units is sent.
 type engineLimits struct{ decode, prefill func() }
 
 func (l *engineLimits) returnAll() {
@@ -134,13 +137,13 @@
 }
 
 // takeFunc takes the units that one request needs from an upstream's rate limit.
-type takeFunc func(upstream string, s ratelimit.Request) (giveBack func(), ok bool)
+type takeFunc func(upstream string, s ratelimit.Request) (release func(), ok bool)
 
 // takeLimits takes the units that a plan needs from its engines' rate limits. If one of the
 // engines has none left, it returns that engine's name.
 func (d *driver) takeLimits(plan policy.Plan, take takeFunc, decode, prefill ratelimit.Request) (exhausted string, ok bool) {
 	if plan.Wait > 0 {
-		return "", true // the request is to wait; no engines are planned
+		return "", true // the plan is to wait for a slot and names no engines
 	}
 	if d.heldLimits.decode, ok = take(plan.Decode.Name, decode); !ok {
 		return plan.Decode.Name, false
--- a/request/limits_internal_test.go
+++ b/request/limits_internal_test.go
@@ -6,9 +6,9 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// TestRankUnderALimit guards against a request's own priority being ignored under a rate
+// TestLimitRank guards against a request's own priority being ignored under a rate
 // limit.
-func TestRankUnderALimit(t *testing.T) {
+func TestLimitRank(t *testing.T) {
 	one, seven := 1, 7
 	b := &bundle.Bundle{Classes: map[bundle.Class]bundle.ClassTarget{"route": {Priority: 3}, bundle.Urgent: {Priority: 9}}}
 	for _, c := range []struct {
--- a/request/limits_test.go
+++ b/request/limits_test.go
@@ -14,12 +14,12 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// fakeLimits holds the number of requests that upstreams may still be sent; upstreams without
-// an entry in left have no limit.
+// fakeLimits is a request.UpstreamLimits; left holds the units that this daemon has left for
+// each upstream. An upstream without an entry has no limit.
 type fakeLimits struct {
 	mu   sync.Mutex
 	left map[string]int
-	// lent is the number of requests that other daemons can lend.
+	// lent holds the units of other daemons that can be borrowed.
 	lent  map[string]int
 	asked []string // upstreams for which other daemons were asked
 	ranks []int
@@ -70,7 +70,8 @@
 	return 700 * time.Millisecond
 }
 
-// limitedFleet starts a fleet whose upstreams have the given units left and can borrow lent.
+// limitedFleet starts a fleet with the given units left and the units lent that can be
+// borrowed from other daemons.
 func limitedFleet(t *testing.T, left, lent map[string]int) (*fleet, *fakeLimits) {
 	a := &fakeLimits{left: left, lent: lent}
 	return newFleet(t, func(o *request.Options) { o.UpstreamLimits = a }), a
@@ -113,13 +114,13 @@
 	}
 }
 
-// Guards against prompts or runs that exceed an engine's rate limit, and against units that
-// stay taken for requests that were not sent.
+// Guards against prompts or decode calls that exceed an engine's rate limit, and against units
+// that stay taken for requests that were not sent.
 func TestCompletionsKeepToTheLimitsOfEngines(t *testing.T) {
 	for name, c := range map[string]struct {
 		left, lent  map[string]int
-		prompt, run string // the engines that receive them; empty if the request is refused
-		rest        map[string]int
+		prompt, run string         // the engines that receive them; empty if the request is refused
+		rest        map[string]int // the units left afterwards
 	}{
 		"some left":           {map[string]int{"p0": 1, "d0": 1}, nil, "p0", "d0", map[string]int{"p0": 0, "d0": 0}},
 		"both spent":          {map[string]int{"p0": 0, "d0": 0}, nil, "p1", "d1", map[string]int{"p0": 0, "d0": 0}},
@@ -166,9 +167,9 @@
 }
 
 // Guards against units that stay taken after an engine has refused the reservation.
-func TestRefusedReservationGivesItsLimitBack(t *testing.T) {
+func TestRefusedReservationReturnsLimitUnits(t *testing.T) {
 	f, a := limitedFleet(t, map[string]int{"p0": 1, "p1": 1, "d0": 1, "d1": 1}, nil)
-	f.budget.Store(true)
+	f.budgetEmpty.Store(true)
 	for _, name := range []string{"d0", "d1"} {
 		f.engines[name].onCall("/v1/reserve", cut)
 	}
--- a/request/machine.go
+++ b/request/machine.go
@@ -16,8 +16,8 @@
 	// after a refused reservation or a call that was not sent. A reservation carries nothing
 	// of the request, and the next engine may have room.
 	MaxRefusals int
-	// PrefillRepeatable states that engines allow a prefill to be repeated, so that a prefill
-	// that led to no token does not count as having run the request.
+	// PrefillRepeatable states that engines allow a prefill to be repeated. A prefill then does
+	// not count as having run the request.
 	PrefillRepeatable bool
 	// CallTimeoutFactor is the timeout of a dispatch of an idempotent call that may be dispatched
 	// again, as a multiple of its class's target for the first byte; 0 allows all the time
@@ -25,7 +25,8 @@
 	CallTimeoutFactor float64
 	// RetryServerErrors retries an idempotent call after status 500, within the retry budget.
 	RetryServerErrors bool
-	// KeepSilentStreams keeps a silent answer open if no other engine may produce it.
+	// KeepSilentStreams keeps a stream open that sends nothing for longer than Stall if no other
+	// engine may produce the answer.
 	KeepSilentStreams bool
 	// CountArrivals charges the retry budget for every arrival at upstreams after the first
 	// one of a request, as defined by type arrivals. Otherwise each attempt after a failed one
@@ -103,10 +104,10 @@
 	decodeAccepted bool
 	// imported is set once the KV cache has arrived on the decode engine.
 	imported bool
-	// paused is set while the engine holds the stream back to make room.
+	// paused is set while the attempt is paused to free its slot for an urgent request.
 	paused bool
 	// mayHoldMemory marks the engines that may hold memory for this attempt; heldBeforeCall is
-	// the value for the called engine before the call in flight.
+	// the mark that the engine of the latest call had before that call.
 	mayHoldMemory  [roles]bool
 	heldBeforeCall bool
 
@@ -189,12 +190,15 @@
 	}
 }
 
+// countLate counts a chunk of a call that is no longer current.
 func (m *Machine) countLate(ev Event) {
 	if ev.Kind == EventChunk {
 		m.drops.Late++
 	}
 }
 
+// planNextAttempt starts a new attempt by asking for its plan; retry is the Retry field of that
+// action.
 func (m *Machine) planNextAttempt(retry bool) {
 	m.attempt++
 	m.state = StatePlanning
@@ -260,14 +264,14 @@
 func (m *Machine) countedAttempts() int { return m.attempt - m.refusals }
 
 // handleCallEvent handles an event that belongs to a call. Events of any call other than the
-// latest are dropped: that call's attempt was given up and cancelled.
+// latest are dropped, because the other calls were given up or have ended.
 func (m *Machine) handleCallEvent(now time.Time, ev Event) {
 	if ev.Call != m.call || m.state == StatePlanning || m.state == StateQueued {
 		m.countLate(ev)
 		return
 	}
 	if m.lastStep == StepDecode && m.decodeAccepted && ev.deniesCall() {
-		m.handleBrokenStream(now) // the engine has already accepted the call, so the report is wrong
+		m.handleBrokenStream(now) // the engine has accepted the call, so it cannot have been refused or unsent
 		return
 	}
 	switch ev.Kind {
--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -14,7 +14,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// checker checks that the actions of a Machine keep its guarantees; it performs none of them.
+// checker feeds events to a Machine and checks the actions that it returns; it performs none of
+// them.
 type checker struct {
 	*Machine
 	t       *rapid.T
@@ -25,7 +26,7 @@
 	// held contains the engines that may hold memory, as "attempt engine".
 	held      map[string]bool
 	delivered bool // the request may have reached an engine
-	pending   bool // the call in flight carries the request
+	pending   bool // the call in flight sends the request to an engine
 	plans     int
 	// sent contains the engines that may have received the request itself.
 	sent map[string]bool
@@ -82,8 +83,8 @@
 	}
 }
 
-// engineAccepted reports whether an event shows that the engine accepted the call. Later
-// reports to the contrary then prove nothing.
+// engineAccepted reports whether an event proves that the engine accepted the call. Later events
+// that say the opposite are then ignored.
 func (k *checker) engineAccepted(ev Event) bool {
 	own := ev.Chunk.RequestID == k.c.ID && ev.Chunk.Attempt == k.attempt
 	return ev.Kind == EventOpened || ev.Kind == EventChunk && own && ev.Chunk.Imported
@@ -94,7 +95,7 @@
 func (k *checker) check(a Action) {
 	switch a.Kind {
 	case ActionPlan:
-		k.next(false)
+		k.beginCall(false)
 		if !a.AfterWait {
 			k.plans++
 		}
@@ -108,7 +109,7 @@
 			k.t.Fatal("a second attempt after one that may have been delivered")
 		}
 	case ActionDispatch:
-		k.next(a.Step.carriesRequest() && (a.Step != StepPrefill || !k.limits.PrefillRepeatable))
+		k.beginCall(a.Step.carriesRequest() && (a.Step != StepPrefill || !k.limits.PrefillRepeatable))
 		if a.Step == StepDecode {
 			k.sent[a.Target.Name] = true
 		}
@@ -155,16 +156,17 @@
 		want = errkind.Unknown
 	}
 	if a.Err.Kind == errkind.CrashesUpstreams && want == errkind.NotRun {
-		want = errkind.Unknown // other attempts of the caller have run
+		want = errkind.Unknown // earlier requests with the same content have run
 	}
 	if a.Err.Run != want {
-		k.t.Fatalf("failed with run %q, want %q", a.Err.Run, want)
+		k.t.Fatalf("failed with run state %q, want %q", a.Err.Run, want)
 	}
 }
 
-// next records the start of a call or a plan. Unless the call before it was proven to have had
-// no effect, it may have been delivered.
-func (k *checker) next(carries bool) {
+// beginCall records the start of a call or a plan; carries is set if it sends the request to an
+// engine. The previous call counts as possibly delivered unless it was proven to have had no
+// effect.
+func (k *checker) beginCall(carries bool) {
 	k.delivered = k.delivered || k.pending
 	k.pending = carries
 }
@@ -180,8 +182,8 @@
 	{Wait: time.Second},
 }
 
-// event draws a random event of the latest call, of an older one, or of none. A chunk of the
-// current attempt has correct content; a chunk of other work may have any content.
+// event draws a random event of the latest call, of an older one, or of none. Tokens of the
+// current attempt have the correct text; tokens of other attempts and requests have a wrong one.
 func (k *checker) event() Event {
 	t := k.t
 	call := k.call
@@ -251,8 +253,10 @@
 	return l
 }
 
-// TestMachineAnyOrderAttached makes the checks of TestMachineAnyOrder with free refusals,
-// prefills that do not count as running the request, bounded sends and engines that return error answers of their own.
+// TestMachineAnyOrderAttached makes the checks of TestMachineAnyOrder with the limits of an
+// attached daemon: refusals that cost no attempt, prefills that do not count as running the
+// request, a bound on the engines that get the request, and engines that return error answers
+// of their own.
 func TestMachineAnyOrderAttached(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		at := time.Unix(1000, 0)
@@ -278,7 +282,7 @@
 }
 
 // TestMachineLateOutcome checks that a late event of an older attempt has no effect: a reserve
-// call stalls, the next attempt is planned, and then the first call's answer arrives. Events
+// call times out, the next attempt is planned, and then the first call's answer arrives. Events
 // must be matched by call number and not only by kind.
 func TestMachineLateOutcome(t *testing.T) {
 	at := time.Unix(1000, 0)
@@ -294,9 +298,9 @@
 	}
 }
 
-// TestMachineAsksAgain checks that a queued request asks for a slot for the same attempt when
-// it is woken or its waiting time has passed, and not earlier.
-func TestMachineAsksAgain(t *testing.T) {
+// TestMachineReplansQueuedRequest checks that a queued request asks for a new plan for the same
+// attempt when it is woken or its waiting time has passed, and not earlier.
+func TestMachineReplansQueuedRequest(t *testing.T) {
 	at := time.Unix(1000, 0)
 	for name, tc := range map[string]struct {
 		kind  EventKind
--- a/request/observe.go
+++ b/request/observe.go
@@ -5,10 +5,10 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// reportLoad passes on the load that an answer carried; a zero load was not sent. The leaving
-// notice stays part of the load, together with the upstream's incarnation: an answer that is
-// read late may come from a process that has been replaced, and the notice alone would keep
-// its successor without work.
+// reportLoad passes the load that an answer carried to the observer; a zero load means that the
+// answer carried none. A leaving notice is passed on as part of the load, together with the
+// upstream's incarnation: an answer that is read late may come from a process that has been
+// replaced, and the notice without its incarnation would stop new work to the new process.
 func (r *Runner) reportLoad(name string, l *engineapi.Load) {
 	if *l == (engineapi.Load{}) {
 		return
@@ -16,7 +16,7 @@
 	r.o.Observer.Report(r.o.Now(), name, *l)
 }
 
-// reportRefusal passes on the load and the leaving notice of a refusal.
+// reportRefusal passes the load and the leaving notice of a refusal to the observer.
 func (r *Runner) reportRefusal(name string, err error) {
 	refusal := upstream.RefusalOf(err)
 	if refusal == nil {
@@ -31,8 +31,8 @@
 	r.reportLoad(name, &load)
 }
 
-// reportServiceAnswer passes on the load and the leaving notice in a plain service's answer or
-// refusal.
+// reportServiceAnswer passes the load and the leaving notice in a plain service's answer or
+// refusal to the observer.
 func (r *Runner) reportServiceAnswer(name string, answer *upstream.ServiceResponse, err error) {
 	r.reportRefusal(name, err)
 	if answer != nil && answer.Load != nil {
--- a/request/observe_test.go
+++ b/request/observe_test.go
@@ -75,7 +75,7 @@
 // Guards against a short deadline being counted as the service's failure: the calls of one
 // team allow only a few milliseconds, run out of time and would eject a healthy service for
 // all teams.
-func TestShortDeadlinesBlameNobody(t *testing.T) {
+func TestShortDeadlinesDoNotCountAsFailures(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		deadline time.Duration
--- a/request/once.go
+++ b/request/once.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// ownedElsewhere returns an error if another daemon alone may run the request. The frontend
-// forwards such requests before they reach this package.
+// ownedElsewhere returns an error if only another daemon may run the request. The
+// frontend forwards such requests before they reach this package.
 func ownedElsewhere(g Grant) *errkind.Error {
 	if _, other := g.Owner(); !other {
 		return nil
@@ -53,9 +53,9 @@
 	return errkind.New(errkind.ClaimUnavailable, "another instance alone may run this key").WithRun(errkind.Unknown)
 }
 
-// grantExpired reports whether a grant must no longer be used: between the claim and the
-// dispatch, the process may have been stopped for longer than keys are stored, and the key may
-// have been granted again.
+// grantExpired reports whether a grant must no longer be used. If the process was stopped
+// between the claim and the dispatch for longer than keys are stored, the key may have been
+// granted again.
 func grantExpired(deadline, now time.Time) bool {
 	return !deadline.IsZero() && !now.Before(deadline)
 }
@@ -63,10 +63,10 @@
 // reportedRun returns the run state that the caller gets for a request with run state run
 // under a grant with the given deadline.
 //
-// After the deadline the key may have been forgotten, claimed again and run by a replay of the
-// same request. The caller asks about the request rather than this attempt. If it were told
-// "not run" while a replay placed the order, it would place the order twice, so the run state
-// is reported as unknown.
+// After the deadline the key may have been forgotten and claimed again by a repeat of the same
+// request, which may have run on another daemon. The run state that the caller gets describes
+// the request and not only this attempt: if the caller were told "not run" although the repeat
+// placed the order, it would place the order a second time. It is therefore told "unknown".
 func reportedRun(run errkind.RunState, deadline, now time.Time) errkind.RunState {
 	if run == errkind.NotRun && grantExpired(deadline, now) {
 		return errkind.Unknown
@@ -105,7 +105,7 @@
 func (d *driver) keptAnswer() *CallAnswer {
 	body, err := json.Marshal(keptCompletion{Tokens: d.m.Tokens(), Reason: d.result.reason, Usage: d.result.usage})
 	if err != nil {
-		return nil // a repeat is then told that the key ran and no answer is stored
+		return nil // a repeat then gets errkind.KeyAlreadyRan
 	}
 	return &CallAnswer{Status: http.StatusOK, Body: body}
 }
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -18,7 +18,7 @@
 	"github.com/corianderturn/corianderturn/retry"
 )
 
-// gate grants each key once and records the outcome of each grant.
+// gate is a request.Gate for a single key. It grants the key once and records the outcome.
 type gate struct {
 	mu       sync.Mutex
 	t        testing.TB
@@ -26,7 +26,7 @@
 	onClaim  func()
 	owner    wire.NodeID
 	deadline time.Time
-	ended    []request.Outcome
+	outcomes []request.Outcome
 }
 
 type grant struct {
@@ -47,8 +47,8 @@
 	if k.Team != "t" || k.Key != "k" || k.Body == [32]byte{} {
 		g.t.Errorf("claimed %+v", k)
 	}
-	if len(g.ended) > 0 {
-		return &grant{g: g, kept: g.ended[0].Answer}, nil
+	if len(g.outcomes) > 0 {
+		return &grant{g: g, kept: g.outcomes[0].Answer}, nil
 	}
 	return &grant{g: g, run: g.owner == wire.NodeID{}}, nil
 }
@@ -60,7 +60,7 @@
 func (g *grant) Finish(o request.Outcome) {
 	g.g.mu.Lock()
 	defer g.g.mu.Unlock()
-	g.g.ended = append(g.g.ended, o)
+	g.g.outcomes = append(g.g.outcomes, o)
 }
 
 // newFleetWithGate starts a fleet whose runner has a gate.
@@ -89,9 +89,9 @@
 			tc.arrange(c)
 			f.complete(c.ctx, c.c, c.sink)
 			for _, n := range f.engines {
-				n.thaw()
+				n.unfreeze()
 			}
-			f.nothingHeld()
+			f.waitUntilNothingHeld()
 			ran := 0
 			for _, n := range f.engines {
 				ran += n.Stats().Prefills
@@ -99,10 +99,10 @@
 			if ran > 1 {
 				t.Errorf("prefilled %d times", ran)
 			}
-			if len(g.ended) != 1 {
-				t.Fatalf("grant finished %d times", len(g.ended))
+			if len(g.outcomes) != 1 {
+				t.Fatalf("grant finished %d times", len(g.outcomes))
 			}
-			out := g.ended[0]
+			out := g.outcomes[0]
 			if out.Run == errkind.NotRun && ran > 0 || c.sink.err != nil && out.Run != c.sink.err.Run || c.sink.err == nil && (out.Run != errkind.Ran || out.Answer == nil) {
 				t.Errorf("outcome %+v after %d prefills, caller got %v", out, ran, c.sink.err)
 			}
@@ -121,15 +121,15 @@
 	}
 }
 
-// TestCompletePastGrant guards against telling a caller "not run" although another daemon
-// ran its request: this daemon is stopped between the claim and the dispatch until the
-// key is forgotten, and a replay of the request is granted elsewhere and runs.
-func TestCompletePastGrant(t *testing.T) {
+// TestCompleteAfterGrantExpired guards against telling a caller "not run" although another
+// daemon ran its request: this daemon is stopped between the claim and the dispatch until the
+// key is forgotten, and a repeat of the request claims the key on another daemon and runs.
+func TestCompleteAfterGrantExpired(t *testing.T) {
 	f, g := newFleetWithGate(t)
 	g.deadline = time.Now()
 	f.complete(context.Background(), newNonIdempotentCompletion("r1"), nil).wantFailed(errkind.StaleView, errkind.Unknown)
-	if len(g.ended) != 1 || g.ended[0].Run != errkind.NotRun {
-		t.Errorf("grant finished with %+v", g.ended)
+	if len(g.outcomes) != 1 || g.outcomes[0].Run != errkind.NotRun {
+		t.Errorf("grant finished with %+v", g.outcomes)
 	}
 }
 
@@ -211,7 +211,7 @@
 		"accept/leaving":             {firstCallFaults(service.Faults{Leaving: true}), "", "", 1, ran},
 		"refused/accept/leaving":     {firstCallFaults(service.Faults{Refuse: true}), "", "", 1, ran},
 		"planned/accept/leaving": {func(r *serviceFixture) { // takes no retry permit
-			r.budget.Store(true)
+			r.budgetEmpty.Store(true)
 			r.onPlan = func(int) { r.leave("s0") }
 			r.onCall = func() { r.t.Error("a leaving replica got new work") }
 		}, "", "", 1, ran},
@@ -233,13 +233,13 @@
 			tc.arrange(r)
 			answer, err := r.runner.Call(r.ctx, r.call)
 			if err == nil && (tc.kind != "" || answer.Status == 0) || err != nil && (err.Kind != tc.kind || err.Run != tc.run) {
-				t.Errorf("got %+v, %v (run %q), want %q, %q", answer, err, runOf(err), tc.kind, tc.run)
+				t.Errorf("got %+v, %v (run state %q), want %q, %q", answer, err, runOf(err), tc.kind, tc.run)
 			}
 			if n := r.executions(); n != tc.executions {
 				t.Errorf("%d executions, want %d", n, tc.executions)
 			}
 			var finished errkind.RunState
-			for _, o := range r.gate.ended {
+			for _, o := range r.gate.outcomes {
 				finished += o.Run
 			}
 			if finished != tc.finished {
@@ -256,7 +256,7 @@
 }
 
 // TestCallAgain injects a fault into the first replica of an idempotent call. It guards
-// against a look-up that fails although another replica could answer it, and against an answer
+// against a call that fails although another replica could answer it, and against an answer
 // that belongs to another request.
 func TestCallAgain(t *testing.T) {
 	const u = errkind.Unknown
@@ -276,7 +276,7 @@
 			r.onCall = r.cancel
 		}, errkind.ClientGone, u},
 		"no-budget/answer/connection-cut": {func(r *serviceFixture) {
-			r.budget.Store(true)
+			r.budgetEmpty.Store(true)
 			firstCallFaults(service.Faults{CutAfter: true})(r)
 		}, errkind.UpstreamFailed, u},
 	} {
@@ -286,7 +286,7 @@
 			tc.arrange(r)
 			answer, err := r.runner.Call(r.ctx, r.call)
 			if err != nil && (err.Kind != tc.kind || err.Run != tc.run) || err == nil && (tc.kind != "" || !strings.Contains(string(answer.Body), "/orders/7")) {
-				t.Errorf("got %+v, %v (run %q), want %q, %q", answer, err, runOf(err), tc.kind, tc.run)
+				t.Errorf("got %+v, %v (run state %q), want %q, %q", answer, err, runOf(err), tc.kind, tc.run)
 			}
 		})
 	}
--- a/request/options.go
+++ b/request/options.go
@@ -30,8 +30,8 @@
 	BeginTeam(team string) (done func())
 }
 
-// Observer receives what calls reveal about upstreams. Implementations are safe for concurrent
-// use and do not block.
+// Observer receives the load reports and outcomes of calls to upstreams. Implementations are
+// safe for concurrent use and do not block.
 type Observer interface {
 	// Report receives the load that an upstream's answer carried.
 	Report(now time.Time, upstream string, l engineapi.Load)
@@ -42,7 +42,8 @@
 	// PrefillTimedOut reports that a prefill for a model was given up at its timeout.
 	PrefillTimedOut(now time.Time, model string)
 	// Unanswered reports that an upstream did not respond to a call that it must answer at
-	// once. reached is set if its host refused the connection, so that the network path works.
+	// once. reached is set if its host refused the connection, which shows that the network path
+	// works.
 	Unanswered(now time.Time, upstream string, reached bool)
 	// Answered reports that an upstream responded, with whatever result.
 	Answered(now time.Time, upstream string)
@@ -54,7 +55,7 @@
 	Full(now time.Time, upstream string)
 	// HandedOff reports whether a decode engine that had granted a reservation accepted a
 	// prefill engine's result.
-	HandedOff(now time.Time, prefill, decode string, taken bool)
+	HandedOff(now time.Time, prefill, decode string, accepted bool)
 	// PromptRefused reports that a prefill engine refused a prompt.
 	PromptRefused(now time.Time, upstream string)
 	// Leaving reports that an upstream announced that it takes no new work, without sending
@@ -97,7 +98,7 @@
 	NextToken(class bundle.Class, wait time.Duration)
 	// Retried records a second or later attempt.
 	Retried(class bundle.Class)
-	// Permitted records the answer of the retry budget.
+	// Permitted records whether the retry budget granted a request for permits.
 	Permitted(allowed bool)
 	// WastedPrefill records prompt tokens that were computed for an attempt that delivered no
 	// token.
@@ -148,7 +149,8 @@
 	// Gate ensures that non-idempotent requests run at most once; without it they are refused.
 	Gate     Gate
 	Observer Observer
-	// Frozen reports that this process was stopped and its data has not been refreshed yet.
+	// Frozen reports whether this process was stopped (as by SIGSTOP) and its data has not been
+	// refreshed since.
 	Frozen func(now time.Time) bool
 	// RetryBudget returns the retry budget of a model or plain service.
 	RetryBudget func(target string) RetryBudget
--- a/request/pause.go
+++ b/request/pause.go
@@ -7,8 +7,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// pauseEventBuffer has room for one pause and one unpause, the only events that a listed draft
-// can get.
+// pauseEventBuffer has room for one pause and one unpause: a draft is removed from the list when
+// it is paused, so it gets no second pause.
 const pauseEventBuffer = 2
 
 // pausableDraft is a streaming draft that an urgent request may pause.
@@ -109,8 +109,8 @@
 	return true
 }
 
-// unpauseDraft lets the paused draft continue. The call is repeated until it is acknowledged,
-// because a lost one would keep the draft paused until its deadline.
+// unpauseDraft lets the paused draft continue. The resume call is repeated until the engine
+// acknowledges it: if it were lost, the draft would stay paused until its deadline.
 func (d *driver) unpauseDraft() {
 	if d.pausedDraft == nil {
 		return
--- a/request/pause_test.go
+++ b/request/pause_test.go
@@ -15,9 +15,9 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// TestPauseDraft checks that an urgent look-up gets the only slot of a decode engine that a
-// draft occupies, and that the paused draft continues afterwards and is not started again. The
-// faults lose the pause or the first three resume calls.
+// TestPauseDraft checks that an urgent request gets the only slot of a decode engine while a
+// draft occupies it, and that the paused draft continues afterwards and is not started again.
+// In the fault cases, the pause call or the first three resume calls are lost.
 func TestPauseDraft(t *testing.T) {
 	const draftTokens = 2000
 	for name, tc := range map[string]struct {
@@ -67,13 +67,13 @@
 			if st := d.Stats(); st.Reserves > 2 || st.MaxActive != 1 {
 				t.Errorf("draft started again, or both in one slot: %+v", st)
 			}
-			f.nothingHeld()
+			f.waitUntilNothingHeld()
 		})
 	}
 }
 
 // TestMachinePause checks that a draft whose pause lasts longer than the stall timeout is not
-// given up as stalled, also when a late pause of an earlier attempt arrives.
+// given up as stalled, and that a late pause event of an earlier attempt is ignored.
 func TestMachinePause(t *testing.T) {
 	at := time.Unix(1000, 0)
 	c := request.Completion{ID: "r", Deadline: at.Add(time.Hour)}
--- a/request/permit.go
+++ b/request/permit.go
@@ -30,17 +30,17 @@
 	needs int
 }
 
-// requestPermits takes permits from the retry budget and logs the budget's level and its
-// answer. Without that line it could not be determined which budget allowed too many retries,
-// or denied one although upstreams had room.
+// requestPermits takes permits from the retry budget. It logs how many permits were left and
+// whether the request was granted; otherwise it could not be determined which budget allowed
+// too many retries, or denied one although upstreams had room.
 func (r *Runner) requestPermits(p permitRequest) bool {
 	budget, now := r.o.RetryBudget(p.target), r.o.Now()
-	held := budget.Remaining(now)
+	remaining := budget.Remaining(now)
 	allowed := budget.Allow(now, p.needs)
 	r.o.Metrics.Permitted(allowed)
 	r.o.Logger.WithFields(log.Fields{
 		"request": p.request, "class": p.class, "attempt": p.attempt, "target": p.target,
-		"needs": p.needs, "held": held, "allowed": allowed,
+		"needs": p.needs, "held": remaining, "allowed": allowed,
 	}).Info("retry")
 	return allowed
 }
--- a/request/permit_test.go
+++ b/request/permit_test.go
@@ -13,18 +13,18 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// countingEngines counts the arrivals at engines by the platform's rule: the first prompt that
-// an engine accepts is free, and everything else counts. Only Reserve, Release, Prefill and
-// Decode are implemented.
+// countingEngines counts the arrivals at engines by the rule that type arrivals describes: the
+// first prompt that an engine accepts is free, and every other prompt and every decode call
+// counts. Only Reserve, Release, Prefill and Decode are implemented.
 type countingEngines struct {
 	request.Engines
 	// prefill and decode return the outcome of a call by its number, from 1; Done means
 	// accepted.
 	prefill, decode func(n int) upstream.Delivery
 
-	prompts, runs  int
-	promptAccepted bool
-	arrivals       int
+	prompts, decodeCalls int
+	promptAccepted       bool
+	arrivals             int
 }
 
 func (m *countingEngines) Reserve(context.Context, string, engineapi.ReserveRequest) (engineapi.ReserveReply, error) {
@@ -44,8 +44,8 @@
 }
 
 func (m *countingEngines) Decode(context.Context, string, engineapi.DecodeRequest) (upstream.ChunkStream, error) {
-	m.runs++
-	d := m.decode(m.runs)
+	m.decodeCalls++
+	d := m.decode(m.decodeCalls)
 	if d != upstream.NotSent {
 		m.arrivals++
 	}
@@ -82,11 +82,12 @@
 	}
 }
 
-// TestPermitsCoverArrivals checks that the permits taken equal the arrivals after the first
-// one. It guards against taking one permit per plan regardless of how many calls the plan
-// makes, and none for a plan that is repeated because nothing reached the decode engine: the
-// prompt is prefilled, the decode engine refuses, is unreachable or leaves, and the next
-// attempt prefills again. Engines could then get twice the repeats that the budget allows.
+// TestPermitsCoverArrivals checks that the number of permits taken equals the number of arrivals
+// after the first one. It guards against taking one permit per plan, however many calls the
+// plan makes, and none for a plan that is repeated because nothing reached the decode engine.
+// In the cases, the prompt is prefilled, the decode engine refuses, is unreachable or leaves,
+// and the next attempt prefills again. Engines could then get twice the repeats that the budget
+// allows.
 func TestPermitsCoverArrivals(t *testing.T) {
 	const done, refused, notSent = upstream.Done, upstream.Refused, upstream.NotSent
 	for name, tc := range map[string]struct {
@@ -122,7 +123,7 @@
 			}
 			f.complete(context.Background(), newCompletion("r1"), nil)
 			if extra := max(0, m.arrivals-1); p.permits != extra {
-				t.Errorf("%d permits for %d arrivals beyond the first (%d prompts, %d decode calls)", p.permits, extra, m.prompts, m.runs)
+				t.Errorf("%d permits for %d arrivals beyond the first (%d prompts, %d decode calls)", p.permits, extra, m.prompts, m.decodeCalls)
 			}
 		})
 	}
--- a/request/planning.go
+++ b/request/planning.go
@@ -26,8 +26,8 @@
 	pool := s.Bundle.Models[d.c.Model].DecodePool
 	plan, err := d.chooseEngines(now, s, p, d.planQuery(now, a, pool))
 	if err == nil && plan.Wait > 0 {
-		if paid, ok := d.takePermits(a, &plan); ok {
-			d.enqueue(a, plan, pool, paid)
+		if permits, ok := d.takePermits(a, &plan); ok {
+			d.enqueue(a, plan, pool, permits)
 		}
 		return
 	}
@@ -46,7 +46,7 @@
 		d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanFailed, Err: err})
 		return
 	}
-	paid, ok := d.takePermits(a, &plan)
+	permits, ok := d.takePermits(a, &plan)
 	if !ok {
 		return
 	}
@@ -58,12 +58,13 @@
 	}
 	d.recordPrediction(now, plan.FirstToken, plan.BetweenTokens)
 	d.logPlan(a, plan)
-	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &plan, Permits: paid})
+	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &plan, Permits: permits})
 }
 
-// takePermits takes the retry permits that a plan needs. If the plan is to wait for a slot,
-// they are taken before the wait, so that a request that may not be retried fails at once.
-func (d *driver) takePermits(a Action, p *policy.Plan) (paid int, ok bool) {
+// takePermits takes the retry permits that a plan needs and returns their number. If the plan
+// is to wait for a slot, the permits are taken before the wait, so that a request whose retry
+// is denied fails at once.
+func (d *driver) takePermits(a Action, p *policy.Plan) (permits int, ok bool) {
 	needs := d.m.permitsNeeded(a, p)
 	if needs == 0 {
 		return 0, true
@@ -75,7 +76,8 @@
 	return needs, true
 }
 
-// permitTimeOut takes the retry permits for the attempt that would follow a silent call.
+// permitTimeOut requests the retry permits for the attempt that would follow a call with a
+// silent stream, and passes the result to the machine.
 func (d *driver) permitTimeOut(a Action) {
 	ev := Event{Kind: EventPermitted, Call: a.Call}
 	if d.r.requestPermits(permitRequest{request: d.c.ID, class: d.c.Class, attempt: a.Attempt + 1, target: d.c.Model, needs: a.Permits}) {
@@ -84,9 +86,9 @@
 	d.pendingEvents = append(d.pendingEvents, ev)
 }
 
-// checkThrottle refuses a request that needs a prefill while many prefills of its model are
-// wasted. All attempts of a request use the same random number, so that repeated planning does
-// not improve its chance of admission.
+// checkThrottle refuses a share of the requests that need a prefill while many prefills of
+// their model are wasted. All attempts of a request use the same random number, so that
+// repeated planning does not improve its chance of admission.
 func (d *driver) checkThrottle(now time.Time, plan policy.Plan) *errkind.Error {
 	if plan.SkipPrefill || plan.Prefill.Name == "" || d.r.throttles.forModel(d.c.Model).Admit(now, d.throttleDraw) {
 		return nil
@@ -103,7 +105,7 @@
 		Adapter:       d.c.Adapter,
 		PromptTokens:  d.promptTokens(),
 		MaxTokens:     d.c.MaxTokens,
-		MemoryTokens:  d.holdTokens(),
+		MemoryTokens:  d.reservedTokens(),
 		AnswerTokens:  d.answerTokens(),
 		Prefix:        d.prefix,
 		Now:           now,
@@ -131,9 +133,9 @@
 // waitingSince returns the time from which the attempt's wait for a slot is measured: for the
 // first attempt, the caller's first try; for a later one, its own start.
 //
-// If a later attempt's wait were measured from the first try, a stream that breaks after some
-// seconds would have used up its waiting time before it asks for another slot, and would fail
-// although engines have room.
+// If a later attempt's wait were measured from the first try, a request whose stream breaks
+// after some seconds would have used up its waiting time before it asks for another slot, and
+// would fail although engines have room.
 func (d *driver) waitingSince(now time.Time, a Action) time.Time {
 	if a.Tries != d.currentTry {
 		d.currentTry, d.tryStartedAt = a.Tries, now
@@ -144,7 +146,8 @@
 	return d.tryStartedAt
 }
 
-// rank returns the request's rank in the queue: urgent requests first, then returning ones.
+// rank returns the request's rank in the queue: urgent requests first, then requests that were
+// refused before or are retried.
 func (d *driver) rank() rank {
 	switch {
 	case d.c.Class == bundle.Urgent:
@@ -155,8 +158,8 @@
 	return rankOther
 }
 
-// holdTokens returns the memory to reserve for the request, in tokens.
-func (d *driver) holdTokens() int {
+// reservedTokens returns the memory to reserve for the request, in tokens.
+func (d *driver) reservedTokens() int {
 	reserve, _ := d.reservation()
 	return reserve
 }
--- a/request/quarantine.go
+++ b/request/quarantine.go
@@ -21,9 +21,9 @@
 	ReportLostRun(b quarantine.LostRun)
 	// RecordCompletion records that a request ran to completion.
 	RecordCompletion(now time.Time, digest func() quarantine.Digest)
-	// Refuses reports whether the request must not be sent, and how many upstreams crashed
-	// while running it.
-	Refuses(now time.Time, digest func() quarantine.Digest) (ends int, refused bool)
+	// Refuses reports in refused whether the request must not be sent, and in crashes how many
+	// upstreams crashed while running it.
+	Refuses(now time.Time, digest func() quarantine.Digest) (crashes int, refused bool)
 }
 
 type noQuarantine struct{}
@@ -38,12 +38,12 @@
 // request's content and so covers repeats by its caller.
 //
 // Without the quarantine, a request that crashes every upstream running it and is repeated by
-// its caller could take down all of them together with their other work. The check is made right before each
-// call, because another daemon may report a further crash at any time.
+// its caller could take down all of them together with their other work. The check is made
+// right before each call, because another daemon may report a further crash at any time.
 func (r *Runner) quarantined(id string, digest func() quarantine.Digest) bool {
-	ends, refused := r.o.Quarantine.Refuses(r.o.Now(), digest)
+	crashes, refused := r.o.Quarantine.Refuses(r.o.Now(), digest)
 	if refused {
-		r.o.Logger.WithFields(log.Fields{"request": id, "digest": digest().String(), "ends": ends}).Info("request quarantined")
+		r.o.Logger.WithFields(log.Fields{"request": id, "digest": digest().String(), "ends": crashes}).Info("request quarantined")
 	}
 	return refused
 }
@@ -53,9 +53,9 @@
 	return errkind.New(errkind.CrashesUpstreams, "upstreams ended while they ran this request")
 }
 
-// callerRun returns the run state that the caller gets, where run is that of this request id.
-// A quarantined request has been run by upstreams under other ids, so it is never reported as
-// not run.
+// callerRun returns the run state that the caller gets for a request that ended with kind and
+// run state run. A quarantined request has been run by upstreams under the ids of earlier
+// requests with the same content, so it is never reported as not run.
 func callerRun(kind errkind.Kind, run errkind.RunState) errkind.RunState {
 	if kind == errkind.CrashesUpstreams && run == errkind.NotRun {
 		return errkind.Unknown
@@ -88,16 +88,16 @@
 	return s != StepReserve && ctx.Err() == nil && upstream.DeliveryOf(err) == upstream.Maybe && upstream.ResponseOf(err) == nil
 }
 
-// reportBroken reports a call that failed after it was sent at the given time. answering is
+// reportLostRun reports a call that was sent at the given time and failed. answering is
 // set if a part of the answer was received.
-func (d *driver) reportBroken(a Action, sent time.Time, answering bool) {
+func (d *driver) reportLostRun(a Action, sent time.Time, answering bool) {
 	d.r.o.Quarantine.ReportLostRun(quarantine.LostRun{
 		Request: d.c.ID, Digest: d.digest(), Upstream: a.Target.Name, Address: a.Target.Address, Step: a.Step.String(),
 		Answering: answering, Ran: d.r.o.Now().Sub(sent),
 	})
 }
 
-func (k *serviceCall) reportBroken(rep policy.Replica, sent time.Time) {
+func (k *serviceCall) reportLostRun(rep policy.Replica, sent time.Time) {
 	k.r.o.Quarantine.ReportLostRun(quarantine.LostRun{
 		Request: k.c.ID, Digest: k.digest(), Upstream: rep.Name, Address: rep.Address, Step: StepCall.String(),
 		Ran: k.r.o.Now().Sub(sent),
--- a/request/queue.go
+++ b/request/queue.go
@@ -10,8 +10,8 @@
 // rank orders waiting requests; a lower rank goes first.
 type rank uint8
 
-// The ranks. A caller who returned after a refusal has waited longest, and most callers that
-// are refused a second time get no answer at all.
+// The ranks. Requests that were refused before precede other requests, because their callers
+// have waited longest and most callers that are refused a second time get no answer at all.
 const (
 	rankUrgent rank = iota
 	rankReturned
@@ -35,7 +35,7 @@
 }
 
 // waiters holds one queue per decode pool, ordered by rank and then by arrival. The policy
-// bounds its length. It is safe for concurrent use.
+// bounds the length of a queue. It is safe for concurrent use.
 type waiters struct {
 	mu     sync.Mutex
 	byPool map[string][]*waiter
@@ -83,8 +83,8 @@
 	l.wake(w.pool)
 }
 
-// wake tells the first request of a pool to ask for a slot. It never blocks: a request that
-// was woken and has not asked yet will find this slot as well.
+// wake tells the first request of a pool to ask for a slot. It never blocks: a request that was
+// woken and has not asked yet needs no second signal.
 func (l *waiters) wake(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,9 +98,9 @@
 	}
 }
 
-// enqueue puts the request into the queue or leaves it there. Only the entry is logged, not
-// every time that the request asks again.
-func (d *driver) enqueue(a Action, p policy.Plan, pool string, paid int) {
+// enqueue puts the request into the queue unless it is there already. The plan is logged only
+// when the request joins the queue, not each time that it asks for a slot again.
+func (d *driver) enqueue(a Action, p policy.Plan, pool string, permits int) {
 	if d.waiter == nil {
 		d.waiter = d.r.waiters.add(pool, d.rank())
 		d.logPlan(a, p)
@@ -109,11 +109,12 @@
 			d.shownState, d.entry.State = StateQueued, StateQueued.String()
 		})
 	}
-	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &p, Permits: paid})
+	d.pendingEvents = append(d.pendingEvents, Event{Kind: EventPlanned, Plan: &p, Permits: permits})
 }
 
-// leaveQueue removes the request from the queue. It is called after the request's slot is
-// counted: the next request asks at once, and would otherwise be planned onto the same slot.
+// leaveQueue removes the request from the queue and wakes the next one. It must be called after
+// the request's slot is counted in Inflight, because the next request would otherwise be
+// planned onto the same slot.
 func (d *driver) leaveQueue() {
 	if d.waiter != nil {
 		d.r.waiters.remove(d.waiter)
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -14,8 +14,8 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// oneAtATime makes requests wait while this daemon has one in flight on d0 or other requests
-// are queued ahead. The waiting time exceeds the duration of the test.
+// oneAtATime is a policy that makes a request wait while this daemon has another one in flight
+// on d0 or others are queued ahead. The waiting time exceeds the duration of the test.
 type oneAtATime struct {
 	inOrder
 	waits chan string
@@ -29,13 +29,13 @@
 	return o.inOrder.Plan(s, in, q, rng)
 }
 
-// TestQueuedRequestsFollowAFreedSlot guards against queued requests that get a free slot only
+// TestFreedSlotWakesQueuedRequest guards against queued requests that get a free slot only
 // after their waiting time, against one slot given to two requests, and against a draft that
-// precedes an urgent request. While one request streams, a draft, a request whose caller
-// leaves and an urgent request wait; then the first one ends. Such faults arise if the wrong
+// precedes an urgent request. While one request streams, a request whose caller leaves, a draft
+// and an urgent request wait; then the streaming request ends. Such faults arise if the wrong
 // request or none is woken, or if a queue entry is removed before its slot is counted or stays
 // after its caller has left.
-func TestQueuedRequestsFollowAFreedSlot(t *testing.T) {
+func TestFreedSlotWakesQueuedRequest(t *testing.T) {
 	waits := make(chan string, 100)
 	var f *fleet
 	f = newFleet(t, func(o *request.Options) {
@@ -88,5 +88,5 @@
 	if st := f.engines["d0"].Stats(); st.MaxActive != 1 {
 		t.Errorf("%d requests at once, want 1", st.MaxActive)
 	}
-	f.nothingHeld()
+	f.waitUntilNothingHeld()
 }
--- a/request/resend_test.go
+++ b/request/resend_test.go
@@ -10,10 +10,11 @@
 	"github.com/corianderturn/corianderturn/request"
 )
 
-// Guards against placing an unmarked order twice: a service executes a POST and its connection
-// breaks, or its gateway answers 502 after the execution. The call must be dispatched again
-// only if its method or its caller allows it.
-func TestUnmarkedCallIsSentAgainOnlyWhereItsMethodAllows(t *testing.T) {
+// Guards against executing a call twice that its caller did not mark as idempotent: a service
+// executes a POST and its connection breaks, or its gateway answers 502 after the execution.
+// The call must be dispatched again only if its method is idempotent or its caller marked it
+// as idempotent.
+func TestUnmarkedCallRetriesDependOnMethod(t *testing.T) {
 	failures := map[string]http.HandlerFunc{
 		"connection cut": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"bad gateway":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) },
--- a/request/runner.go
+++ b/request/runner.go
@@ -17,7 +17,8 @@
 	"github.com/corianderturn/corianderturn/policy"
 )
 
-// cancelFlushTimeout bounds how long Drain waits for pending cancels.
+// cancelFlushTimeout bounds how long Drain waits for pending cancels after the last request has
+// ended.
 const cancelFlushTimeout = time.Second
 
 // Runner performs the actions of the machines, one machine per request. It is safe for
@@ -30,7 +31,7 @@
 	answers        *answersByModel
 	sizes          *sizesByModel
 	throttles      *throttlesByModel
-	// shutdownCtx ends when all requests in flight must end.
+	// shutdownCtx ends when all requests in flight must end; endInFlight ends it.
 	shutdownCtx context.Context
 	endInFlight context.CancelFunc
 
@@ -108,19 +109,19 @@
 // number. The caller must have stopped accepting requests.
 func (r *Runner) Drain(ctx context.Context) error {
 	idle, _ := r.idleChan()
-	cut := 0
+	remaining := 0
 	select {
 	case <-idle:
 	case <-ctx.Done():
-		_, cut = r.idleChan()
+		_, remaining = r.idleChan()
 		r.endInFlight()
 		<-idle
 	}
 	flush, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelFlushTimeout)
 	defer stop()
 	r.canceller.flush(flush)
-	if cut > 0 {
-		return errors.Errorf("%d requests ended by the shutdown limit", cut)
+	if remaining > 0 {
+		return errors.Errorf("%d requests ended by the shutdown limit", remaining)
 	}
 	return nil
 }
@@ -201,10 +202,10 @@
 	return s, p, nil
 }
 
-// mayTakeWork reports whether rep may take new work according to the newest snapshot. A plan
-// is based on one snapshot and executed over seconds. Without this check right before each
-// call that starts work, an upstream that has begun to leave or was replaced since would still
-// get new work.
+// mayTakeWork reports whether rep may take new work according to the newest snapshot. A plan is
+// based on one snapshot and executed over seconds. Without this check right before each call
+// that starts work, an upstream that has begun to leave or was replaced after the plan was made
+// would still get new work.
 func (r *Runner) mayTakeWork(rep policy.Replica) bool {
 	s := r.o.Snapshot()
 	return s != nil && slices.ContainsFunc(s.Pool(rep.Pool).Replicas(), func(o *policy.Replica) bool {
--- a/request/runner_test.go
+++ b/request/runner_test.go
@@ -102,18 +102,18 @@
 			<-done
 			wg.Wait()
 			if s.err == nil || s.err.Kind != errkind.Draining || s.err.Run == errkind.NotRun {
-				t.Errorf("completion ended with %v (run %q)", s.err, runOf(s.err))
+				t.Errorf("completion ended with %v (run state %q)", s.err, runOf(s.err))
 			}
 			if callErr == nil || callErr.Kind != errkind.Draining || callErr.Run != errkind.Unknown {
-				t.Errorf("call ended with %v (run %q)", callErr, runOf(callErr))
+				t.Errorf("call ended with %v (run state %q)", callErr, runOf(callErr))
 			}
-			f.nothingHeld()
+			f.waitUntilNothingHeld()
 		})
 	}
 }
 
-// TestCancelLanes guards against a frozen engine that delays the cancels of other engines:
-// cancels for the frozen engine are queued before one for a healthy engine.
+// TestCancelLanes guards against a frozen engine that delays the cancels sent to other engines:
+// 80 cancels for a frozen engine are queued before one for a healthy engine.
 func TestCancelLanes(t *testing.T) {
 	f := newFleet(t, func(o *request.Options) {
 		o.Cancel = request.DefaultCancelLimits()
@@ -141,11 +141,11 @@
 	if frozen.Stats().Cancels > 0 {
 		t.Error("the frozen engine answered")
 	}
-	frozen.thaw()
-	f.nothingHeld()
+	frozen.unfreeze()
+	f.waitUntilNothingHeld()
 }
 
-// cancelled counts the ends of cancels by whether they were acknowledged.
+// cancelled counts the cancels that have ended, by whether they were acknowledged.
 type cancelled struct {
 	metrics
 	mu   *sync.Mutex
@@ -158,9 +158,9 @@
 	c.ends[acknowledged]++
 }
 
-// TestCancelGivesUp guards against an unbounded backlog of cancels for an engine that has died
-// while it held a request. After the age limit the steward's sweep takes over.
-func TestCancelGivesUp(t *testing.T) {
+// TestCancelStopsAtAgeLimit guards against an unbounded backlog of cancels for an engine that
+// has died while it held a request. After CancelLimits.Age the cancel is given up.
+func TestCancelStopsAtAgeLimit(t *testing.T) {
 	m := cancelled{mu: &sync.Mutex{}, ends: map[bool]int{}}
 	f := newFleet(t, func(o *request.Options) {
 		m.metrics = o.Metrics.(metrics)
--- a/request/types.go
+++ b/request/types.go
@@ -1,6 +1,13 @@
 // Package request processes one request from its acceptance to its single answer. No other
 // package answers callers for accepted requests. A state machine takes events and the current
 // time and returns actions; Runner performs the actions.
+//
+// A request makes one or more attempts. An attempt of a completion uses one decode engine and
+// usually one prefill engine, to which it makes calls of several steps (Step). The run state
+// (errkind.RunState) tells the caller whether the request may have run on an upstream. A retry
+// permit allows a repeated request to an upstream; permits are taken from a RetryBudget. A
+// daemon is frozen while its process is stopped, for example by SIGSTOP; afterwards its data is
+// stale until it is refreshed.
 package request
 
 import (
@@ -25,8 +32,9 @@
 	Stream    bool
 	Accepted  time.Time
 	Deadline  time.Time
-	// NonIdempotent forbids another dispatch after one that may have been delivered. The
-	// request needs Key, which is claimed so that it runs once across all daemons.
+	// NonIdempotent forbids another dispatch after one that may have been delivered. It
+	// requires Key: the key is claimed before the request is dispatched, so that the request
+	// runs at most once across all daemons.
 	NonIdempotent bool
 	// Key is the caller's idempotency key; empty if the caller sent none.
 	Key string
@@ -39,15 +47,15 @@
 	// PromptTokens and AnswerTokens are the sizes that the caller stated, the latter as an
 	// estimate; 0 if not stated.
 	PromptTokens, AnswerTokens int
-	// PreviousWait is how long the caller has waited before this request if it returns after a
-	// refusal; otherwise 0.
+	// PreviousWait is how long the caller waited in earlier tries of this request that were
+	// refused; 0 for a first try.
 	PreviousWait time.Duration
 	// Prefix holds the chained hashes of the prompt's blocks if Prompt is empty.
 	Prefix []uint64
 	// Original is the caller's unmodified request, for engines that accept it in that form.
 	Original *engineapi.CallerRequest
-	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so it
-	// must never be a key.
+	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so
+	// it must never be the caller's API key.
 	CallerTeam string
 	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
@@ -68,18 +76,20 @@
 	Body     []byte
 	Accepted time.Time
 	Deadline time.Time
-	// NonIdempotent forbids another dispatch after one that may have been delivered. The call
-	// needs Key, which is claimed so that it runs once across all daemons.
+	// NonIdempotent forbids another dispatch after one that may have been delivered. It
+	// requires Key: the key is claimed before the call is dispatched, so that the call runs at
+	// most once across all daemons.
 	NonIdempotent bool
 	Key           string
-	// SendOnce forbids the same without a claim. It is set if the method is not idempotent and
-	// neither the bundle nor the caller says whether the call is.
+	// SendOnce forbids another dispatch after one that may have been delivered, but claims no
+	// key. It is set if the method is not idempotent and neither the bundle nor the caller
+	// states whether the call is idempotent.
 	SendOnce bool
 	// MaxSends bounds the number of replicas that the call is sent to; 0 means that only
 	// Limits apply.
 	MaxSends int
-	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so it
-	// must never be a key.
+	// CallerTeam is the team name of a caller whose team is not in the bundle. It is logged, so
+	// it must never be the caller's API key.
 	CallerTeam string
 	// Priority overrides the priority of the class; nil uses that of the class.
 	Priority *int
@@ -104,12 +114,12 @@
 	Token(index int, text string) error
 	// Finish ends a complete answer; reason is "stop" or "length".
 	Finish(reason string, usage Usage)
-	// Fail ends the request with an error that carries its run state.
+	// Fail ends the request with an error that carries the request's run state.
 	Fail(err *errkind.Error)
 }
 
-// PassThroughSink is a Sink that forwards the engine's answer unchanged. Its request may end
-// with Answer in place of Finish or Fail.
+// PassThroughSink is a Sink that forwards the engine's answer unchanged. The runner may call
+// Answer in place of Finish or Fail.
 type PassThroughSink interface {
 	Sink
 	// Open delivers the head of the first engine's answer, before the first token.
--- a/request/verdict.go
+++ b/request/verdict.go
@@ -8,8 +8,8 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// Verdict compares the predictions for a completion with the actual values. A zero field was
-// not predicted or not measured.
+// Verdict is the log line that compares the predictions for a completion with the actual values.
+// A field is zero if its value was not predicted or not measured.
 type Verdict struct {
 	Request  string
 	Class    bundle.Class
@@ -50,20 +50,21 @@
 	}
 }
 
-// recordPrediction stores a plan's predictions for the verdict.
+// recordPrediction stores a plan's predictions, of the time to the first token (first) and
+// between two tokens (step), for the verdict.
 func (d *driver) recordPrediction(now time.Time, first, step time.Duration) {
 	samples, at := d.r.answers.forModel(d.c.Model).Samples()
 	d.verdict = Verdict{
 		Request: d.c.ID, Class: d.c.Class, Upstream: d.decodeTarget.Name,
 		FirstToken: now.Sub(d.c.Accepted) + first, Step: step,
-		Answer: d.answerTokens(), Expected: d.expectedTokens(), Reserved: d.holdTokens(), Samples: samples,
+		Answer: d.answerTokens(), Expected: d.expectedTokens(), Reserved: d.reservedTokens(), Samples: samples,
 	}
 	if samples > 0 {
 		d.verdict.Age = now.Sub(at)
 	}
 }
 
-// logVerdict logs the verdict of a completion if an engine has streamed any chunk.
+// logVerdict logs the verdict of a completion for which at least one token was received.
 func (d *driver) logVerdict() {
 	chunks := len(d.m.Tokens())
 	if chunks == 0 || d.verdict.Request == "" {
