--- a/claims/atmostonce_test.go
+++ b/claims/atmostonce_test.go
@@ -12,7 +12,7 @@
 	seen            map[[sha256.Size]byte]struct{}
 	path            []step // steps that lead to the state being visited
 	runs            int    // states visited in which the request has run
-	runsAfterNotRun int    // of these, states whose last run came after a "not run" answer
+	runsAfterNotRun int    // of these, states in which the last run came after a "not run" answer
 	maxStates       int    // the test fails above this number of states
 }
 
@@ -69,7 +69,7 @@
 func TestAtMostOnceInEveryOrder(t *testing.T) {
 	attemptsAt := func(daemons ...int) (out []modelAttempt) {
 		for _, d := range daemons {
-			out = append(out, modelAttempt{daemon: d, phase: '.', offset: -1, body: 1})
+			out = append(out, modelAttempt{daemon: d, phase: '.', offset: -1, body: 1}) // '.': not arrived yet
 		}
 		return out
 	}
--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -139,8 +139,8 @@
 
 // BenchmarkFleet makes claims at a steady total rate, and reports their latency and
 // the load on the log. Either seven daemons append to the log themselves with the
-// default settings, or 92 daemons send their claims to four homes of one shard
-// each.
+// default settings, or 92 daemons send their claims to four homes, one for each
+// shard.
 func BenchmarkFleet(b *testing.B) {
 	for _, rate := range []int{50, 200, 1000} {
 		b.Run(fmt.Sprintf("direct-%d", rate), func(b *testing.B) {
@@ -188,7 +188,7 @@
 	})
 }
 
-// benchFleet spreads claims over the gates at a rate per second.
+// benchFleet makes rate claims per second, each at the next gate in turn.
 func benchFleet(b *testing.B, l memoryLog, gates []*Gate, rate int) {
 	var mu sync.Mutex
 	latency := hdrhistogram.New(1, 10_000_000, 3)
--- a/claims/codec.go
+++ b/claims/codec.go
@@ -14,32 +14,32 @@
 // recordVersion is the version of the encoding of log records.
 const recordVersion = 1
 
-// Claim is a request to become the holder of a key.
+// Claim is a daemon's claim to a key, made in order to run one request.
 type Claim struct {
 	ID   ClaimID
 	Key  Key
 	Body BodyDigest
-	// SeenOffset is the offset below which the claimant had read the stream when it
-	// received the request.
+	// SeenOffset is the offset below which the claimant, or a home that it had asked,
+	// had read the stream when the claimant received the request.
 	SeenOffset uint64
 	// RequestID is informational; it identifies the request to people who read the
 	// log.
 	RequestID string
 }
 
-// Status is the state of the request for which the holder claimed the key.
+// Status is the status of a claim, and of the request for which it was made.
 type Status uint8
 
 // The statuses of a claim. All but Held are final.
 const (
-	// Held: the holder may still dispatch the request, is running it, or ended
-	// without writing a result.
+	// Held: the claim has no result. Its claimant may still dispatch the request, is
+	// running it, or ended without writing a result.
 	Held Status = iota
 	// Ran: the upstream answered the request.
 	Ran
 	// Unknown: the request may have run.
 	Unknown
-	// Released: the holder has not run the request and never will.
+	// Released: the claimant has not run the request and never will.
 	Released
 )
 
@@ -132,7 +132,7 @@
 }
 
 // decodeBatch returns the batch in a log record. After an error the record must be
-// assumed to contain claims that this release cannot read.
+// assumed to contain claims that this version of the program cannot read.
 func decodeBatch(data []byte) (*Batch, error) {
 	var rec batchRecord
 	if err := safepack.Unmarshal(data, &rec); err != nil {
--- a/claims/faults_test.go
+++ b/claims/faults_test.go
@@ -41,8 +41,8 @@
 // TestClaimThatShowsUpLateIsReleased checks that a key does not stay in progress
 // when nobody runs its request. An append takes effect, but its reply is lost and
 // the log cannot be read, so the caller is refused before the claim becomes the
-// key's holder. The daemon must then release the key. A repeat that arrives after
-// the release was read runs; the refused attempt never does.
+// key's holder. The daemon must then release the key. A repeat at a daemon that has
+// read the release is allowed to run; the refused attempt never is.
 func TestClaimThatShowsUpLateIsReleased(t *testing.T) {
 	service, l := startLog(t, nil)
 	service.SetFaults(logsvc.Faults{LoseReply: true, CutReads: true}, 0)
@@ -56,8 +56,8 @@
 
 // TestUnfollowedShardAsksItsHome checks that a daemon which does not follow a shard
 // does not run a request whose key is held. It appends its claim, with the reply
-// lost, and asks a home of the shard, which must have read the claim's record
-// before it answers.
+// lost, and asks a home of the shard. The home may answer only after it has read the
+// record with the claim.
 func TestUnfollowedShardAsksItsHome(t *testing.T) {
 	service, l := startLog(t, nil)
 	home := testGate(t, "home", l, nil)
@@ -169,13 +169,14 @@
 	b := testGate(t, "b", l, oneShard)
 	checkClaim(t, "claim-unavailable unknown", b, claimKey("k", 1))
 	checkClaim(t, "claim-unavailable unknown", b, claimKey("fresh", 1))
-	awaitStatus(t, a, claimKey("fresh", 1), Released) // a has read the whole stream: b was the holder and released the key
+	awaitStatus(t, a, claimKey("fresh", 1), Released) // a has read the whole stream: b's claim was the holder, and b released the key
 	clockOffset.Store(int64(2 * time.Hour))
 	checkClaim(t, "run", b, claimKey("another", 1)) // b reads the log's current time from this record
 	checkClaim(t, "run", b, claimKey("k", 1))
 }
 
-// testMachine returns a Machine that follows its stream, and the time at its start.
+// testMachine returns a Machine that follows its stream, and the time at which it was
+// created.
 func testMachine(maxWaiting int) (*Machine, time.Time) {
 	cfg := (&Options{GrantTTL: time.Minute, Lifetime: time.Hour, MaxWaiting: maxWaiting, MaxKeys: 99}).machineConfig()
 	now := time.Unix(1000, 0)
@@ -222,7 +223,7 @@
 	tests := []struct {
 		name string
 		fail func(m *Machine, now time.Time)
-		mend func(m *Machine, now time.Time)
+		mend func(m *Machine, now time.Time) // ends the outage that fail began
 	}{
 		{"appends", func(m *Machine, now time.Time) { m.NextBatch(now); m.AppendFailed(now) },
 			func(m *Machine, now time.Time) { m.NextBatch(now); m.AppendSucceeded() }},
--- a/claims/gate.go
+++ b/claims/gate.go
@@ -25,7 +25,7 @@
 
 var _ request.Gate = (*Gate)(nil)
 
-// New returns a Gate. Claims on the log wait until Run is called.
+// New returns a Gate. Claims that need the log are decided only while Run is running.
 func New(opts Options) (*Gate, error) {
 	opts.setDefaults()
 	if err := opts.validate(); err != nil {
--- a/claims/index.go
+++ b/claims/index.go
@@ -30,7 +30,7 @@
 	// earlier claim for the key.
 	Authoritative bool
 	Holder        ClaimID
-	// Body is the digest of the request for which the holder claimed the key.
+	// Body is the digest of the request for which the holder was made.
 	Body BodyDigest
 	// Offset is the offset of the record with the holder's claim.
 	Offset uint64
@@ -39,8 +39,8 @@
 	// ReleaseOffset is the offset of the record that released the key; 0 unless Status
 	// is Released.
 	ReleaseOffset uint64
-	// Age is the time since the holder claimed the key, measured by the timestamps
-	// of the log.
+	// Age is the time since the holder was logged, measured by the timestamps of the
+	// log.
 	Age time.Duration
 	// Answer is the encoded answer, or nil if it is not stored.
 	Answer []byte
@@ -66,11 +66,12 @@
 // Index holds the state of the keys of one stream, built by applying its records in
 // the order of the log. It is not safe for concurrent use.
 //
-// A key expires when no claim for it has been logged for a lifetime. Whether a
-// claim found its key expired is decided by the log timestamps of this claim and of
-// the one before, never by a reader's clock, so all readers agree. A reader that
-// starts late may not have read the first claim since the key last expired. It then
-// lacks records up to missingUntil and marks the key as not authoritative.
+// A key expires when no claim for it has been logged for a lifetime. Whether the key
+// of a claim has expired is decided by the log timestamps of this claim and of the
+// previous claim for the key, never by a reader's clock, so all readers agree. A
+// reader that starts late may not have read the first claim since the key last
+// expired. It then lacks records up to missingUntil and marks the key as not
+// authoritative.
 type Index struct {
 	cfg     IndexConfig
 	entries map[Key]*keyEntry
@@ -115,8 +116,8 @@
 //
 // If the log trimmed records before this reader read them, a later claim for a key
 // would look like the first one and the key's request could run twice. Therefore
-// the timestamp of the next record becomes missingUntil, and no key claimed up to a
-// lifetime after it is authoritative.
+// the timestamp of the next record becomes missingUntil, and no key claimed within
+// Lifetime plus Margin after it is authoritative.
 func (x *Index) SkipTo(first uint64) {
 	if first <= x.next {
 		return
@@ -126,8 +127,8 @@
 }
 
 // Rewind notes that the log lost records which this reader had read already: the log
-// now ends before next and begins at offset first. No key is authoritative until a
-// lifetime has passed.
+// now ends before next and begins at offset first. No key is authoritative until
+// Lifetime plus Margin has passed.
 func (x *Index) Rewind(first uint64) {
 	x.markMissing(x.logTime)
 	x.next = first
@@ -159,7 +160,7 @@
 	x.logTime = max(x.logTime, r.TimeMS)
 	b, err := decodeBatch(r.Data)
 	if err != nil {
-		// A record written by a newer release may contain claims, so claims at or
+		// A record written by a newer version of the program may contain claims, so claims at or
 		// before its timestamp may be missing.
 		x.markMissing(r.TimeMS)
 		return nil
--- a/claims/judge.go
+++ b/claims/judge.go
@@ -30,12 +30,12 @@
 }
 
 // decideClaim decides a claim from the state of its key, read at least up to the
-// claim's own record. ownID is the ID of the claim, or nil for a repeat that is
-// decided without an append.
+// claim's own record. ownID is the ID of the claim, or nil for a repeat
+// that is decided without appending a claim.
 //
-// A refusal reports "not run" only where no attempt with this key and body can have
-// run or will run. Another attempt, sent by the balancer to another daemon, may be
-// running now, so most refusals report "unknown".
+// A refusal reports "not run" only if no attempt with this key and body has run or
+// can run later. The callers' load balancer may have sent the same request to another
+// daemon, where it may be running now, so most refusals report "unknown".
 func decideClaim(v KeyState, ownID *ClaimID, body BodyDigest, staleAfter time.Duration, isDead func(wire.NodeID) bool) Decision {
 	switch {
 	case !v.Found:
@@ -69,7 +69,8 @@
 	return refuse(errkind.ClaimUnavailable, "the key could not be claimed on the log in time; this attempt does not run", retryAfterLong)
 }
 
-// keyInProgress refuses a claim because the holder may be running the request.
+// keyInProgress refuses a claim because the request may be running under the claim
+// that holds the key.
 func keyInProgress() Decision {
 	return refuse(errkind.KeyInProgress, "", retryAfterShort)
 }
--- a/claims/machine.go
+++ b/claims/machine.go
@@ -25,7 +25,8 @@
 	ResultLinger time.Duration
 	// MarkerInterval is the time without records in the stream after which an empty
 	// record, a marker, is appended. A daemon that starts after records were
-	// trimmed trusts no key until it has read a record older than a lifetime.
+	// trimmed treats no key as authoritative until it has read a record older than
+	// a lifetime.
 	MarkerInterval time.Duration
 	// MaxBatchClaims is the largest number of claims, and of results, in one
 	// record.
@@ -57,7 +58,7 @@
 	self         wire.NodeID
 	isDead       func(wire.NodeID) bool
 	index        *Index      // nil if this daemon does not follow the stream
-	seenOffset   uint64      // every record below this offset is known to be on the log
+	seenOffset   uint64      // this daemon, or a home that it asked, has read every record below this offset
 	seq          uint64      // sequence number of this daemon's last claim
 	claims       *claimTable // this daemon's own claims
 	outbox       outbox      // what this daemon has yet to append
@@ -220,8 +221,8 @@
 // This happens if the append of a claim takes effect only after its caller was
 // refused and its release was logged. The first release had no effect then. Without
 // a second one the key would stay in progress although nobody runs the request, and
-// the caller's retry would be refused. Claims that were removed from m.claims are
-// not released again, since their requests may have run.
+// the caller's retry would be refused. A claim that is no longer in m.claims is not
+// released again, since its request may have run.
 func (m *Machine) releaseAgain(now time.Time, c *Claim) {
 	m.outbox.addResult(now, Result{ID: c.ID, Key: c.Key, Status: Released}, m.cfg.MaxResults)
 }
@@ -237,8 +238,8 @@
 		return d
 	}
 	if !d.Run {
-		// Release the key, since another reader may have found this claim to be its
-		// holder.
+		// Release the key, since another reader may have found this claim to be the
+		// key's holder.
 		m.finishClaim(now, o, Released, nil)
 		return d
 	}
--- a/claims/model_test.go
+++ b/claims/model_test.go
@@ -56,7 +56,10 @@
 	daemon      int
 	body        byte
 	incarnation int
-	phase       byte // '.' not arrived, 'w' waiting, 'g' granted, 'd' dispatched, 'x' ended
+	// phase is '.' before the request arrives, 'w' while its claim waits for a
+	// decision, 'g' once the claim is granted, 'd' once the request is dispatched to
+	// the upstream, and 'x' once the attempt has ended.
+	phase       byte
 	seq         uint64
 	arrived     int           // value of modelState.steps at its arrival
 	deadline    time.Duration // the latest time of its dispatch
@@ -114,8 +117,8 @@
 	index int
 }
 
-// possibleSteps returns the steps that can come next. There are none once no
-// attempt can be answered or run any more, because no check can fail from there on.
+// possibleSteps returns the steps that can come next. It returns none once every
+// attempt has been answered or dispatched, because no check can fail from there on.
 func (w *modelState) possibleSteps() (out []step) {
 	if !slices.ContainsFunc(w.attempts, w.isOpen) {
 		return nil
@@ -150,17 +153,17 @@
 		return nil // its daemon has restarted
 	}
 	switch a.phase {
-	case '.': // attempts at the same daemon arrive in order
+	case '.': // not arrived; attempts at the same daemon arrive in order
 		return appendIf(out, i == 0 || w.attempts[i-1].phase != '.' || w.attempts[i-1].daemon != a.daemon, "arrive", i)
-	case 'w':
+	case 'w': // waiting for a decision
 		out = appendIf(out, w.faultsLeft.timeouts > 0, "give up", i)
 		out = appendIf(out, a.homeView != nil, "tell", i)
 		read := a.offset >= 0 && w.daemons[0].m.Next() > uint64(a.offset)
 		return appendIf(out, a.homeView == nil && !d.follows && read, "ask", i)
-	case 'g':
+	case 'g': // granted
 		out = append(out, step{"dispatch", i})
 		return appendIf(out, w.faultsLeft.refusals > 0, "refuse", i)
-	case 'd':
+	case 'd': // dispatched
 		return append(out, step{"ran", i})
 	}
 	return nil
@@ -177,13 +180,14 @@
 	return appendIf(out, w.faultsLeft.kills > 0, "kill", i)
 }
 
-// isOpen reports whether an attempt may still be answered or dispatched.
+// isOpen reports whether an attempt may still be answered or dispatched: it has not
+// arrived, or is waiting or granted at a daemon that has not restarted since.
 func (w *modelState) isOpen(a modelAttempt) bool {
 	return a.phase == '.' || a.phase != 'x' && a.phase != 'd' && a.incarnation == w.daemons[a.daemon].incarnation
 }
 
 // readMatters reports whether the records that a daemon reads can still decide an
-// attempt.
+// attempt, either its own or one of a daemon that asks it as the home.
 func (w *modelState) readMatters(i int) bool {
 	return slices.ContainsFunc(w.attempts, func(a modelAttempt) bool {
 		asks := !w.daemons[a.daemon].follows && i == 0
@@ -191,9 +195,10 @@
 	})
 }
 
-// runImmediateSteps takes the steps that can be taken at once without leaving out
-// an order of steps. A batch that is due is sent, since its append request may
-// still take arbitrarily long, and a reply is delivered if it cannot get lost.
+// runImmediateSteps takes the steps that the search need not try at later times. A
+// batch that is due is sent at once, since its append request may still take
+// arbitrarily long to reach the log. A reply is delivered at once if no more replies
+// may be lost.
 func (w *modelState) runImmediateSteps() {
 	for i, d := range w.daemons {
 		for {
@@ -209,7 +214,7 @@
 	}
 }
 
-// apply takes a step and the steps that follow at once.
+// apply takes a step and then those of runImmediateSteps.
 func (w *modelState) apply(s step) {
 	w.steps++
 	defer w.runImmediateSteps()
--- a/claims/modelstate_test.go
+++ b/claims/modelstate_test.go
@@ -19,7 +19,7 @@
 	for i := range w.attempts {
 		a := &w.attempts[i]
 		if !w.isOpen(*a) && a.phase != 'd' {
-			b.WriteByte('x')
+			b.WriteByte('x') // ended, or its daemon has restarted
 			continue
 		}
 		late := 0
@@ -33,7 +33,7 @@
 	for i := range w.messages {
 		m := &w.messages[i]
 		if m.offset >= 0 && w.faultsLeft.duplicates == 0 && w.faultsLeft.lostReplies == 0 {
-			continue // no later step uses it
+			continue // no later step depends on this message
 		}
 		fmt.Fprintf(&b, "%d.%d.%d.%s|", m.daemon, m.incarnation, m.offset, m.data)
 	}
--- a/claims/options.go
+++ b/claims/options.go
@@ -51,8 +51,8 @@
 	// outcome of its request is then unknown. Default 10 min.
 	StaleAfter time.Duration
 	// MaxWaiting is the largest number of claims per shard that wait for a
-	// decision. The lookups and the records of other daemons that wait are limited
-	// to as many. Default 1024.
+	// decision. The lookups of other daemons that wait, and their records that wait to be
+	// appended, are each limited to the same number. Default 1024.
 	MaxWaiting int
 	// MaxKeys is the largest number of keys held per followed shard. Default
 	// 100,000.
@@ -94,7 +94,7 @@
 
 // Limits and intervals that are not configurable.
 const (
-	markersPerLifetime  = 4                      // markers appended to a stream without other records
+	markersPerLifetime  = 4                      // markers per Lifetime in a stream without other records
 	maxBatchClaims      = 256                    // claims, results or forwarded records per append
 	maxBatchAnswers     = 256 << 10              // bytes of answers or forwarded records per append
 	maxResults          = 4096                   // results per shard that wait to be appended
--- a/claims/outbox.go
+++ b/claims/outbox.go
@@ -33,8 +33,8 @@
 }
 
 // addResult queues a result. If more than limit results wait, the oldest is
-// dropped. Other daemons then report the outcome of its request as unknown, which
-// is correct for what they have read.
+// dropped. Other daemons, which have not read the result, then report the outcome of
+// its request as unknown, which is safe.
 func (o *outbox) addResult(now time.Time, r Result, limit int) {
 	if len(o.results) == 0 {
 		o.resultsSince = now
@@ -93,7 +93,7 @@
 	return b
 }
 
-// Due returns when Batch should be called next; ok is false if nothing is to be
+// Due returns when NextBatch should be called next; ok is false if nothing is to be
 // appended.
 func (m *Machine) Due() (at time.Time, ok bool) {
 	return m.outbox.dueAt(&m.cfg, m.index != nil)
@@ -135,8 +135,8 @@
 	return seqs
 }
 
-// AppendFailed records that it is unknown whether the batch in flight is on the
-// log. The batch's results, and its claims that still wait, are queued to be
+// AppendFailed records that the append of the batch in flight failed; the batch may
+// be on the log nevertheless. The batch's results, and its claims that still wait, are queued to be
 // appended again. A second record of the same claim has no effect, and the reply to
 // the second append gives the offset up to which the stream must be read.
 func (m *Machine) AppendFailed(now time.Time) {
--- a/claims/queue.go
+++ b/claims/queue.go
@@ -1,7 +1,7 @@
 package claims
 
-// minCompactHead is the number of removed items at the head of a queue below which
-// it is not copied to free their memory.
+// minCompactHead is the least number of removed items at the head of a queue at which
+// the remaining items are copied to free the memory of the removed ones.
 const minCompactHead = 64
 
 // queue is a first-in, first-out queue that frees memory as it shrinks.
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// wake wakes the append loop.
+// wake makes the append loop check again when the next append is due.
 func (s *shard) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -159,7 +159,7 @@
 
 // flush appends the claims and results that wait at shutdown. Results wait up to
 // resultLinger to share a record with a claim. If they were dropped at shutdown,
-// repeats of requests that were answered before a restart would be told that the
+// callers that repeat a request answered before the restart would be told that its
 // outcome is unknown.
 func (s *shard) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
--- a/claims/token.go
+++ b/claims/token.go
@@ -99,9 +99,9 @@
 	return m.claimLocal(now, NewKey(team, key), body, time.Unix(t.expiry, 0))
 }
 
-// claimRemote returns a grant that names the token's owner. If the owner is known
-// to have ended, nobody can determine whether the request ran, and the outcome is
-// unknown.
+// claimRemote returns a grant that names the token's owner. If the owner has
+// ended, as every earlier incarnation of this daemon has, nobody can determine
+// whether the request ran, and the outcome is unknown.
 func (m *Minter) claimRemote(t token) (request.Grant, *errkind.Error) {
 	if t.owner.Instance == m.self.Instance || m.isDead(t.owner) {
 		return nil, outcomeUnknown().Err
--- a/claims/tokenindex.go
+++ b/claims/tokenindex.go
@@ -67,8 +67,8 @@
 }
 
 // tokenMargin is how long a used token is remembered after its expiry. Without it,
-// a wall clock set back by up to this much would make a used token valid again
-// after it was forgotten.
+// setting the wall clock back by up to this much would make a used token valid again
+// after its entry was removed.
 const tokenMargin = time.Minute
 
 // prune removes tokens that expired more than tokenMargin ago. It goes by order of
--- a/orders/desiredstate.go
+++ b/orders/desiredstate.go
@@ -2,9 +2,12 @@
 // and its adapters. Planner does no I/O; Runner reads the states of upstreams and sends
 // orders over the network.
 //
+// The steward of an upstream is the one daemon that sends it orders. Stewards change as daemons
+// join and leave; each such change has a generation number.
+//
 // An order states the desired state of one item (a role, a model or an adapter) and
 // carries the number of the bundle as its fencing number. Some upstreams refuse an order
-// whose number is lower than one they have seen. Others ignore the number, so that a
+// whose number is lower than the highest they have received. Others ignore the number, so that a
 // delayed order from an old bundle undoes a newer one there. Planner therefore does not
 // count an order as carried out when it is accepted: an item is in its desired state only
 // if the upstream reports so, and upstreams are read for as long as the bundle is current.
--- a/orders/planner.go
+++ b/orders/planner.go
@@ -9,12 +9,13 @@
 
 // Config holds the planner's intervals and bounds.
 type Config struct {
-	// ReadInterval is the interval at which the state of an upstream is read while it is
-	// the desired state. For more than fullRateUpstreams upstreams, the interval grows
+	// ReadInterval is the interval at which the state of an upstream is read while the
+	// upstream is in its desired state. For more than fullRateUpstreams upstreams, the interval grows
 	// with their number. The interval bounds how long the effect of a delayed order from
 	// an older bundle lasts on an upstream that ignores fencing numbers.
 	ReadInterval time.Duration
-	// RetryInterval is the interval at which the state is read until it is the desired one.
+	// RetryInterval is the interval at which the state of an upstream is read until the
+	// upstream is in its desired state.
 	RetryInterval time.Duration
 	// MaxConcurrentLoads bounds the number of upstreams that load models at once, so that a new
 	// bundle does not exceed the rate limit of the weight store.
@@ -48,7 +49,7 @@
 	bundleNumber    uint64
 	desired         map[string]DesiredState
 	reconciliations map[string]*reconciliation
-	// assigned are the names of the upstreams that this daemon is the steward of, as of
+	// assigned are the names of the upstreams that this daemon was the steward of at
 	// generation. assignedStale means that the bundle has changed since.
 	assigned      []string
 	generation    uint64
@@ -60,8 +61,8 @@
 	nextRead       time.Time
 	inDesiredState bool
 	loadInFlight   bool
-	// readInFlight is set from the action until its result, so that an upstream has at
-	// most one read in flight.
+	// readInFlight is set from the return of a StateRead by Due until RecordState or
+	// RecordFailure, so that an upstream has at most one read in flight.
 	readInFlight bool
 }
 
@@ -115,7 +116,8 @@
 }
 
 // Due returns the upstreams to read now, among those that this daemon is the steward of.
-// isSteward reports whether it is; its results may change only with the generation.
+// isSteward reports whether it is the steward of an upstream; its results may change only with
+// the generation.
 func (p *Planner) Due(now time.Time, generation uint64, isSteward func(upstream, dataCentre string) bool) []StateRead {
 	p.updateAssigned(generation, isSteward)
 	var out []StateRead
--- a/orders/planner_test.go
+++ b/orders/planner_test.go
@@ -87,8 +87,8 @@
 
 // Guards against an upstream that goes on serving an old model version because an order
 // from bundle 7, delayed in the network, was carried out after bundle 8 had been applied.
-// An upstream that ignores fencing numbers accepts such an order, so that its state must
-// be read again even after its orders were accepted.
+// An upstream that ignores fencing numbers accepts such an order, so its state must be read
+// again even after the newer orders were accepted.
 func TestOrderSentLateOrder(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	p.SetVersion(version(8, "v2"))
@@ -148,7 +148,7 @@
 // Guards against reading an upstream that another daemon is the steward of, against
 // missing an upstream after the stewards or the bundle changed, and against reading
 // upstreams again whose desired state a new bundle leaves unchanged.
-func TestPlannerReadsWhatIsItsOwn(t *testing.T) {
+func TestPlannerReadsAssignedUpstreams(t *testing.T) {
 	p := NewPlanner(DefaultConfig())
 	v := version(7, "v1")
 	v.Bundle.Upstreams["d3"] = bundle.Upstream{Pool: "d", Address: "d3:1", State: bundle.StateServing}
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// reset discards the state of the planner when Run is started again after a failure.
-// Reads that were in flight then never deliver a result, and their upstreams would
-// never be read again: orders to some upstreams would stop after a logged panic.
+// reset replaces the planner when Run is started again after a panic. Reads that were in
+// flight at the panic never deliver a result, so the old planner would never read their
+// upstreams again or send them orders.
 func (r *Runner) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -13,7 +13,7 @@
 const (
 	modelStep            = 5 * time.Millisecond
 	modelLength          = 60 * time.Second
-	modelZones           = 3
+	modelZones           = 3                      // data centres
 	modelCatchUpTime     = 3 * time.Second        // time after a fault in which a daemon must catch up with the log
 	modelMaxArrivals     = 3                      // arrivals of a fatal request allowed after its third crash and modelCatchUpTime
 	modelMaxRefusedShare = 0.001                  // share of harmless requests that may be refused while a dozen fatal ones are repeated
@@ -445,7 +445,7 @@
 
 // Guards against a threshold so low that unrelated crashes alone quarantine a request. It runs the
 // same simulation without fatal requests.
-func TestNobodyIsRefusedByChance(t *testing.T) {
+func TestUnrelatedCrashesQuarantineNothing(t *testing.T) {
 	for _, size := range modelFleets {
 		for seed := range size.seeds * *moreSeeds {
 			if f, faults := playModel(seed, size.daemons, modelParts{}, false); len(f.wronglyRefused) > 0 {
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -66,8 +66,8 @@
 	// that it detects itself.
 	Log Log
 	// IsReader reports whether this daemon is a reader, which reads the log itself. Otherwise it is
-	// a follower: it receives the records from another daemon, and passes them to ApplyRemote. Nil means
-	// that it is always a reader.
+	// a follower: another daemon sends it the records, which are applied with ApplyRemote. Nil
+	// means that this daemon is always a reader.
 	IsReader func() bool
 	// Wait is how long a read of the log blocks while there is no new record, and Retention is the
 	// retention time of the log.
@@ -88,7 +88,8 @@
 	// wait: all upstreams of a rack may crash at once.
 	probeWorkers    = 8
 	maxQueuedProbes = 256
-	// maxRunsPerUpstream bounds the lost runs of one upstream that are logged and recorded.
+	// maxRunsPerUpstream bounds the lost runs of one upstream that wait for the result of its
+	// probe. Further ones are neither logged nor recorded.
 	maxRunsPerUpstream = 64
 	// forgetInterval is how often expired entries are removed from the ledger.
 	forgetInterval = time.Minute
@@ -98,7 +99,7 @@
 // and records crashes in a Ledger that it shares with the other daemons. It implements
 // supervise.Service and is safe for concurrent use.
 //
-// Without it a request that crashes its upstream is retried on one replica after another, and
+// Without a Keeper a request that crashes its upstream is retried on one replica after another, and
 // no log message shows which request the crashes have in common.
 type Keeper struct {
 	o Options
@@ -175,7 +176,7 @@
 
 // Refuses reports whether a request is quarantined, and the number of crashes recorded for it.
 // It does not block.
-func (k *Keeper) Refuses(now time.Time, digest func() Digest) (ends int, refused bool) {
+func (k *Keeper) Refuses(now time.Time, digest func() Digest) (crashes int, refused bool) {
 	if k.requestsWithCrashes.Load() == 0 {
 		return 0, false
 	}
--- a/quarantine/keeper_test.go
+++ b/quarantine/keeper_test.go
@@ -143,7 +143,7 @@
 // itself seen three. Three daemons detect one crash each while the log rejects the first appends,
 // and a fourth must refuse the request too. Then the request completes at the fourth, and all
 // must accept it.
-func TestDaemonsShareEnds(t *testing.T) {
+func TestDaemonsShareCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared := newTestLog()
 		shared.failAppends = 4
@@ -242,7 +242,7 @@
 
 // Guards against two daemons that follow each other, as happens while the store is available only
 // to one of them at a time, and exchange the same records forever. One receives a crash older than
-// all those kept for its request, or of one request more than the ledger holds. It would pass the
+// all those kept for its request, or of one request more than the ledger holds. It must not pass the
 // record on as new and evict it at once.
 func TestNewsComeToRest(t *testing.T) {
 	const rounds = 100
@@ -312,7 +312,7 @@
 
 // Guards against log messages that omit some of the requests on a crashed upstream, and against a
 // probe per lost run. Three runs are lost on one upstream and one on another while probes block.
-func TestRunsOnOneUpstreamAreToldTogether(t *testing.T) {
+func TestLostRunsOfUpstreamAreLoggedTogether(t *testing.T) {
 	lines := memory.New()
 	probed := make(chan string, 10)
 	unblock := make(chan struct{})
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -31,8 +31,9 @@
 )
 
 const (
-	// sameCrashWindow: reports of crashes of the same upstream and request less than this apart
-	// are one crash. Further apart they are two, since a restarted upstream may keep its name.
+	// sameCrashWindow is the time between two reports of a crash of the same upstream and request
+	// below which they count as one crash. Above it they count as two, since a restarted upstream
+	// may keep its name.
 	sameCrashWindow = time.Second
 	// initialQuarantine is how long a request is refused after the crash that took it over the
 	// threshold. Then the request is tried again. The time doubles with each further crash; after
@@ -69,8 +70,8 @@
 // upstream that runs it; and many upstreams crash for other reasons, separately or together,
 // with thousands of runs on them. A request that completes is cleared of its earlier crashes,
 // and a crash attributed to a quarantined request does not count against others. So an
-// uninvolved request is refused only if it runs into three crashes in a row that no other
-// request accounts for.
+// uninvolved request is refused only if it runs into three crashes in a row that are not
+// attributed to another request.
 type Ledger struct {
 	entries map[Digest]*entry
 	// dirty is set if an event was recorded since the last evaluation.
@@ -174,7 +175,7 @@
 }
 
 // Refuses reports whether a request is refused now, and the number of its crashes.
-func (l *Ledger) Refuses(now time.Time, d Digest) (ends int, refused bool) {
+func (l *Ledger) Refuses(now time.Time, d Digest) (crashes int, refused bool) {
 	n := l.entries[d]
 	if n == nil {
 		return 0, false
@@ -194,8 +195,8 @@
 // evaluated in ascending order of their mean run duration, since a request that causes crashes
 // has mostly just started; crashes attributed to one of them do not count for the later ones.
 //
-// Without it a caller that repeats a request every second and runs into three crashes in a row
-// that another request caused would be refused for minutes.
+// Without this attribution a caller that repeats a request every second and runs into three
+// crashes in a row that another request caused would be refused for minutes.
 func (l *Ledger) evaluate() {
 	if !l.dirty {
 		return
@@ -249,7 +250,7 @@
 // covers reports whether a crash of a request with the given total weight is attributed to a
 // quarantined request. That request's run must have been much shorter, and its total weight at
 // least as high. Without the second condition a call of a few milliseconds that happened to run
-// during the crashes would exonerate the request that causes them for a long time.
+// during the crashes would keep the request that causes them from being refused for a long time.
 func (x attributions) covers(e Crash, totalWeight int) bool {
 	return slices.ContainsFunc(x[e.Upstream], func(o attribution) bool {
 		return e.At.Sub(o.At).Abs() < sameCrashWindow && minDurationRatio*o.Ran <= e.Ran && o.totalWeight >= totalWeight
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -40,7 +40,7 @@
 
 // Guards against decisions that let a fatal request through, or refuse one that ran into
 // unrelated crashes. Each row is a sequence of crashes and completions.
-func TestVerdicts(t *testing.T) {
+func TestRefusalDecisions(t *testing.T) {
 	crash := func(after time.Duration, upstream string) ledgerEvent {
 		return ledgerEvent{after: after, upstream: upstream}
 	}
@@ -90,7 +90,7 @@
 
 // Guards against decisions that depend on the order of events, so that daemons which receive them in
 // different orders disagree permanently. It applies the same events in every order, twice each.
-func TestVerdictsRestOnNoOrder(t *testing.T) {
+func TestDecisionsDoNotDependOnOrder(t *testing.T) {
 	list := []ledgerEvent{{0, "a", false, 0}, {time.Second, "", false, 0}, {2 * time.Second, "b", false, 0}, {3 * time.Second, "c", true, 0}, {4 * time.Second, "d", false, 0}, {5 * time.Second, "e", false, 0}}
 	want := ledgerOf(list).List(at(time.Minute))
 	var visit func(rest, order []ledgerEvent)
@@ -134,11 +134,12 @@
 	}
 }
 
-// Guards against holding a crash against every request on the upstream. A caller that repeats a
-// harmless request would then be refused for minutes; nor must a shorter harmless call take the
-// blame for a fatal request. A second request runs on each replica that the fatal one crashes, for
-// longer or shorter than that.
-func TestEndsAreExplained(t *testing.T) {
+// Guards against counting a crash for every request on the upstream, so that a caller that repeats
+// a harmless request is refused for minutes. Also guards against attributing the crashes to a
+// shorter harmless call for good: the fatal request must be refused once it crashes another
+// upstream without that call. A second request runs on each replica that the fatal one crashes,
+// for longer or shorter than the fatal one.
+func TestCrashesAreAttributed(t *testing.T) {
 	const shortRun = 100 * time.Millisecond
 	other := DigestOf("other")
 	for _, tc := range []struct {
@@ -185,7 +186,7 @@
 	}
 }
 
-// As BenchmarkRackEnds, with a ledger that already holds maxEntries requests.
+// The same as BenchmarkRackEnds, with a ledger that already holds maxEntries requests.
 func BenchmarkRackEndsFullLedger(b *testing.B) {
 	const runs = 600
 	k := newTestKeeper(nil, discard.New())
--- a/quarantine/renewal.go
+++ b/quarantine/renewal.go
@@ -11,7 +11,7 @@
 // renewal selects the records to append to the log again before its retention time ends.
 // It reads no clock and is not safe for concurrent use.
 //
-// Without it a restart of all daemons loses what the log no longer holds. A request quarantined
+// Without renewal a restart of all daemons loses the records that the log no longer holds. A request quarantined
 // for longer than the retention time could then crash three more upstreams, and one released
 // from quarantine could be refused again once a partitioned daemon reports its old crashes.
 type renewal struct {
@@ -21,11 +21,11 @@
 	appendedAt map[Digest]time.Time
 }
 
-// newRenewal returns the renewal for a log that keeps records for the time kept. Each daemon
-// draws its own maxAge, between a half and three quarters of kept, so that mostly one of them
+// newRenewal returns the renewal for a log that keeps records for retention. Each daemon
+// draws its own maxAge, between a half and three quarters of retention, so that mostly one of them
 // renews a record and the others see its append.
-func newRenewal(kept time.Duration) renewal {
-	return renewal{maxAge: kept/2 + rand.N(max(1, kept/4)), appendedAt: map[Digest]time.Time{}}
+func newRenewal(retention time.Duration) renewal {
+	return renewal{maxAge: retention/2 + rand.N(max(1, retention/4)), appendedAt: map[Digest]time.Time{}}
 }
 
 // noteAppend updates appendedAt for a record that was appended now, or was read and may have been
--- a/quarantine/renewal_test.go
+++ b/quarantine/renewal_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// crashThree reports three crashes under the fatal request, a second apart.
+// crashThree reports three runs of the fatal request whose upstreams crashed, a second apart.
 func crashThree(k *Keeper) {
 	for i := range 3 {
 		k.ReportLostRun(LostRun{Digest: fatal, Upstream: fmt.Sprint("u", i), Address: fmt.Sprint("u", i)})
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -39,7 +39,7 @@
 	readInterval = time.Second
 	// readerCheckInterval is how often a follower checks whether it has become a reader. It starts
 	// reading the log only if two consecutive checks say so: a follower that replaces its
-	// unreachable reader for a moment does not need to.
+	// unreachable reader only for a moment need not read it.
 	readerCheckInterval = 500 * time.Millisecond
 )
 
@@ -102,9 +102,9 @@
 	if len(k.ledger.Crashes(r.Digest)) < 2 {
 		return
 	}
-	ends, refused := k.ledger.Refuses(now, r.Digest)
+	crashes, refused := k.ledger.Refuses(now, r.Digest)
 	k.o.Logger.WithFields(log.Fields{
-		"digest": r.Digest.String(), "upstream": r.Upstream, "answering": r.Answering, "ends": ends, "refused": refused,
+		"digest": r.Digest.String(), "upstream": r.Upstream, "answering": r.Answering, "ends": crashes, "refused": refused,
 	}).Info("quarantine record received from another instance")
 }
 
@@ -168,8 +168,8 @@
 	return list
 }
 
-// requeue puts back records whose append failed. If it did succeed, they are appended twice,
-// which has no effect.
+// requeue puts back records whose append failed. If the log stored them all the same, they are
+// appended twice, which has the same effect as once.
 func (k *Keeper) requeue(list []Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/quota/backoff.go
+++ b/quota/backoff.go
@@ -5,8 +5,9 @@
 // minBackoff is the shortest pause between requests for a loan.
 const minBackoff = 100 * time.Millisecond
 
-// Backoff is a backoff after a failed attempt to borrow units of an account: until it ends, no
-// daemon is asked again for as many units or more. Its zero value is no backoff.
+// Backoff is the pause after a failed attempt to borrow units of an account: until it ends, no
+// daemon is asked again for as many units or more, unless for a more urgent request. Its
+// zero value is no backoff.
 //
 // Load pattern: dozens of requests a second for which no daemon has units to lend, and among
 // them an occasional request of a more urgent rank.
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -387,7 +387,8 @@
 // fleetSizes are the fleets that scenarios are simulated with.
 var fleetSizes = []struct{ daemons, teams int }{{7, 16}, {73, 16}, {73, 200}, {300, 16}}
 
-// defaultFleetSizes is how many of fleetSizes are simulated with a single seed.
+// defaultFleetSizes is the number of fleetSizes, from the first on, that are simulated by default,
+// that is, with a single seed.
 const defaultFleetSizes = 2
 
 // Guards against a team that exceeds its limit because daemons admit its requests without a
--- a/quota/handover.go
+++ b/quota/handover.go
@@ -20,7 +20,8 @@
 }
 
 // Span is elapsed time that one daemon hands over to the ledger of another, which accrues it.
-// Its start is given on the receiver's clock and is never later than the true start.
+// Its start is given on the receiver's clock and is never later than the true start, so that
+// units accrued for it never expire too late.
 type Span struct {
 	From   Stamp         `msgpack:"f"`
 	Length time.Duration `msgpack:"n"`
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -21,10 +21,11 @@
 	// handOverTimeout is how long a daemon waits for a chance to hand its time over before it
 	// accrues that time itself. It spans a few calls of a follower to its reader.
 	handOverTimeout = 1500 * time.Millisecond
-	// startupDelay is how long a restarted daemon waits, once it has a share, before it accrues
-	// the time since then itself. Until it has discovered most other daemons, its share is too
-	// large. Hand-overs need no delay: a span carries the number of daemons that its sender
-	// has discovered.
+	// startupDelay is how long after its share became known a restarted daemon begins to accrue
+	// time itself. It then also accrues the time of the delay, unless it has handed that time
+	// over. Until the daemon has discovered most other daemons, its share is too large.
+	// Hand-overs need no delay: a span carries the number of daemons that its sender has
+	// discovered.
 	startupDelay = time.Second
 	// accountIdleTimeout is how long an unused account is kept.
 	accountIdleTimeout = 2 * MaxLifetime
@@ -69,9 +70,9 @@
 	return &Ledger{newFleet: newFleet, epoch: now, incarnation: uint64(now.UnixNano()), lastTick: now, accounts: map[Account]*account{}}
 }
 
-// Tick accrues this daemon's own time where it is not handed over, and detects stalls. share
-// is this daemon's share of the rate, 0 while unknown; accruesLocally says that it hands its
-// time over to no other daemon.
+// Tick accrues the part of this daemon's time that is not handed over, and detects stalls. share
+// is this daemon's share of the rate, 0 while unknown; accruesLocally says that this daemon
+// hands its time over to no other daemon.
 func (l *Ledger) Tick(now time.Time, share float64, accruesLocally bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +158,7 @@
 }
 
 // Spend takes units from an account, the oldest first. It returns false and takes nothing if
-// fewer than units and reserve together are available.
+// the available units are fewer than the sum of units and reserve.
 func (l *Ledger) Spend(now time.Time, name Account, t Terms, units, reserve float64) (Ticket, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,7 +221,8 @@
 const maxWait = 10 * time.Second
 
 // RetryAfter returns the time after which a refused request may be retried: when the whole fleet will
-// have accrued its shortfall and that of the requests refused before it.
+// have accrued the units that the request lacked (its shortfall) and those that the requests
+// refused before it lacked.
 func (l *Ledger) RetryAfter(now time.Time, name Account, t Terms, shortfall float64) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("%v units left at %v a second with a lifetime of %v", got, rate, life)
 	}
 	if _, ok := l.Spend(at(30_000), team("a"), terms, rate*life.Seconds()*1.1, 0); ok {
-		t.Error("spent more units than have not expired")
+		t.Error("spent more units than are available")
 	}
 	if _, ok := l.Spend(at(30_000), team("a"), terms, rate, 0); !ok {
 		t.Error("refused fewer units than are available")
@@ -67,7 +67,7 @@
 
 // Guards against charging a team for requests that did not run, and against units that are
 // returned to the ledger after a stall emptied it.
-func TestReturn(t *testing.T) {
+func TestRefund(t *testing.T) {
 	l := accruingLedger(10_000)
 	before := l.Available(at(10_000), team("a"), terms)
 	ticket, ok := l.Spend(at(10_000), team("a"), terms, 1500, 0)
@@ -145,7 +145,7 @@
 }
 
 // Guards against refused callers that are all told to retry at the same time.
-func TestWaitGrowsWithThoseThatWait(t *testing.T) {
+func TestRetryAfterGrowsWithBacklog(t *testing.T) {
 	l := accruingLedger(10_000)
 	first := l.RetryAfter(at(10_000), team("a"), terms, 500)
 	second := l.RetryAfter(at(10_000), team("a"), terms, 500)
@@ -159,7 +159,7 @@
 
 // Guards against units accrued before the machine was suspended: the monotonic clock does not
 // count that time, so the units look newer than they are.
-func TestNothingOutlivesAStandstill(t *testing.T) {
+func TestStallEmptiesLedger(t *testing.T) {
 	l := accruingLedger(10_000)
 	if got := l.Available(at(12_000), team("a"), terms); got != 0 {
 		t.Errorf("%v units left after a stall", got)
@@ -184,7 +184,7 @@
 }
 
 // Guards against a burst that neither limit allows after a limit is raised, and against units
-// saved up under the higher limit after it is lowered.
+// accrued under the higher limit after it is lowered.
 func TestAccrualsAreValuedAtLowerLimit(t *testing.T) {
 	high, low := Terms{Rate: 100, Lifetime: 2 * time.Second}, Terms{Rate: 1, Lifetime: 4 * time.Second}
 	for _, c := range []struct {
@@ -212,7 +212,7 @@
 }
 
 // Guards against a reserve of units that are always about to expire, so that it goes unused.
-func TestReserveIsOfTheYoungest(t *testing.T) {
+func TestReserveKeepsNewestUnits(t *testing.T) {
 	l := accruingLedger(10_000)
 	half := l.Available(at(10_000), team("a"), terms) / 2
 	if loan := l.Lend(at(10_000), team("a"), terms, half, half, 1, false); !approxEqual(loan.Units, half, 1e-6) {
@@ -224,7 +224,8 @@
 }
 
 // Guards against a backoff after a less urgent request that also stops more urgent ones from
-// borrowing, and against loan requests that are repeated in vain.
+// borrowing, and against loan requests that are repeated while no daemon has units to
+// lend.
 func TestBackoffBlocksLessUrgentRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -19,7 +19,8 @@
 }
 
 // extraFraction is the fraction of the remaining units that is lent beyond the immediate need.
-// It is below 1 so that one borrower does not withhold units from others that it may not spend.
+// It is below 1 so that one borrower does not take all units, some of which it may never spend,
+// while others need them.
 const extraFraction = 0.25
 
 // Lend deducts units from an account for a borrower. It lends the units that the borrower needs
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -8,6 +8,9 @@
 // daemons are killed, join, stall or are partitioned, and callers move from one daemon to
 // another.
 //
+// Limits are counted in units. A unit of a team's limit is a request or a token, as the limit
+// says; a unit of an upstream's limit is a request.
+//
 // Each daemon accrues its share of the rate as time passes. Accrued units may be spent by the
 // daemon that holds them until they expire. In each data centre one daemon, the reader, reads
 // the state store for the others, its followers. Followers hand their time over to their
--- a/quota/ratehistory.go
+++ b/quota/ratehistory.go
@@ -4,8 +4,8 @@
 // A slot counts at the rate in force when it was accrued or at the current rate, whichever is
 // lower.
 //
-// Otherwise, raising a limit would turn time saved up under the lower rate into a burst that
-// neither limit allows, and after lowering it, time saved up under the higher rate could still
+// Otherwise, raising a limit would turn time accrued under the lower rate into a burst that
+// neither limit allows, and after lowering it, time accrued under the higher rate could still
 // be spent at that rate.
 type rateHistory struct {
 	current float64 // units a second
@@ -13,7 +13,7 @@
 	previous []rateStep
 }
 
-// rateStep is a rate that was in force before the slot end.
+// rateStep is a rate that was in force until the slot with the number end, exclusive.
 type rateStep struct {
 	rate float64
 	end  int64
--- a/ratelimit/backlog.go
+++ b/ratelimit/backlog.go
@@ -7,7 +7,8 @@
 )
 
 // backlog counts, by rank, the refused requests that were given a retry time and that the limits
-// have not covered yet. Its zero value is an empty backlog.
+// have not covered yet. A request is covered once the limits would have allowed it after all more
+// urgent ones. The zero value is an empty backlog.
 type backlog struct {
 	byRank    map[int]float64
 	updatedAt time.Time
--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -12,15 +12,15 @@
 func BenchmarkMay(b *testing.B) {
 	for _, n := range []int{1, 100} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, ledger := NewTable(), quota.NewLedger(t0, true)
+			table, ledger := NewTable(), quota.NewLedger(t0, true)
 			tick(ledger, 0, 20_000)
 			var all []Upstream
 			for i := range n {
 				u := Upstream{Name: fmt.Sprint("i-", i)}
-				book.Observe(at(20_000), Observation{Upstream: u, HasLimit: true, Limit: 5, At: at(20_000)})
+				table.Observe(at(20_000), Observation{Upstream: u, HasLimit: true, Limit: 5, At: at(20_000)})
 				all = append(all, u)
 			}
-			g := NewLimiter(book, ledger)
+			g := NewLimiter(table, ledger)
 			b.ResetTimer()
 			for i := range b.N {
 				g.Allows(at(20_000), all[i%n], Request{Pool: "p", Rank: 1})
@@ -31,10 +31,10 @@
 
 // BenchmarkNoLimit measures the cost for each request while no upstream has a limit.
 func BenchmarkNoLimit(b *testing.B) {
-	book := NewTable()
+	table := NewTable()
 	for range b.N {
-		if len(book.Limited()) > 0 {
-			b.Fatal("an empty book has limits")
+		if len(table.Limited()) > 0 {
+			b.Fatal("an empty table has limits")
 		}
 	}
 }
--- a/ratelimit/changes.go
+++ b/ratelimit/changes.go
@@ -25,7 +25,7 @@
 	// maxRecords bounds the number of records in one call. Each takes about 40 bytes.
 	maxRecords = 64
 	// transitMargin is above the time that a record takes from one daemon to another. Without
-	// it, the end of a limit would look newer than it is and clear a limit reported since.
+	// it, the end of a limit would look newer than it is and clear a limit reported after it.
 	transitMargin = 200 * time.Millisecond
 )
 
@@ -48,7 +48,7 @@
 	return out
 }
 
-// Record returns the record of one upstream; ok is false if the book has no entry for it.
+// Record returns the record of one upstream; ok is false if the table has no entry for it.
 func (b *Table) Record(now time.Time, u Upstream) (r Record, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/ratelimit/changes_test.go
+++ b/ratelimit/changes_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// relayNews sends the recent changes of one book to another, which receives them after delay.
-func relayNews(now time.Time, from, to *Table, delay time.Duration) {
+// relayChanges sends the recent changes of one table to another, which receives them after delay.
+func relayChanges(now time.Time, from, to *Table, delay time.Duration) {
 	for _, r := range from.RecentChanges(now, false) {
 		to.Observe(now.Add(delay), r.Observation(now.Add(delay)))
 	}
@@ -20,30 +20,30 @@
 func TestLimitAndItsRemovalArePropagated(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
-	relayNews(at(100), a, b, 50*time.Millisecond)
+	relayChanges(at(100), a, b, 50*time.Millisecond)
 	if limit, ok := b.Limit(upstream1); !ok || limit != 5 {
 		t.Fatalf("limit %g, in force: %t", limit, ok)
 	}
 	a.Observe(at(3000), Observation{Upstream: upstream1, At: at(2900)})
-	relayNews(at(3100), a, b, 50*time.Millisecond)
+	relayChanges(at(3100), a, b, 50*time.Millisecond)
 	if _, ok := b.Limit(upstream1); ok {
 		t.Error("the limit is still in force after its end")
 	}
 }
 
-// Guards against a delayed record of the end of a limit that clears a limit reported since.
-func TestOldRecordLiftsNoLimit(t *testing.T) {
+// Guards against a delayed record of the end of a limit that clears a limit reported after it.
+func TestOldRecordClearsNoLimit(t *testing.T) {
 	a, b := NewTable(), NewTable()
 	a.Observe(at(0), Observation{Upstream: upstream1, HasLimit: true, Limit: 5, At: at(0)})
 	a.Observe(at(1000), Observation{Upstream: upstream1, At: at(1000)})
 	b.Observe(at(1100), Observation{Upstream: upstream1, HasLimit: true, Limit: 4, At: at(1100)})
-	relayNews(at(1200), a, b, transitMargin)
+	relayChanges(at(1200), a, b, transitMargin)
 	if limit, ok := b.Limit(upstream1); !ok || limit != 4 {
 		t.Errorf("limit %g, in force: %t", limit, ok)
 	}
-	relayNews(at(1500), b, a, 0)
+	relayChanges(at(1500), b, a, 0)
 	if limit, ok := a.Limit(upstream1); !ok || limit != 4 {
-		t.Errorf("book with the outdated state: limit %g, in force: %t", limit, ok)
+		t.Errorf("table with the outdated state: limit %g, in force: %t", limit, ok)
 	}
 }
 
--- a/ratelimit/fleet_test.go
+++ b/ratelimit/fleet_test.go
@@ -28,9 +28,9 @@
 	callInterval = 700 * time.Millisecond
 	// responseDelay is the time from a request to its response.
 	responseDelay = 20 * time.Millisecond
-	// limitsStart is when upstreams begin to report limits. The users' bound applies to an
-	// upstream from countingDelay after its first response with a limit, and only to requests
-	// of daemons that received one at least noticeDelay before.
+	// limitsStart is when upstreams begin to report limits. The bound (see allowedExcess)
+	// applies to an upstream from countingDelay after its first response with a limit, and only
+	// to requests of daemons that received such a response at least noticeDelay before.
 	limitsStart   = 5 * time.Second
 	countingDelay = 3 * time.Second
 	noticeDelay   = 500 * time.Millisecond
@@ -48,12 +48,12 @@
 
 var strategyNames = map[strategy]string{accrual: "accrual", equalShares: "equal shares", fewSenders: "few senders", independent: "whole limit each"}
 
-// simDaemon is a simulated daemon. A restart replaces its ledger and book.
+// simDaemon is a simulated daemon. A restart replaces its ledger and table.
 type simDaemon struct {
 	index, dataCentre int
 	ledger            *quota.Ledger
-	book              *Table
-	gate              *Limiter
+	table             *Table
+	limiter           *Limiter
 	upAt, startedAt   time.Time
 	hasView           bool // it has received the limits in force once
 	frozenUntil       time.Time
@@ -144,8 +144,8 @@
 // restart replaces a daemon by one without state that starts after the downtime.
 func (f *simFleet) restart(d *simDaemon, downtime time.Duration, newFleet bool) {
 	d.upAt, d.startedAt, d.frozenUntil, d.stampIssuer, d.hasView = f.now.Add(downtime), f.now.Add(downtime), time.Time{}, nil, false
-	d.ledger, d.book = quota.NewLedger(d.startedAt, newFleet), NewTable()
-	d.gate = NewLimiter(d.book, d.ledger)
+	d.ledger, d.table = quota.NewLedger(d.startedAt, newFleet), NewTable()
+	d.limiter = NewLimiter(d.table, d.ledger)
 	d.backoffs, d.buckets = map[string]*quota.Backoff{}, map[string]*bucket{}
 	for _, u := range f.upstreams {
 		d.backoffs[u.name] = &quota.Backoff{}
@@ -199,7 +199,7 @@
 		}
 		reader := f.reader(d.dataCentre)
 		if !d.hasView && reader != d && f.reachable(d, reader) {
-			f.applyRecords(d, reader.book.RecentChanges(f.now, true))
+			f.applyRecords(d, reader.table.RecentChanges(f.now, true))
 		}
 		d.hasView = true
 		if f.now.Sub(t0)%quota.TickInterval < simStep {
@@ -234,8 +234,8 @@
 		if !f.reachable(d, other) {
 			continue
 		}
-		f.applyRecords(other, d.book.RecentChanges(f.now, false))
-		f.applyRecords(d, other.book.RecentChanges(f.now, false))
+		f.applyRecords(other, d.table.RecentChanges(f.now, false))
+		f.applyRecords(d, other.table.RecentChanges(f.now, false))
 	}
 	if d == reader {
 		return
@@ -247,10 +247,10 @@
 	d.stampIssuer, d.stamp, d.stampReceived = reader, reader.ledger.Stamp(f.now), f.now
 }
 
-// applyRecords updates the book of a daemon with records from another one.
+// applyRecords updates the table of a daemon with records from another one.
 func (f *simFleet) applyRecords(d *simDaemon, list []Record) {
 	for _, r := range list {
-		d.book.Observe(f.now, r.Observation(f.now))
+		d.table.Observe(f.now, r.Observation(f.now))
 	}
 }
 
@@ -284,7 +284,7 @@
 	if counted {
 		f.asked[s]++
 	}
-	d.gate.RecordDemand(f.now, s)
+	d.limiter.RecordDemand(f.now, s)
 	order := f.rng.Perm(len(f.upstreams))
 	for n, i := range order {
 		if !f.admit(d, f.upstreams[i], s) {
@@ -312,13 +312,13 @@
 // admit reports whether a daemon may send a request to an upstream without borrowing, and spends
 // the unit or token for it.
 func (f *simFleet) admit(d *simDaemon, u *simUpstream, s Request) bool {
-	limit, limited := d.book.Limit(u.id())
+	limit, limited := d.table.Limit(u.id())
 	if !limited {
 		return true
 	}
 	switch f.strategy {
 	case accrual:
-		_, _, ok := d.gate.Acquire(f.now, u.id(), s)
+		_, _, ok := d.limiter.Acquire(f.now, u.id(), s)
 		return ok
 	case equalShares:
 		return f.takeToken(d, u, limit*f.share(d))
@@ -380,12 +380,12 @@
 const maxBackoff = time.Second
 
 // borrow borrows one unit from readers, unless a backoff applies. It reports whether the daemon
-// then has enough.
+// then has enough units for the request.
 func (f *simFleet) borrow(d *simDaemon, u *simUpstream, s Request) bool {
 	if f.strategy != accrual || d.backoffs[u.name].Active(f.now, 1, s.Rank) {
 		return false
 	}
-	lack, ok := d.gate.LoanRequest(f.now, u.id(), s)
+	lack, ok := d.limiter.LoanRequest(f.now, u.id(), s)
 	if !ok {
 		return true
 	}
@@ -400,13 +400,13 @@
 				continue
 			}
 			f.loanCalls++
-			if r, ok := d.book.Record(f.now, u.id()); ok {
+			if r, ok := d.table.Record(f.now, u.id()); ok {
 				f.applyRecords(lender, []Record{r})
 			}
-			loan := lender.gate.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, partial)
+			loan := lender.limiter.Lend(f.now, u.id(), s, needs, needs+lack.Ahead, partial)
 			d.ledger.AddLoan(f.now, u.id().Account(), lack.Terms, f.now, loan)
 			needs, remaining, wait = needs-loan.Units, remaining+loan.Remaining, min(wait, loan.Wait)
-			if d.gate.Allows(f.now, u.id(), s) {
+			if d.limiter.Allows(f.now, u.id(), s) {
 				return true
 			}
 		}
@@ -423,7 +423,7 @@
 	f.responses = append(f.responses, response{f.now.Add(responseDelay), f.now, d, u, limit})
 }
 
-// deliverResponses processes the responses that are due. Those to a stalled daemon wait.
+// deliverResponses processes the responses that are due. Those to a frozen daemon wait.
 func (f *simFleet) deliverResponses() {
 	inTransit := f.responses[:0]
 	for _, r := range f.responses {
@@ -435,10 +435,10 @@
 			continue // the daemon was restarted since
 		}
 		if r.limit == NoLimit {
-			r.daemon.book.Observe(f.now, Observation{Upstream: r.upstream.id(), At: r.sent})
+			r.daemon.table.Observe(f.now, Observation{Upstream: r.upstream.id(), At: r.sent})
 			continue
 		}
-		r.daemon.book.Observe(f.now, Observation{Upstream: r.upstream.id(), HasLimit: true, Limit: r.limit, At: f.now})
+		r.daemon.table.Observe(f.now, Observation{Upstream: r.upstream.id(), HasLimit: true, Limit: r.limit, At: f.now})
 		if r.upstream.firstLimited.IsZero() {
 			r.upstream.firstLimited = f.now
 		}
@@ -450,9 +450,9 @@
 }
 
 // worstWindow returns the most requests that any upstream received in a window, as a fraction of
-// the number allowed: first of the counted requests, then of all. It considers windows in which
-// the upstream reported a limit throughout, from countingDelay after it first did or last began
-// to do so again.
+// the number allowed: first of the counted requests, then of all. It considers only windows
+// during which the upstream reported a limit throughout, and that begin at least countingDelay
+// after it began to report limits, for the first time or again.
 func (f *simFleet) worstWindow() (counted, all float64) {
 	for _, u := range f.upstreams {
 		since := u.firstLimited
@@ -628,10 +628,10 @@
 	}
 }
 
-// Guards against a simulation that never exceeds a limit, whatever the daemons do. Strategies
-// without coordination must exceed it: with the whole limit at each daemon, and with equal
-// shares, of which each daemon saves up one request.
-func TestModelTellsWaysApart(t *testing.T) {
+// Guards against a simulation that never exceeds a limit, whatever the daemons do. Two
+// strategies without coordination must exceed it: independent, in which each daemon applies the
+// whole limit, and equalShares, in which each daemon saves up one request.
+func TestSimulationTellsStrategiesApart(t *testing.T) {
 	for _, c := range []struct {
 		way     strategy
 		daemons int
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -7,8 +7,8 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// In any Window, users allow an upstream with a limit to receive allowedExcess times limit x
-// Window requests, and allowedSlack more.
+// The bound on the requests that an upstream with a limit may receive in any Window is
+// allowedExcess x limit x Window + allowedSlack.
 const (
 	allowedExcess = 1.5
 	allowedSlack  = 5.0
@@ -24,8 +24,8 @@
 	maxRate = 1e6
 )
 
-// Terms returns the terms on which the fleet accrues a limit: at the reported rate (or at
-// probeRate if that is higher), with the longest lifetime that keeps every window within its
+// Terms returns the terms on which the fleet accrues a limit: at the reported rate, limited
+// to the range from probeRate to maxRate, with the longest lifetime that keeps every window within its
 // bound. Limits of less than a few requests a second need a long lifetime, since a daemon's
 // share takes seconds to add up to a whole request.
 func Terms(limit float64) quota.Terms {
@@ -51,7 +51,7 @@
 // learns of the limit first. A request leaves up to one unit for more urgent ones if any arrived
 // within about the last second.
 type Limiter struct {
-	book   *Table
+	table  *Table
 	ledger *quota.Ledger
 
 	mu    sync.Mutex
@@ -66,9 +66,9 @@
 	backlog backlog
 }
 
-// NewLimiter returns a gate that takes limits from a book and spends units of a ledger.
-func NewLimiter(book *Table, ledger *quota.Ledger) *Limiter {
-	return &Limiter{book: book, ledger: ledger, pools: map[string]*poolState{}}
+// NewLimiter returns a limiter that takes limits from a table and spends units of a ledger.
+func NewLimiter(table *Table, ledger *quota.Ledger) *Limiter {
+	return &Limiter{table: table, ledger: ledger, pools: map[string]*poolState{}}
 }
 
 // Request describes a request for which an upstream is being selected.
@@ -116,21 +116,21 @@
 
 // Allows reports whether an upstream may receive a request now. It spends nothing.
 func (g *Limiter) Allows(now time.Time, u Upstream, s Request) bool {
-	limit, ok := g.book.Limit(u)
+	limit, ok := g.table.Limit(u)
 	return !ok || g.ledger.Available(now, u.Account(), Terms(limit)) >= 1+g.reserve(now, s)
 }
 
 // Acquire spends one unit for a request to an upstream; ok is false if too few are available. For
 // an upstream without a limit, limited is false, ok is true and the ticket is empty.
 func (g *Limiter) Acquire(now time.Time, u Upstream, s Request) (ticket quota.Ticket, limited, ok bool) {
-	limit, limited := g.book.Limit(u)
+	limit, limited := g.table.Limit(u)
 	if !limited {
 		return ticket, false, true
 	}
 	terms := Terms(limit)
 	if ticket, ok = g.ledger.Spend(now, u.Account(), terms, 1, g.reserve(now, s)); ok {
 		g.ledger.RecordDemand(now, u.Account(), terms, 1)
-		g.book.RecordSent(now, u)
+		g.table.RecordSent(now, u)
 	}
 	return ticket, true, ok
 }
@@ -149,7 +149,7 @@
 // LoanRequest returns the loan needed for a request to an upstream; ok is false if the upstream has no
 // limit.
 func (g *Limiter) LoanRequest(now time.Time, u Upstream, s Request) (l LoanRequest, ok bool) {
-	limit, ok := g.book.Limit(u)
+	limit, ok := g.table.Limit(u)
 	if !ok {
 		return l, false
 	}
@@ -164,7 +164,7 @@
 // reserve for requests more urgent than s, both this daemon's own and those that other daemons
 // asked loans for. partial allows a loan of less than needs.
 func (g *Limiter) Lend(now time.Time, u Upstream, s Request, needs, wants float64, partial bool) quota.Loan {
-	limit, ok := g.book.Limit(u)
+	limit, ok := g.table.Limit(u)
 	if !ok || !(needs > 0) {
 		return quota.Loan{}
 	}
@@ -184,7 +184,7 @@
 func (g *Limiter) RetryAfter(now time.Time, s Request, upstreams []Upstream, share float64) time.Duration {
 	rate := 0.0
 	for _, u := range upstreams {
-		if limit, ok := g.book.Limit(u); ok {
+		if limit, ok := g.table.Limit(u); ok {
 			rate += Terms(limit).Rate * share
 		}
 	}
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -7,9 +7,9 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// newTestGate returns the gate and ledger of the only daemon of a fleet, which has accrued for 20 s
+// newTestLimiter returns the limiter and ledger of the only daemon of a fleet, which has accrued for 20 s
 // and has a limit for upstream1.
-func newTestGate(limit float64) (*Limiter, *quota.Ledger) {
+func newTestLimiter(limit float64) (*Limiter, *quota.Ledger) {
 	b, l := NewTable(), quota.NewLedger(t0, true)
 	tick(l, 0, 20_000)
 	b.Observe(at(20_000), Observation{Upstream: upstream1, HasLimit: true, Limit: limit, At: at(20_000)})
@@ -23,8 +23,9 @@
 	}
 }
 
-// Guards against terms that allow more requests in a window than the users do.
-func TestTermsAreWithinWhatIsAllowed(t *testing.T) {
+// Guards against terms that allow more requests in a window than the bound does (see
+// allowedExcess).
+func TestTermsStayWithinBound(t *testing.T) {
 	for _, limit := range []float64{0, 1e-9, 0.1, 0.5, 5.4, 200, 1e5, 1e300} {
 		terms := Terms(limit)
 		allowed := allowedExcess*limit*Window.Seconds() + allowedSlack
@@ -39,8 +40,8 @@
 }
 
 // Guards against an upstream with a limit of 0 that is never probed again.
-func TestUpstreamThatTakesNothingIsLookedAt(t *testing.T) {
-	g, l := newTestGate(0)
+func TestUpstreamWithLimitZeroIsProbed(t *testing.T) {
+	g, l := newTestLimiter(0)
 	probes := 0
 	for ms := 20_000; ms < 60_000; ms += 100 {
 		l.Tick(at(ms), 1, true)
@@ -66,11 +67,11 @@
 		}
 		return n
 	}
-	g, _ := newTestGate(2)
+	g, _ := newTestLimiter(2)
 	if n := count(g, at(20_000), other); n < 5 {
 		t.Errorf("%d requests allowed without urgent ones, want at least 5", n)
 	}
-	g, _ = newTestGate(2)
+	g, _ = newTestLimiter(2)
 	for range 5 {
 		g.RecordDemand(at(20_000), urgent)
 	}
@@ -84,8 +85,8 @@
 }
 
 // Guards against refused callers that are all told to retry at the same time, or never.
-func TestWaitGrowsWithThoseThatWait(t *testing.T) {
-	g, _ := newTestGate(5)
+func TestRetryAfterGrowsWithBacklog(t *testing.T) {
+	g, _ := newTestLimiter(5)
 	first := g.RetryAfter(at(20_000), Request{Pool: "p"}, []Upstream{upstream1}, 0.5)
 	second := g.RetryAfter(at(20_000), Request{Pool: "p"}, []Upstream{upstream1}, 0.5)
 	if first != 400*time.Millisecond || second != 2*first {
@@ -98,8 +99,8 @@
 
 // Guards against urgent callers that are told to wait for less urgent ones, and against a backlog
 // larger than the limit can cover in the longest wait.
-func TestWaitOfUrgentCallersIsTheirOwn(t *testing.T) {
-	g, _ := newTestGate(5)
+func TestUrgentCallersWaitOnlyForUrgentOnes(t *testing.T) {
+	g, _ := newTestLimiter(5)
 	urgent, other := Request{Pool: "p", Rank: 1}, Request{Pool: "p", Rank: 2}
 	wait := func(ms int, s Request) time.Duration { return g.RetryAfter(at(ms), s, []Upstream{upstream1}, 1) }
 	for range 100 {
@@ -122,7 +123,7 @@
 
 // Guards against loans for an upstream without a limit at the lender.
 func TestNothingIsLentWithoutALimit(t *testing.T) {
-	g, _ := newTestGate(5)
+	g, _ := newTestLimiter(5)
 	for _, u := range []Upstream{{Name: "other"}, {Name: upstream1.Name, Incarnation: upstream1.Incarnation + 1}} {
 		if loan := g.Lend(at(20_000), u, Request{}, 1, 1, true); loan.Units != 0 {
 			t.Errorf("upstream %+v: loan %+v", u, loan)
--- a/ratelimit/table.go
+++ b/ratelimit/table.go
@@ -46,7 +46,8 @@
 const NoLimit = -1
 
 const (
-	// Window is the span over which users count the requests that a limited upstream receives.
+	// Window is the span over which the requests that a limited upstream receives are bounded
+	// (see allowedExcess).
 	Window = 4 * time.Second
 	// noLimitTTL and limitTTL are how long the state of an upstream without and with a limit is
 	// kept after its last update. limitTTL is so long that an upstream without any update in
@@ -81,7 +82,7 @@
 	sends      sendCounter
 }
 
-// NewTable returns a book without limits.
+// NewTable returns a table without limits.
 func NewTable() *Table { return &Table{entries: map[Upstream]*entry{}} }
 
 // Observe updates the limit of an upstream from a response and returns what changed. Responses may
@@ -110,7 +111,7 @@
 	return c, c.New != c.Old
 }
 
-// apply updates the entry unless the entry is newer.
+// apply updates the entry from a response, unless a newer response has been applied already.
 func (e *entry) apply(o Observation) {
 	switch {
 	case o.HasLimit && o.At.Before(e.limitAsOf), o.HasLimit && o.At.Before(e.noLimitAsOf):
--- a/ratelimit/table_test.go
+++ b/ratelimit/table_test.go
@@ -18,26 +18,26 @@
 // Guards against a limit that is cleared by a response written before it was set, or kept after
 // the upstream has ended it.
 func TestTableIgnoresOlderObservations(t *testing.T) {
-	named := func(limit float64, ms int) Observation {
+	withLimit := func(limit float64, ms int) Observation {
 		return Observation{Upstream: upstream1, HasLimit: true, Limit: limit, At: at(ms)}
 	}
-	free := func(ms int) Observation { return Observation{Upstream: upstream1, At: at(ms)} }
+	withoutLimit := func(ms int) Observation { return Observation{Upstream: upstream1, At: at(ms)} }
 	for name, c := range map[string]struct {
-		words []Observation
+		words []Observation // in the order of arrival
 		want  float64
 	}{
 		"nothing":                        {nil, NoLimit},
-		"no limit":                       {[]Observation{free(0)}, NoLimit},
-		"a limit":                        {[]Observation{named(5, 10)}, 5},
-		"another limit":                  {[]Observation{named(5, 10), named(2, 20)}, 2},
-		"an older limit":                 {[]Observation{named(5, 20), named(2, 10)}, 5},
-		"sent before the limit came":     {[]Observation{named(5, 10), free(9)}, 5},
-		"sent after it":                  {[]Observation{named(5, 10), free(11)}, NoLimit},
-		"sent between two":               {[]Observation{named(5, 10), named(5, 30), free(20)}, 5},
-		"came late, written before":      {[]Observation{named(5, 10), free(30), named(5, 20)}, NoLimit},
-		"again":                          {[]Observation{named(5, 10), free(30), named(4, 40)}, 4},
-		"of nothing":                     {[]Observation{named(0, 10)}, 0},
-		"free twice, the older one last": {[]Observation{named(5, 10), free(30), free(20)}, NoLimit},
+		"no limit":                       {[]Observation{withoutLimit(0)}, NoLimit},
+		"a limit":                        {[]Observation{withLimit(5, 10)}, 5},
+		"another limit":                  {[]Observation{withLimit(5, 10), withLimit(2, 20)}, 2},
+		"an older limit":                 {[]Observation{withLimit(5, 20), withLimit(2, 10)}, 5},
+		"sent before the limit came":     {[]Observation{withLimit(5, 10), withoutLimit(9)}, 5},
+		"sent after it":                  {[]Observation{withLimit(5, 10), withoutLimit(11)}, NoLimit},
+		"sent between two":               {[]Observation{withLimit(5, 10), withLimit(5, 30), withoutLimit(20)}, 5},
+		"came late, written before":      {[]Observation{withLimit(5, 10), withoutLimit(30), withLimit(5, 20)}, NoLimit},
+		"again":                          {[]Observation{withLimit(5, 10), withoutLimit(30), withLimit(4, 40)}, 4},
+		"of nothing":                     {[]Observation{withLimit(0, 10)}, 0},
+		"free twice, the older one last": {[]Observation{withLimit(5, 10), withoutLimit(30), withoutLimit(20)}, NoLimit},
 	} {
 		b := NewTable()
 		for _, w := range c.words {
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -19,8 +19,8 @@
 	Window time.Duration
 }
 
-// Bucket is a retry budget: it allows the retries for which first attempts have earned credit, and
-// a fixed number besides. So retries cannot multiply the load on upstreams that fail because of
+// Bucket is a retry budget: it allows the retries for which first attempts have earned credit and,
+// in each window, a fixed number (the slack) that needs no credit. So retries cannot multiply the load on upstreams that fail because of
 // overload. It is safe for concurrent use.
 type Bucket struct {
 	mu     sync.Mutex
@@ -33,7 +33,7 @@
 // NewBucket returns a bucket without credit whose slack is unspent.
 func NewBucket(l Limits) *Bucket { return &Bucket{limits: l, slackSpent: newSlidingWindow(l.Window)} }
 
-// Set changes the limits. Credit above the new depth is lost. If the length of the window changes,
+// Set changes the limits. Credit above the new MaxCredit is lost. If the length of the window changes,
 // the slack spent in the old window counts as spent now.
 func (b *Bucket) Set(now time.Time, l Limits) {
 	b.mu.Lock()
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -42,13 +42,13 @@
 	}
 }
 
-// Guards against a bucket that allows more than its limits in any span of the window's length: depth,
-// slack, and the credit for the first attempts of that span. Attempts come at random times.
+// Guards against a bucket that allows more than its limits in any span of the window's length: the
+// maximum credit, the slack, and the credit for the first attempts of that span. Attempts come at random times.
 func TestBucketHoldsItsBound(t *testing.T) {
-	const ratio, depth, slack = 0.2, 1.7, 3.4
+	const ratio, maxCredit, slack = 0.2, 1.7, 3.4
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		b := NewBucket(Limits{Ratio: ratio, MaxCredit: depth, Slack: slack, Window: testWindow})
+		b := NewBucket(Limits{Ratio: ratio, MaxCredit: maxCredit, Slack: slack, Window: testWindow})
 		var firsts, retries []time.Time
 		for now := t0; now.Before(t0.Add(time.Minute)); {
 			now = now.Add(time.Duration(rng.IntN(400)) * time.Millisecond)
@@ -65,7 +65,7 @@
 		}
 		for _, from := range retries {
 			until := from.Add(testWindow)
-			if n, most := countWithin(retries, from, until), ratio*float64(countWithin(firsts, from, until))+depth+slack; float64(n) > most+roundingTolerance {
+			if n, most := countWithin(retries, from, until), ratio*float64(countWithin(firsts, from, until))+maxCredit+slack; float64(n) > most+roundingTolerance {
 				t.Fatalf("seed %d: %d retries in a window that allows %.1f", seed, n, most)
 			}
 		}
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -33,10 +33,11 @@
 //     spend only what its own requests earn.
 //   - At first, credit is limited to one retry. The share of the slack becomes available once the
 //     process has known its peers for a window: by then the spending of its predecessor is out of
-//     the window, and the number of daemons to divide by is no longer that of the first moments. At
+//     the window, and the process has discovered the other daemons, so that it divides the slack by
+//     the right number. At
 //     the first start of a fleet there is no predecessor, so the share becomes available earlier;
 //     otherwise callers that arrive ten seconds after the start would find no slack.
-//   - Credit above the depth is lost. Otherwise the credit of ten seconds could be spent at once,
+//   - Credit above a maximum is lost (see Limits.MaxCredit). Otherwise the credit of ten seconds could be spent at once,
 //     just before the callers move to other daemons and earn credit there for the same window.
 //   - Requests that are read just after the process was stalled earn no credit: their callers sent
 //     them in an earlier window.
@@ -142,21 +143,22 @@
 	// daemon retry twice in a row: with 295 daemons and one in twenty requests rejected, the
 	// simulation denies 0.04 of the retries with a share of 2.1, 0.075 with 1.9 and 0.12 with 1.7.
 	dividedSlack = 0.95
-	// depthShare is the fraction of a daemon's share that limits its credit. The rest needs no
+	// maxCreditShare is the fraction of a daemon's share that limits its credit. The rest needs no
 	// credit, and becomes available again a window after it was spent. With one in ten requests
-	// rejected, 7 daemons deny 0.01 of the retries at a fraction of one half, and 0.10 at a depth
-	// of one retry; with nine in ten rejected, one half sends 0.02 more retries than all of it.
-	depthShare = 0.5
-	// minDepth is one retry: with a smaller depth a daemon could never retry on credit.
-	minDepth = 1
+	// rejected, 7 daemons deny 0.01 of the retries at a fraction of one half, and 0.10 with a maximum
+	// credit of one retry; with nine in ten rejected, a fraction of one half sends 0.02 more
+	// retries than a fraction of one.
+	maxCreditShare = 0.5
+	// minMaxCredit is one retry: with a smaller maximum a daemon could never retry on credit.
+	minMaxCredit = 1
 )
 
 // limits returns the limits of each target's bucket; b.mu must be held.
 func (b *Budgets) limits() Limits {
-	l := Limits{Ratio: b.bounds.Ratio, MaxCredit: minDepth, Window: b.bounds.Window}
+	l := Limits{Ratio: b.bounds.Ratio, MaxCredit: minMaxCredit, Window: b.bounds.Window}
 	if b.settled {
 		part := b.share().Retries
-		l.MaxCredit = max(minDepth, depthShare*part)
+		l.MaxCredit = max(minMaxCredit, maxCreditShare*part)
 		l.Slack = max(0, part-l.MaxCredit)
 	}
 	return l
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -12,7 +12,8 @@
 	"github.com/corianderturn/corianderturn/relay"
 )
 
-// Parameters of the simulation, and the bounds that the fleet must keep; the slack grows with it.
+// Parameters of the simulation, and the bounds that the fleet must keep; modelSlack returns the
+// slack, which grows with the fleet. A zone is a data centre.
 const (
 	modelRatio  = 0.2
 	modelWindow = 10 * time.Second
@@ -181,16 +182,16 @@
 
 // countWithin returns how many of the sorted times lie in [from, until).
 func countWithin(list []time.Time, from, until time.Time) int {
-	after := func(at time.Time) int {
+	countBefore := func(at time.Time) int {
 		return sort.Search(len(list), func(i int) bool { return !list[i].Before(at) })
 	}
-	return after(until) - after(from)
+	return countBefore(until) - countBefore(from)
 }
 
 // worstWindow returns the largest excess of retries over what is allowed in any window, with the
 // allowed number and the start of that window; the excess is at most 0 if all windows are within the
-// bounds. The number of requests is that of the window itself, of the one before it, or of the one
-// half a window before it, whichever is largest.
+// bounds. The allowed number is computed from the requests of the window itself, of the one
+// before it, or of the one half a window before it, whichever are most.
 func (f *modelFleet) worstWindow() (over, allowed float64, at time.Duration) {
 	over = -f.slack
 	for _, from := range f.retries {
@@ -281,7 +282,7 @@
 		at = at.Truncate(modelStep)
 		out[at] = append(out[at], fault)
 	}
-	const firstReject = 9
+	const firstReject = 9 // index of "rejects" in modelFaults
 	for at := 12 * time.Second; at < modelLength; at += time.Duration(3+rng.IntN(10)) * time.Second {
 		add(at, firstReject+rng.IntN(3))
 	}
--- a/roles/costs.go
+++ b/roles/costs.go
@@ -19,15 +19,15 @@
 
 // Sample is one finished completion.
 type Sample struct {
-	// Prompt and Answer are its numbers of tokens. Held is how long it occupied its decode
-	// engine.
+	// Prompt and Answer are its numbers of prompt and answer tokens. DecodeTime is how long
+	// it occupied its decode engine.
 	Prompt, Answer int
 	DecodeTime     time.Duration
 }
 
 const (
 	// The costs of a completion that are assumed until enough samples are known. They are
-	// typical of the users' drafts: a prompt of 3,000 tokens, prefilled in 90 ms, and an
+	// typical of requests of class draft: a prompt of 3,000 tokens, prefilled in 90 ms, and an
 	// answer of 700 tokens, decoded in 3.5 s. They determine the roles of the engines
 	// before the first clients connect; no request is refused because of them.
 	defaultPromptTokens = 3000
@@ -39,7 +39,8 @@
 	// seconds. One of ninety daemons, which sees one request in ninety, had an estimate
 	// from twelve samples, all from one burst in which every prompt had waited in a queue.
 	// It overestimated the cost of prefill by a factor of two and moved four decode engines
-	// to prefill under load; 117 prompts were prefilled in vain.
+	// to prefill under load, so that 117 prompts were prefilled for decode engines that were
+	// no longer available.
 	minCompletions = 48
 	minPrefills    = 48
 )
@@ -122,12 +123,12 @@
 // runs every completion that fits into its memory at once, whereas prompts queue one after
 // the other and must meet a latency target of one second. On a day with bursts, 128
 // engines served 5,736 streams: with a headroom of 1.0, 22 engines were prefilling and
-// 1,298 streams were late; with 1.4, 29 engines were and 398 streams were late. With 1.8
-// there were too few decode engines.
+// 1,298 streams missed the target; with 1.4, 29 engines were prefilling and 398 streams
+// missed it. With 1.8 there were too few decode engines.
 const prefillHeadroom = 1.3
 
-// loadFraction returns the fraction of an engine that a completion takes which holds the
-// given mean number of tokens: of its slots or of its memory, whichever is larger.
+// loadFraction returns the fraction of an engine's slots or of its memory, whichever is
+// larger, that a completion takes which holds the given mean number of tokens in memory.
 func (e Capacity) loadFraction(tokens float64) float64 {
 	fraction := 0.0
 	if e.Slots > 0 {
--- a/roles/lease.go
+++ b/roles/lease.go
@@ -3,11 +3,12 @@
 import "time"
 
 // Membership is the store's response to a daemon that joins the group or renews its
-// membership.
+// membership. The group has a single partition, which the store assigns to one member; the
+// owner of the partition holds the lease.
 type Membership struct {
 	// Generation increases with each change of the group.
 	Generation uint64
-	// Owner means that this daemon owns the partition that represents the lease.
+	// Owner means that this daemon owns the partition and so holds the lease.
 	Owner bool
 }
 
@@ -20,9 +21,9 @@
 // cannot renew its membership stops before the store passes the lease on.
 type Lease struct {
 	ttl, quietPeriod time.Duration
-	ordersOpenAt     time.Time // set by Bootstrap; zero without it
+	ordersOpenAt     time.Time // time from which orders are allowed after Bootstrap; zero without it
 	holding          Membership
-	heldSince        time.Time // start of the uninterrupted tenure; zero if not held
+	heldSince        time.Time // since when the lease has been held without a break; zero if not held
 	renewedAt        time.Time // when the last successful join was sent
 }
 
@@ -32,7 +33,7 @@
 func NewLease(ttl, quiet time.Duration) *Lease { return &Lease{ttl: ttl, quietPeriod: quiet} }
 
 // Bootstrap declares that all daemons are starting for the first time, at most a quarter
-// of the ttl apart, and that none of them sends orders before opens. A daemon that holds
+// of the ttl apart, and that none of them sends orders before the time opens. A daemon that holds
 // the lease by then need not wait for the quiet period, because no order has been sent
 // before.
 //
@@ -40,8 +41,8 @@
 // changes its role would refuse prompts for six seconds under load.
 func (l *Lease) Bootstrap(opens time.Time) { l.ordersOpenAt = opens }
 
-// bootstrapped reports whether orders are open after a Bootstrap and this daemon had
-// already held the lease for the ttl when they opened. Any previous holder had then lost
+// bootstrapped reports whether the time passed to Bootstrap has been reached and this daemon
+// had already held the lease for the ttl at that time. Any previous holder had then lost
 // the lease.
 func (l *Lease) bootstrapped(now time.Time) bool {
 	return !l.ordersOpenAt.IsZero() && !now.Before(l.ordersOpenAt) && !l.heldSince.After(l.ordersOpenAt.Add(-l.ttl))
--- a/roles/lease_test.go
+++ b/roles/lease_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against orders that open too late or too early when the whole system starts.
+// Guards against orders that are allowed too late or too early when the whole system starts.
 // Engines should change their roles before clients connect.
 func TestBootstrapOpensOrdersEarly(t *testing.T) {
 	join := func(l *Lease, from, until int) {
@@ -64,7 +64,7 @@
 	}
 	for name, tc := range map[string]struct {
 		from  int // when the daemon gets the lease, in ms
-		opens int // when orders open, in ms
+		opens int // from when orders are allowed, in ms
 		at    int // when Fence is called, in ms
 		want  bool
 	}{
--- a/roles/planner.go
+++ b/roles/planner.go
@@ -27,8 +27,8 @@
 const (
 	// toDecodeSlack is how far, in engines, an order to decode may bring the number of
 	// prefill engines below the wanted number. The wanted number is not rounded and
-	// includes prefillHeadroom. Without slack a small pool keeps an engine too many: one of
-	// three is a large part. With a slack of 0.1, a fleet of 14 kept four prefill engines
+	// includes prefillHeadroom. Without slack a small pool keeps one engine too many, which
+	// is a large part of a pool of three. With a slack of 0.1, a fleet of 14 kept four prefill engines
 	// while decode engines were missing, and its goodput was 0.63 instead of 0.68. With a
 	// slack above 0.35 it goes down to two prefill engines, and crashes may leave none.
 	toDecodeSlack = 0.35
@@ -38,10 +38,10 @@
 	// crashed engines are back within that time.
 	toPrefillSlack = 0.8
 	toPrefillDelay = 4 * time.Second
-	// burstTolerance is the part of the wanted number of prefill engines, rounded down to
+	// burstTolerance is the fraction of the wanted number of prefill engines, rounded down to
 	// whole engines, by which the actual number must be off before orders begin once
 	// clients have connected. Orders then continue until the wanted number is reached.
-	// During a burst, prefill seems half as expensive again as it is. Without the
+	// During a burst, prefill seems 1.5 times as expensive as it is. Without the
 	// tolerance, 128 engines got eleven more orders on quiet days, for bursts that were
 	// over before the engines had changed their roles, and the goodput was 0.66 to 0.70
 	// instead of 0.74 to 0.78.
@@ -53,7 +53,8 @@
 	// share: an engine that changes its role is unavailable for seconds, and a burst does
 	// not last longer than that.
 	shareTimeConstant = 10 * time.Second
-	// peakWindow is how long the largest number of engines is remembered.
+	// peakWindow is how long the planner remembers the largest number of engines, to
+	// detect that engines are missing.
 	peakWindow = 30 * time.Second
 	// maxPendingShare bounds the number of pending orders, as a share of the engines; one
 	// is always allowed. earlyMaxPendingShare is the bound before clients connect, when
@@ -141,7 +142,7 @@
 }
 
 // burstMargin returns the number of engines by which the number of prefill engines must be
-// off before orders in one direction begin. moving means that they have begun already.
+// off before orders in one direction begin. moving means that such orders have begun already.
 func (p *Planner) burstMargin(want float64, early, moving bool) float64 {
 	if early || moving {
 		return 0
--- a/roles/roles_test.go
+++ b/roles/roles_test.go
@@ -60,8 +60,8 @@
 	return n
 }
 
-// Guards against a lack of decode memory in bursts while five of fourteen engines prefill,
-// although three would suffice.
+// Guards against a planner that leaves idle engines in the prefill pool: decode engines then
+// lack memory in bursts, while five of fourteen engines prefill although three would suffice.
 func TestPlannerGivesIdlePrefillToDecode(t *testing.T) {
 	for _, tc := range []struct {
 		prefill, n int
@@ -101,7 +101,7 @@
 // Guards against engines that change their roles back and forth all day and are
 // unavailable meanwhile. The registration shows the old role for seconds after an order. If
 // the planner ignored pending orders, it would order more engines than are needed.
-func TestPlannerCountsOrdersUnderWay(t *testing.T) {
+func TestPlannerCountsPendingOrders(t *testing.T) {
 	p := NewPlanner(switchTime)
 	members := newEngines(5, 14) // registrations never change in this test
 	sent := 0
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestPrefillShareFollowsTheWork(t *testing.T) {
+func TestPrefillShareFollowsCosts(t *testing.T) {
 	e := Capacity{Slots: 12, MemoryTokens: 30000}
 	w := NewCostEstimator()
 	first, learned := w.PrefillShare(at(0), e)
@@ -169,9 +169,9 @@
 }
 
 // Guards against moving decode engines to prefill during a burst, which wasted a hundred
-// prefills whose decode engines were gone. The lease holder, one of ninety daemons, had
-// only a dozen samples of prefills, all from the burst, in which each prompt waited as long
-// as its prefill took.
+// prefills whose decode engines were no longer available. The lease holder, one of ninety
+// daemons, had only a dozen samples of prefills, all from the burst, in which each prompt
+// waited as long as its prefill took.
 func TestOneBurstMovesNoEngine(t *testing.T) {
 	w := NewCostEstimator()
 	e := Capacity{Slots: 12, MemoryTokens: 30000}
@@ -255,7 +255,7 @@
 
 // Guards against a burst tolerance that also suppresses orders that are needed: prefill is
 // four times as slow as assumed, and the pool must grow from 27 to about 64 engines.
-func TestPlannerFollowsWhatIsFarOff(t *testing.T) {
+func TestPlannerMovesEnginesDespiteBurstTolerance(t *testing.T) {
 	const n = 128
 	members := make([]Engine, n)
 	for i := range members {
--- a/roles/runner.go
+++ b/roles/runner.go
@@ -23,8 +23,8 @@
 type State struct {
 	Role fleet.Role
 	Busy bool // an order is being carried out
-	// Orders is the number of orders accepted since the engine started. Born identifies
-	// its incarnation; 0 if the engine does not report it.
+	// Orders is the number of orders accepted since the engine started. Incarnation
+	// identifies its incarnation; 0 if the engine does not report it.
 	Orders      uint64
 	Incarnation int64
 }
@@ -47,9 +47,9 @@
 	TTL             time.Duration // see NewLease
 	QuietPeriod     time.Duration // see NewLease
 	RenewalInterval time.Duration // interval at which the lease holder renews its membership
-	CallTimeout     time.Duration // timeout of a call to the store, and of an order with its read
-	// Bootstrap is the time from the start of Run until orders open, when the whole
-	// system starts for the first time; 0 otherwise.
+	CallTimeout     time.Duration // timeout of a call to the store, and of reading an engine's state and ordering it
+	// Bootstrap is the time from the start of Run until orders are allowed, when the
+	// whole system starts for the first time; 0 otherwise.
 	Bootstrap time.Duration
 	// Candidate reports whether this daemon should join the group and so may get the
 	// lease; nil means always. Each member costs a call to the store every few seconds.
@@ -60,7 +60,7 @@
 	Now    func() time.Time
 }
 
-// Runner competes for the lease and sends orders while it holds it. It is a
+// Runner competes for the lease and sends orders while this daemon holds the lease. It is a
 // supervise.Service.
 type Runner struct {
 	options  Options
@@ -68,7 +68,8 @@
 	planners map[string]*Planner
 	mayOrder bool
 	joined   bool // this daemon may be a member of the group
-	// ordersOpenAt is when orders open if the system starts for the first time; else zero.
+	// ordersOpenAt is when orders become allowed if the system starts for the first time; else
+	// zero.
 	ordersOpenAt time.Time
 }
 
@@ -121,15 +122,15 @@
 }
 
 // candidateCheckInterval is the interval at which a daemon that has not joined the group
-// checks whether it is a candidate, until orders open. The check is local. When a
+// checks whether it is a candidate, until orders are allowed. The check is local. When a
 // candidate joined 0.7 s late, it got the lease too late for the first orders, and engines
 // changed their roles under load.
 const candidateCheckInterval = 100 * time.Millisecond
 
 // renewalDelay returns the time until the next renewal. The lease holder renews often, so
 // that it does not lose the lease with one failed call. The other members renew only as
-// often as they must, because calls to the store are limited. Until orders open, all
-// renew often, so that one of them gets the lease in time.
+// often as they must, because calls to the store are limited. Until orders are allowed,
+// all renew often, so that one of them gets the lease in time.
 func (r *Runner) renewalDelay() time.Duration {
 	switch early := r.options.Now().Before(r.ordersOpenAt); {
 	case early && !r.joined:
@@ -168,9 +169,10 @@
 	r.options.Logger.WithFields(log.Fields{"leads": leads, "fence": fence}).Info("orders lease changed")
 }
 
-// enginesPerOrder is the number of engines of a service per order that may be sent between
-// two renewals once clients have connected; one order is always allowed. With a limit of
-// one order, 128 engines took half a minute to adapt to a new load.
+// enginesPerOrder limits the orders to the engines of a service once clients have connected:
+// between two renewals the runner sends one order for every enginesPerOrder engines that the
+// service has, and at least one. With a limit of one order, 128 engines took half a minute
+// to adapt to a new load.
 const enginesPerOrder = 32
 
 // sendOrders sends the orders that are due: all of them before clients connect, else a
@@ -205,8 +207,8 @@
 // holdsFence reports whether this daemon may still send orders with the given fencing
 // token.
 func (r *Runner) holdsFence(fence uint64) bool {
-	now, ok := r.lease.Fence(r.options.Now())
-	return ok && now == fence
+	current, ok := r.lease.Fence(r.options.Now())
+	return ok && current == fence
 }
 
 func engineMembers(v *fleet.View, service string) []Engine {
@@ -219,8 +221,8 @@
 	return out
 }
 
-// sendOrder reads the state of the engine and sends it the order unless the state rules
-// this out. Once the state has been read, the order counts as pending whatever happens
+// sendOrder reads the state of the engine and sends it the order, unless the state shows
+// that the order must not be sent. Once the state has been read, the order counts as pending whatever happens
 // next: even an order without a response may be carried out later.
 func (r *Runner) sendOrder(ctx context.Context, p *Planner, o Order, fence uint64, share float64) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
--- a/roles/runner_test.go
+++ b/roles/runner_test.go
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// newTestRunner returns a runner that may send orders, and sets now to that time.
+// newTestRunner returns a runner that has held the lease for long enough to send orders, and
+// sets now to a time at which it may.
 func newTestRunner(e *fakeEngines, now *time.Time) *Runner {
 	v := &fleet.View{
 		Config:        &fleet.Config{Services: map[string]fleet.Service{"llm": {Engine: &fleet.Engine{Slots: 12, MemoryTokens: 30000, RoleSwitch: switchTime}}, "app": {}}},
@@ -49,9 +50,9 @@
 	for _, m := range newEngines(5, 14) {
 		v.Registrations[m.Name] = fleet.Registration{Name: m.Name, Service: "llm", DataCentre: m.DataCentre, Role: m.Role}
 	}
-	work := NewCostEstimator()
+	costs := NewCostEstimator()
 	r := NewRunner(Options{
-		Group: &fakeGroup{}, Engines: e, View: func() *fleet.View { return v }, Costs: func(string) *CostEstimator { return work },
+		Group: &fakeGroup{}, Engines: e, View: func() *fleet.View { return v }, Costs: func(string) *CostEstimator { return costs },
 		TTL: ttl, QuietPeriod: quiet, RenewalInterval: time.Hour, CallTimeout: time.Minute,
 		Logger: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 		Now:    func() time.Time { return *now },
@@ -81,7 +82,7 @@
 // Guards against a second order for an engine that is changing its role or has changed it
 // already. The registration is seconds old, so the engine's own state must be read before
 // each order.
-func TestRunnerLeavesTurningEnginesAlone(t *testing.T) {
+func TestRunnerSendsNoOrderToBusyEngine(t *testing.T) {
 	for name, e := range map[string]*fakeEngines{
 		"busy":   {state: State{Role: fleet.RolePrefill, Busy: true}},
 		"turned": {state: State{Role: fleet.RoleDecode}},
--- a/teams/teams.go
+++ b/teams/teams.go
@@ -1,7 +1,8 @@
 // Package teams identifies the team of a request by its API key. Both HTTP interfaces for callers
 // use it: that of package frontend and that of package platform.
 //
-// A key is never stored, compared, logged or forwarded. Only its digest is.
+// Teams are looked up by the digest of the key. The key itself is never stored, compared, logged
+// or forwarded.
 package teams
 
 import (
@@ -37,7 +38,7 @@
 	return i, nil
 }
 
-// Find returns the team whose key a request's header carries.
+// Find returns the name of the team whose API key is in a request's header.
 func (i *Index) Find(h http.Header) (string, *errkind.Error) {
 	key, err := bearerKey(h)
 	if err != nil {
