--- a/board/bench_test.go
+++ b/board/bench_test.go
@@ -114,9 +114,9 @@
 	})
 }
 
-// BenchmarkTell measures what a steward reads from the board for one message of 32
-// rows, and what each daemon reads for one round of heartbeats.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkRowsAndNotices measures how long a steward takes to read 32 rows for one
+// message, and a daemon to read the leaving notices for one round of heartbeats.
+func BenchmarkRowsAndNotices(b *testing.B) {
 	board, names := benchBoard(12000)
 	for i, name := range names {
 		board.ApplyReport(t0, name, load(1, 1, i%20), 0)
--- a/board/board.go
+++ b/board/board.go
@@ -35,8 +35,8 @@
 	// must contain such a change, while a change of load, which sets only dirty, may
 	// wait a few milliseconds.
 	availabilityChanged, dirty bool
-	// nextChange is the next time at which a snapshot changes without an event; zero
-	// for never.
+	// nextChange is the next time at which a snapshot changes only because time has
+	// passed, without a call that updates the board; zero for never.
 	nextChange time.Time
 }
 
@@ -45,9 +45,9 @@
 type poolState struct {
 	members []*entry
 	dirty   bool
-	// nextChange is when the pool changes without an event: an ejection ends, a notice
-	// or an estimate expires, or the weight of a replica in slow start has grown. Zero
-	// for never.
+	// nextChange is when the pool changes only because time has passed: an ejection
+	// ends, a notice or an estimate expires, or the weight of a replica in slow start
+	// has grown. Zero for never.
 	nextChange time.Time
 }
 
--- a/board/board_test.go
+++ b/board/board_test.go
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// offered returns the concatenated names of the replicas that a snapshot lists in pool
-// "d".
-func offered(b *Board, now time.Time) string {
+// listedNames returns the concatenated names of the replicas that a snapshot lists in
+// pool "d".
+func listedNames(b *Board, now time.Time) string {
 	out := ""
 	for _, r := range b.Snapshot(now).Pool("d").Replicas() {
 		out += r.Name
@@ -96,7 +96,7 @@
 // one: the restarted engine would stay ejected, or be credited with prompts that it no
 // longer has in its cache. It happens when an engine fails, is ejected, and registers
 // again under the same name and address.
-func TestOtherIncarnationIsUnknown(t *testing.T) {
+func TestRestartClearsState(t *testing.T) {
 	version := func(number uint64, life int64) *bundle.Version {
 		return &bundle.Version{Number: number, Bundle: &bundle.Bundle{
 			Models: map[string]bundle.Model{"m": {DecodePool: "d"}},
--- a/board/change_test.go
+++ b/board/change_test.go
@@ -41,7 +41,7 @@
 // Guards against a difference between a version applied by its list of changes and the
 // same version applied as a whole. A daemon would then plan on an upstream that no
 // longer exists, or on one in its previous pool.
-func TestChangesLeadToTheSameBoard(t *testing.T) {
+func TestApplyChangesMatchesFullUpdate(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		v := version(1, "", nil)
--- a/board/config.go
+++ b/board/config.go
@@ -5,7 +5,9 @@
 // A board is fed with bundle versions (package bundle: the configuration that lists the
 // upstreams), load reports, call results and the messages of other daemons, called
 // peers. Each upstream is polled by one daemon, its steward, which sends the load to
-// the peers.
+// the peers. An upstream's incarnation identifies one run of it and changes with each
+// restart. Engines have a role: a prefill engine computes prompts, a decode engine
+// generates answers.
 //
 // Board does no I/O and reads no clock; the time is an argument of its methods. Holder
 // makes it safe for concurrent use. Inflight counts this daemon's own requests and its
--- a/board/entry.go
+++ b/board/entry.go
@@ -100,7 +100,7 @@
 		return e.replica
 	}
 	e.replicaExpiry = e.nextExpiry(now)
-	step, seen := e.stepEstimate(now)
+	step, stepMeasured := e.stepEstimate(now)
 	e.replica = &policy.Replica{
 		Name:               e.name,
 		Address:            e.spec.Address,
@@ -113,7 +113,7 @@
 		Queued:             e.queued,
 		QueuedTokens:       e.queuedTokens,
 		Step:               step,
-		StepMeasured:       seen,
+		StepMeasured:       stepMeasured,
 		PrefillPerToken:    e.prefillEstimate(now),
 		LinkBytesPerSecond: e.pool.LinkBytesPerSecond,
 		LinkFreeAt:         e.linkFreeAt,
--- a/board/handoff.go
+++ b/board/handoff.go
@@ -45,8 +45,8 @@
 	e.failedHandoffs[partner] = true
 }
 
-// ejectForHandoffs ejects an engine that is at fault for EjectMax, and removes it from
-// the failed handoffs of its partners.
+// ejectForHandoffs ejects the engine at fault for failed handoffs. The ejection lasts
+// EjectMax. The engine is also removed from the failed handoffs of its partners.
 func (b *Board) ejectForHandoffs(now time.Time, e *entry) {
 	for partner := range e.failedHandoffs {
 		if o := b.entries[partner]; o != nil {
--- a/board/health.go
+++ b/board/health.go
@@ -90,8 +90,8 @@
 	return min(1, max(0, part)*(1-initialWeight)+initialWeight)
 }
 
-// nextChange returns when the upstream's health will change its replica without an
-// event; zero for never.
+// nextChange returns when the upstream's replica will change only because time has
+// passed: an ejection ends or the weight has grown; zero for never.
 func (h *health) nextChange(now time.Time, cfg Config) time.Time {
 	if now.Before(h.ejectedUntil) {
 		return h.ejectedUntil
--- a/board/inflight.go
+++ b/board/inflight.go
@@ -15,9 +15,10 @@
 // So a decision adds only those that began after the time of the report. A request that
 // was sent just before that time and arrived just after it would be missing from both
 // counts; Config.ReportLag dates reports back by more than the network delay to prevent
-// this. In return, requests that arrived within the lag are counted twice until the
-// next report. Requests that ended after the report are still included in it, so errors
-// make an upstream look fuller than it is, not emptier.
+// this. In return, requests that arrived within the lag are counted twice, once here
+// and once in the report, until the next report. Requests that ended after the report
+// are still included in it, so errors make an upstream look fuller than it is, not
+// emptier.
 type Inflight struct {
 	clock func() time.Time
 
@@ -43,7 +44,8 @@
 	}
 }
 
-// upstreamWork holds this daemon's requests on one upstream.
+// upstreamWork holds this daemon's requests on one upstream, its bookings of the
+// upstream's KV link and its backoff after refusals.
 type upstreamWork struct {
 	mu sync.Mutex
 	// inFlight holds the requests in flight in no particular order. free holds ended
--- a/board/inflight_test.go
+++ b/board/inflight_test.go
@@ -17,11 +17,12 @@
 
 func (m *manualClock) clock() time.Time { return m.now }
 
-// TestWorkIsCountedOnce guards against counting a request both in Inflight and in the
-// upstream's load report, or in neither. An engine with free slots would then get no
-// requests, or a full one would get more. The daemon starts one request before the time
-// of a load report and one after it.
-func TestWorkIsCountedOnce(t *testing.T) {
+// TestRequestIsCountedOnce guards against counting a request both in Inflight and in
+// the upstream's load report, or in neither. If requests were counted twice, an engine
+// with free slots would get none; if they were not counted, a full engine would get
+// more. The daemon starts one request before the time of a load report and one after
+// it.
+func TestRequestIsCountedOnce(t *testing.T) {
 	clock := &manualClock{now: after(time.Second)}
 	f := NewInflightClock(clock.clock)
 	first := f.Begin("a", 100)
@@ -121,10 +122,10 @@
 	}
 }
 
-// TestNextDecisionSeesOwnWork guards against a burst on one daemon being sent to a
-// single upstream. Several requests are placed between two load reports; each decision
-// must include the requests placed before it.
-func TestNextDecisionSeesOwnWork(t *testing.T) {
+// TestNextDecisionCountsOwnRequests guards against a burst on one daemon being sent to
+// a single upstream. Several requests are placed between two load reports; each
+// decision must include the requests placed before it.
+func TestNextDecisionCountsOwnRequests(t *testing.T) {
 	v := version(1, "abc", nil)
 	v.Bundle.Services = map[string]bundle.Service{"s": {Pool: "d"}}
 	b := New(Config{})
@@ -145,7 +146,7 @@
 	}
 }
 
-func TestHolderBuildsWhenItMust(t *testing.T) {
+func TestHolderBuildsOnlyWhenNeeded(t *testing.T) {
 	clock := &manualClock{now: t0}
 	h := NewHolderClock(newBoard("ab"), clock.clock)
 	last := h.Snapshot()
@@ -224,7 +225,7 @@
 // are still registered for prefill. Without a backoff, daemons spent their retries on
 // them, and one in seven requests of a large fleet failed in its first seconds although
 // other prefill engines were idle.
-func TestMarkShut(t *testing.T) {
+func TestPromptBackoff(t *testing.T) {
 	now := t0
 	f := NewInflightClock(func() time.Time { return now })
 	sent := 0
--- a/board/learned.go
+++ b/board/learned.go
@@ -151,21 +151,21 @@
 // stepEstimate returns the time between output tokens. It uses the first of these that
 // is known: the time that the engine reported; the engine's own estimate, if it is an
 // outlier or the model has none; the model's estimate; the value configured for the
-// pool. seen is false for the configured value, which must not be a reason to refuse a
-// request.
-func (e *entry) stepEstimate(now time.Time) (step time.Duration, seen bool) {
+// pool. measured is false for the configured value, which must not be a reason to
+// refuse a request.
+func (e *entry) stepEstimate(now time.Time) (step time.Duration, measured bool) {
 	if e.step > 0 {
 		return e.step, true
 	}
-	own, ownSeen := e.tokenInterval.Value(now)
-	shared, seen := 0.0, false
+	own, ownMeasured := e.tokenInterval.Value(now)
+	shared, measured := 0.0, false
 	if e.estimates != nil {
-		shared, seen = e.estimates.step.Value(now)
+		shared, measured = e.estimates.step.Value(now)
 	}
 	switch {
-	case ownSeen && (!seen || own > shared*outlierFactor || own*outlierFactor < shared):
+	case ownMeasured && (!measured || own > shared*outlierFactor || own*outlierFactor < shared):
 		return time.Duration(own), true
-	case seen:
+	case measured:
 		return time.Duration(shared), true
 	}
 	return time.Duration(e.pool.StepMillis * float64(time.Millisecond)), false
--- a/board/learned_test.go
+++ b/board/learned_test.go
@@ -12,7 +12,7 @@
 // send most requests to one idle engine; if each used only the model's, a slow engine
 // would get as many requests as the others. Here one engine is three times as slow as
 // the rest.
-func TestPaceIsTheModelsUnlessAnEngineIsOdd(t *testing.T) {
+func TestStepEstimateIsTheModelsExceptForOutliers(t *testing.T) {
 	const ms = time.Millisecond
 	b := New(Config{})
 	v := version(1, "abc", nil)
@@ -50,7 +50,7 @@
 // Guards against rebuilding the replicas of all engines for every answer. With 12,000
 // engines an answer ends every few milliseconds, nearly always with the same token
 // interval, and a daemon would be busy with nothing else.
-func TestAnAnswerLikeTheOthersLeavesOtherEnginesAlone(t *testing.T) {
+func TestInsignificantChangeRebuildsNoOtherReplicas(t *testing.T) {
 	b := New(Config{})
 	v := version(1, "ab", nil)
 	v.Bundle.Models = map[string]bundle.Model{"m": {DecodePool: "d"}}
--- a/board/prefix.go
+++ b/board/prefix.go
@@ -17,13 +17,14 @@
 // prefixIndex records which prefix blocks each upstream has cached. It implements
 // policy.PrefixIndex.
 //
-// Its sources are cache events, which only the upstream's steward receives, and the
-// prompts that this daemon itself sent for prefill. Each event that is lost or not yet
-// delivered causes at most one error: a block that is recorded but not cached, or
-// cached but not recorded. Blocks dropped to limit memory, and emptied sets, cause only
-// errors of the second kind. Blocks of this daemon's own prefills stay recorded until
-// an eviction event arrives, which daemons other than the steward never receive; for
-// them the next prefill of such a prompt reveals the error.
+// Its sources are cache events, in which an engine reports that it stored or evicted a
+// block and which only the upstream's steward receives, and the prompts that this
+// daemon itself sent for prefill. Each event that is lost or not yet delivered causes
+// at most one error: a block that is recorded but not cached, or cached but not
+// recorded. Blocks dropped to limit memory, and emptied sets, cause only errors of the
+// second kind. Blocks of this daemon's own prefills stay recorded until an eviction
+// event arrives, which daemons other than the steward never receive; for them the next
+// prefill of such a prompt reveals the error.
 //
 // A prefix matches only up to its first missing block, so one wrong block can hide or
 // wrongly add all blocks after it. Therefore the number of wrong blocks of each set is
@@ -137,7 +138,8 @@
 	}
 }
 
-// reset removes all recorded blocks and the event position of an upstream.
+// reset removes all recorded blocks of an upstream and the sequence number of its next
+// event.
 func (x *prefixIndex) reset(name string) {
 	if c := x.caches[name]; c != nil {
 		c.set, c.wrongBlocks = nil, 0
@@ -180,8 +182,8 @@
 }
 
 // skipUnchanged reports whether a reply contains nothing to apply. If the upstream has
-// no set, it stores the position of the next event, so that an engine without prefix
-// caching never needs a set.
+// no set, it stores the position of the next event, so that no set is ever allocated
+// for an engine without prefix caching.
 func (c *replicaCache) skipUnchanged(r engineapi.EventsReply) bool {
 	if len(r.Events) > 0 {
 		return false
--- a/board/property_test.go
+++ b/board/property_test.go
@@ -13,24 +13,24 @@
 // exclusion holds the reasons why an upstream must not be chosen. The test tracks them
 // independently of the board.
 type exclusion struct {
-	state    bundle.UpstreamState
-	notice   bool
-	failures int
-	life     uint64
+	state       bundle.UpstreamState
+	notice      bool
+	failures    int
+	incarnation uint64
 }
 
 func (u exclusion) any() bool { return u.state != bundle.StateServing || u.notice || u.failures >= 3 }
 
-// TestNoPolicyPicksWhatIsBarred applies random sequences of events to a board, all at
-// the same time t0, and checks after each event that no policy picks an excluded
-// upstream.
-func TestNoPolicyPicksWhatIsBarred(t *testing.T) {
+// TestNoPolicyPicksExcludedUpstream applies random sequences of bundle versions,
+// leaving notices, call results and load reports to a board, all at the same time t0,
+// and checks after each of them that no policy picks an excluded upstream.
+func TestNoPolicyPicksExcludedUpstream(t *testing.T) {
 	const names = "abcd"
 	rapid.Check(t, func(t *rapid.T) {
 		h, f := NewHolderClock(New(Config{}), (&manualClock{t0}).clock), NewInflightClock((&manualClock{t0}).clock)
 		exclusions := map[string]*exclusion{}
 		for _, r := range names {
-			exclusions[string(r)] = &exclusion{state: bundle.StateServing, life: 1}
+			exclusions[string(r)] = &exclusion{state: bundle.StateServing, incarnation: 1}
 		}
 		number, seq := uint64(0), uint64(0)
 		adopt := func() {
@@ -68,7 +68,7 @@
 				h.Update(func(b *Board) { b.RecordSuccess(t0, name) })
 			case 4:
 				seq++
-				h.Update(func(b *Board) { b.ApplyReport(t0, name, load(u.life, seq, 0), 0) })
+				h.Update(func(b *Board) { b.ApplyReport(t0, name, load(u.incarnation, seq, 0), 0) })
 			}
 			checkPicks(t, h, f, exclusions)
 		}
--- a/board/rules_test.go
+++ b/board/rules_test.go
@@ -69,7 +69,7 @@
 			for _, step := range r.steps {
 				step(b)
 			}
-			if got := offered(b, after(10*time.Second)); got != r.want {
+			if got := listedNames(b, after(10*time.Second)); got != r.want {
 				t.Errorf("listed %q, want %q", got, r.want)
 			}
 			if d := cmp.Diff(r.notices, b.LeavingNotices()); d != "" {
@@ -82,15 +82,15 @@
 	}
 }
 
-// TestPeersNoticeLapses guards against an upstream that one daemon never uses again. A
+// TestPeerNoticeExpires guards against an upstream that one daemon never uses again. A
 // peer reports that the upstream is leaving; the upstream restarts; the peer sees the
 // restart and stops reporting. The daemon sends the upstream no requests, so it does
 // not learn of the restart, and the peer's notice must expire.
-func TestPeersNoticeLapses(t *testing.T) {
+func TestPeerNoticeExpires(t *testing.T) {
 	b := newBoard("ab")
 	b.MarkLeaving(t0, "a", FromPeer)
 	b.MarkLeaving(after(30*time.Second), "a", FromPeer)
-	got := []string{offered(b, after(89*time.Second)), offered(b, after(90*time.Second))}
+	got := []string{listedNames(b, after(89*time.Second)), listedNames(b, after(90*time.Second))}
 	if d := cmp.Diff([]string{"b", "ab"}, got); d != "" {
 		t.Error(d)
 	}
@@ -122,14 +122,14 @@
 			for i, h := range tc.heartbeats {
 				b.ApplyPeerNotices(after(time.Duration(i)*time.Second), h.peer, h.names)
 			}
-			if got := offered(b, after(10*time.Second)); got != tc.want {
+			if got := listedNames(b, after(10*time.Second)); got != tc.want {
 				t.Errorf("listed %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-func TestSetVersionKeepsWhatStays(t *testing.T) {
+func TestSetVersionKeepsUnchangedUpstreams(t *testing.T) {
 	b := newBoard("abc")
 	for _, name := range []string{"a", "b", "c"} {
 		b.ApplyReport(t0, name, load(1, 1, 7), 0)
@@ -157,7 +157,7 @@
 	if first := pool(4, 0); pool(5, 0) != first || pool(6, 0.5) == first {
 		t.Error("the pool is rebuilt without a change, or not rebuilt after the headroom changed")
 	}
-	if got := offered(b, after(time.Second)); got != "acd" {
+	if got := listedNames(b, after(time.Second)); got != "acd" {
 		t.Fatalf("listed %q, want acd", got)
 	}
 	s := b.Snapshot(after(time.Second))
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestPrefillSpeedIsLearnedAndLapses(t *testing.T) {
+func TestPrefillSpeedIsLearnedAndExpires(t *testing.T) {
 	b := newBoard("a")
 	observe := func(at time.Duration, tokens, ahead int, took time.Duration) {
 		b.RecordPrefill(after(at), "a", PrefillResult{PrefillTokens: tokens, TokensAhead: ahead, PrefillTime: took})
@@ -272,7 +272,7 @@
 }
 
 // TestPrefixIndexErrsWithinItsBound simulates an engine's cache and drops some of its
-// events. The index may contain at most one wrong block for each lost event.
+// cache events. The index may contain at most one wrong block for each lost event.
 func TestPrefixIndexErrsWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{PrefixBlocks: 64})
@@ -307,7 +307,7 @@
 	})
 }
 
-func TestGapsReduceTrust(t *testing.T) {
+func TestLostEventsReduceReliability(t *testing.T) {
 	prefix := make([]uint64, 32)
 	for i := range prefix {
 		prefix[i] = uint64(i + 1)
@@ -384,8 +384,8 @@
 // upstreams has to fail several times before it is ejected, every request waits for the
 // timeout of one upstream after the other, for seconds in all, although the engines of
 // the daemon's own data centre are idle.
-func TestSilentUpstreamsAreEjected(t *testing.T) {
-	offeredAt := func(b *Board, at time.Duration) string { return offered(b, after(at)) }
+func TestUnansweredUpstreamsAreEjected(t *testing.T) {
+	offeredAt := func(b *Board, at time.Duration) string { return listedNames(b, after(at)) }
 	for _, tc := range []struct {
 		name string
 		cfg  Config
--- a/board/unanswered.go
+++ b/board/unanswered.go
@@ -7,14 +7,15 @@
 	// to answer for the data centre to be considered unreachable. A single one may have
 	// crashed.
 	minUnanswered = 2
-	// noAnswerWindow is how long none of a data centre's upstreams may have answered
-	// for it to be considered unreachable. It is about the timeout for answers that
-	// should come immediately. So an answer within the window came after the unanswered
-	// call had started, and shows that the data centre is reachable.
+	// noAnswerWindow is the time without an answer from any upstream of a data centre
+	// that is needed for the data centre to be considered unreachable. It is about the
+	// timeout of a call that needs an immediate answer. So an answer within the window
+	// came after the unanswered call had started, and shows that the data centre is
+	// reachable.
 	noAnswerWindow = 150 * time.Millisecond
-	// unansweredWindow is how long a missing answer counts. An older one may be due to
-	// a crash and says nothing about the network now. The window is a few times as long
-	// as a busy daemon takes to call two upstreams of the same data centre.
+	// unansweredWindow is how long an unanswered call counts. An older one may be due
+	// to a crash and says nothing about the network now. The window is a few times as
+	// long as a busy daemon takes to call two upstreams of the same data centre.
 	unansweredWindow = 2 * time.Second
 )
 
@@ -47,7 +48,8 @@
 	}
 }
 
-// RecordAnswered records that an upstream has answered, if only with a refusal.
+// RecordAnswered records that an upstream has answered a call, whether it accepted or
+// refused it.
 func (b *Board) RecordAnswered(now time.Time, upstream string) {
 	if e := b.entries[upstream]; e != nil {
 		b.markAnswered(now, e)
--- a/estimate/answers.go
+++ b/estimate/answers.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// AnswerLengths estimates the length of answers from those already finished. It records the
-// ratio of each answer's length to its expected length: the caller's own estimate or,
-// without one, its limit on the number of tokens. The zero value has no samples. It is
-// safe for concurrent use.
+// AnswerLengths estimates the length of answers from those already finished. It records
+// the ratio of each answer's length to its expected length: the caller's own estimate
+// or, without one, its limit on the number of tokens. The zero value has no samples. It
+// is safe for concurrent use.
 //
-// It is meant for answers of up to thousands of tokens whose estimates are right in the
-// median but off by a factor of two either way.
+// It is meant for answers of up to thousands of tokens. The median of the callers'
+// estimates is assumed to be right, while a single one may be too high or too low by a
+// factor of two.
 type AnswerLengths struct {
 	mu     sync.Mutex
 	ratios distribution
--- a/estimate/distribution.go
+++ b/estimate/distribution.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// binsPerOctave is the number of histogram bins for each factor of two. A bin is
-	// then a fifth of its value wide, and every value in it is within a tenth of the
-	// bin's middle.
+	// binsPerOctave is the number of histogram bins for each factor of two. The width
+	// of a bin is then about a fifth of its middle value, and every value in it is
+	// within a tenth of the middle.
 	binsPerOctave = 4
 	// octaves is the number of factors of two below and above 1 that the histogram
 	// covers. Values outside count in the first or last bin.
@@ -19,7 +19,7 @@
 	// a new mix of requests within a few hundred.
 	decay = 0.995
 	// minDistributionSamples is the number of samples needed before a distribution is
-	// used. Even the 0.1 quantile then rests on two or three samples.
+	// used. Even the 0.1 quantile is then determined by two or three samples.
 	minDistributionSamples = 24
 )
 
--- a/estimate/estimate_test.go
+++ b/estimate/estimate_test.go
@@ -55,7 +55,7 @@
 // Guards against an estimate that never expires. If engines are slow for a while, every
 // request may be refused as too late; then no further sample arrives, and without an
 // expiry the pool would refuse all requests even after the engines have recovered.
-func TestMeanLapses(t *testing.T) {
+func TestMeanExpires(t *testing.T) {
 	m := meanOf(repeat(5, 10)...)
 	if _, known := m.Value(m.ExpiresAt().Add(-time.Millisecond)); !known {
 		t.Error("the estimate expires early")
@@ -81,7 +81,7 @@
 	return a
 }
 
-func TestAnswersAreKnownAfterADozenOrTwo(t *testing.T) {
+func TestAnswerLengthsAreKnownAfterMinimumSamples(t *testing.T) {
 	if _, ok := newAnswers(minDistributionSamples-1, 1, 0).Mean(1000); ok {
 		t.Error("mean is known with too few samples")
 	}
@@ -100,7 +100,7 @@
 
 // Checks that the estimate follows a new mix of requests whose answers are four times
 // as long as before.
-func TestAnswersFollowANewMix(t *testing.T) {
+func TestAnswerLengthsFollowANewMix(t *testing.T) {
 	a := newAnswers(1000, 1, 0.3)
 	for range 300 {
 		a.Add(t0, 4000, 1000)
--- a/estimate/mean.go
+++ b/estimate/mean.go
@@ -12,7 +12,7 @@
 
 const (
 	// minMeanSamples is the number of samples needed before a mean is used. With three,
-	// one outlier can be told from the other two samples.
+	// one outlier can be distinguished from the other two samples.
 	minMeanSamples = 3
 	// minSampleWeight is the least weight of a new sample in the mean. The last twenty
 	// or so samples count, which one engine produces in a few seconds at the expected
--- a/estimate/speed.go
+++ b/estimate/speed.go
@@ -20,7 +20,7 @@
 //
 // It is meant for bursts, in which most calls wait for earlier ones. With the mean of
 // all calls, a busy engine would look slow, and other engines would be assigned to its
-// role without need.
+// role (prefill or decode) without need.
 type Speed struct{ durations distribution }
 
 // Add adds a call, given its time per unit of work. Times that are not positive are
--- a/policy/admit.go
+++ b/policy/admit.go
@@ -53,19 +53,19 @@
 	return nil
 }
 
-// fairShare returns the team's fair share of this daemon's requests in flight, at least
-// one. Only the number of other teams is available, so each is given the mean weight of
-// the bundle's teams. The result is too large when the other teams are heavier than that.
+// fairShare returns the team's fair share of this daemon's requests in flight, at least one.
+// Only the number of other teams is available, so each is assumed to have the mean weight of the
+// bundle's teams. If their weights are larger, the result is too large.
 func (d *decision) fairShare(team bundle.Team, total, others int) float64 {
 	own := float64(max(team.Weight, 1))
 	share := own / (own + float64(others)*d.snapshot.meanWeight)
 	return max(1, share*float64(total))
 }
 
-// admissionMargin returns the factor applied to a target before a prediction is compared
-// with it. It is over 1 when the bundle weights goodput more, since some predictions are
-// too high, and under 1 when it weights wasted prefill more, since a request that misses
-// its target wastes its prefill.
+// admissionMargin returns the factor applied to a target before a prediction is compared with
+// it. It is over 1 when the bundle gives more weight to goodput, the requests answered within
+// their targets, since some predictions are too high, and under 1 when it gives more weight to
+// wasted prefill, since a request that misses its target wastes its prefill.
 func (d *decision) admissionMargin() float64 {
 	g, w := d.snapshot.Bundle.Policy.GoodputWeight, d.snapshot.Bundle.Policy.WastedPrefillWeight
 	if g+w <= 0 {
@@ -85,9 +85,9 @@
 	return d.withinTarget(predicted, d.target.FirstToken())
 }
 
-// admit refuses a request that is predicted to miss its targets, before prefill is spent
-// on it. A later attempt was admitted before, and how much of its answer remains is
-// unknown here, so it must only start before its deadline.
+// admit refuses a request that is predicted to miss its targets, before prefill is spent on it.
+// A later attempt was admitted before, and how much of its answer remains is unknown here, so
+// only its first token is checked against its deadline.
 func (d *decision) admit(decode decodeChoice, prefill prefillChoice) *errkind.Error {
 	if !d.features.earlyRefusal {
 		return nil
--- a/policy/memory_test.go
+++ b/policy/memory_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// deployment describes a simulated fleet of engines and its load. In one step, an engine
-// generates tokensPerEvent tokens for each running request.
+// deployment describes a simulated fleet of engines and its load. Time passes in steps. In each
+// step, an engine sends one streaming event with tokensPerEvent tokens for each running request.
 type deployment struct {
 	engines, memory, slots, tokensPerEvent int
 	// prompt and answer are mean sizes in tokens; no request has more than twice the mean.
@@ -22,8 +22,7 @@
 // rather than slots limits its engines.
 var memoryBoundDeployment = deployment{engines: 14, memory: 67_046, slots: 12, tokensPerEvent: 89, prompt: 5200, answer: 6100, estimateBias: 1, load: 0.9}
 
-// capacity returns how many answers the fleet completes per step when it is full, ignoring
-// random variation.
+// capacity returns the mean number of answers that the fleet completes per step when it is full.
 func (d deployment) capacity() float64 {
 	runs := min(float64(d.slots), float64(d.memory)/(d.prompt+d.answer/2))
 	return float64(d.engines) * runs * float64(d.tokensPerEvent) / d.answer
@@ -34,9 +33,9 @@
 	return MeanRequest{PromptTokens: d.prompt, AnswerTokens: d.answer}
 }
 
-// drawDeployment returns a random deployment that the constants were not tuned for. Its load
+// randomDeployment returns a random deployment that the constants were not tuned for. Its load
 // exceeds its capacity during bursts.
-func drawDeployment(rng *rand.Rand) deployment {
+func randomDeployment(rng *rand.Rand) deployment {
 	d := deployment{
 		engines: 2 + rng.IntN(20), memory: int(logUniform(rng, 10_000, 500_000)), slots: int(logUniform(rng, 4, 128)),
 		estimateBias: logUniform(rng, 0.1, 10),
@@ -56,9 +55,9 @@
 	// engines it tries in each step.
 	simMaxWaitSteps = 6
 	simEnginesTried = 3
-	// simStartDelaySteps is the number of steps between the reservation and the first event.
-	// simRecomputeEvents is how many steps an engine needs to prefill a preempted request again,
-	// for each mean answer's worth of tokens that the request holds.
+	// simStartDelaySteps is the number of steps between the reservation and the first streaming
+	// event. simRecomputeEvents is how many steps an engine needs to prefill a preempted request
+	// again, for each mean answer's worth of tokens that the request holds.
 	simStartDelaySteps = 2
 	simRecomputeEvents = 5
 )
@@ -73,11 +72,12 @@
 	id                       int // index among all requests
 }
 
-// heldTokens returns the tokens in memory; generated is negative before the first event.
+// heldTokens returns the tokens in memory; generated is negative before the first streaming
+// event.
 func (r *simRequest) heldTokens() int { return r.prompt + max(0, r.generated) }
 
-// drawRequest returns a request with log-normal sizes and a log-normal error of the estimate.
-func (d deployment) drawRequest(rng *rand.Rand) simRequest {
+// randomRequest returns a request with log-normal sizes and a log-normal error of the estimate.
+func (d deployment) randomRequest(rng *rand.Rand) simRequest {
 	logNormal := func(mean float64) float64 { return min(2*mean, mean*math.Exp(0.47*rng.NormFloat64()-0.11)) }
 	r := simRequest{prompt: 1 + int(logNormal(d.prompt)), answer: d.tokensPerEvent + int(logNormal(d.answer))}
 	r.estimate = 1 + int(d.estimateBias*float64(r.answer)*math.Exp(0.45*rng.NormFloat64()))
@@ -108,7 +108,8 @@
 	return len(e.runs) < e.deployment.slots && e.used()+tokens <= e.deployment.memory
 }
 
-// step generates one event for each running request and returns the requests that ended.
+// step generates one streaming event for each running request and returns the requests that
+// ended.
 func (e *simEngine) step() (ended []*simRequest) {
 	for len(e.waiting) > 0 && e.used()+e.waiting[0].heldTokens() <= e.deployment.memory {
 		r := e.waiting[0]
@@ -182,7 +183,7 @@
 			arrivals *= 1.9
 		}
 		for arrivals > 0 && rng.Float64() < arrivals {
-			r := d.drawRequest(rng)
+			r := d.randomRequest(rng)
 			r.id = len(sizes)
 			sizes = append(sizes, r.prompt+r.answer)
 			queue = append(queue, queued{r, step})
@@ -268,17 +269,17 @@
 	}
 }
 
-// TestHeadroomOnDrawnDeployments repeats the comparison on a hundred random deployments that
-// the constants were not tuned for: engines of 4 to 128 slots, requests of a third to a
-// fortieth of their memory, and callers whose estimates are off by a factor of up to ten,
-// which the daemon is assumed to have learned.
-func TestHeadroomOnDrawnDeployments(t *testing.T) {
+// TestHeadroomOnRandomDeployments repeats the comparison on a hundred random deployments that
+// the constants were not tuned for: engines of 4 to 128 slots, requests of a third to a fortieth
+// of their memory, and callers whose estimates are off by a factor of up to ten, which the
+// daemon is assumed to have learned.
+func TestHeadroomOnRandomDeployments(t *testing.T) {
 	const drawn = 100
 	var ours, best simResult
 	worst := 0.0
 	shares := []float64{0.8, 1.3, 2}
 	for seed := range uint64(drawn) {
-		d := drawDeployment(seededRand(seed))
+		d := randomDeployment(seededRand(seed))
 		expectedAnswer := func(r simRequest) int { return int(float64(r.estimate) / d.estimateBias) }
 		got := d.simulate(seed, func(r simRequest) (int, int) { return Reservation(r.prompt, expectedAnswer(r), d.meanRequest()) })
 		var fixed simResult
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -29,9 +29,9 @@
 	withFreeSlot, withDraftSlot []*Replica
 }
 
-// NewPool builds a pool of the given replicas without those that are ejected until after at.
-// headroom is the share of slots, from 0 to 1, reserved for urgent requests. NewPool retains
-// the replicas, which must not be modified afterwards.
+// NewPool builds a pool of the given replicas. Replicas that are still ejected at the given time
+// are left out. headroom is the share of slots, from 0 to 1, reserved for urgent requests.
+// NewPool retains the replicas, which must not be modified afterwards.
 func NewPool(replicas []*Replica, at time.Time, headroom float64) *Pool {
 	p := &Pool{byDC: map[string]*group{}, headroom: headroom}
 	p.all.allocate(len(replicas))
@@ -78,7 +78,8 @@
 	p.stepSum += predictStep(r, r.Active)
 }
 
-// add adds a replica, of whose slots the given number is reserved, to the lists.
+// add adds a replica to the lists. reserved is the number of its slots that are reserved for
+// urgent requests.
 func (g *group) add(r *Replica, reserved int) {
 	g.replicas = append(g.replicas, r)
 	free := slotLimit(r) - r.Active - r.Queued
@@ -107,11 +108,12 @@
 	return p.all.replicas
 }
 
-// EarliestEjectionEnd is the earliest time at which an ejected replica may take work again; zero when
-// none is ejected.
+// EarliestEjectionEnd returns the earliest time at which an ejected replica may take work again;
+// zero when none is ejected.
 func (p *Pool) EarliestEjectionEnd() time.Time { return p.ejectionEnd }
 
-// meanStep returns the mean of the members' predicted times between tokens.
+// meanStep returns the mean of the members' predicted times between tokens, or DefaultStep if
+// there are no members.
 func (p *Pool) meanStep() time.Duration {
 	if p.Len() == 0 {
 		return DefaultStep
@@ -132,7 +134,7 @@
 	return [2]*group{local, &p.all}
 }
 
-// emptyGroup stands for a data centre without members of the pool.
+// emptyGroup represents a data centre in which the pool has no members.
 var emptyGroup group
 
 // headroomSlots returns how many of a replica's slots are reserved for urgent requests. Any
--- a/policy/prefill.go
+++ b/policy/prefill.go
@@ -12,12 +12,14 @@
 // replica: one for a shared preamble, one for the start of the text after it.
 var affinityDepths = [...]int{1, 8}
 
-// affinityBonus multiplies the score of a replica that the prefix hashes to or that has part
-// of it cached, so that it wins over equally good ones. Otherwise the first prompt with a
-// prefix would go to a random replica and the next one would not find the cached prefix.
+// affinityBonus multiplies the score of a replica that the prefix hashes to or that has part of
+// the prefix cached. A lower score is better, so this replica is preferred to equal ones.
+// Otherwise the first prompt with a prefix would go to a random replica and the next one would
+// not find the cached prefix.
 const affinityBonus = 0.9
 
-// prefillChoice is a candidate prefill engine. Its predicted times count from now.
+// prefillChoice is a candidate prefill engine with its predicted cost. Predicted times are
+// relative to the time of the decision.
 type prefillChoice struct {
 	replica      *Replica
 	cachedTokens int
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -13,8 +13,8 @@
 	"github.com/corianderturn/corianderturn/errkind"
 )
 
-// drawFleet returns a fleet with random loads and ejections, and a random query.
-func drawFleet(t *rapid.T) (*testFleet, Query) {
+// randomFleet returns a fleet with random loads and ejections, and a random query.
+func randomFleet(t *rapid.T) (*testFleet, Query) {
 	f := newFleet(rapid.SampledFrom([]int{1, 2, 5, 14, 30}).Draw(t, "size"))
 	f.inflight = fakeInflight{requests: map[string]int{}, tokens: map[string]int{}, pausable: map[string]int{}, teams: map[string]int{"a": 9, "b": 2}}
 	minActive := rapid.IntRange(0, 20).Draw(t, "hot")
@@ -62,9 +62,12 @@
 	}
 }
 
-func TestEveryPolicyKeepsThePromises(t *testing.T) {
+// TestPoliciesPlanOnlyOnAvailableReplicas checks with random fleets and queries that no policy
+// plans on an excluded or ejected replica, that each refusal has a detail and a retry delay, and
+// that the same inputs give the same plan, except with round-robin.
+func TestPoliciesPlanOnlyOnAvailableReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, q := drawFleet(t)
+		f, q := randomFleet(t)
 		seed := rapid.Uint64().Draw(t, "seed")
 		for _, name := range []string{NameReserve, NameRoundRobin, NameLeastLoaded} {
 			p, err := f.plan(name, q, seed)
@@ -99,9 +102,12 @@
 	}
 }
 
-func TestServicePicksKeepThePromises(t *testing.T) {
+// TestPoliciesPickOnlyAvailableServiceReplicas checks that no policy picks an excluded or
+// ejected replica of a plain service, and that the reserve policy picks none without a free
+// slot.
+func TestPoliciesPickOnlyAvailableServiceReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, q := drawFleet(t)
+		f, q := randomFleet(t)
 		seed := rapid.Uint64().Draw(t, "seed")
 		for _, name := range []string{NameReserve, NameRoundRobin, NameLeastLoaded} {
 			policy, _ := ByName(name)
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -9,9 +9,9 @@
 const (
 	// maxQueueLength is the largest number of requests that may wait ahead of another one.
 	maxQueueLength = 64
-	// headRecheckInterval and queuedRecheckInterval are how often the first request of the
-	// queue and the others check for a slot. Slots released by other daemons are visible only
-	// in load reports, and a check also refuses a request whose target is out of reach.
+	// headRecheckInterval and queuedRecheckInterval are how often the first request of the queue
+	// and the others check for a slot. Slots released by other daemons are visible only in load
+	// reports, and a check also refuses a request that can no longer meet its target.
 	headRecheckInterval   = 5 * time.Millisecond
 	queuedRecheckInterval = 50 * time.Millisecond
 	// refusedRecheckInterval is the interval for a request that engines have refused: at
@@ -23,8 +23,9 @@
 	maxConsecutiveRefusals = 12
 )
 
-// pickDecodeInTurn picks a decode engine. It refuses the request as overloaded instead when
-// others wait ahead of it, too many engines refused it in a row, or it has waited too long.
+// pickDecodeInTurn picks a decode engine. It returns an overloaded refusal without picking one
+// when other requests wait ahead of this one, when too many engines have refused it in a row, or
+// when it has waited too long.
 func (d *decision) pickDecodeInTurn(p *Pool) (decodeChoice, *errkind.Error) {
 	if d.features.queue && d.query.MayWait && d.query.QueuedAhead > 0 && p.Len() > 0 {
 		return decodeChoice{}, d.refuseOverloaded(p)
@@ -39,9 +40,9 @@
 }
 
 // planWait returns a plan to wait for a slot if the request is expected to meet its targets
-// after the wait. Without waiting, requests would be refused at peak load although the next
-// slot is free within milliseconds. A request that waited past its target would take a slot
-// for an answer that is of no use to its caller any more.
+// after the wait. Without waiting, requests would be refused at peak load although the next slot
+// is free within milliseconds. A request that waited past its target would take a slot for an
+// answer that its caller no longer needs.
 func (d *decision) planWait(decodePool, prefillPool *Pool) (Plan, bool) {
 	if !d.features.queue || !d.query.MayWait || d.query.QueuedAhead >= maxQueueLength {
 		return Plan{}, false
@@ -91,19 +92,19 @@
 func (d *decision) maxQueueWait() time.Duration {
 	share := d.snapshot.Bundle.Policy.QueueShare
 	if share > 0 && d.query.Retried {
-		return maxReturnedWait
+		return maxRetriedWait
 	}
 	return time.Duration(share * float64(d.target.FirstToken()))
 }
 
-// maxReturnedWait is how long the request of a returning caller may wait for a slot, counted
-// from its first attempt. Callers abandon a stream that has not started after about four
-// times their target, which is 3.6 s for drafts.
-const maxReturnedWait = 3 * time.Second
+// maxRetriedWait is how long a request may wait for a slot when its client retries after a
+// refusal or the daemon after a failed attempt, counted from Query.Accepted. Callers abandon a
+// stream that has not started after about four times their target, which is 3.6 s for drafts.
+const maxRetriedWait = 3 * time.Second
 
 // recheckInterval returns the time until a waiting request checks for a slot again, given its
-// predicted time to first token. It ends no later than the time at which the target gets out
-// of reach, so that the request is refused without delay.
+// predicted time to first token. The interval ends no later than the time after which the
+// request can no longer meet its target, so that it is then refused without delay.
 func (d *decision) recheckInterval(firstToken time.Duration) time.Duration {
 	wait := headRecheckInterval
 	switch {
@@ -159,7 +160,7 @@
 	return d.answerTime(p.meanStep()) * time.Duration(1+d.query.QueuedAhead) / time.Duration(held)
 }
 
-// sinceAccepted returns the time since the request was accepted; 0 when that is not set.
+// sinceAccepted returns the time since Query.Accepted; 0 when that is not set.
 func (d *decision) sinceAccepted() time.Duration {
 	if d.query.Accepted.IsZero() {
 		return 0
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -16,9 +16,9 @@
 	q.MayWait = true
 }
 
-// TestWaitEndsWithTheTarget verifies that a waiting request plans again no later than when
-// its target gets out of reach, and is then refused.
-func TestWaitEndsWithTheTarget(t *testing.T) {
+// TestWaitEndsWhenTargetIsOutOfReach verifies that a waiting request is planned again no later
+// than the time after which it can no longer meet its target, and is then refused.
+func TestWaitEndsWhenTargetIsOutOfReach(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	fillPoolAndAllowWait(f, &q)
 	q.QueuedAhead = 1
@@ -45,10 +45,10 @@
 	return time.Duration(f.bundle.Policy.QueueShare * float64(f.bundle.Classes[q.Class].FirstToken()))
 }
 
-// TestWaitIsBoundedByTheQueueShare verifies that a request that finds all slots taken in a
-// burst is refused early enough to retry within its target, and that a returning caller's
-// request may wait longer.
-func TestWaitIsBoundedByTheQueueShare(t *testing.T) {
+// TestWaitIsLimitedByQueueShare verifies that a request that finds all slots taken in a burst is
+// refused early enough to retry within its target, and that the request of a client that retries
+// after a refusal may wait longer.
+func TestWaitIsLimitedByQueueShare(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	limit := limitQueueWait(f, &q)
 	p, err := f.plan(NameReserve, q, 1)
@@ -66,18 +66,18 @@
 	}
 	q.Retried = true
 	if p, err = f.plan(NameReserve, q, 1); err != nil || p.Wait <= 0 {
-		t.Errorf("returning caller: wait %s, error %v", p.Wait, err)
+		t.Errorf("retry after a refusal: wait %s, error %v", p.Wait, err)
 	}
-	q.Accepted = q.Now.Add(-maxReturnedWait)
+	q.Accepted = q.Now.Add(-maxRetriedWait)
 	if _, err = f.plan(NameReserve, q, 1); err == nil {
-		t.Error("a returning caller's request waits without limit")
+		t.Error("a retry after a refusal waits without limit")
 	}
 }
 
-// TestRefusedReservationsEndWithTheLimit guards against requests held for seconds while
-// engines refuse them one after another: each has a free slot by its reported load but no
-// memory for the reservation. The limit on the wait must hold in this case too.
-func TestRefusedReservationsEndWithTheLimit(t *testing.T) {
+// TestWaitLimitAppliesToRefusedReservations guards against requests held for seconds while
+// engines refuse them one after another: each has a free slot by its reported load but no memory
+// for the reservation. The limit on the wait must hold in this case too.
+func TestWaitLimitAppliesToRefusedReservations(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.bundle.Policy.QueueShare = 0.125
 	q.MayWait, q.RefusalStreak = true, 2
@@ -109,10 +109,10 @@
 	}
 }
 
-// TestDecodeEngineReadsWhereNoPrefillIs guards against refusing drafts next to idle decode
-// engines in a data centre that is cut off from its prefill engines. The cause was that every
-// plan needed a prefill engine.
-func TestDecodeEngineReadsWhereNoPrefillIs(t *testing.T) {
+// TestDecodeEnginePrefillsWithoutPrefillEngine guards against refusing drafts next to idle
+// decode engines in a data centre that is cut off from its prefill engines. The cause was that
+// every plan needed a prefill engine.
+func TestDecodeEnginePrefillsWithoutPrefillEngine(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.updatePool("p", func(r *Replica) { r.EjectedUntil = t0.Add(time.Hour) })
 	if _, err := f.plan(NameReserve, q, 1); err == nil {
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestEnginesThatRefuseAPromptAreLeftAlone covers prefill engines that are switched to decode.
-// For some seconds they refuse prompts while they are still registered as prefill engines,
-// and each refused prompt costs a retry.
-func TestEnginesThatRefuseAPromptAreLeftAlone(t *testing.T) {
+// TestEnginesThatRefusedAPromptAreSkipped covers prefill engines that are switched to decode.
+// For some seconds they refuse prompts while they are still registered as prefill engines, and
+// each refused prompt costs a retry.
+func TestEnginesThatRefusedAPromptAreSkipped(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.inflight.full = map[string]bool{"p0": true, "p1": true}
 	for seed := range uint64(20) {
--- a/policy/reserve.go
+++ b/policy/reserve.go
@@ -125,7 +125,7 @@
 	rng      *rand.Rand
 	features features
 	target   bundle.ClassTarget
-	// considered counts the replicas looked at.
+	// considered counts the replicas that the decision examined.
 	considered int
 	// includeRefusing also allows prefill engines that recently refused a prompt.
 	includeRefusing bool
--- a/policy/reserve_test.go
+++ b/policy/reserve_test.go
@@ -18,7 +18,8 @@
 	return min(h[replica], len(prefix))
 }
 
-// busyLinkFreeAt is so late that a prefill result would expire before the link is free.
+// busyLinkFreeAt is when a busy link becomes free: too late for a prefill result, which would
+// expire before that time.
 var busyLinkFreeAt = t0.Add(900 * time.Millisecond)
 
 // fillDecode sets the active requests of each decode engine and lengthens its step accordingly.
@@ -318,9 +319,9 @@
 	return b
 }
 
-// TestFewFreeSlotsAreFound verifies that a request finds the only usable engine of many
-// with every seed.
-func TestFewFreeSlotsAreFound(t *testing.T) {
+// TestOnlyUsableEngineIsFound verifies that a request finds the only usable engine of many with
+// every seed.
+func TestOnlyUsableEngineIsFound(t *testing.T) {
 	for class, others := range map[bundle.Class]int{bundle.Urgent: 20, bundle.Draft: 19} {
 		for seed := range uint64(50) {
 			f := newFleet(60)
@@ -333,9 +334,10 @@
 	}
 }
 
-// TestPrefixFindsItsHolder verifies that prompts with the same prefix go to the same replicas
-// in a pool larger than a sample: by the prefix index in a small pool, by hash in a large one.
-func TestPrefixFindsItsHolder(t *testing.T) {
+// TestSamePrefixGoesToSameReplica verifies that prompts with the same prefix go to the same
+// replicas in a pool larger than a sample: by the prefix index in a small pool, by hash in a
+// large one.
+func TestSamePrefixGoesToSameReplica(t *testing.T) {
 	for size, prefix := range map[int]PrefixIndex{14: fakePrefixIndex{"p9": 5}, 40: nil} {
 		f, seen := newFleet(size), map[string]bool{}
 		f.moveToOneDataCentre()
@@ -363,7 +365,7 @@
 	}
 }
 
-func TestPlanPredictsTheLink(t *testing.T) {
+func TestPlanPredictsTransfer(t *testing.T) {
 	f, q := newFleet(3), query(bundle.Draft)
 	f.moveToOneDataCentre()
 	f.updatePool("p", func(r *Replica) { r.QueuedTokens = 1600; r.LinkFreeAt = t0.Add(250 * time.Millisecond) })
@@ -386,10 +388,10 @@
 	}
 }
 
-// TestRefusedCallersComeBackSpread guards against retry delays without jitter. With these,
-// callers that are refused together by a full pool retry together. The few slots freed since
-// are taken at once, and each second nearly the same callers are refused again.
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+// TestRetryDelaysAreJittered guards against retry delays without jitter. Without jitter, callers
+// that are refused together by a full pool retry together. The few slots freed since are taken
+// at once, and each second nearly the same callers are refused again.
+func TestRetryDelaysAreJittered(t *testing.T) {
 	f := newFleet(3)
 	f.fillDecode(20)
 	const callers, span = 400, 20
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestRoundRobinTakesTurns(t *testing.T) {
+func TestRoundRobinRotates(t *testing.T) {
 	f, rr, seen := newFleet(4), &roundRobin{}, map[string]int{}
 	s := f.snapshot()
 	for range 8 {
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestLeastLoadedTakesTheLeast(t *testing.T) {
+func TestLeastLoadedPicksLowestLoad(t *testing.T) {
 	f := newFleet(5)
 	f.fillDecode(4)
 	f.replica("d3").Active = 1
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -7,8 +7,8 @@
 	"github.com/corianderturn/corianderturn/bundle"
 )
 
-// PrefixIndex estimates how much of a prompt each replica has cached. It is immutable. Package
-// board states its error bounds.
+// PrefixIndex estimates how much of a prompt each replica has cached, in blocks of a fixed
+// number of tokens. It is immutable. Package board states its error bounds.
 type PrefixIndex interface {
 	// CachedBlocks returns how many leading blocks of prefix the replica has cached.
 	CachedBlocks(replica string, prefix []uint64) int
@@ -16,11 +16,11 @@
 
 // The features of the reserve policy that PolicyConfig.Disable can switch off.
 const (
-	FeatureDecodeFirst  = "decode-first"
-	FeatureHeadroom     = "headroom"
-	FeaturePrefix       = "prefix"
-	FeatureEarlyRefusal = "early-refusal"
-	FeatureQueue        = "queue"
+	FeatureDecodeFirst  = "decode-first"  // reserve a decode slot before prefill starts
+	FeatureHeadroom     = "headroom"      // reserve some decode slots for urgent requests
+	FeaturePrefix       = "prefix"        // prefer prefill engines with a cached prefix
+	FeatureEarlyRefusal = "early-refusal" // refuse requests predicted to miss their targets
+	FeatureQueue        = "queue"         // let requests wait for a free slot
 )
 
 // Snapshot is the immutable input that decisions share: the bundle and the replicas' state.
--- a/policy/speeds.go
+++ b/policy/speeds.go
@@ -33,9 +33,9 @@
 	// for.
 	defaultAnswerTokens = 423
 	// runningPromptTokens is the assumed size of the prompt that an engine is prefilling. An
-	// urgent request waits for it, although its priority puts it ahead of the queue.
-	// urgentQueueShare is the share of the queue that it waits for as well, because some of
-	// the queued prompts are urgent too.
+	// urgent request waits for this prompt, although its priority puts it ahead of the queue.
+	// urgentQueueShare is the share of the queue that an urgent request waits for as well,
+	// because some of the queued prompts are urgent too.
 	runningPromptTokens = 2000
 	urgentQueueShare    = 0.1
 	// remotePenalty is the cost factor of a replica in another data centre.
@@ -45,7 +45,8 @@
 	// square root, which is large relative to the few requests that one daemon has in flight.
 	fairShareSlack = 1.25
 	fairShareNoise = 2
-	// admissionMarginSpan is the largest deviation of the admission margin from 1.
+	// admissionMarginSpan is the largest deviation of the admission margin (see admissionMargin)
+	// from 1.
 	admissionMarginSpan = 0.2
 )
 
--- a/policy/stale_bench_test.go
+++ b/policy/stale_bench_test.go
@@ -43,7 +43,8 @@
 	return n
 }
 
-// estimatedLoad returns the load of a replica as the daemon estimates it.
+// estimatedLoad returns the load of a replica as the given daemon estimates it: the last
+// reported load and the daemon's own requests since.
 func (f *staleLoadModel) estimatedLoad(daemon, r int, now float64) int {
 	reportedAt := now - f.reportPhase[r]
 	reportedAt = f.reportPhase[r] + float64(int(reportedAt/f.reportPeriod))*f.reportPeriod
--- a/policy/throttle.go
+++ b/policy/throttle.go
@@ -12,21 +12,22 @@
 	outcomeWindow = 2 * time.Second
 	windowSlots   = 8
 	// minOutcomes is the number of outcomes in the window needed to reduce the share. If one in
-	// four calls is lost by chance, it is rare that half of eight in a row are.
+	// four calls is abandoned by chance, half of eight consecutive calls rarely are.
 	minOutcomes = 8
 	// The share is reduced when the ratio of abandoned calls is over highLossRatio, and raised
-	// when it is at most lowLossRatio. A pool near its capacity that is loaded at random loses a
-	// fifth of its calls, and briefly more in a burst that it can absorb. A pool far over its
-	// capacity loses all of them.
+	// when it is at most lowLossRatio. In a pool near its capacity, with calls arriving at
+	// random, a fifth of the calls are abandoned, and briefly more in a burst that the pool can
+	// absorb. In a pool far over its capacity all of them are.
 	highLossRatio = 0.5
 	lowLossRatio  = 0.2
-	// decreaseInterval is the minimum time between two reductions of the share, because their
-	// effect shows only after that time. A reduction multiplies the share by 1 + lowLossRatio -
-	// the loss ratio, but by no less than maxDecreaseFactor. Every increaseInterval the share may
-	// be multiplied by increaseFactor, to which increaseAcceleration is added for each second
-	// since the last reduction, because the overload may be over. In a simulation of such a pool
-	// at one to four times its capacity, 0.46 to 0.39 of the capacity does useful work. The best
-	// fixed share for each load gives 0.53, and no throttling 0.44 to 0.00.
+	// decreaseInterval is the minimum time between two reductions of the share, because the
+	// effect of the first one shows only after that time. A reduction multiplies the share by
+	// the sum 1 + lowLossRatio less the ratio of abandoned calls, but by no less than
+	// maxDecreaseFactor. Every increaseInterval the share may be multiplied by increaseFactor,
+	// to which increaseAcceleration is added for each second since the last reduction, because
+	// the overload may be over. In a simulation of a pool as described at Throttle, at one to
+	// four times its capacity, 0.46 to 0.39 of the capacity does useful work. The best fixed
+	// share for each load gives 0.53, and no throttling 0.44 to 0.00.
 	decreaseInterval     = 1500 * time.Millisecond
 	maxDecreaseFactor    = 0.5
 	increaseFactor       = 1.04
--- a/policy/throttle_test.go
+++ b/policy/throttle_test.go
@@ -45,7 +45,8 @@
 	return completed, abandoned
 }
 
-// start starts a prompt on the first of three random engines that has a free slot.
+// start begins the prefill of a prompt on the first of three random engines that has a free
+// slot.
 func (p *sharedPrefillPool) start(now time.Time, rng *rand.Rand) {
 	for range 3 {
 		i := rng.IntN(len(p.engines))
@@ -101,10 +102,10 @@
 	return float64(completed) / (40 * capacity)
 }
 
-// TestThrottleKeepsAnOverloadedPoolOfUse guards against prefill engines that are always busy
+// TestThrottleKeepsGoodputUnderOverload guards against prefill engines that are always busy
 // while hardly any of their results are used. At twice their capacity, all prompts share an
 // engine's time and each exceeds its timeout, after which the next prompt starts.
-func TestThrottleKeepsAnOverloadedPoolOfUse(t *testing.T) {
+func TestThrottleKeepsGoodputUnderOverload(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8, 1, 1.5, 2, 4} {
 		with, without := simulateGoodput(t, load, true), simulateGoodput(t, load, false)
 		t.Logf("load %.1f: goodput %.2f of the capacity, %.2f without throttling", load, with, without)
@@ -119,9 +120,9 @@
 	}
 }
 
-// TestThrottleLeavesAPoolAlone verifies that a healthy pool that loses a few calls is not
-// throttled.
-func TestThrottleLeavesAPoolAlone(t *testing.T) {
+// TestThrottleIgnoresOccasionalLosses verifies that a healthy pool in which a few calls are
+// abandoned is not throttled.
+func TestThrottleIgnoresOccasionalLosses(t *testing.T) {
 	var throttle Throttle
 	for i := range 1000 {
 		now := t0.Add(time.Duration(i) * 20 * time.Millisecond)
@@ -152,7 +153,7 @@
 	}
 }
 
-func TestThrottleSaysNothingByFewCalls(t *testing.T) {
+func TestThrottleNeedsMinimumOutcomes(t *testing.T) {
 	var throttle Throttle
 	for i := range minOutcomes - 1 {
 		throttle.RecordOutcome(t0.Add(time.Duration(i)*time.Millisecond), true)
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,11 +1,18 @@
 // Package policy decides where a request runs: admission, the choice of decode and prefill
-// engines, the reservation of slots and link time, the choice of replicas of plain services,
-// and retries. It does no I/O and reads no clock. Its inputs are a Snapshot, a Query with the
+// engines, the reservation of slots and link time, the choice of replicas of plain services, and
+// retries. It does no I/O and reads no clock. Its inputs are a Snapshot, a Query with the
 // current time and a random source; its result is a Plan or a refusal.
 //
+// A completion is served in two phases: a prefill engine computes the prompt, and a decode
+// engine, to which the resulting KV cache is transferred over a link, generates the answer. A
+// slot is an engine's capacity for one running request. Requests are of class urgent or draft;
+// the headroom is the share of the decode slots that drafts may not use. A replica that keeps
+// failing is ejected, that is, gets no requests for a while. A plain service is an HTTP service
+// that runs no model engine.
+//
 // Package board builds the snapshots. They are immutable and may be read by any number of
-// goroutines. The requests that this daemon has in flight change faster than snapshots do
-// and are read through Inflight.
+// goroutines. The requests that this daemon has in flight change faster than snapshots do and
+// are read through Inflight.
 package policy
 
 import (
@@ -49,7 +56,8 @@
 	LoadAt time.Time
 	// EjectedUntil is the end of the ejection after failures; zero when not ejected.
 	EjectedUntil time.Time
-	// Weight is 1 for a healthy replica and less while it is ramped up after an ejection.
+	// Weight is 1 for a healthy replica and less while it is ramped up after an ejection or a
+	// restart.
 	Weight float64
 }
 
@@ -68,13 +76,16 @@
 	// MemoryTokens is the memory, in tokens, that the request is expected to need on its decode
 	// engine.
 	MemoryTokens int
-	// Prefix holds the chained block hashes of the prompt.
+	// Prefix holds the hashes of the prompt's blocks of tokens. Each hash also covers all
+	// earlier blocks.
 	Prefix []uint64
 	// Now is the time of the decision, and Deadline the time by which the whole answer is due.
 	Now      time.Time
 	Deadline time.Time
-	// Accepted is when the request was accepted. The time since then counts towards the
-	// target for the first token. Zero means Now.
+	// Accepted is the time from which the target for the first token and the wait for a slot are
+	// measured: when the request was accepted, less the time that the client had waited before
+	// if it retries after a refusal. For a later attempt of the daemon it is the start of that
+	// attempt. Zero means Now.
 	Accepted time.Time
 	// MayWait is set when the caller of Plan can hold the request until a slot is free. QueuedAhead
 	// is the number of requests waiting for the same pool ahead of it.
@@ -135,7 +146,7 @@
 	SkipReserve, SkipPrefill bool
 	// PrefillFirst is set when prefill starts before a decode slot is reserved.
 	PrefillFirst bool
-	// Candidates is the number of replicas looked at.
+	// Candidates is the number of replicas that the decision examined.
 	Candidates int
 	// LoadAge is the age of the chosen decode replica's reported load.
 	LoadAge time.Duration
--- a/policy/unprepared_test.go
+++ b/policy/unprepared_test.go
@@ -25,9 +25,9 @@
 	return low * math.Exp(rng.Float64()*math.Log(high/low))
 }
 
-// drawEngineSpec returns random engines. The times between tokens vary by a factor of 300,
+// randomEngineSpec returns random engines. The times between tokens vary by a factor of 300,
 // prefill speeds by 20, memory by 50 and slots by 32.
-func drawEngineSpec(rng *rand.Rand) engineSpec {
+func randomEngineSpec(rng *rand.Rand) engineSpec {
 	return engineSpec{
 		step:       time.Duration(logUniform(rng, 0.2, 60) * float64(time.Millisecond)),
 		perToken:   time.Duration(float64(time.Millisecond) / logUniform(rng, 5, 100)),
@@ -37,16 +37,16 @@
 	}
 }
 
-// drawnRequest is a random request with the actual length of its answer, in tokens.
-type drawnRequest struct{ prompt, answer int }
+// randomRequest is a random request with the actual length of its answer, in tokens.
+type randomRequest struct{ prompt, answer int }
 
-// drawFeasibleRequest returns a random request that idle engines can serve in at most half of
-// its time to the first token and half of its remaining time.
-func (e engineSpec) drawFeasibleRequest(rng *rand.Rand, first, deadline time.Duration) drawnRequest {
+// randomFeasibleRequest returns a random request that idle engines can serve in at most half of
+// its time limits: the target for the first token and the deadline.
+func (e engineSpec) randomFeasibleRequest(rng *rand.Rand, first, deadline time.Duration) randomRequest {
 	const fraction = 0.5 // of each time limit
 	prompt := min(float64(e.memory)/4, fraction*float64(first-callOverhead-e.step)/float64(e.perToken))
 	answer := min(float64(e.memory)/4, fraction*float64(deadline-first)/float64(e.step))
-	return drawnRequest{prompt: max(1, int(prompt*rng.Float64())), answer: max(1, int(answer*rng.Float64()))}
+	return randomRequest{prompt: max(1, int(prompt*rng.Float64())), answer: max(1, int(answer*rng.Float64()))}
 }
 
 // checkLearned checks the estimates learned from sixty requests: times within a factor of 1.05,
@@ -78,7 +78,7 @@
 	const first, deadline = 2 * time.Second, 14 * time.Second
 	for seed := range uint64(500) {
 		rng := seededRand(seed)
-		e := drawEngineSpec(rng)
+		e := randomEngineSpec(rng)
 		f := newFleet(4)
 		f.bundle.Classes[bundle.Draft] = bundle.ClassTarget{FirstTokenMillis: first.Milliseconds()}
 		f.updatePool("d", func(r *Replica) {
@@ -90,7 +90,7 @@
 		var step, prefill estimate.Mean
 		var answers estimate.AnswerLengths
 		for n := range 60 {
-			r := e.drawFeasibleRequest(rng, first, deadline)
+			r := e.randomFeasibleRequest(rng, first, deadline)
 			expected := max(1, int(float64(r.answer)*e.lengthBias))
 			q := query(bundle.Draft)
 			q.PromptTokens, q.MaxTokens, q.MemoryTokens = r.prompt, 10*expected, r.prompt
