--- a/cmd/loadgen/measure.go
+++ b/cmd/loadgen/measure.go
@@ -27,14 +27,14 @@
 func (c *measureCmd) Run(ctx context.Context) error {
 	res, err := experiment.Measure(ctx, experiment.MeasureOptions{
 		Bin: c.Bin, Out: c.Out, Runs: c.Runs, Seed: c.Seed, Segment: c.Segment, Warmup: c.Warmup, Timeout: c.Timeout,
-		MaxInFlight: c.MaxInFlight, Scale: c.Scale, Firms: c.Firm, Start: experiment.StartTestbed, Progress: os.Stdout,
+		MaxInFlight: c.MaxInFlight, Scale: c.Scale, Deployments: c.Firm, Start: experiment.StartTestbed, Progress: os.Stdout,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Printf("report: %s/%s, %d segments in %s\n", c.Out, experiment.FileReport, len(res.Samples), res.Took.Round(time.Second))
 	for _, v := range res.Verdicts {
-		fmt.Printf("%s: %s\n", v.Firm, v)
+		fmt.Printf("%s: %s\n", v.Deployment, v)
 	}
 	fmt.Println(res.Verdict())
 	return ctx.Err()
--- a/internal/certtest/certtest.go
+++ b/internal/certtest/certtest.go
@@ -67,12 +67,12 @@
 	return der, private
 }
 
-// writePEM writes one PEM block of the type kind to a file in a new temporary
-// directory.
-func writePEM(t testing.TB, name, kind string, der []byte) (path string) {
+// writePEM writes der as one PEM block to a file with the given name in a new temporary
+// directory. blockType is the type in the PEM header, such as CERTIFICATE.
+func writePEM(t testing.TB, name, blockType string, der []byte) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
+	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -258,8 +258,8 @@
 }
 
 // summary holds the counts of a run and its violations. lost counts requests without a complete
-// response and without a valid error, including those that the killed daemon interrupted unless
-// a replay by the balancer or the caller's retry succeeded.
+// response and without a valid error. Requests that the killed daemon interrupted are included,
+// unless a replay by the balancer or the caller's retry succeeded.
 type summary struct {
 	accepted, answered, refused, lost, doubled int
 	// violations describes violated guarantees other than lost and doubled requests.
@@ -280,8 +280,8 @@
 			s.violations = append(s.violations, fmt.Sprintf("no request of kind %s was answered", k))
 		}
 	}
-	if r.Ledger.FalseNotRun > 0 {
-		s.violations = append(s.violations, fmt.Sprintf("%d keys ran that callers were told had not", r.Ledger.FalseNotRun))
+	if r.Ledger.ExecutedDespiteNotRun > 0 {
+		s.violations = append(s.violations, fmt.Sprintf("%d keys ran that callers were told had not", r.Ledger.ExecutedDespiteNotRun))
 	}
 	if r.Ledger.Missing > 0 {
 		s.violations = append(s.violations, fmt.Sprintf("%d keys were answered and never ran", r.Ledger.Missing))
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -22,16 +22,16 @@
 	return r
 }
 
-func TestJudge(t *testing.T) {
+func TestSummarize(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcomes map[loadgen.Outcome]int
 		ledger   loadgen.LedgerReport
 		line     string
-		held     bool
+		passed   bool
 	}{
 		"kept": {
 			outcomes: map[loadgen.Outcome]int{loadgen.Answered: 8, loadgen.Refused: 2},
-			line:     "demo: accepted 10 answered 8 refused 2 lost 0 doubled 0", held: true,
+			line:     "demo: accepted 10 answered 8 refused 2 lost 0 doubled 0", passed: true,
 		},
 		"a request cut by the kill and not mended is lost": {
 			outcomes: map[loadgen.Outcome]int{loadgen.Answered: 8, loadgen.Severed: 1},
@@ -44,7 +44,7 @@
 		},
 		"a key that ran though its caller was told not": {
 			outcomes: map[loadgen.Outcome]int{loadgen.Answered: 8},
-			ledger:   loadgen.LedgerReport{FalseNotRun: 1},
+			ledger:   loadgen.LedgerReport{ExecutedDespiteNotRun: 1},
 			line:     "demo: accepted 8 answered 8 refused 0 lost 0 doubled 0",
 		},
 	} {
@@ -52,8 +52,8 @@
 		if s.String() != c.line {
 			t.Errorf("%s: %q, want %q", name, s, c.line)
 		}
-		if held := s.err() == nil; held != c.held {
-			t.Errorf("%s: held %v, want %v", name, held, c.held)
+		if passed := s.err() == nil; passed != c.passed {
+			t.Errorf("%s: passed %v, want %v", name, passed, c.passed)
 		}
 	}
 }
--- a/internal/experiment/arms.go
+++ b/internal/experiment/arms.go
@@ -14,7 +14,7 @@
 	// switched off.
 	Policy  string
 	Disable []string
-	// Baseline is set for the policies that the project's own policy is compared
+	// Baseline is set if the arm is one that the project's own policy is compared
 	// with.
 	Baseline bool
 }
@@ -33,7 +33,7 @@
 	}
 }
 
-// Ablations returns arms with the project's own policy, each with another part
+// Ablations returns arms with the project's own policy, each with a different part
 // switched off.
 func Ablations() []Arm {
 	var out []Arm
--- a/internal/experiment/bed.go
+++ b/internal/experiment/bed.go
@@ -23,7 +23,7 @@
 	PID     int
 }
 
-// Bed is a fleet of running processes on which measurements are taken.
+// Bed is a running fleet of daemons and stand-ins on which measurements are taken.
 type Bed interface {
 	Daemons() []Node
 	Engines() []Node
@@ -50,7 +50,8 @@
 	Close()
 }
 
-// FleetSize says how many data centres and processes of each sort a fleet has.
+// FleetSize holds the number of data centres, processes of each type and teams of a fleet,
+// and its time scale.
 type FleetSize struct {
 	DataCentres int
 	Daemons     int
--- a/internal/experiment/capacity.go
+++ b/internal/experiment/capacity.go
@@ -11,7 +11,7 @@
 
 const (
 	// capacitySample is the number of requests that are generated to estimate a
-	// workload's mean cost, capacitySeed the seed of the generator.
+	// workload's mean cost, and capacitySeed is the seed of the generator.
 	capacitySample = 4000
 	capacitySeed   = 99
 	// PeakOccupancy is the share of decode slots in use at the peak rate: the slots
@@ -23,16 +23,16 @@
 // a fleet of stand-ins can serve.
 type Capacity struct {
 	// DecodeTokens and PrefillTokens are the mean numbers of answer and prompt
-	// tokens of one arrival. Calls of plain services count with 0 tokens.
+	// tokens per arrival. A call of a plain service counts as an arrival with 0 tokens.
 	DecodeTokens  float64 `json:"decode_tokens_per_arrival"`
 	PrefillTokens float64 `json:"prefill_tokens_per_arrival"`
-	// DecodeRate is the arrival rate that keeps every decode slot busy, and
-	// PrefillRate the one that keeps every prefill engine busy without cached
-	// prefixes; both are in arrivals a second.
+	// DecodeRate is the arrival rate that keeps every decode slot busy. PrefillRate is
+	// the arrival rate that keeps every prefill engine busy if no prefixes are cached.
+	// Both are in arrivals a second.
 	DecodeRate  float64 `json:"decode_arrivals_per_s"`
 	PrefillRate float64 `json:"prefill_arrivals_per_s"`
-	// PeakRate is the arrivals a second that keep a share of PeakOccupancy of the
-	// decode slots busy.
+	// PeakRate is the arrival rate, in arrivals a second, at which a share of
+	// PeakOccupancy of the decode slots is busy.
 	PeakRate float64 `json:"peak_arrivals_per_s"`
 }
 
--- a/internal/experiment/firms.go
+++ b/internal/experiment/deployments.go
@@ -8,9 +8,9 @@
 	"github.com/corianderturn/corianderturn/internal/testbed"
 )
 
-// Firm is one of the two deployments that the router was designed for, named after
-// the firm that runs it.
-type Firm struct {
+// Deployment describes one of the two installations that the router was designed for.
+// Its name is that of the company that operates it.
+type Deployment struct {
 	Name string
 	Size FleetSize
 	// GoodputWeight and WastedPrefillWeight are the weights of goodput and of wasted
@@ -19,12 +19,12 @@
 	WastedPrefillWeight float64
 }
 
-// Firms returns the deployments at their present sizes. The requirements give the
+// Deployments returns the deployments at their present sizes. The requirements give the
 // numbers of data centres, engines (14 and 9), plain-service replicas and instances.
 // They don't give the split of the engines into prefill and decode, which is chosen
 // here. Of the two weights they give only which one is larger, not the values.
-func Firms() []Firm {
-	return []Firm{
+func Deployments() []Deployment {
+	return []Deployment{
 		{
 			Name: "placa-azul", GoodputWeight: 2, WastedPrefillWeight: 1,
 			Size: FleetSize{DataCentres: 3, Daemons: 6, Prefill: 4, Decode: 10, Services: 3, Teams: 3},
@@ -36,8 +36,8 @@
 	}
 }
 
-// The latency targets that callers set, which are the same for both classes: the
-// time to the first token and the mean gap between tokens.
+// The latency targets that callers set: the time to the first token and the mean gap
+// between tokens. They are the same for both request classes, urgent and draft.
 const (
 	firstTokenTarget    = 970 * time.Millisecond
 	betweenTokensTarget = 57 * time.Millisecond
@@ -58,10 +58,10 @@
 	w.SubmitPath = testbed.NonIdempotentPath
 }
 
-// FirmWorkload returns the workload for measuring the deployments. Prompts have from
+// DeploymentWorkload returns the workload that is used to measure every deployment. Prompts have from
 // tens to tens of thousands of tokens; answers are long enough for the decode slots
 // to fill up before the prefill engines do.
-func FirmWorkload(teams []loadgen.Team) loadgen.Workload {
+func DeploymentWorkload(teams []loadgen.Team) loadgen.Workload {
 	w := loadgen.DefaultWorkload()
 	setTestbedNames(&w)
 	w.Teams = teams
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// injectFault injects the fault after a share of faultStartShare of the measured
-// time, undoes it when ctx ends, and returns an error message for the sample's Note,
+// injectFault injects the fault once the share faultStartShare of the measured time has
+// passed and undoes it when ctx ends. It returns an error message for the sample's Note,
 // or "" if both succeeded.
 func (r *runner) injectFault(ctx context.Context, f *Fault) string {
 	delay := r.opts.Warmup + time.Duration(faultStartShare*float64(r.opts.Segment))
@@ -68,12 +68,14 @@
 	return nil, errors.New("the fleet has no decode engine")
 }
 
-// cutDataCentre cuts off the data centre of the last daemon.
+// cutDataCentre cuts the data centre of the last daemon off from the other data centres
+// and from the platform.
 func cutDataCentre(ctx context.Context, r *runner) (func(context.Context) error, error) {
 	daemons := r.bed.Daemons()
 	return r.bed.CutDataCentre(ctx, daemons[len(daemons)-1].DataCentre)
 }
 
+// cutPlatform cuts every daemon off from the platform.
 func cutPlatform(ctx context.Context, r *runner) (func(context.Context) error, error) {
 	return r.bed.CutPlatform(ctx)
 }
--- a/internal/experiment/figures_test.go
+++ b/internal/experiment/figures_test.go
@@ -56,10 +56,10 @@
 }
 
 // testSample returns a sample with a goodput of good completions a second, of which 5
-// are urgent, and a share of wasted/1000 wasted prompt tokens.
+// are urgent, and with 1000 computed prompt tokens, of which wasted are wasted.
 func testSample(arm string, repeat, good, wasted int) Sample {
 	return Sample{
-		Cell: Cell{Firm: "f", Load: "peak", Arm: arm}, Repeat: repeat,
+		Cell: Cell{Deployment: "f", Load: "peak", Arm: arm}, Repeat: repeat,
 		Engines: EngineWork{Prefills: 40, PrefillTokens: 1000, WastedTokens: wasted},
 		Report: &loadgen.Report{
 			Measured: time.Second, Steady: loadgen.Section{Goodput: 1e6}, // includes look-ups, which are not part of Goodput
@@ -81,12 +81,12 @@
 	other.Fault = "replica killed" // another cell, which the verdict must not use
 	l = append(l, other)
 	got := VerdictOf(l, "f", "peak")
-	want := Verdict{Firm: "f", Goodput: 2, WastedPrefill: 0.25, UrgentP95: 26.5 / 50}
+	want := Verdict{Deployment: "f", Goodput: 2, WastedPrefill: 0.25, UrgentP95: 26.5 / 50}
 	if d := cmp.Diff(want, got, cmpopts.EquateApprox(0, 1e-9)); d != "" {
 		t.Error(d)
 	}
 	if v := VerdictOf(l[:2], "f", "peak"); !math.IsNaN(v.Goodput) {
-		t.Errorf("goodput x%v without a baseline", v.Goodput)
+		t.Errorf("goodput ratio %v without a baseline, want NaN", v.Goodput)
 	}
 	both := CombineVerdicts([]Verdict{{Goodput: 2, WastedPrefill: 0.5, UrgentP95: 1}, {Goodput: 8, WastedPrefill: 0.5, UrgentP95: 4}})
 	if got, want := both.String(), "measure: goodput x4.00 wasted-prefill x0.50 urgent-p95 x2.00"; got != want {
@@ -96,7 +96,7 @@
 		t.Errorf("unfinished share %v, want 0.25", got)
 	}
 	if got := Ratio(SummaryStats{N: 1, Mean: 1}, SummaryStats{N: 1}); !math.IsInf(got, 1) {
-		t.Errorf("ratio to a baseline of 0 is %v", got)
+		t.Errorf("ratio to a baseline of 0 is %v, want +Inf", got)
 	}
 }
 
@@ -110,9 +110,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Answers have one token, of which 60 slots generate 60 in each step of 45 ms.
-	// Prompts have 100 tokens of 0.1 ms each, which two engines compute. The time
-	// scale of 4 makes both four times as fast.
+	// Answers have one token; 60 slots generate 60 tokens in each step of 45 ms. Prompts
+	// have 100 tokens, and two engines compute each token in 0.1 ms. The time scale of 4
+	// makes both four times as fast.
 	want := Capacity{DecodeTokens: 1, PrefillTokens: 100, DecodeRate: 4 * 60 / 0.045, PrefillRate: 4 * 2 / 0.01}
 	want.PeakRate = 4 * 60 * 0.95 / 0.04425 // 0.95 of the 60 slots are 57 busy slots; a step takes 30 ms + 0.95 * 15 ms
 	if d := cmp.Diff(want, c, cmpopts.EquateApprox(1e-9, 0)); d != "" {
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -12,8 +12,9 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// The names of the loads. The first three are relative to the peak rate, see
-// loadLevels; the last is the urgent requests of LoadPast without its drafts.
+// The names of the loads. The first three have all kinds of requests, and loadLevels gives
+// their arrival rates. LoadUrgentOnly has no drafts; its urgent requests arrive as often as
+// under LoadPast.
 const (
 	LoadBelow      = "below"
 	LoadPeak       = "peak"
@@ -37,7 +38,7 @@
 	Runs int
 	// Seed seeds the arrivals and requests; each repeat adds its number to it.
 	Seed uint64
-	// Segment is the measured time of one segment, which follows its Warmup.
+	// Segment is the measured time of one segment. The load runs for Warmup before it.
 	Segment time.Duration
 	Warmup  time.Duration
 	// Timeout is the deadline of one request.
@@ -47,8 +48,8 @@
 	// Scale divides the engines' times and the latency targets, so that a short
 	// segment serves many requests.
 	Scale float64
-	// Firms names the deployments to measure; if it is empty, all are measured.
-	Firms []string
+	// Deployments names the deployments to measure; if it is empty, all are measured.
+	Deployments []string
 	// Start starts the fleet of a deployment. A line for each segment is written to
 	// Progress.
 	Start    StartBed
@@ -61,22 +62,23 @@
 	return fmt.Sprintf("m%019d", time.Now().UnixNano())
 }
 
-// Results are the raw figures of one measurement.
+// Results are the options, samples and verdicts of one measurement.
 type Results struct {
-	Started  time.Time     `json:"started"`
-	Took     time.Duration `json:"took_ns"`
-	Runs     int           `json:"runs"`
-	Seed     uint64        `json:"seed"`
-	Scale    float64       `json:"scale"`
-	Segment  time.Duration `json:"segment_ns"`
-	Warmup   time.Duration `json:"warmup_ns"`
-	Firms    []FirmResults `json:"firms"`
-	Samples  Samples       `json:"samples"`
-	Verdicts []Verdict     `json:"-"`
+	Started     time.Time           `json:"started"`
+	Took        time.Duration       `json:"took_ns"`
+	Runs        int                 `json:"runs"`
+	Seed        uint64              `json:"seed"`
+	Scale       float64             `json:"scale"`
+	Segment     time.Duration       `json:"segment_ns"`
+	Warmup      time.Duration       `json:"warmup_ns"`
+	Deployments []DeploymentResults `json:"firms"`
+	Samples     Samples             `json:"samples"`
+	Verdicts    []Verdict           `json:"-"`
 }
 
-// FirmResults are the figures of one deployment that are not measured by a segment.
-type FirmResults struct {
+// DeploymentResults describes one deployment in the results. It has the values that do not
+// come from segments, such as the capacity and the overhead of a daemon.
+type DeploymentResults struct {
 	Name     string           `json:"name"`
 	Size     FleetSize        `json:"size"`
 	Capacity Capacity         `json:"capacity"`
@@ -96,10 +98,10 @@
 	res := &Results{
 		Started: time.Now().UTC(), Runs: o.Runs, Seed: o.Seed, Scale: o.Scale, Segment: o.Segment, Warmup: o.Warmup,
 	}
-	for _, f := range Firms() {
+	for _, f := range Deployments() {
 		if ctx.Err() == nil && o.selected(f.Name) {
 			f.Size.Scale = o.Scale
-			res.Firms = append(res.Firms, measureFirm(ctx, o, f, &res.Samples))
+			res.Deployments = append(res.Deployments, measureDeployment(ctx, o, f, &res.Samples))
 		}
 	}
 	res.Took = time.Since(res.Started)
@@ -108,19 +110,19 @@
 }
 
 // selected reports whether a deployment is to be measured.
-func (o MeasureOptions) selected(firm string) bool {
-	for _, name := range o.Firms {
-		if name == firm {
+func (o MeasureOptions) selected(deployment string) bool {
+	for _, name := range o.Deployments {
+		if name == deployment {
 			return true
 		}
 	}
-	return len(o.Firms) == 0
+	return len(o.Deployments) == 0
 }
 
 // computeVerdicts computes the verdict of each deployment from the samples.
 func (r *Results) computeVerdicts() {
 	r.Verdicts = nil
-	for _, f := range r.Firms {
+	for _, f := range r.Deployments {
 		r.Verdicts = append(r.Verdicts, VerdictOf(r.Samples, f.Name, LoadPeak))
 	}
 }
@@ -128,19 +130,19 @@
 // Verdict returns the combined verdict of all deployments.
 func (r *Results) Verdict() Verdict { return CombineVerdicts(r.Verdicts) }
 
-// measureFirm starts the fleet of a deployment, measures the overhead of a daemon
+// measureDeployment starts the fleet of a deployment, measures the overhead of a daemon
 // and all segments, and appends their samples to samples.
-func measureFirm(ctx context.Context, o MeasureOptions, f Firm, samples *Samples) FirmResults {
-	out := FirmResults{Name: f.Name, Size: f.Size}
+func measureDeployment(ctx context.Context, o MeasureOptions, f Deployment, samples *Samples) DeploymentResults {
+	out := DeploymentResults{Name: f.Name, Size: f.Size}
 	bed, err := o.Start(ctx, o.Bin, f.Size)
 	if err != nil {
 		out.Note = "start: " + err.Error()
 		return out
 	}
 	defer bed.Close()
-	r := &runner{opts: o, firm: f, bed: bed, client: loadgen.NewClient(o.MaxInFlight), targets: ScaledTargets(o.Scale)}
+	r := &runner{opts: o, deployment: f, bed: bed, client: loadgen.NewClient(o.MaxInFlight), targets: ScaledTargets(o.Scale)}
 	defer r.client.CloseIdleConnections()
-	out.Workload = FirmWorkload(bed.Teams())
+	out.Workload = DeploymentWorkload(bed.Teams())
 	out.Capacity, err = EstimateCapacity(out.Workload, f.Size.Prefill, f.Size.Decode, o.Scale)
 	if err != nil {
 		out.Note = err.Error()
@@ -164,10 +166,10 @@
 // repeat has every arm under each load, the project's own policy with urgent
 // requests only, the ablations at the peak, and the first two arms under each fault.
 // peak is in arrivals a second.
-func planSegments(o MeasureOptions, f Firm, w loadgen.Workload, peak float64) []segment {
+func planSegments(o MeasureOptions, f Deployment, w loadgen.Workload, peak float64) []segment {
 	var out []segment
 	add := func(repeat int, arm Arm, load string, rate float64, fault *Fault) {
-		s := segment{cell: Cell{Firm: f.Name, Load: load, Arm: arm.Name}, repeat: repeat, arm: arm, workload: w, fault: fault}
+		s := segment{cell: Cell{Deployment: f.Name, Load: load, Arm: arm.Name}, repeat: repeat, arm: arm, workload: w, fault: fault}
 		s.workload.Rate = rate
 		if fault != nil {
 			s.cell.Fault = fault.Name
@@ -193,19 +195,19 @@
 	return out
 }
 
-// urgentOnlySegment returns a segment of the project's own policy under the urgent
-// requests of the highest load without its drafts. The rate is reduced by the share
-// of drafts, so that urgent requests arrive as often as under that load.
-func urgentOnlySegment(f Firm, w loadgen.Workload, peak float64, repeat int) segment {
+// urgentOnlySegment returns a segment that measures the project's own policy under
+// LoadUrgentOnly. Its arrival rate is that of the highest load less the share of drafts,
+// so that urgent requests arrive as often as under the highest load.
+func urgentOnlySegment(f Deployment, w loadgen.Workload, peak float64, repeat int) segment {
 	totalShare := w.Mix.Total()
 	w.Mix.Draft = 0
 	w.Rate = peak * loadLevels[len(loadLevels)-1].share * w.Mix.Total() / totalShare
-	return segment{cell: Cell{Firm: f.Name, Load: LoadUrgentOnly, Arm: ReserveArm}, repeat: repeat, arm: Arms()[0], workload: w}
+	return segment{cell: Cell{Deployment: f.Name, Load: LoadUrgentOnly, Arm: ReserveArm}, repeat: repeat, arm: Arms()[0], workload: w}
 }
 
 // printProgress writes one line about a finished segment.
 func printProgress(w io.Writer, s Sample) {
-	name := s.Firm + " " + s.Load + " " + s.Arm
+	name := s.Deployment + " " + s.Load + " " + s.Arm
 	if s.Fault != "" {
 		name += " (" + s.Fault + ")"
 	}
--- a/internal/experiment/observe.go
+++ b/internal/experiment/observe.go
@@ -15,8 +15,8 @@
 	"github.com/corianderturn/corianderturn/internal/standin/logsvc"
 )
 
-// The daemons' metrics that are read: bytes and frames of the connections between
-// daemons, called control traffic.
+// The names of the daemons' metrics that are read. They count the bytes and frames on the
+// connections between daemons, which are called control traffic.
 const (
 	metricControlIn  = "corianderturn_control_received_bytes_total"
 	metricControlOut = "corianderturn_control_sent_bytes_total"
@@ -24,7 +24,7 @@
 	metricFramesOut  = "corianderturn_control_sent_frames_total"
 )
 
-// maxMetricsBytes is the maximum number of bytes that are read of a metrics page.
+// maxMetricsBytes is the maximum number of bytes that are read from a metrics page.
 const maxMetricsBytes = 8 << 20
 
 // DaemonUsage is the resource usage of one daemon. The counters start with the process.
@@ -95,8 +95,8 @@
 	client *http.Client
 }
 
-// read returns a reading of the daemons that could be read. It fails if there are
-// none or the log's statistics can't be read.
+// read returns a reading of the log and of the daemons that could be read. It fails if no
+// daemon or if the log's statistics could not be read.
 func (o fleetObserver) read(ctx context.Context) (fleetReading, error) {
 	out := fleetReading{at: time.Now(), daemon: map[int]DaemonUsage{}}
 	var lastErr error
--- a/internal/experiment/overhead.go
+++ b/internal/experiment/overhead.go
@@ -18,7 +18,7 @@
 // Overhead holds the latencies of plain-service calls that went directly to a replica
 // and of calls through a daemon.
 type Overhead struct {
-	// Calls is the number of calls of each sort.
+	// Calls is the number of direct calls, and also the number of calls through a daemon.
 	Calls  int               `json:"calls"`
 	Direct loadgen.Quantiles `json:"direct"`
 	Daemon loadgen.Quantiles `json:"daemon"`
@@ -33,8 +33,8 @@
 	return o.Daemon.P99 - o.Direct.P99
 }
 
-// overheadCalls is the number of direct calls and the number of calls through a
-// daemon; all are made one after the other.
+// overheadCalls is the number of direct calls, and also the number of calls through a
+// daemon. All calls are sequential.
 const overheadCalls = 3000
 
 // measureOverhead times look-ups on an idle fleet, alternately directly at a replica
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -26,9 +26,8 @@
 	// peak must stay; goalWastedRatio is its maximum ratio to the best baseline's share.
 	goalWastedShare = 0.01
 	goalWastedRatio = 0.1
-	// goalUrgentRatio is the maximum ratio of the 95th percentile of the urgent time
-	// to first token under LoadPast to that under the same urgent requests without
-	// drafts.
+	// goalUrgentRatio is the maximum ratio of two 95th percentiles of the time to first
+	// token of urgent requests: that under LoadPast to that under LoadUrgentOnly.
 	goalUrgentRatio = 1.2
 	// goalOverheadMillis is the value below which the overhead of a daemon at the 99th
 	// percentile must stay.
@@ -74,9 +73,9 @@
 	}
 	defer f.Close()
 	r.writeReport(f)
-	for _, firm := range r.Firms {
-		if err := r.writeCharts(dir, firm); err != nil {
-			return errors.Wrap(err, firm.Name)
+	for _, deployment := range r.Deployments {
+		if err := r.writeCharts(dir, deployment); err != nil {
+			return errors.Wrap(err, deployment.Name)
 		}
 	}
 	return errors.WithStack(f.Close())
@@ -89,8 +88,8 @@
 	printf("`make measure`, %d repeats of each cell, seed %d, segments of %s after a warm-up of %s, time scale %g, %s in all.",
 		r.Runs, r.Seed, r.Segment, r.Warmup, r.Scale, r.Took.Round(1e9))
 	printf("%s", methodText)
-	for _, f := range r.Firms {
-		r.writeFirm(w, f)
+	for _, f := range r.Deployments {
+		r.writeDeployment(w, f)
 	}
 	printf("\n`%s`", r.Verdict())
 }
@@ -115,8 +114,8 @@
 - The time scale divides the engines' times, their lags and the latency targets alike; network and daemons are not scaled,
   so that their share of each latency is too large by that factor.`
 
-// writeFirm writes the section of one deployment: goals, tables, notes and charts.
-func (r *Results) writeFirm(w io.Writer, f FirmResults) {
+// writeDeployment writes the section of one deployment: goals, tables, notes and charts.
+func (r *Results) writeDeployment(w io.Writer, f DeploymentResults) {
 	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
 	printf("\n## %s\n", f.Name)
 	printf("%d data centres, %d daemons, %d prefill and %d decode engines, %d replicas of a plain service. An arrival costs %.0f decode and "+
@@ -140,17 +139,17 @@
 
 // cells returns the measured cells of a deployment under a load and fault, one for
 // each arm; an empty fault means none.
-func (r *Results) cells(firm, load, fault string) []Cell {
+func (r *Results) cells(deployment, load, fault string) []Cell {
 	return slices.DeleteFunc(r.Samples.Cells(), func(c Cell) bool {
-		return c.Firm != firm || c.Load != load || c.Fault != fault
+		return c.Deployment != deployment || c.Load != load || c.Fault != fault
 	})
 }
 
 // writeGoals writes a table with the measured value of each goal and whether it is
 // met. A value that was not measured meets no goal.
-func (r *Results) writeGoals(w io.Writer, f FirmResults) {
+func (r *Results) writeGoals(w io.Writer, f DeploymentResults) {
 	v := VerdictOf(r.Samples, f.Name, LoadPeak)
-	cell := func(load string) Cell { return Cell{Firm: f.Name, Load: load, Arm: ReserveArm} }
+	cell := func(load string) Cell { return Cell{Deployment: f.Name, Load: load, Arm: ReserveArm} }
 	wasted := r.Samples.Summary(cell(LoadPeak), WastedPrefill)
 	urgent := Ratio(r.Samples.Summary(cell(LoadPast), UrgentFirst95), r.Samples.Summary(cell(LoadUrgentOnly), UrgentFirst95))
 	short := Ratio(r.Samples.Summary(cell(LoadPast), ShortFirst95), r.Samples.Summary(cell(LoadUrgentOnly), ShortFirst95))
@@ -198,9 +197,9 @@
 
 // writeNotes lists the errors of segments, the requests that ended in a fault of the
 // system, and the refusals by the project's own policy.
-func (r *Results) writeNotes(w io.Writer, firm string) {
+func (r *Results) writeNotes(w io.Writer, deployment string) {
 	for _, s := range r.Samples {
-		if s.Firm != firm {
+		if s.Deployment != deployment {
 			continue
 		}
 		if s.Note != "" {
--- a/internal/experiment/report_test.go
+++ b/internal/experiment/report_test.go
@@ -12,9 +12,9 @@
 // TestPlanHasEveryCellInEachRepeat checks that each repeat has one segment for every cell,
 // that is every arm under each load, and that only the segments of fault cells have a fault.
 func TestPlanHasEveryCellInEachRepeat(t *testing.T) {
-	f := Firms()[0]
+	f := Deployments()[0]
 	seen := map[Cell]int{}
-	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, FirmWorkload(nil), 100) {
+	for _, s := range planSegments(MeasureOptions{Runs: 2}, f, DeploymentWorkload(nil), 100) {
 		seen[s.cell]++
 		if (s.fault != nil) != (s.cell.Fault != "") {
 			t.Errorf("%v: fault %v", s.cell, s.fault)
@@ -38,10 +38,10 @@
 	dir := t.TempDir()
 	res := &Results{
 		Runs: 2, Scale: 1,
-		Firms: []FirmResults{{Name: "f", Capacity: Capacity{PeakRate: 100}, Overhead: Overhead{Calls: 1, Daemon: loadgen.Quantiles{P99: 0.5}}}},
+		Deployments: []DeploymentResults{{Name: "f", Capacity: Capacity{PeakRate: 100}, Overhead: Overhead{Calls: 1, Daemon: loadgen.Quantiles{P99: 0.5}}}},
 		Samples: Samples{
 			testSample(ReserveArm, 0, 40, 5), testSample("least-loaded", 0, 20, 100), testSample("round-robin", 0, 10, 200),
-			{Cell: Cell{Firm: "f", Load: "peak", Arm: "broken"}, Note: "did not start"},
+			{Cell: Cell{Deployment: "f", Load: "peak", Arm: "broken"}, Note: "did not start"},
 		},
 	}
 	res.computeVerdicts()
--- a/internal/experiment/sample.go
+++ b/internal/experiment/sample.go
@@ -7,13 +7,13 @@
 	"github.com/corianderturn/corianderturn/internal/loadgen"
 )
 
-// Cell identifies the conditions of a segment: deployment, load, fault and arm. The
+// Cell identifies the conditions of a segment: deployment, load, fault and arm. All
 // repeats of a segment have the same Cell.
 type Cell struct {
-	Firm  string `json:"firm"`
-	Load  string `json:"load"`
-	Fault string `json:"fault,omitempty"`
-	Arm   string `json:"arm"`
+	Deployment string `json:"firm"`
+	Load       string `json:"load"`
+	Fault      string `json:"fault,omitempty"`
+	Arm        string `json:"arm"`
 }
 
 // Sample holds the figures of one segment, which is a single run of the load
@@ -54,8 +54,9 @@
 // print it.
 type Figure string
 
-// The figures of the reports. "First" stands for the time to the first token, "Gap"
-// for the time between tokens, and the number for the percentile.
+// The figures of the reports. In the names, "First" means the time to the first token,
+// "Gap" the time between tokens, "Short" short urgent completions, and a number the
+// percentile.
 const (
 	Goodput            Figure = "goodput, completions/s within both targets"
 	GoodputStrict      Figure = "goodput by the 95th percentile of gaps"
@@ -153,7 +154,7 @@
 	return 0
 }
 
-// unfinishedShare returns the share of prefills whose decode did not finish. A
+// unfinishedShare returns the share of the started prefills whose decode did not finish. A
 // completion that its caller cancelled counts as finished, since no router can foresee
 // the cancellation.
 func (s Sample) unfinishedShare() float64 {
--- a/internal/experiment/segment.go
+++ b/internal/experiment/segment.go
@@ -17,13 +17,13 @@
 	// idleTimeout limits the wait for engines to become idle between two segments.
 	idleTimeout      = 15 * time.Second
 	idlePollInterval = 50 * time.Millisecond
-	// faultStartShare is the share of the measured time after which a fault is
+	// faultStartShare is the share of the measured time that passes before a fault is
 	// injected.
 	faultStartShare = 0.25
 )
 
-// segment is one run of the load generator to be made: an arm under a load, with or
-// without a fault.
+// segment describes one planned run of the load generator, which measures an arm under a
+// load, with or without a fault.
 type segment struct {
 	cell     Cell
 	repeat   int
@@ -34,11 +34,11 @@
 
 // runner runs the segments of one deployment on its running fleet.
 type runner struct {
-	opts    MeasureOptions
-	firm    Firm
-	bed     Bed
-	client  *http.Client
-	targets loadgen.Targets
+	opts       MeasureOptions
+	deployment Deployment
+	bed        Bed
+	client     *http.Client
+	targets    loadgen.Targets
 }
 
 // runSegment runs one segment and returns its sample. If the segment could not be
@@ -100,8 +100,8 @@
 func (r *runner) prepare(ctx context.Context, arm Arm) error {
 	next := r.bed.Bundle()
 	next.Policy = arm.Apply(next.Policy)
-	next.Policy.GoodputWeight = r.firm.GoodputWeight
-	next.Policy.WastedPrefillWeight = r.firm.WastedPrefillWeight
+	next.Policy.GoodputWeight = r.deployment.GoodputWeight
+	next.Policy.WastedPrefillWeight = r.deployment.WastedPrefillWeight
 	setLatencyTargets(next, r.targets)
 	if err := r.bed.RollOut(ctx, next); err != nil {
 		return errors.Wrap(err, "publish bundle")
@@ -126,7 +126,8 @@
 	}
 }
 
-// heldWork returns the number of prefills and decodes that all engines hold.
+// heldWork returns the number of prefills and decodes that the engines hold, summed over
+// all engines.
 func (r *runner) heldWork(ctx context.Context) (int, error) {
 	sum := 0
 	for _, n := range r.bed.Engines() {
--- a/internal/experiment/slopes.go
+++ b/internal/experiment/slopes.go
@@ -26,8 +26,8 @@
 	// Bin is the folder with the programs and Out the folder for the results.
 	Bin string
 	Out string
-	// Settle is the time that a point runs before its measurement, Window the
-	// measured time.
+	// Settle is the time that the fleet runs under the load of a point before the
+	// measurement of the point starts. Window is the duration of that measurement.
 	Settle time.Duration
 	Window time.Duration
 	// Seed seeds the arrivals and requests.
@@ -49,8 +49,8 @@
 	Sizes   []SizeResult  `json:"sizes"`
 }
 
-// SizeResult holds the points and fits of one varied parameter, which the results call
-// a size.
+// SizeResult holds the points and fits of one varied parameter. The results call a varied
+// parameter a size.
 type SizeResult struct {
 	Name string `json:"name"`
 	// Unit is the unit of the parameter, such as "daemon in the data centre".
@@ -63,7 +63,8 @@
 	Notes []string `json:"notes,omitempty"`
 }
 
-// SizePoint is one measured point: a value of the parameter and the cost at it.
+// SizePoint is one measured point: a value of the parameter and the costs that were
+// measured with it.
 type SizePoint struct {
 	// Size is the value of the parameter: the measured value if it is a rate, and the
 	// requested one otherwise.
@@ -80,8 +81,8 @@
 	Fit    Fit    `json:"fit"`
 }
 
-// fittedFigures lists the costs that are fitted; of returns a cost from the rates of
-// a point.
+// fittedFigures lists the costs to which a line is fitted. The function of returns the
+// cost from the rates that were measured at a point.
 var fittedFigures = []struct {
 	name, unit string
 	of         func(Rates) float64
--- a/internal/experiment/slopes_sizes.go
+++ b/internal/experiment/slopes_sizes.go
@@ -27,7 +27,8 @@
 	streamTokens = 200
 )
 
-// sizeSweep describes how one parameter is varied.
+// sizeSweep describes a sweep: how one parameter is varied and the cost measured at each
+// of its values.
 type sizeSweep struct {
 	// name, unit and fixed become the fields of SizeResult.
 	name, unit, fixed string
@@ -133,8 +134,9 @@
 }
 
 // measureUnderLoad runs the load generator at rate arrivals a second for the settling
-// time and the window, with the default workload as changed by shape. It returns the
-// rates in the window and the load generator's report on the whole time.
+// time and the window. The workload is the default workload with the changes that shape
+// makes. It returns the rates in the window and the load generator's report, which covers
+// the settling time too.
 func (p *pointRun) measureUnderLoad(ctx context.Context, rate float64, shape func(*loadgen.Workload)) (Rates, *loadgen.Report, error) {
 	w := loadgen.DefaultWorkload()
 	setTestbedNames(&w)
@@ -163,7 +165,7 @@
 }
 
 // measureLookups sends look-ups at a rate of x a second to each daemon. The measured
-// value is the rate of answered look-ups a daemon.
+// value is the rate of answered look-ups per daemon.
 func measureLookups(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	n := float64(len(p.bed.Daemons()))
 	r, rep, err := p.measureUnderLoad(ctx, x*n, func(w *loadgen.Workload) { w.Mix = loadgen.Mix{Lookup: 1} })
@@ -186,9 +188,9 @@
 }
 
 // measureTokens streams answers at a rate of x tokens a second from each daemon. The
-// measured value is the rate of tokens a daemon that callers received. It varies a little with
-// the answers that are in progress when the load starts and ends; the standard error
-// of the slope includes this.
+// measured value is the rate per daemon of tokens that callers received. It varies a
+// little with the answers that are in progress when the load starts and ends; the
+// standard error of the slope includes this.
 func measureTokens(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	n := float64(len(p.bed.Daemons()))
 	const meanAnswer = 0.75 * streamTokens
@@ -230,8 +232,8 @@
 }
 
 // measureBundleChanges publishes a bundle with a small change up to x times a second.
-// Each waits until the change before is in force on every daemon, so that the measured
-// rate may be lower.
+// Before each change it waits until the previous one is in force on every daemon, so the
+// measured rate may be lower than x.
 func measureBundleChanges(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	published := 0
 	var slowest time.Duration
@@ -263,9 +265,9 @@
 	return r, float64(published) / time.Since(start).Seconds(), err
 }
 
-// measureRestarts kills and restarts daemons of the second half of the fleet in turn,
-// x a second. The rates are those of the daemons that were not restarted during the
-// window.
+// measureRestarts kills and restarts daemons of the second half of the fleet in turn, at
+// a rate of x restarts a second. The returned rates are those of the daemons that were not
+// restarted during the window.
 func measureRestarts(ctx context.Context, p *pointRun, x float64) (Rates, float64, error) {
 	if x == 0 {
 		return measureWithoutLoad(ctx, p, x)
--- a/internal/experiment/testbed_test.go
+++ b/internal/experiment/testbed_test.go
@@ -26,11 +26,11 @@
 	}
 	defer bed.Close()
 	r := &runner{
-		opts: MeasureOptions{Seed: 1, Segment: time.Second, Warmup: 200 * time.Millisecond, Timeout: 30 * time.Second, MaxInFlight: 500},
-		firm: Firms()[0], bed: bed, client: loadgen.NewClient(500), targets: ScaledTargets(2),
+		opts:       MeasureOptions{Seed: 1, Segment: time.Second, Warmup: 200 * time.Millisecond, Timeout: 30 * time.Second, MaxInFlight: 500},
+		deployment: Deployments()[0], bed: bed, client: loadgen.NewClient(500), targets: ScaledTargets(2),
 	}
 	defer r.client.CloseIdleConnections()
-	w := FirmWorkload(bed.Teams())
+	w := DeploymentWorkload(bed.Teams())
 	w.Rate, w.CancelShare = 30, 0
 	killed := Faults()[0]
 	got := r.runSegment(ctx, segment{cell: Cell{Arm: ReserveArm}, arm: Arms()[0], workload: w, fault: &killed})
@@ -43,7 +43,7 @@
 	if got.Report.AnsweredCompletions == 0 || got.Engines.Prefills == 0 || got.Engines.PrefillTokens == 0 || got.Report.Ledger.Keys == 0 {
 		t.Errorf("a counter is 0: engines %+v, ledger %+v", got.Engines, got.Report.Ledger)
 	}
-	if p := bed.Bundle().Policy; p.Name != ReserveArm || p.GoodputWeight != r.firm.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
+	if p := bed.Bundle().Policy; p.Name != ReserveArm || p.GoodputWeight != r.deployment.GoodputWeight || bed.Bundle().Classes[bundle.Draft].FirstTokenMillis != 485 {
 		t.Errorf("the arm's policy or targets are not in the published bundle: policy %+v", p)
 	}
 	o := fleetObserver{bed: bed, client: r.client}
--- a/internal/loadgen/collector.go
+++ b/internal/loadgen/collector.go
@@ -169,7 +169,8 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax.Microseconds()))
 }
 
-// section returns the summary of the group. measured is the duration for the goodput.
+// section returns the summary of the group. measured is the duration by which the goodput is
+// divided.
 func (t *groupStats) section(measured time.Duration) Section {
 	s := Section{
 		Name: t.name, Offered: t.offered, Good: t.good, GoodStrict: t.goodStrict,
--- a/internal/loadgen/doc.go
+++ b/internal/loadgen/doc.go
@@ -1,4 +1,4 @@
-// Package loadgen is an open-loop load generator: it sends seeded, reproducible load to a
+// Package loadgen is an open-loop load generator for tests and measurements. It sends seeded, reproducible load to a
 // list of daemons and verifies every response. Arrivals follow a Poisson process and do not
 // wait for earlier responses, so a slow system receives the same load as a fast one.
 // Latencies are measured from the scheduled arrival rather than from when the request was
--- a/internal/loadgen/generator.go
+++ b/internal/loadgen/generator.go
@@ -115,17 +115,18 @@
 // cancellation.
 func (g *Generator) fillDraft(s *Spec) {
 	if g.rng.Float64() < g.workload.SharedShare {
-		s.Prompt = g.preamble(g.rng.IntN(g.workload.Councils)) + s.Prompt
+		s.Prompt = g.preamble(g.rng.IntN(g.workload.Preambles)) + s.Prompt
 	}
 	if g.rng.Float64() < g.workload.CancelShare {
 		s.CancelAfter = 1 + g.randomDuration(g.workload.CancelAfter)
 	}
 }
 
-// preamble returns the prompt prefix that drafts of the same council share.
-func (g *Generator) preamble(council int) string {
-	prefix := fmt.Sprintf("%s council %d ", g.runName, council)
-	offset := council * 997 % (len(g.corpus) / 2)
+// preamble returns the shared prompt prefix with the given index. It contains the name of the
+// run and the index, so that different runs and indexes have different prefixes.
+func (g *Generator) preamble(index int) string {
+	prefix := fmt.Sprintf("%s council %d ", g.runName, index)
+	offset := index * 997 % (len(g.corpus) / 2)
 	return prefix + g.corpus[offset:offset+g.workload.PreambleTokens*engineapi.BytesPerToken]
 }
 
--- a/internal/loadgen/generator_test.go
+++ b/internal/loadgen/generator_test.go
@@ -32,7 +32,7 @@
 func TestGeneratorIsDeterministic(t *testing.T) {
 	a, b := generateSpecs(t, "r", 7, 200), generateSpecs(t, "r", 7, 200)
 	if d := cmp.Diff(a, b); d != "" {
-		t.Fatalf("same seed, other requests: %s", d)
+		t.Fatalf("the same seed gave different requests: %s", d)
 	}
 	if cmp.Equal(a, generateSpecs(t, "r", 8, 200)) {
 		t.Fatal("another seed gave the same requests")
--- a/internal/loadgen/ledger.go
+++ b/internal/loadgen/ledger.go
@@ -14,16 +14,16 @@
 	Count int
 }
 
-// LedgerReport compares the responses that callers received to submits with the executions
-// that the services counted.
+// LedgerReport is the result of comparing the responses to submits that callers received with
+// the executions of submits that the services counted.
 type LedgerReport struct {
 	// Keys counts the idempotency keys that were sent.
 	Keys int `json:"keys"`
 	// Doubled counts keys that were executed more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun counts keys that were executed once although every response stated the run
-	// state "not-run".
-	FalseNotRun int `json:"false_not_run"`
+	// ExecutedDespiteNotRun counts keys that were executed once although every response had the
+	// run state "not-run", which states that the request was not executed.
+	ExecutedDespiteNotRun int `json:"false_not_run"`
 	// Missing counts keys with a successful response that were never executed.
 	Missing int `json:"missing"`
 	// Details describes the discrepancies, at most maxReportedFaults of them.
@@ -64,7 +64,7 @@
 		l.Doubled++
 		l.addDetail("%s ran %d times", key, runs)
 	case runs == 1 && allNotRun:
-		l.FalseNotRun++
+		l.ExecutedDespiteNotRun++
 		l.addDetail("%s ran, and its callers were told it did not", key)
 	case runs == 0 && answered:
 		l.Missing++
--- a/internal/loadgen/outcome.go
+++ b/internal/loadgen/outcome.go
@@ -20,7 +20,8 @@
 	Broken Outcome = "broken"
 	// Cancelled is a request that its caller cancelled as planned.
 	Cancelled Outcome = "cancelled"
-	// Severed is a request whose connection broke because the test killed the daemon.
+	// Severed is a request whose connection broke because the test killed the daemon. This is
+	// expected, so IsFault does not include it.
 	Severed Outcome = "severed"
 	// Lost is a request without a complete response and without a valid error response.
 	Lost Outcome = "lost"
@@ -112,7 +113,7 @@
 	FirstMeasured bool
 	// Tokens is the number of tokens of the completion.
 	Tokens int
-	// Replays counts how often the request was sent again, by the balancer or by the caller.
+	// Replays counts how often the request was sent again, by the load balancer or by the caller.
 	Replays int
 
 	gaps []time.Duration
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -171,5 +171,5 @@
 
 // Passed reports whether the run found no violation of the guarantees that it checks.
 func (r *Report) Passed() bool {
-	return r.Lost() == 0 && r.Doubled() == 0 && (r.Ledger == nil || r.Ledger.FalseNotRun == 0 && r.Ledger.Missing == 0)
+	return r.Lost() == 0 && r.Doubled() == 0 && (r.Ledger == nil || r.Ledger.ExecutedDespiteNotRun == 0 && r.Ledger.Missing == 0)
 }
--- a/internal/loadgen/sender.go
+++ b/internal/loadgen/sender.go
@@ -42,7 +42,8 @@
 	return &http.Client{Transport: t}
 }
 
-// sender simulates the callers and the platform's load balancer.
+// sender simulates the callers and the platform's load balancer, which distributes requests over
+// the daemons.
 type sender struct {
 	hc           *http.Client
 	targets      []string
@@ -81,8 +82,8 @@
 	return r
 }
 
-// sendWithReplays sends a request as a load balancer does: to the daemon whose turn it is and,
-// while mayReplay allows it, to each of the others.
+// sendWithReplays sends a request as a load balancer does: first to the next daemon in round-robin
+// order and, while that fails and mayReplay allows it, to the others in turn.
 func (c *sender) sendWithReplays(ctx context.Context, s Spec, scheduled time.Time) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -109,9 +110,9 @@
 	return r
 }
 
-// mayReplay reports whether the balancer sends a failed request to another daemon: always if
-// the connection was refused, and only with Options.Replay if the connection broke before the
-// response.
+// mayReplay reports whether the balancer sends a failed request to another daemon. It always does
+// so if the connection was refused. If the connection broke before the response, it does so only
+// with Options.Replay.
 func (c *sender) mayReplay(t Transcript) bool {
 	if errors.Is(t.Err, syscall.ECONNREFUSED) {
 		return true
--- a/internal/loadgen/table.go
+++ b/internal/loadgen/table.go
@@ -26,7 +26,7 @@
 	}
 	if r.Ledger != nil {
 		_, _ = fmt.Fprintf(out, "keys %d, ran twice %d, ran though told not-run %d, answered and never ran %d\n",
-			r.Ledger.Keys, r.Ledger.Doubled, r.Ledger.FalseNotRun, r.Ledger.Missing)
+			r.Ledger.Keys, r.Ledger.Doubled, r.Ledger.ExecutedDespiteNotRun, r.Ledger.Missing)
 		for _, d := range r.Ledger.Details {
 			_, _ = fmt.Fprintf(out, "FAULT ledger %s\n", d)
 		}
--- a/internal/loadgen/verify_test.go
+++ b/internal/loadgen/verify_test.go
@@ -85,7 +85,7 @@
 		{"twice on two replicas", []Result{result("a", Answered, "", "")}, []Execution{{"a", 1}, {"a", 1}},
 			LedgerReport{Keys: 1, Doubled: 1, Details: []string{"a ran 2 times"}}},
 		{"ran though refused", []Result{refused("a"), refused("a")}, []Execution{{"a", 1}},
-			LedgerReport{Keys: 1, FalseNotRun: 1, Details: []string{"a ran, and its callers were told it did not"}}},
+			LedgerReport{Keys: 1, ExecutedDespiteNotRun: 1, Details: []string{"a ran, and its callers were told it did not"}}},
 		{"refused, and its repeat ran", []Result{refused("a"), result("a", Answered, "", "")}, []Execution{{"a", 1}}, LedgerReport{Keys: 1}},
 		{"answered and never ran", []Result{result("a", Answered, "", "")}, nil,
 			LedgerReport{Keys: 1, Missing: 1, Details: []string{"a was answered and never ran"}}},
@@ -174,7 +174,7 @@
 				t.Error(d)
 			}
 			if rep.Passed() == tc.want.IsFault() {
-				t.Errorf("held %v with outcome %s", rep.Passed(), tc.want)
+				t.Errorf("Passed returned %v with outcome %s", rep.Passed(), tc.want)
 			}
 		})
 	}
@@ -218,7 +218,7 @@
 		t.Errorf("%d requests accounted for, want 10", got)
 	}
 	if rep.All.Count(Dropped) == 0 {
-		t.Error("nothing was dropped at the bound")
+		t.Error("no request was dropped at MaxInFlight")
 	}
 }
 
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -83,10 +83,11 @@
 	DraftPrompt SizeDistribution `json:"draft_prompt"`
 	DraftTokens SizeDistribution `json:"draft_tokens"`
 
-	// SharedShare is the share of drafts whose prompt starts with a shared prefix: the preamble
-	// of one of Councils councils, chosen at random. A preamble has PreambleTokens tokens. Drafts
-	// with the same preamble can reuse prefixes that engines have cached.
-	Councils       int     `json:"councils"`
+	// SharedShare is the share of drafts whose prompt starts with a preamble, which is a prefix
+	// that other drafts share. The preamble is chosen at random from Preambles different ones,
+	// each of PreambleTokens tokens. Engines that have cached a preamble can reuse it for other
+	// drafts.
+	Preambles      int     `json:"councils"`
 	PreambleTokens int     `json:"preamble_tokens"`
 	SharedShare    float64 `json:"shared_share"`
 
@@ -117,7 +118,7 @@
 		ShortTokens:    SizeDistribution{Median: 16, Sigma: 0.4, Min: 4, Max: 48},
 		DraftPrompt:    SizeDistribution{Median: 1200, Sigma: 1.0, Min: 40, Max: 30_000},
 		DraftTokens:    SizeDistribution{Median: 100, Sigma: 0.5, Min: 20, Max: 400},
-		Councils:       8,
+		Preambles:      8,
 		PreambleTokens: 512,
 		SharedShare:    0.6,
 		StreamShare:    0.7,
@@ -137,7 +138,7 @@
 		return errors.New("at least one team is needed")
 	case w.Mix.Total() <= 0:
 		return errors.New("the mix is empty")
-	case w.Councils < 1:
+	case w.Preambles < 1:
 		return errors.New("at least one council is needed")
 	}
 	return nil
--- a/internal/matrix/impossible.go
+++ b/internal/matrix/impossible.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// rule gives the reason why some faults cannot occur at some steps.
+// rule gives the reason why none of its faults can occur at any of its steps.
 type rule struct {
 	steps  []Step
 	faults []Fault
--- a/internal/matrix/render.go
+++ b/internal/matrix/render.go
@@ -23,8 +23,8 @@
 		t.Cells, t.Proved, t.Impossible, t.Red, t.Unproved)
 }
 
-// WriteMarkdown writes the matrix as a Markdown page and returns its totals. Pairs of faults
-// count only if a test covers them.
+// WriteMarkdown writes the matrix as a Markdown page and returns its totals. A cell with two
+// faults is included only if a test covers it.
 func WriteMarkdown(w io.Writer, r Results) (Totals, error) {
 	var page strings.Builder
 	var totals Totals
@@ -122,6 +122,7 @@
 	return s
 }
 
+// sortedKeys returns the keys of m in alphabetical order.
 func sortedKeys(m map[string][]string) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/matrix/result.go
+++ b/internal/matrix/result.go
@@ -67,8 +67,8 @@
 }
 
 // CellOf returns the cell that a test covers, given its name, which must end in the step and the
-// fault or faults. Subtests of such a test cover no cell themselves: their parent includes their
-// results.
+// fault or faults. Subtests of such a test cover no cell themselves, since the result of their
+// parent includes theirs.
 func CellOf(name string) (Cell, bool) {
 	parts := strings.Split(name, "/")
 	if len(parts) < 2 {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// recordRequest adds a finished request to the requests and the counts of the run. err is the
-// error of the transport.
+// recordRequest adds a finished request to r.requests and counts it in r.result. err is the error of
+// the transport.
 func (r *run) recordRequest(sent sentRequest, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,9 +134,9 @@
 // recoveryClient sends the requests of checkRecovery, each over a new connection.
 var recoveryClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// checkExecutions checks the responses against the executions that upstreams recorded: a
-// non-idempotent request runs at most once, and never if it was rejected; an answered request
-// ran; and upstreams received the body that the caller sent.
+// checkExecutions checks the responses against the executions that upstreams recorded. A
+// non-idempotent request must run at most once, and must not run if it was rejected. An answered
+// request must have run. Upstreams must receive the body that the caller sent.
 func (r *run) checkExecutions() {
 	for _, sent := range r.requests {
 		runs := r.site.Account.Executions(sent.id)
@@ -157,8 +157,8 @@
 	}
 }
 
-// checkNothingHeld checks that upstreams become idle after the last request: they run nothing
-// and hold neither reservations nor results of prefills.
+// checkNothingHeld checks that upstreams become idle after the last request, so that they run no
+// request and hold neither reservations nor prefill results.
 func (r *run) checkNothingHeld(ctx context.Context) {
 	idle := func() bool {
 		for _, u := range r.upstreams() {
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// fatalCallerCount is the number of callers that send a fatal request: one that crashes every
-	// upstream that runs it.
+	// fatalCallerCount is the number of callers that send a fatal request. A fatal request is one
+	// that crashes every upstream that runs it.
 	fatalCallerCount = 2
-	// reconnectTime is the time after a disturbance of a daemon or of the store by which the
-	// daemon shares its state with the others again, according to the documentation of the
-	// settings.
+	// reconnectTime is the time that a daemon needs, after a disturbance of itself or of the store,
+	// to share its state with the other daemons again. The documentation of the settings states it.
 	reconnectTime = 3 * time.Second
 	// crashThreshold is the number of crashes after which daemons must refuse a fatal request.
-	// maxLateRuns is how often the request may still run on an upstream in attempts that are sent
-	// to connected daemons more than reconnectTime after the last of these crashes.
+	// maxLateRuns is the number of times that upstreams may still run the request after that. Only
+	// attempts count that are sent to a connected daemon, at least reconnectTime after the crash
+	// that reached the threshold.
 	crashThreshold, maxLateRuns = 3, 3
 	// replacementDelay is the time from the crash of an upstream to the start of its replacement.
 	replacementDelay = 300 * time.Millisecond
@@ -35,7 +35,7 @@
 type fatalAttempt struct {
 	id, body        string
 	sentAt          time.Time
-	daemonConnected bool // isConnected of its daemon when it was sent
+	daemonConnected bool // result of isConnected for the daemon when the attempt was sent
 }
 
 // runFatalCaller sends the same fatal request, each time with a new id and to a random daemon,
@@ -101,7 +101,8 @@
 	return slices.Clone(r.currentUpstreams)
 }
 
-// recordDisturbance records the time of a fault of a daemon, or of the store if d is nil.
+// recordDisturbance records the current time as a disturbance of a daemon, or of the store if d is
+// nil. A disturbance is the start or the end of a fault after which a daemon has to reconnect.
 func (r *run) recordDisturbance(d *daemon) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,16 +114,16 @@
 	d.disturbances = append(d.disturbances, d.disturbedAt)
 }
 
-// isConnected reports whether a daemon has had reconnectTime to recover from the latest
-// disturbances of itself and of the store.
+// isConnected reports whether reconnectTime has passed since the last disturbance of the daemon and
+// since that of the store.
 func (r *run) isConnected(d *daemon) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Since(d.disturbedAt) > reconnectTime && time.Since(r.storeDisturbedAt) > reconnectTime
 }
 
-// checkFatalRequests checks that daemons refuse a fatal request once it has crashed
-// crashThreshold upstreams, apart from at most maxLateRuns runs.
+// checkFatalRequests checks that daemons refuse a fatal request once it has crashed crashThreshold
+// upstreams. At most maxLateRuns later runs are allowed.
 func (r *run) checkFatalRequests() {
 	runsByBody := map[string]int{}
 	for _, attempt := range r.fatalAttempts {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -108,7 +108,9 @@
 	}
 }
 
-// upstreamFaults maps actions to the faults that the simulated upstreams inject.
+// upstreamFaults maps actions to the faults that the simulated upstreams inject. Reset closes
+// connections without a response, Cut closes a stream after this number of events, Dark never
+// responds, Full refuses reservations, and LapsedHandles treats prefill results as expired.
 var upstreamFaults = map[action]site.Faults{
 	actShed: {Shed: true}, actLoseResponses: {Reset: true}, actCutStreams: {Cut: 2},
 	actUnresponsive: {Dark: true}, actRefuseReservations: {Full: true}, actExpirePrefills: {LapsedHandles: true},
@@ -118,7 +120,8 @@
 // does only if SIGHUP arrived before its signal handler was installed.
 const hupWatchTime = 100 * time.Millisecond
 
-// injectSignal sends the fault's signal to the process, and restarts the daemon if that exits.
+// injectSignal sends the fault's signal to the daemon's process, and restarts the daemon if the
+// process exits.
 func (d *daemon) injectSignal(f fault) {
 	d.faultMu.Lock() // signals do not overlap, as if one process supervisor sent them
 	defer d.faultMu.Unlock()
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -55,10 +55,10 @@
 	r.limitSpans = append(r.limitSpans, s)
 }
 
-// checkLimits checks that upstreams received no more requests than the limit that they reported
-// allows. Requests of a daemon count only if it can have applied the limit: propagationTime
-// after it forwarded a response of the upstream, which reports the limit. After a disturbance
-// of the daemon, the time starts again with the next such response.
+// checkLimits checks that upstreams received no more requests than their reported limit allows.
+// Each response of the upstream reports the limit. Requests of a daemon count only from
+// propagationTime after it forwarded such a response, since it cannot apply the limit earlier.
+// After a disturbance of the daemon, the time starts again with the next such response.
 func (r *run) checkLimits() {
 	requestsByID := map[string]*sentRequest{}
 	for i := range r.requests {
@@ -87,8 +87,8 @@
 	}
 }
 
-// limitObservations returns the times at which each daemon had forwarded a complete response
-// that reports the limit of a span, in order.
+// limitObservations returns, for each daemon, the times in ascending order at which it had forwarded
+// a complete response that reports the limit of s.
 func (r *run) limitObservations(s limitSpan) map[*daemon][]time.Time {
 	out := map[*daemon][]time.Time{}
 	for _, sent := range r.requests {
@@ -105,8 +105,8 @@
 	return out
 }
 
-// firstObservation returns the first of the observations after a disturbance, if it is earlier
-// than before.
+// firstObservation returns the first of the observations that follow a disturbance. ok is false if
+// there is none earlier than the time before.
 func firstObservation(observations []time.Time, disturbance, before time.Time) (at time.Time, ok bool) {
 	i := slices.IndexFunc(observations, func(t time.Time) bool { return t.After(disturbance) })
 	if i < 0 || !observations[i].Before(before) {
@@ -115,8 +115,8 @@
 	return observations[i], true
 }
 
-// lastDisturbance returns the time of the daemon's last disturbance before a time, or the zero
-// time.
+// lastDisturbance returns the time of the daemon's last disturbance before at, or the zero time if
+// there is none.
 func (d *daemon) lastDisturbance(at time.Time) (last time.Time) {
 	for _, t := range d.disturbances {
 		if t.Before(at) && t.After(last) {
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -7,9 +7,9 @@
 	"github.com/corianderturn/corianderturn/internal/standin/site"
 )
 
-// The retry budget of a service, which the settings give to the daemons: in any retryWindow, all
-// daemons together may send retryRatio times as many retries as they got requests, plus
-// retrySlack.
+// The retry budget of a service, as in the daemons' settings: in any period of length retryWindow,
+// all daemons together may send at most retryRatio retries per received request, plus retrySlack
+// retries.
 const (
 	retryRatio  = 0.2
 	retrySlack  = 10.0
@@ -25,9 +25,9 @@
 }
 
 // checkRetryBudget checks that upstreams received no more retries than allowed, in each window
-// that begins with a retry. A retry is any arrival of a request at an upstream after its first.
-// The limit follows from the number of requests in the window, or in the same window shifted
-// back by half or all of its length, whichever is largest.
+// that begins with a retry. Each arrival of a request at an upstream except the first is a retry.
+// The limit follows from the largest number of requests in three windows: the same window, and
+// that window shifted back by half and by all of its length.
 func (r *run) checkRetryBudget() {
 	requests, retries := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, sent := range r.requests {
@@ -53,6 +53,7 @@
 	}
 }
 
+// sortTimes sorts list in place, from the earliest time to the latest.
 func sortTimes(list []time.Time) {
 	sort.Slice(list, func(i, j int) bool { return list[i].Before(list[j]) })
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// action is the kind of a fault.
+// action is the type of a fault, as it appears in the printed schedule.
 type action string
 
-// The faults. Those of daemons are signals. Those of upstreams and of the store are injected by
-// the simulated platform or by the proxies in front of the upstreams. Faults with a duration
-// end after it.
+// The actions. Faults of daemons are signals. Faults of upstreams and of the store are injected
+// by the simulated platform or by the proxies in front of the upstreams. A fault with a duration
+// ends after that duration.
 const (
 	actKill               action = "kill"     // a daemon gets SIGKILL and is restarted
 	actTerm               action = "term"     // a daemon gets SIGTERM and is restarted once it has exited
@@ -23,10 +23,10 @@
 	actDelay              action = "delay"    // the proxy delays what it forwards
 	actShed               action = "shed"     // an upstream rejects requests
 	actLoseResponses      action = "lost"     // an upstream runs requests and closes the connection
-	actCutStreams         action = "cut"      // an upstream breaks streams off
+	actCutStreams         action = "cut"      // an upstream closes the connections of streams early
 	actUnresponsive       action = "dark"     // an upstream accepts requests and does not respond
 	actRefuseReservations action = "full"     // an engine refuses reservations
-	actExpirePrefills     action = "lapse"    // an upstream refuses results of prefills as expired
+	actExpirePrefills     action = "lapse"    // an upstream refuses every prefill result as expired
 	actStoreDown          action = "store"    // the store rejects every call
 	actDropHistory        action = "history"  // the store deletes all records but the latest of each key
 	actPublishConfig      action = "config"   // a new version of the configuration is published
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -30,8 +30,8 @@
 	Bin, Dir string
 	// Seed determines the fault schedule.
 	Seed uint64
-	// FaultDuration is the time in which faults start. After the last fault, the run checks
-	// that the daemons recover.
+	// FaultDuration is the length of the period in which faults start. After the last fault, the
+	// run checks that the daemons recover.
 	FaultDuration time.Duration
 	// Daemons and Callers are the numbers of daemons and of concurrent callers.
 	Daemons int
@@ -51,8 +51,8 @@
 // Result holds the findings of one run.
 type Result struct {
 	// Requests counts the requests of callers. Of these, Answered were answered completely, Refused
-	// rejected with status 429 or 503, CutOff cut off during the response, and Failed ended in
-	// any other way.
+	// were rejected with status 429 or 503, CutOff broke off during the response, and Failed ended
+	// in any other way.
 	Requests, Answered, Refused, Failed, CutOff int64
 	// Violations describes each violated guarantee; it is empty if the run passed.
 	Violations []string
@@ -239,7 +239,7 @@
 	callersAddress, readyAddress string // listen addresses for callers and for the readiness probe
 	settingsPath                 string
 	faultMu                      sync.Mutex // held during injectSignal, so that signals do not overlap
-	disturbedAt                  time.Time  // the last of disturbances; run.mu guards both
+	disturbedAt                  time.Time  // last element of disturbances; run.mu guards both
 	disturbances                 []time.Time
 
 	mu   sync.Mutex
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -33,7 +33,7 @@
 
 // Guards against violations of the daemons' guarantees under combinations of faults that no
 // other test covers: signals, TCP faults, and faults of upstreams and of the store that overlap
-// as the seed determines. See ciRuns for the cause that each seed once revealed.
+// as the seed determines. See ciRuns for the fault that each run guards against.
 func TestSoak(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "corianderturn")
 	if out, err := exec.Command("go", "build", "-o", bin, "../../cmd/corianderturn").CombinedOutput(); err != nil {
--- a/internal/soak/teams.go
+++ b/internal/soak/teams.go
@@ -14,9 +14,9 @@
 	// quota allows, unlimitedTeam has no quota.
 	limitedTeam, unlimitedTeam = "hot", "free"
 
-	// The quota of limitedTeam, and the tolerance in the daemons' settings: in any quotaWindow, all
-	// daemons together may admit (1 + quotaExcess) times the requests that rate and burst allow,
-	// plus quotaSlack.
+	// The quota of limitedTeam, and the tolerance in the daemons' settings: in any period of length
+	// quotaWindow, all daemons together may admit (1 + quotaExcess) times the requests that
+	// quotaRate and quotaBurst allow, plus quotaSlack requests.
 	quotaRate   = 20.0 // requests per second
 	quotaBurst  = 10.0
 	quotaWindow = 2 * time.Second
@@ -29,7 +29,7 @@
 func teamKey(team string, version int64) string { return fmt.Sprintf("key of %s, %d", team, version) }
 
 // setTeams sets the teams for the next version of the configuration. Each team has a permanent
-// key, and one that the version after it removes.
+// key, and a key that is valid in this version only.
 func (r *run) setTeams(version int64) {
 	if !r.options.Teams {
 		return
@@ -41,9 +41,9 @@
 	)
 }
 
-// setTeamKey adds the key of a random team to a request and returns the team. For one request
-// in unknownKeyOdds, it adds an unknown key instead and returns an empty team. The request also
-// claims a random team in a header, which daemons must ignore.
+// setTeamKey adds the key of a random team to a request and returns the team. For one request in
+// unknownKeyOdds, it adds an unknown key instead and returns an empty team. It may also name a
+// random team in a header, which daemons must ignore.
 func (r *run) setTeamKey(req *http.Request, rng *rand.Rand) (team string) {
 	if !r.options.Teams {
 		return ""
