--- a/Makefile
+++ b/Makefile
@@ -65,9 +65,10 @@
 clean:
 	rm -rf $(BIN) $(TOOLS) out
 
-# Seeded faults against real daemons; SEEDS=n seeds from SEED on. SOAKFLAGS=--herd adds kills of all
-# daemons while a service refuses, --teams keys and a limit, --limits upstreams that name rate limits (--length 16s), --fatal callers that repeat requests which end each upstream
-# that runs them; give the latter --length 12s.
+# Injects seeded faults into real daemons, SEEDS seeds from SEED on. SOAKFLAGS: --herd adds kills of
+# all daemons while a service refuses, --teams keys and a quota, --limits upstreams that report rate
+# limits (with --length 16s), --fatal callers that repeat requests which crash each upstream that runs
+# them (with --length 12s).
 soak: build
 	$(GO) build -o $(BIN)/soak ./cmd/soak
 	$(BIN)/soak --bin $(BIN)/corianderturn --out out/soak --seed $(or $(SEED),1) --seeds $(or $(SEEDS),10) $(SOAKFLAGS)
