--- a/relay/accrual.go
+++ b/relay/accrual.go
@@ -14,37 +14,42 @@
 // daemon's share has not been added to any ledger yet. A follower does not add its share to
 // its own ledger. It sends its unaccrued time along with the calls that it makes anyway, the
 // reader adds the follower's share for that time to its own ledger, and followers borrow
-// units from the reader. Package quota calls this handing time over. An AccrualSender is
-// safe for concurrent use.
+// units from the reader. Package quota calls this handing time over.
+//
+// Each daemon's ledger has its own clock. A stamp (quota.Stamp) is the time on that clock at
+// which the daemon sent a response. A follower states its unaccrued time relative to the last
+// stamp that it received from the recipient, so it can send none before the first stamp.
+//
+// An AccrualSender is safe for concurrent use.
 type AccrualSender struct {
 	quota  *quota.Ledger
 	roster *Roster
 
 	mu     sync.Mutex
-	stamps map[string]receivedStamp // keyed by the address of the daemon that issued the stamp
+	stamps map[string]receivedStamp // the last stamp of each daemon, by its address
 	// recipient is the daemon that unaccrued time was last sent to.
 	recipient Peer
 }
 
-// receivedStamp is a stamp that another daemon's ledger issued and the time of its receipt.
+// receivedStamp is a ledger time that another daemon sent, with the local time of its receipt.
 type receivedStamp struct {
 	stamp      quota.Stamp
 	receivedAt time.Time
 }
 
-// maxStamps bounds the daemons whose stamps are kept. Only the stamps of the reader of this
-// data centre and of its few successors are used.
+// maxStamps is the largest number of daemons whose last stamp is kept. Only the stamps of
+// the reader of this data centre and of its few successors are used.
 const maxStamps = 16
 
-// NewAccrualSender returns an AccrualSender without stamps.
+// NewAccrualSender returns an AccrualSender that has not received a stamp from any daemon.
 func NewAccrualSender(l *quota.Ledger, r *Roster) *AccrualSender {
 	return &AccrualSender{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
 
 // takeUnaccrued returns the unaccrued time to send with a call to a daemon and removes it
-// from this daemon's ledger. The span is empty if this daemon is a reader itself, if the
-// recipient is in another data centre, where the daemons' shares differ, or if the recipient
-// has not sent a stamp yet.
+// from this daemon's ledger. The returned span is empty if this daemon is a reader itself, if
+// the recipient is in another data centre, where the daemons' shares differ, or if the
+// recipient has not sent a stamp yet.
 func (a *AccrualSender) takeUnaccrued(now time.Time, to Peer) quota.Span {
 	if a == nil || to.DataCentre != a.roster.Self().DataCentre || a.roster.IsReader() {
 		return quota.Span{}
@@ -71,7 +76,7 @@
 	return a.recipient
 }
 
-// recordStamp stores the stamp of a response from the daemon at an address.
+// recordStamp stores the ledger time in a response of the daemon at an address.
 func (a *AccrualSender) recordStamp(now time.Time, address string, stamp quota.Stamp) {
 	if a == nil {
 		return
--- a/relay/borrower.go
+++ b/relay/borrower.go
@@ -33,21 +33,21 @@
 // borrowResponse answers a borrowRequest. The lender has already deducted the retries from
 // its own budget.
 type borrowResponse struct {
-	Given bool `msgpack:"g"`
+	Lent bool `msgpack:"g"`
 }
 
 // Borrower asks other daemons to lend retries when the retry budget of this one is
 // exhausted. It is safe for concurrent use.
 //
-// Load pattern: upstreams reject a few percent of the requests, which affects one daemon
-// after the other.
-// In a large fleet the budget of one daemon is two retries, and zero during its first
-// seconds, while the budget of the whole fleet is hundreds. Lent retries are deducted from
-// the lender's token bucket, which has the same bound as the borrower's, so that the
-// fleet's total is unchanged. If the answer is lost, the retries are lost too.
+// Load pattern: upstreams reject a few percent of the requests, and the rejections affect one
+// daemon after the other. In a large fleet the budget of one daemon is two retries, and zero
+// during its first seconds, while the budget of the whole fleet is hundreds. Lent retries are
+// deducted from the lender's token bucket, which has the same capacity as the borrower's, so
+// that the number of retries of the whole fleet is unchanged. If the answer is lost, the
+// retries are lost too.
 type Borrower struct {
 	o BorrowerOptions
-	// inFlight is held during a call to the lenders. Concurrent callers are refused at
+	// inFlight is locked during a call to the lenders. Concurrent callers are refused at
 	// once, so that a request about to fail is not delayed further.
 	inFlight     sync.Mutex
 	refusedUntil map[refusalKey]time.Time
@@ -121,7 +121,7 @@
 	switch {
 	case err != nil:
 		logger.WithError(err).Debug("retry not borrowed")
-	case reply.Given:
+	case reply.Lent:
 		logger.Info("retry borrowed")
 		return true
 	}
--- a/relay/count_test.go
+++ b/relay/count_test.go
@@ -16,7 +16,8 @@
 // in a small fleet, where no daemon reads through another one and daemons must learn of
 // each other in another way.
 func TestDaemonsCountEachOther(t *testing.T) {
-	const known = 8 * time.Second
+	// countTime is the time after a start within which the daemons must count each other.
+	const countTime = 8 * time.Second
 	for _, n := range []int{6, 7, 12, 150} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -25,7 +26,7 @@
 				w.store.register(1)
 				for range 3 {
 					w.startAll(w.daemons)
-					time.Sleep(known)
+					time.Sleep(countTime)
 					for _, d := range w.daemons {
 						if got := d.roster.ShareCount(time.Now()); got < n || got > n+dataCentres {
 							t.Errorf("%s counts %d of %d daemons", d.self.Instance, got, n)
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -8,6 +8,9 @@
 // is repeated. Seeds are the daemons whose addresses are in the settings; a starting daemon
 // asks them for the succession of its data centre.
 //
+// A failed call to an unavailable store is repeated as a probe: a read that does not wait at
+// the store for new records.
+//
 // Three types make the decisions. They do no I/O: they are given events and the current
 // time.
 //
@@ -15,15 +18,17 @@
 //     that replace it in case of failure.
 //   - Plan selects the source of the next read: the reader, one of its successors, a reader of
 //     another data centre, the store, or none for a while.
-//   - FeedCache holds what this daemon has read of the feeds.
+//   - FeedCache holds the records that this daemon has read from the feeds.
 //
-// Three types do the I/O. Store reads the two feeds as its Plan says, Server answers other
-// daemons from the FeedCache and the Roster, and Exchange lets the readers inform each other.
+// Three types do the I/O. Store reads the two feeds from the sources that its Plan selects,
+// Server answers other daemons from the FeedCache and the Roster, and Exchange sends the
+// claims of each reader to the others.
 //
 // The daemons also use these calls to share samples of completions (Samples), the rate limits
 // of upstreams (Limits), records of requests during which upstreams ended (Quarantine) and
-// unaccrued time (AccrualSender). Borrower and Loans ask other daemons for retries and for
-// units of rate limits.
+// the time for which a daemon has not added its share of the rate limits to any ledger yet
+// (AccrualSender). Borrower and Loans ask other daemons for retries and for units of rate
+// limits.
 //
 // Without the relay every daemon asks the store for every change, and retries while the store
 // is unavailable. With 295 daemons, an outage of 16 seconds caused 41,000 calls, most of
--- a/relay/feedcache_test.go
+++ b/relay/feedcache_test.go
@@ -49,6 +49,8 @@
 	return out
 }
 
+// A reading in the names of the cases is a batch added by one call of Add. isAll is set if Get
+// must return a snapshot.
 func TestFeedCacheGet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from  uint64
--- a/relay/fleet_test.go
+++ b/relay/fleet_test.go
@@ -17,8 +17,8 @@
 	"github.com/corianderturn/corianderturn/fleet"
 )
 
-// fleetSizes are the numbers of daemons with which each load, a scenario of events that
-// affect the whole fleet, is run.
+// fleetSizes are the numbers of daemons with which each load is run. A load is a scenario of
+// events that affect the whole fleet.
 var fleetSizes = []int{30, 100, 300}
 
 const (
@@ -72,13 +72,13 @@
 	}
 }
 
-// checkLearned checks that all running daemons have applied a change within a bound.
-func (w *testFleet) checkLearned(t *testing.T, change string, from time.Time, bound time.Duration) {
+// checkApplied checks that all running daemons have applied a change within a time limit.
+func (w *testFleet) checkApplied(t *testing.T, change string, from time.Time, limit time.Duration) {
 	t.Helper()
-	late, missing := w.lastLearned(change, from, w.running())
+	late, missing := w.lastApplied(change, from, w.running())
 	t.Logf("%s: applied by all daemons after %v", change, late)
-	if missing > 0 || late > bound {
-		t.Errorf("%s: %d daemons have not applied it, the last that has after %v, want %v", change, missing, late, bound)
+	if missing > 0 || late > limit {
+		t.Errorf("%s: %d daemons have not applied it, the last that has after %v, want %v", change, missing, late, limit)
 	}
 }
 
@@ -195,11 +195,11 @@
 				w.store.update(func() { set(w.store, true) })
 				time.Sleep(16 * time.Second)
 				w.checkCalls(t, from, 16*50)
-				version, left := w.store.putConfig(2), w.store.markDraining()
+				publishedAt, drainedAt := w.store.putConfig(2), w.store.markDraining()
 				w.store.update(func() { set(w.store, false) })
 				time.Sleep(5 * time.Second)
-				w.checkLearned(t, "version 2", version, 2*time.Second)
-				w.checkLearned(t, "leaves u0", left, 2*time.Second)
+				w.checkApplied(t, "version 2", publishedAt, 2*time.Second)
+				w.checkApplied(t, "draining u0", drainedAt, 2*time.Second)
 				w.checkCalls(t, from, 21*50)
 			})
 		})
@@ -224,10 +224,10 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, d := range w.running() {
-			if _, ok := d.learned["gone u0"]; ok {
+			if _, ok := d.firstApplied["removed u0"]; ok {
 				t.Fatalf("%s dropped a running upstream", d.self.Instance)
 			}
-			if _, ok := d.learned["gone u4"]; !ok {
+			if _, ok := d.firstApplied["removed u4"]; !ok {
 				t.Fatalf("%s keeps an upstream that is gone", d.self.Instance)
 			}
 		}
@@ -246,10 +246,10 @@
 			}
 		})
 		time.Sleep(time.Second)
-		version, left := w.store.putConfig(2), w.store.markDraining()
+		publishedAt, drainedAt := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(8 * time.Second)
-		w.checkLearned(t, "version 2", version, testBound)
-		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkApplied(t, "version 2", publishedAt, testBound)
+		w.checkApplied(t, "draining u0", drainedAt, testBound)
 		w.checkCalls(t, from, 9*45)
 	})
 }
@@ -270,7 +270,7 @@
 			at := w.store.putConfig(version)
 			time.Sleep(time.Second)
 			if version > 4 { // by then followers have found the daemons that the store serves
-				w.checkLearned(t, fmt.Sprintf("version %d", version), at, 500*time.Millisecond)
+				w.checkApplied(t, fmt.Sprintf("version %d", version), at, 500*time.Millisecond)
 			}
 		}
 		w.checkCalls(t, from, 9*60)
@@ -284,10 +284,10 @@
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
 		w.kill(w.readers()...)
-		version, left := w.store.putConfig(2), w.store.markDraining()
+		publishedAt, drainedAt := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(8 * time.Second)
-		w.checkLearned(t, "version 2", version, testBound)
-		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkApplied(t, "version 2", publishedAt, testBound)
+		w.checkApplied(t, "draining u0", drainedAt, testBound)
 		w.checkCalls(t, from, 8*25)
 	})
 }
@@ -303,7 +303,7 @@
 			w.store.setUnreachable(d.self.Instance, true)
 		}
 		w.network.setPartition(func(a, b string) bool { return frozen[a] || frozen[b] })
-		version, left := w.store.putConfig(2), w.store.markDraining()
+		publishedAt, drainedAt := w.store.putConfig(2), w.store.markDraining()
 		time.Sleep(6 * time.Second)
 		for _, d := range w.daemons {
 			w.store.setUnreachable(d.self.Instance, false)
@@ -315,13 +315,13 @@
 				others = append(others, d)
 			}
 		}
-		for what, at := range map[string]time.Time{"version 2": version, "leaves u0": left} {
-			if late, missing := w.lastLearned(what, at, others); missing > 0 || late > testBound {
+		for what, at := range map[string]time.Time{"version 2": publishedAt, "draining u0": drainedAt} {
+			if late, missing := w.lastApplied(what, at, others); missing > 0 || late > testBound {
 				t.Errorf("%s: %d daemons have not applied it, the last that has after %v", what, missing, late)
 			}
 		}
 		time.Sleep(12 * time.Second)
-		w.checkLearned(t, "version 2", version, 10*time.Second)
+		w.checkApplied(t, "version 2", publishedAt, 10*time.Second)
 		w.checkCalls(t, from, 18*30)
 		if got := len(w.readers()); got != dataCentres {
 			t.Errorf("%d readers after the freeze", got)
@@ -355,7 +355,7 @@
 		w.network.setPartition(nil)
 		version := w.store.putConfig(2)
 		time.Sleep(8 * time.Second)
-		w.checkLearned(t, "version 2", version, testBound)
+		w.checkApplied(t, "version 2", version, testBound)
 		w.checkCalls(t, from, 14*25)
 		if got := len(w.readers()); got != dataCentres {
 			t.Errorf("%d readers after the partition", got)
@@ -368,14 +368,14 @@
 func TestTrimmedHistory(t *testing.T) {
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		from := w.elapsed()
-		left := w.store.markDraining()
+		drainedAt := w.store.markDraining()
 		w.store.update(func() { // before any reader has read the last record
 			for f := range w.store.feeds {
 				w.store.firstOffset[f] = uint64(len(w.store.feeds[f]))
 			}
 		})
 		time.Sleep(5 * time.Second)
-		w.checkLearned(t, "leaves u0", left, testBound)
+		w.checkApplied(t, "draining u0", drainedAt, testBound)
 		w.checkCalls(t, from, 5*20)
 	})
 }
@@ -395,7 +395,7 @@
 			time.Sleep(330 * time.Millisecond)
 		}
 		time.Sleep(4 * time.Second)
-		w.checkLearned(t, "version 11", last, testBound)
+		w.checkApplied(t, "version 11", last, testBound)
 		w.checkCalls(t, from, 8*30)
 	})
 }
@@ -422,9 +422,9 @@
 	runOnFleets(t, func(t *testing.T, w *testFleet) {
 		last := w.daemons[len(w.daemons)-1]
 		w.kill(w.daemons[:len(w.daemons)-1]...)
-		left := w.store.markDraining()
+		drainedAt := w.store.markDraining()
 		time.Sleep(5 * time.Second)
-		if late, missing := w.lastLearned("leaves u0", left, []*daemon{last}); missing > 0 || late > testBound {
+		if late, missing := w.lastApplied("draining u0", drainedAt, []*daemon{last}); missing > 0 || late > testBound {
 			t.Errorf("applied after %v, missing %d", late, missing)
 		}
 	})
--- a/relay/fleetsize_test.go
+++ b/relay/fleetsize_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against daemons that start during a network partition and use the whole of the
-// fleet's shared limits. A data centre that is not heard of must not count as empty.
+// fleet's shared limits. A data centre without a known daemon must not count as empty.
 func TestUnreachableDataCentreIsNotEmpty(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), []string{"a", "b"})
 	if n := r.ShareCount(t0); n != 0 {
--- a/relay/followers.go
+++ b/relay/followers.go
@@ -30,7 +30,7 @@
 func (a *FollowerActivity) RecordCall(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.recentlyAsked(now) {
+	if !a.calledRecently(now) {
 		for _, call := range a.callbacks {
 			call()
 		}
@@ -38,15 +38,15 @@
 	a.lastCall = now
 }
 
-// Recent reports whether a follower has called within followerTimeout. While it has, this
-// daemon reads the store itself, with short waits.
+// Recent reports whether a follower has called within followerTimeout. While this is so,
+// this daemon reads the store itself, with short waits.
 func (a *FollowerActivity) Recent(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.recentlyAsked(now)
+	return a.calledRecently(now)
 }
 
-func (a *FollowerActivity) recentlyAsked(now time.Time) bool {
+func (a *FollowerActivity) calledRecently(now time.Time) bool {
 	return !a.lastCall.IsZero() && clock.Elapsed(a.lastCall, now) < followerTimeout
 }
 
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -40,10 +40,11 @@
 	Wants float64 `msgpack:"w"`
 	// PartialOK reports that fewer units than Needs are useful too.
 	PartialOK bool `msgpack:"p,omitempty"`
-	// From is the borrower. Accrued is unaccrued time of the borrower, for which the lender
-	// adds the borrower's share to its ledger (see AccrualSender).
-	From    Peer       `msgpack:"f"`
-	Accrued quota.Span `msgpack:"a"`
+	// From is the borrower. Unaccrued is the time for which the borrower has not added its
+	// share of the rate limits to any ledger. The lender adds that share to its own (see
+	// AccrualSender).
+	From      Peer       `msgpack:"f"`
+	Unaccrued quota.Span `msgpack:"a"`
 	// Terms are the rate of the account and the lifetime of its units. They are not sent,
 	// because the lender knows the terms itself.
 	Terms quota.Terms `msgpack:"-"`
@@ -130,7 +131,8 @@
 	return out
 }
 
-// borrowFrom borrows from one daemon; ok is false if it gave no answer.
+// borrowFrom borrows from one daemon; ok is false if the daemon did not answer or is not
+// asked because of loanBackoff.
 func (l *Loans) borrowFrom(ctx context.Context, peer Peer, call LoanRequest) (loan quota.Loan, ok bool) {
 	conn := l.conn(peer.Address)
 	select {
@@ -147,7 +149,7 @@
 		conn.client.close()
 	}
 	conn.lastUsed = asked
-	call.From, call.Accrued = l.o.Roster.Self(), l.o.Time.takeUnaccrued(asked, peer)
+	call.From, call.Unaccrued = l.o.Roster.Self(), l.o.Time.takeUnaccrued(asked, peer)
 	err := conn.client.call(ctx, peer.Address, wire.TypeLoan, loanTimeout, &call, &loan)
 	fields := l.o.Logger.WithFields(log.Fields{
 		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Remaining,
--- a/relay/message.go
+++ b/relay/message.go
@@ -43,7 +43,7 @@
 type readStatus uint8
 
 const (
-	// statusFresh: the batch is what the store held readResponse.Age ago.
+	// statusFresh: the batch has the records that the store had readResponse.Age ago.
 	statusFresh readStatus = iota
 	// statusStale: the reader's last contact with the store is too long ago, although none
 	// of its calls to the store has failed since.
@@ -58,9 +58,9 @@
 	From  uint64        `msgpack:"o"`
 	Whole bool          `msgpack:"h,omitempty"` // asks for a snapshot; From is then ignored
 	Wait  time.Duration `msgpack:"w"`           // longest wait for the first new record
-	// Patient is set by a caller with no other daemon left to ask. The server then holds
-	// the call until it has fresh data or Wait is over. Otherwise it answers earlier if it
-	// cannot get fresh data.
+	// Patient is set by a caller with no other daemon left to ask. The server then delays its
+	// answer until it has fresh data or Wait is over. If Patient is not set, a server that
+	// cannot get fresh data says so before Wait is over.
 	Patient bool `msgpack:"p,omitempty"`
 	Self    Peer `msgpack:"s"`
 	// KnownVersion is the version of the succession that the caller has.
@@ -72,8 +72,9 @@
 	// QuarantineUpTo is the sequence number up to which the caller has received quarantine
 	// records.
 	QuarantineUpTo uint64 `msgpack:"t,omitempty"`
-	// Accrued is unaccrued time of the caller (see AccrualSender).
-	Accrued quota.Span `msgpack:"a"`
+	// Unaccrued is the time for which the caller has not added its share of the rate limits
+	// to any ledger. The answering daemon adds that share to its own (see AccrualSender).
+	Unaccrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
@@ -95,7 +96,7 @@
 	Quarantine     []quarantine.Record `msgpack:"q,omitempty"`
 	QuarantineUpTo uint64              `msgpack:"t,omitempty"`
 	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
-	// unaccrued time to that daemon.
+	// its Unaccrued time to that daemon in later calls (see AccrualSender).
 	Stamp quota.Stamp `msgpack:"y"`
 	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -110,11 +111,11 @@
 	// Prompt, Expected and Size are the numbers of tokens of the prompt, of the answer as
 	// expected and of the actual answer.
 	Prompt, Expected, Size int
-	// HeldMillis, PerTokenMicros and ReadNanos are durations in milliseconds, microseconds
-	// and nanoseconds. ReadNanos is the prefill time of one prompt token; ReadLost is set if
-	// the prefill timed out.
-	HeldMillis, PerTokenMicros, ReadNanos int64
-	ReadLost                              bool
+	// HeldMillis, PerTokenMicros and PrefillNanos are Held, PerToken and PrefillPerToken of
+	// the estimate.Sample, in milliseconds, microseconds and nanoseconds. PrefillPerToken is
+	// the prefill time of one prompt token; PrefillTimedOut is set if the prefill timed out.
+	HeldMillis, PerTokenMicros, PrefillNanos int64
+	PrefillTimedOut                          bool
 }
 
 // toWireSamples converts samples to their wire form.
@@ -123,8 +124,8 @@
 	for _, s := range list {
 		out = append(out, sample{
 			Model: s.Model, Prompt: s.PromptTokens, Expected: s.ExpectedTokens, Size: s.AnswerTokens,
-			HeldMillis: s.Held.Milliseconds(), PerTokenMicros: s.PerToken.Microseconds(), ReadNanos: s.PrefillPerToken.Nanoseconds(),
-			ReadLost: s.PrefillTimedOut,
+			HeldMillis: s.Held.Milliseconds(), PerTokenMicros: s.PerToken.Microseconds(), PrefillNanos: s.PrefillPerToken.Nanoseconds(),
+			PrefillTimedOut: s.PrefillTimedOut,
 		})
 	}
 	return out
@@ -137,8 +138,8 @@
 		out = append(out, estimate.Sample{
 			Model: s.Model, PromptTokens: s.Prompt, ExpectedTokens: s.Expected, AnswerTokens: s.Size,
 			Held:     time.Duration(s.HeldMillis) * time.Millisecond,
-			PerToken: time.Duration(s.PerTokenMicros) * time.Microsecond, PrefillPerToken: time.Duration(s.ReadNanos),
-			PrefillTimedOut: s.ReadLost,
+			PerToken: time.Duration(s.PerTokenMicros) * time.Microsecond, PrefillPerToken: time.Duration(s.PrefillNanos),
+			PrefillTimedOut: s.PrefillTimedOut,
 		})
 	}
 	return out
@@ -162,8 +163,9 @@
 	Unreachable []string `msgpack:"q,omitempty"`
 	// Samples are sent by readers and come from the daemons of their data centre.
 	Samples []sample `msgpack:"e,omitempty"`
-	// Accrued is unaccrued time of the caller (see AccrualSender).
-	Accrued quota.Span `msgpack:"a"`
+	// Unaccrued is the time for which the caller has not added its share of the rate limits
+	// to any ledger. The answering daemon adds that share to its own (see AccrualSender).
+	Unaccrued quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
@@ -174,7 +176,7 @@
 	Succession Succession `msgpack:"c"`
 	Claims     []claim    `msgpack:"r,omitempty"`
 	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
-	// unaccrued time to that daemon.
+	// its Unaccrued time to that daemon in later calls (see AccrualSender).
 	Stamp quota.Stamp `msgpack:"y"`
 	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
--- a/relay/pack.go
+++ b/relay/pack.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// compressThreshold is the size in bytes from which on a batch is compressed. The
+	// compressThreshold is the smallest size in bytes of a batch that is compressed. The
 	// configuration of many routes, or a snapshot of many upstreams, shrinks to a sixth.
 	// Without compression, sixty followers of a reader with a link of 20 Mbit/s would wait
 	// seconds for 280 KB each.
--- a/relay/plan.go
+++ b/relay/plan.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minFleet is the number of daemons from which on readers are used. In a smaller fleet
-	// they would save few calls, and direct reads keep the fault of one daemon from
+	// minFleet is the smallest number of daemons with which a fleet uses readers. In a smaller
+	// fleet, readers would save few calls, and direct reads keep the fault of one daemon from
 	// affecting others.
 	minFleet = 10
 	// storeDownBackoff is how long a peer is not asked after it answered that the store is
@@ -59,8 +59,8 @@
 	Peer   Peer // for AskPeer and AskReader
 	// Patient is set if there is no other daemon left to ask (see readRequest).
 	Patient bool
-	// Probe is set if the store may be unavailable. The call then does not wait at the
-	// store for new records, so that it cannot last beyond the store's recovery.
+	// Probe is set if the store may be unavailable. The call to the store then does not wait
+	// there for new records, so that it cannot last beyond the store's recovery.
 	Probe bool
 	Pause time.Duration // for Wait
 }
--- a/relay/plan_test.go
+++ b/relay/plan_test.go
@@ -23,17 +23,18 @@
 	return NewPlan(t0, peer("m", "a", 192), []string{"seed"}, r, rand.New(rand.NewPCG(1, 1)))
 }
 
-// String returns a short form of a step, which the tests compare.
+// String returns a short description of a step, which the tests compare. For AskPeer it
+// contains the address of the peer.
 func (s Step) String() string {
 	switch s.Action {
 	case AskStore:
 		return map[bool]string{false: "store", true: "probe"}[s.Probe]
 	case AskPeer:
-		return map[bool]string{false: "", true: "patient "}[s.Patient] + s.Peer.Address
+		return map[bool]string{false: "", true: "wait for fresh data from "}[s.Patient] + s.Peer.Address
 	case AskReader:
-		return "meet " + s.Peer.Address
+		return "find reader via " + s.Peer.Address
 	case ListReaders:
-		return "list"
+		return "list readers"
 	default:
 		return "wait"
 	}
@@ -41,32 +42,35 @@
 
 const upstreamsFeed = fleet.FeedUpstreams
 
+// order is the succession that daemon m has received, and event what m has observed since.
+// In the names of the cases, r is the reader, s a successor and x the reader of another data
+// centre.
 func TestPlanFollowsTheSuccession(t *testing.T) {
 	for name, tc := range map[string]struct {
 		order []string
 		event func(p *Plan)
-		asked bool
+		asked bool // other daemons read through m
 		want  string
 	}{
-		"the reader":                             {[]string{"r", "s"}, nil, false, "r"},
-		"it is the reader":                       {[]string{"m", "s"}, nil, false, "store"},
-		"it has followers":                       {[]string{"r", "s"}, nil, true, "store"},
-		"the reader is unreachable":              {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader is unreachable, it is next":  {[]string{"r", "m"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "store"},
-		"the reader's store is down":             {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader's data is stale":             {[]string{"r", "s"}, func(p *Plan) { p.PeerStale(t0, peer("r", "a", 0)) }, false, "s"},
-		"the reader's store is down, it is next": {[]string{"r", "m"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "probe"},
-		"the store is down for all":              {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "patient r"},
-		"all are unreachable":                    {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)); p.PeerUnreachable(t0, peer("s", "a", 0)) }, false, "meet seed"},
-		"it reads, the store fails":              {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0) }, false, "s"},
-		"it reads, store and next fail":          {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "x"},
-		"it reads, the next has fresh data": {[]string{"m", "s"}, func(p *Plan) {
+		"the reader":                                               {[]string{"r", "s"}, nil, false, "r"},
+		"m is the reader":                                          {[]string{"m", "s"}, nil, false, "store"},
+		"m has followers":                                          {[]string{"r", "s"}, nil, true, "store"},
+		"the reader is unreachable":                                {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader is unreachable, m is next":                     {[]string{"r", "m"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)) }, false, "store"},
+		"the reader's store is down":                               {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's data is stale":                               {[]string{"r", "s"}, func(p *Plan) { p.PeerStale(t0, peer("r", "a", 0)) }, false, "s"},
+		"the reader's store is down, m is next":                    {[]string{"r", "m"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)) }, false, "probe"},
+		"r and s report that the store is down":                    {[]string{"r", "s"}, func(p *Plan) { p.PeerStoreDown(t0, peer("r", "a", 0)); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "wait for fresh data from r"},
+		"r and s are unreachable":                                  {[]string{"r", "s"}, func(p *Plan) { p.PeerUnreachable(t0, peer("r", "a", 0)); p.PeerUnreachable(t0, peer("s", "a", 0)) }, false, "find reader via seed"},
+		"m is the reader, the store fails":                         {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0) }, false, "s"},
+		"m is the reader, the store fails and s has no fresh data": {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("s", "a", 0)) }, false, "x"},
+		"m is the reader, the store fails, s has fresh data again": {[]string{"m", "s"}, func(p *Plan) {
 			p.StoreFailed(t0)
 			p.PeerStoreDown(t0, peer("s", "a", 0))
 			p.PeerFresh(t0, peer("s", "a", 192))
 		}, false, "s"},
-		"it reads, no peer has fresh data":  {[]string{"m"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("x", "b", 0)) }, false, "wait"},
-		"it reads, the store answers again": {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.StoreAnswered() }, false, "store"},
+		"m is the reader, the store fails and no peer has fresh data": {[]string{"m"}, func(p *Plan) { p.StoreFailed(t0); p.PeerStoreDown(t0, peer("x", "b", 0)) }, false, "wait"},
+		"m is the reader, the store answers again":                    {[]string{"m", "s"}, func(p *Plan) { p.StoreFailed(t0); p.StoreAnswered() }, false, "store"},
 	} {
 		p := newTestPlan(tc.order...)
 		if tc.event != nil {
@@ -87,7 +91,7 @@
 	for len(got) == 0 || got[len(got)-1] != "store" {
 		step := p.Next(now, upstreamsFeed, false)
 		if step.Action != AskStore && len(p.candidates) > 0 && p.ReadsStore(now) {
-			t.Error("counts as a reader during its search")
+			t.Error("ReadsStore is true during the search for a reader")
 		}
 		if step.Action == Wait {
 			now = now.Add(step.Pause)
@@ -103,14 +107,14 @@
 			t.Fatal(got)
 		}
 	}
-	if d := cmp.Diff([]string{"list", "meet near", "meet far", "store"}, got[len(got)-4:]); d != "" {
+	if d := cmp.Diff([]string{"list readers", "find reader via near", "find reader via far", "store"}, got[len(got)-4:]); d != "" {
 		t.Error(d)
 	}
 	if now.Sub(t0) < seedWait || now.Sub(t0) > 2*seedWait {
 		t.Errorf("asked the store after %v", now.Sub(t0))
 	}
 	if !p.ReadsStore(now) {
-		t.Error("does not count as a reader after its search")
+		t.Error("ReadsStore is false after a search that found no reader")
 	}
 }
 
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -63,7 +63,8 @@
 // testDigest is the digest of the request during which upstreams end.
 var testDigest = quarantine.DigestOf("fatal")
 
-// recordEnd appends the end of an upstream to the quarantine log.
+// recordEnd appends to the quarantine log that an upstream ended during the request with
+// testDigest.
 func (s *fakeStore) recordEnd(name string) {
 	s.update(func() {
 		s.quarantineRecords = append(s.quarantineRecords, quarantine.Record{Digest: testDigest, Upstream: name, Millis: time.Now().UnixMilli()})
@@ -81,8 +82,8 @@
 }
 
 // Guards against daemons that still send a request after three upstreams have ended during
-// it. The three ends are half a second apart, and the fault of the test case occurs after
-// the first. Followers must receive the records too, and a record must not be delayed
+// it. The upstreams end half a second apart, and the fault of the test case occurs after the
+// first one has ended. Followers must receive the records too, and a record must not be delayed
 // because an earlier one was sent shortly before.
 func TestEndsAreTold(t *testing.T) {
 	refuse := func(w *testFleet, which func(i int, d *daemon) bool) {
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// peerTTL is how long after its last contact a daemon counts as running. A follower
-	// calls its reader several times within it.
+	// peerTTL is how long a daemon counts as running after the last contact with it. A
+	// follower calls its reader several times within it.
 	peerTTL = 5 * time.Second
 	// claimTTL is how long a reader's claim is valid. Readers repeat their claim every
 	// exchangeInterval.
 	claimTTL = 4 * time.Second
-	// countTTL is how long after its last contact a daemon is counted. The fleet's retries are
-	// divided by the count. A count that is too large only makes the shares smaller; one
-	// that is too small would let the fleet exceed its limit.
+	// countTTL is how long a daemon is counted after the last contact with it. The fleet's
+	// retries are divided by the count. A count that is too large only makes the shares
+	// smaller; one that is too small would let the fleet exceed its limit.
 	countTTL = 30 * time.Second
 	// unreachableTTL is how long a daemon that failed to answer is not called again.
 	unreachableTTL = 10 * time.Second
@@ -53,9 +53,9 @@
 	// isReader reports that this daemon is the reader of its data centre.
 	isReader bool
 	// maxDaemons is the largest number of daemons known since this process started, and
-	// maxLocal the largest in this data centre. maxSharing also includes an estimate for
-	// data centres without any known daemon (see FleetSize).
-	maxDaemons, maxSharing, maxLocal int
+	// maxLocalDaemons the largest in this data centre. maxShareCount also includes an estimate
+	// for data centres without any known daemon (see FleetSize).
+	maxDaemons, maxShareCount, maxLocalDaemons int
 }
 
 // knownPeer is another daemon, with the times of its last contact and of its last claim.
@@ -83,8 +83,9 @@
 	r.recordContact(now, p)
 }
 
-// recordContact updates the last contact of a daemon and returns its entry, or nil for this
-// daemon itself. After peerTTL without contact, the entry is replaced by a new one.
+// recordContact updates the time of the last contact with a daemon and returns its entry, or
+// nil for this daemon itself. After peerTTL without contact, the entry is replaced by a new
+// one.
 func (r *Roster) recordContact(now time.Time, p Peer) *knownPeer {
 	if p.Address == "" || p.Address == r.self.Address {
 		return nil
@@ -125,8 +126,8 @@
 	defer r.mu.Unlock()
 	r.received = s
 	r.maxDaemons = max(r.maxDaemons, s.Daemons)
-	r.maxSharing = max(r.maxSharing, s.ShareCount)
-	r.maxLocal = max(r.maxLocal, s.LocalDaemons)
+	r.maxShareCount = max(r.maxShareCount, s.ShareCount)
+	r.maxLocalDaemons = max(r.maxLocalDaemons, s.LocalDaemons)
 }
 
 // BecomeReader makes this daemon the reader of its data centre until the roster elects
@@ -262,9 +263,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Succession{Daemons: r.countDaemons(now)}
-	s.ShareCount = r.maxSharing
+	s.ShareCount = r.maxShareCount
 	if dataCentre == r.self.DataCentre {
-		s.LocalDaemons = r.maxLocal
+		s.LocalDaemons = r.maxLocalDaemons
 	}
 	for _, p := range r.otherReaders(now) {
 		if p.DataCentre != dataCentre {
@@ -304,6 +305,7 @@
 func (r *Roster) electOrder(now time.Time, dataCentre string, unreachable []string) []Peer {
 	var readers, all []Peer
 	var eligible []Peer
+	// claims reports that p is a reader, known that p has been known for takeoverDelay.
 	add := func(p Peer, claims, known bool) {
 		if p.DataCentre != dataCentre || slices.Contains(unreachable, p.Address) || r.isUnreachable(now, p.Address) {
 			return
@@ -379,7 +381,7 @@
 	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
 		return 0
 	}
-	return r.maxSharing
+	return r.maxShareCount
 }
 
 // FleetSize returns the largest number of daemons of the fleet that was known since this
@@ -390,8 +392,8 @@
 	return r.countDaemons(now)
 }
 
-// countDaemons counts the known daemons, raises maxDaemons, maxSharing and maxLocal if the
-// counts are larger, and returns maxDaemons.
+// countDaemons counts the known daemons, raises maxDaemons, maxShareCount and maxLocalDaemons
+// if the counts are larger, and returns maxDaemons.
 func (r *Roster) countDaemons(now time.Time) int {
 	counts := map[string]int{r.self.DataCentre: r.countIn(now, r.self.DataCentre)}
 	for _, e := range r.peers {
@@ -402,8 +404,8 @@
 		counts[dc] = max(counts[dc], e.daemons)
 	}
 	r.maxDaemons = max(r.maxDaemons, FleetSize(counts, nil))
-	r.maxSharing = max(r.maxSharing, FleetSize(counts, r.dataCentres))
-	r.maxLocal = max(r.maxLocal, counts[r.self.DataCentre])
+	r.maxShareCount = max(r.maxShareCount, FleetSize(counts, r.dataCentres))
+	r.maxLocalDaemons = max(r.maxLocalDaemons, counts[r.self.DataCentre])
 	return r.maxDaemons
 }
 
--- a/relay/roster_test.go
+++ b/relay/roster_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against a change of reader, and a call by each of its followers, whenever a daemon
-// of larger weight is heard of.
+// of larger weight becomes known.
 func TestRosterKeepsCurrentReader(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.BecomeReader()
@@ -56,7 +56,7 @@
 		r.RecordCall(after(at), peer("z", "a", 800))
 		r.RecordCall(after(at), peer("b", "a", 192))
 	}
-	wantPeers(t, "a much heavier one has settled", r.Order(after(takeoverDelay)), "z", "b", "m")
+	wantPeers(t, "z has been known for takeoverDelay", r.Order(after(takeoverDelay)), "z", "b", "m")
 	if r.IsReader() {
 		t.Error("it is still the reader")
 	}
@@ -96,10 +96,10 @@
 func TestRosterUsesReceivedSuccession(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.SetSuccession(Succession{Order: []Peer{peer("r", "a", 800), peer("m", "a", 192), peer("s", "a", 100)}, Others: []Peer{peer("x", "b", 1)}, Daemons: 40})
-	wantPeers(t, "told", r.Order(t0), "r", "m", "s")
+	wantPeers(t, "received", r.Order(t0), "r", "m", "s")
 	wantPeers(t, "others", r.OtherReaders(t0), "x")
-	wantPeers(t, "passed on", r.Succession(t0, "a", nil).Order, "r", "m", "s")
-	wantPeers(t, "passed on to one that reaches no r", r.Succession(t0, "a", []string{"r"}).Order, "m", "s")
+	wantPeers(t, "sent to another daemon", r.Succession(t0, "a", nil).Order, "r", "m", "s")
+	wantPeers(t, "sent to a daemon that cannot reach r", r.Succession(t0, "a", []string{"r"}).Order, "m", "s")
 	if n := r.FleetSize(t0); n != 40 {
 		t.Errorf("%d daemons", n)
 	}
@@ -115,19 +115,19 @@
 	received := Succession{Order: []Peer{peer("r", "a", 800), peer("s", "a", 192)}}
 	r.SetSuccession(received)
 	r.MarkUnreachable(t0, "r")
-	wantPeers(t, "silent", r.Order(t0), "s")
+	wantPeers(t, "r is unreachable", r.Order(t0), "s")
 	if d := cmp.Diff([]string{"r"}, r.Unreachable(t0)); d != "" {
 		t.Error(d)
 	}
-	wantPeers(t, "after its time", r.Order(after(unreachableTTL)), "r", "s")
+	wantPeers(t, "after unreachableTTL", r.Order(after(unreachableTTL)), "r", "s")
 	r.MarkUnreachable(t0, "r")
 	r.RecordCall(t0, peer("r", "a", 800))
-	wantPeers(t, "heard again", r.Order(t0), "r", "s")
+	wantPeers(t, "after a call from r", r.Order(t0), "r", "s")
 }
 
 // Guards against retries above the fleet's limit during a network partition. A daemon that
-// knew 300 daemons and now hears of sixty must go on dividing the limit by 300.
-func TestRosterCountNeverShrinks(t *testing.T) {
+// knew 300 daemons and is now in contact with sixty must go on dividing the limit by 300.
+func TestRosterFleetSizeNeverShrinks(t *testing.T) {
 	r := NewRoster(peer("m", "a", 192), nil)
 	r.BecomeReader()
 	r.RecordCall(t0, peer("n", "a", 192))
--- a/relay/samples_test.go
+++ b/relay/samples_test.go
@@ -37,12 +37,12 @@
 	wantSizes(t, "to other readers", s.TakeForOtherReaders(), 1, 2)
 	wantSizes(t, "to other readers again", s.TakeForOtherReaders())
 	got, seen := s.Since(t0, "f", 0)
-	wantSizes(t, "to the follower that saw one itself", got, 1, 3)
+	wantSizes(t, "to the follower that sent sample 2", got, 1, 3)
 	got, _ = s.Since(t0, "f", seen)
-	wantSizes(t, "again", got)
+	wantSizes(t, "no new samples", got)
 	s.AddFromReader(t0, []estimate.Sample{newSample(4)})
 	got, _ = s.Since(t0, "f", seen)
-	wantSizes(t, "one more", got, 4)
+	wantSizes(t, "one new sample", got, 4)
 }
 
 // A follower with a sequence number of another reader is treated as a new one.
--- a/relay/server.go
+++ b/relay/server.go
@@ -56,8 +56,8 @@
 	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
 	// Quota is the ledger that accrues the followers' shares for the unaccrued time that they
-	// send (see AccrualSender); with nil the time is lost. LendUnits lends units of an
-	// account; with nil nothing is lent.
+	// send (see AccrualSender); with nil their shares for that time are lost. LendUnits lends
+	// units of an account; with nil nothing is lent.
 	Quota     *quota.Ledger
 	LendUnits func(ask LoanRequest) quota.Loan
 	Timing    Timing
@@ -217,7 +217,7 @@
 		if err := wire.Decode(env.Body, &call); err != nil {
 			return nil, err
 		}
-		return &borrowResponse{Given: s.o.Lend != nil && call.Needs > 0 && s.o.Lend(call.Target, call.Needs)}, nil
+		return &borrowResponse{Lent: s.o.Lend != nil && call.Needs > 0 && s.o.Lend(call.Target, call.Needs)}, nil
 	case wire.TypeLoan:
 		var call LoanRequest
 		if err := wire.Decode(env.Body, &call); err != nil {
@@ -226,7 +226,7 @@
 		if s.o.LendUnits == nil {
 			return &quota.Loan{}, nil
 		}
-		s.acceptUnaccrued(call.From, call.Accrued)
+		s.acceptUnaccrued(call.From, call.Unaccrued)
 		s.o.Limits.Update(call.Limits)
 		loan := s.o.LendUnits(call)
 		return &loan, nil
@@ -249,7 +249,7 @@
 		s.o.Samples.AddFromReader(s.o.Now(), samples)
 		s.o.OnSamples(samples)
 	}
-	s.acceptUnaccrued(call.Self, call.Accrued)
+	s.acceptUnaccrued(call.Self, call.Unaccrued)
 	s.o.Limits.Update(call.Limits)
 	s.awaitStartup(ctx)
 	now := s.o.Now()
@@ -288,11 +288,11 @@
 
 // handleRead answers a read as soon as there is fresh data with something new for the caller,
 // and at the latest when the wait of the request is over. Without fresh data it answers
-// earlier with a status that says so, unless the request is patient (see readRequest).
+// earlier with a status that says so, unless readRequest.Patient is set.
 func (s *Server) handleRead(ctx context.Context, call readRequest) (*readResponse, error) {
 	s.o.Roster.RecordCall(s.o.Now(), call.Self)
 	s.o.Followers.RecordCall(s.o.Now())
-	s.acceptUnaccrued(call.Self, call.Accrued)
+	s.acceptUnaccrued(call.Self, call.Unaccrued)
 	s.o.Limits.Update(call.Limits)
 	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
 		s.o.Samples.AddFromFollower(s.o.Now(), call.Self.Address, samples)
@@ -363,9 +363,9 @@
 	return body, err
 }
 
-// addNews adds to a response what is sent besides the records of the feed: the stamp and, if
-// the caller has another version of it, the succession. For the upstreams feed it also adds
-// samples, quarantine records and limits.
+// addNews adds to a response what is sent besides the records of the feed: the current time
+// of this daemon's ledger (see AccrualSender) and, if the caller has another version of it,
+// the succession. For the upstreams feed it also adds samples, quarantine records and limits.
 func (s *Server) addNews(call readRequest, reply *readResponse) *readResponse {
 	current := s.succession(call.Self.DataCentre)
 	reply.Stamp = s.o.Quota.Stamp(s.o.Now())
--- a/relay/share.go
+++ b/relay/share.go
@@ -17,7 +17,7 @@
 	if r.countDaemons(now); len(r.peers) == 0 && r.maxDaemons <= 1 {
 		return 0
 	}
-	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.maxLocal))
+	return 1 / float64(max(1, len(r.dataCentres))*max(1, r.maxLocalDaemons))
 }
 
 // LocalDaemons returns the largest number of daemons known in this data centre since this
@@ -26,7 +26,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.countDaemons(now)
-	return r.maxLocal
+	return r.maxLocalDaemons
 }
 
 // RaiseLocalDaemons raises the number of daemons known in this data centre to n, the number
@@ -37,14 +37,14 @@
 func (r *Roster) RaiseLocalDaemons(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.maxLocal = max(r.maxLocal, n)
+	r.maxLocalDaemons = max(r.maxLocalDaemons, n)
 }
 
-// LoanCandidates returns the daemons that may hold accrued units, in the order in which to
-// ask them: holder, which is the daemon to which this one last sent unaccrued time, the
+// LoanCandidates returns the daemons that may have accrued units, in the order in which to
+// ask them: lastRecipient, which is the daemon to which this one last sent unaccrued time, the
 // reader of this data centre, and the readers of the others. In a small fleet, where each
 // daemon accrues its own share, it returns all lenders.
-func (r *Roster) LoanCandidates(now time.Time, holder Peer) []Peer {
+func (r *Roster) LoanCandidates(now time.Time, lastRecipient Peer) []Peer {
 	lenders := r.Lenders(now)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,11 +55,11 @@
 	if r.isReader {
 		return out
 	}
-	if len(lenders) > 0 && lenders[0].Address != holder.Address {
+	if len(lenders) > 0 && lenders[0].Address != lastRecipient.Address {
 		out = slices.Insert(out, 0, lenders[0])
 	}
-	if holder.Address != "" && !r.isUnreachable(now, holder.Address) {
-		out = slices.Insert(out, 0, holder)
+	if lastRecipient.Address != "" && !r.isUnreachable(now, lastRecipient.Address) {
+		out = slices.Insert(out, 0, lastRecipient)
 	}
 	return out
 }
--- a/relay/store.go
+++ b/relay/store.go
@@ -37,8 +37,8 @@
 	Limits Limits
 	// OnSamples receives samples that other daemons have taken of completions on engines.
 	OnSamples func(list []estimate.Sample)
-	// Time supplies the unaccrued time that is sent to the reader with each read; with nil
-	// none is sent.
+	// Time supplies the unaccrued time that is sent to the reader with each read (see
+	// AccrualSender); with nil none is sent.
 	Time *AccrualSender
 	// Self describes this daemon. Seeds are the addresses of the daemons that are asked for
 	// a reader first.
@@ -74,8 +74,9 @@
 	startupDiscoverTimeout = startupDiscoverWait + discoverTimeout
 )
 
-// Store reads the feeds as its Plan says: from another daemon or from the store itself. It
-// implements fleet.Store. Each feed must be read by one goroutine at a time.
+// Store reads the feeds from the source that its Plan selects, which is another daemon or
+// the store itself. It implements fleet.Store. Each feed must be read by one goroutine at a
+// time.
 type Store struct {
 	o              Options
 	started        time.Time
@@ -309,7 +310,7 @@
 	defer s.mu.Unlock()
 	call := readRequest{
 		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Timing.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
-		KnownVersion: s.successionVersion, Accrued: s.o.Time.takeUnaccrued(s.o.Now(), step.Peer),
+		KnownVersion: s.successionVersion, Unaccrued: s.o.Time.takeUnaccrued(s.o.Now(), step.Peer),
 	}
 	if q.feed == fleet.FeedUpstreams {
 		cursors := s.cursors[step.Peer.Address]
@@ -349,7 +350,7 @@
 // readFromStore reads the store itself.
 func (s *Store) readFromStore(ctx context.Context, q query) (fleet.Batch, error) {
 	s.setSource("")
-	if !clock.Sleep(ctx, s.gatherDelay(q.feed)) {
+	if !clock.Sleep(ctx, s.delayBeforeRead(q.feed)) {
 		return fleet.Batch{}, errors.WithStack(ctx.Err())
 	}
 	var b fleet.Batch
@@ -396,9 +397,9 @@
 	s.o.Cache.Add(now, q.feed, q.from, *b)
 }
 
-// gatherDelay returns how long to wait before the next call to the store, so that records
+// delayBeforeRead returns how long to wait before the next call to the store, so that records
 // that are written shortly after each other are read in one call (see Timing.Gather).
-func (s *Store) gatherDelay(f fleet.Feed) time.Duration {
+func (s *Store) delayBeforeRead(f fleet.Feed) time.Duration {
 	now := s.o.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -409,10 +410,10 @@
 	return max(0, s.lastRecords[f].Add(gather).Sub(now))
 }
 
-// storeWait returns how long the store may hold a read. The wait is shortened while this
-// daemon has followers. After a failure it is zero: the first batch after an outage carries
-// the flag Away, and with a long wait it could also contain removals that were made on
-// purpose after the recovery.
+// storeWait returns how long a read may wait at the store for new records. The wait is
+// shortened while this daemon has followers. After a failure it is zero: the first batch
+// after an outage carries the flag Away, and with a long wait it could also contain removals
+// that were made on purpose after the recovery.
 func (s *Store) storeWait(q query) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -428,9 +429,9 @@
 }
 
 // countRead reports a read to Options.OnRead.
-func (s *Store) countRead(f fleet.Feed, w Outcome) {
+func (s *Store) countRead(f fleet.Feed, outcome Outcome) {
 	if s.o.OnRead != nil {
-		s.o.OnRead(f, w)
+		s.o.OnRead(f, outcome)
 	}
 }
 
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -331,8 +331,9 @@
 	}
 }
 
-// Load: fifty upstreams register within seconds, each with a record of its own.
-func TestRecordsAreGathered(t *testing.T) {
+// Load: fifty upstreams register within seconds, each with a record of its own. The pause
+// between two calls to the store must let one call read several of these records.
+func TestRecordsAreReadInBatches(t *testing.T) {
 	d := newTestDaemon(&fakeFeedStore{records: []string{"a"}}, testSelf)
 	if _, err := d.readFrom(t, 0); err != nil {
 		t.Fatal(err)
@@ -352,14 +353,14 @@
 		if tc.asked {
 			d.followers.RecordCall(d.now)
 		}
-		if got := d.gatherDelay(fleet.FeedUpstreams); got != tc.want {
+		if got := d.delayBeforeRead(fleet.FeedUpstreams); got != tc.want {
 			t.Errorf("%v after records, with followers %t: pause of %v, want %v", tc.later, tc.asked, got, tc.want)
 		}
 	}
 }
 
-// The timeouts leave the follower of a partitioned reader half of the bound, and the data
-// of a healthy reader never becomes stale.
+// The timeouts leave the follower of a partitioned reader half of the propagation bound (see
+// Timing), and the data of a healthy reader never becomes stale.
 func TestTiming(t *testing.T) {
 	for _, bound := range []time.Duration{0, 2 * time.Second, 3 * time.Second, 4 * time.Second, 14 * time.Second} {
 		p := TimingFor(bound)
--- a/relay/timing.go
+++ b/relay/timing.go
@@ -3,20 +3,20 @@
 import "time"
 
 // Timing holds the durations that control how long reads wait and how long their results
-// count as fresh. All of them derive from one bound, the time within which a change in the
-// store must be in force on all daemons.
+// count as fresh. All of them derive from the propagation bound, the time within which a
+// change in the store must be in force on all daemons.
 type Timing struct {
-	// AnswerWithin is how long a reader holds a call without new records, and Slack how
-	// much longer its answer may take. A shorter AnswerWithin costs more messages, each of
-	// which takes about 50 µs of CPU time on both sides; a longer one delays the detection
-	// of an unreachable reader.
+	// AnswerWithin is how long a reader waits for new records before it answers a call, and
+	// Slack how much longer its answer may take. A shorter AnswerWithin costs more messages,
+	// each of which takes about 50 µs of CPU time on both sides; a longer one delays the
+	// detection of an unreachable reader.
 	AnswerWithin, Slack time.Duration
 	// MaxAge is the age at which a reader's data becomes stale. The follower of a
-	// partitioned reader then has half of the bound left to ask another daemon.
+	// partitioned reader then has half of the propagation bound left to ask another daemon.
 	MaxAge time.Duration
 	// Hold is the longest wait at the store for a read of the upstreams feed by a daemon
 	// with followers, and ConfigHold the same for the configuration feed. Even if an answer
-	// is lost, the timeout and one retry fit in the bound.
+	// is lost, the timeout and one retry fit in the propagation bound.
 	Hold, ConfigHold time.Duration
 	// Gather is the pause before the next read after a read that returned records, so that
 	// the records of many upstreams that register or drain together are read in few calls.
@@ -24,8 +24,8 @@
 	Gather, SharedGather time.Duration
 }
 
-// The durations as fractions of the bound. Hold and SharedGather together stay below
-// MaxAge, so that a healthy reader never counts as partitioned.
+// The durations as fractions of the propagation bound. Hold and SharedGather together stay
+// below MaxAge, so that a healthy reader never counts as partitioned.
 const (
 	answerFraction       = 0.25
 	maxAgeFraction       = 0.5
@@ -33,16 +33,17 @@
 	configHoldFraction   = 0.4
 	gatherFraction       = 0.25
 	sharedGatherFraction = 0.1
-	// minBound is the smallest bound used. With a smaller one the short waits would only
-	// add calls: a read and its way to a follower take some milliseconds, or 0.3 s with a
-	// slow store.
+	// minBound is the smallest propagation bound used. With a smaller one, the short waits
+	// would only add calls: a read and its way to a follower take some milliseconds, or 0.3 s
+	// with a slow store.
 	minBound = 2 * time.Second
 	// answerSlack is how much longer than its wait a reader's answer may take. A reader
 	// that is limited to a fifth of a core is sometimes this late.
 	answerSlack = 250 * time.Millisecond
 )
 
-// TimingFor returns the durations for a bound.
+// TimingFor returns the durations for a propagation bound, which is raised to minBound if it
+// is smaller.
 func TimingFor(bound time.Duration) Timing {
 	bound = max(bound, minBound)
 	fraction := func(p float64) time.Duration { return time.Duration(p * float64(bound)) }
--- a/relay/world_test.go
+++ b/relay/world_test.go
@@ -46,7 +46,8 @@
 	// largePerDataCentre is the number of daemons with the larger weight in each data
 	// centre.
 	largePerDataCentre = 3
-	testBound          = 4 * time.Second
+	// testBound is the propagation bound of the fleet (see Timing).
+	testBound = 4 * time.Second
 )
 
 // newTestFleet returns n daemons, spread over the data centres and not started yet.
@@ -107,14 +108,14 @@
 	samples    *Samples
 	quarantine *quarantine.Keeper
 
-	mu        sync.Mutex
-	version   uint64
-	members   map[string]bool
-	learned   map[string]time.Time // by change, when the daemon first applied it
-	started   time.Time
-	ready     time.Time // when it first had a configuration and upstreams
-	regressed bool      // it applied an older version after a newer one
-	received  []estimate.Sample
+	mu            sync.Mutex
+	version       uint64
+	registrations map[string]bool
+	firstApplied  map[string]time.Time // by change, when the daemon first applied it
+	started       time.Time
+	ready         time.Time // when the daemon first had a configuration and upstreams
+	regressed     bool      // the daemon applied an older version after a newer one
+	received      []estimate.Sample
 }
 
 func (d *daemon) receiveSamples(list []estimate.Sample) {
@@ -129,7 +130,7 @@
 	d.cancel = cancel
 	w := d.fleet
 	d.mu.Lock()
-	d.version, d.members, d.learned, d.started, d.ready = 0, nil, map[string]time.Time{}, time.Now(), time.Time{}
+	d.version, d.registrations, d.firstApplied, d.started, d.ready = 0, nil, map[string]time.Time{}, time.Now(), time.Time{}
 	d.mu.Unlock()
 	cache, followers := NewFeedCache(), NewFollowerActivity()
 	d.roster = NewRoster(d.self, nil)
@@ -187,8 +188,8 @@
 	}
 }
 
-// apply records when the daemon learned of versions, of upstreams that drain and of
-// upstreams that are gone.
+// apply records when the daemon first applied versions of the configuration, records of
+// draining upstreams and removals of upstreams.
 func (d *daemon) apply(now time.Time, v fleet.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,17 +200,17 @@
 	}
 	for name, m := range v.Registrations {
 		if m.Draining {
-			d.recordOnce(now, "leaves "+name)
+			d.recordOnce(now, "draining "+name)
 		}
 	}
-	for name := range d.members {
+	for name := range d.registrations {
 		if _, ok := v.Registrations[name]; !ok {
-			d.recordOnce(now, "gone "+name)
+			d.recordOnce(now, "removed "+name)
 		}
 	}
-	d.members = map[string]bool{}
+	d.registrations = map[string]bool{}
 	for name := range v.Registrations {
-		d.members[name] = true
+		d.registrations[name] = true
 	}
 	if d.ready.IsZero() && v.Config != nil && len(v.Registrations) > 0 {
 		d.ready = now
@@ -218,8 +219,8 @@
 
 // recordOnce records when the daemon first applied a change.
 func (d *daemon) recordOnce(now time.Time, change string) {
-	if _, ok := d.learned[change]; !ok {
-		d.learned[change] = now
+	if _, ok := d.firstApplied[change]; !ok {
+		d.firstApplied[change] = now
 	}
 }
 
@@ -258,12 +259,12 @@
 	return longest, all
 }
 
-// lastLearned returns how long after a time the last daemon of a list applied a change, and
+// lastApplied returns how long after a time the last daemon of a list applied a change, and
 // how many have not applied it.
-func (w *testFleet) lastLearned(change string, from time.Time, list []*daemon) (latest time.Duration, missing int) {
+func (w *testFleet) lastApplied(change string, from time.Time, list []*daemon) (latest time.Duration, missing int) {
 	for _, d := range list {
 		d.mu.Lock()
-		at, ok := d.learned[change]
+		at, ok := d.firstApplied[change]
 		d.mu.Unlock()
 		if !ok {
 			missing++
