--- a/request/arrivals.go
+++ b/request/arrivals.go
@@ -8,12 +8,12 @@
 //
 // One permit per attempt is not enough: an attempt that sends the prompt a second time causes
 // two arrivals, and an attempt that is planned again because nothing reached its decode engine
-// causes one arrival for which no permit was taken. When engines refuse reserved slots,
-// upstreams would then see twice the repeats that the budget allows.
+// causes one arrival for which no permit was taken. When engines refuse decode calls for which
+// they granted a reservation, upstreams would then see twice the repeats that the budget allows.
 type arrivals struct {
-	// counted is the number of arrivals so far; permits is the number of retry permits taken
-	// for them.
-	counted, permits int
+	// arrivalCount is the number of arrivals so far, and permitsTaken the number of retry permits
+	// that the request has taken.
+	arrivalCount, permitsTaken int
 	// promptAccepted is set once an engine has accepted a prompt. lastPromptCounted is set
 	// when the latest prompt was counted as an arrival when it was sent.
 	promptAccepted, lastPromptCounted bool
@@ -24,24 +24,24 @@
 	switch s {
 	case StepPrefill:
 		if a.lastPromptCounted = a.promptAccepted; a.lastPromptCounted {
-			a.counted++
+			a.arrivalCount++
 		}
 	case StepDecode, StepCall:
-		a.counted++
+		a.arrivalCount++
 	}
 }
 
 // undoSent reverses sent for a call that did not reach its upstream.
 func (a *arrivals) undoSent(s Step) {
 	if s == StepDecode || s == StepCall || s == StepPrefill && a.lastPromptCounted {
-		a.counted--
+		a.arrivalCount--
 	}
 }
 
 // rejected records that an upstream rejected a call.
 func (a *arrivals) rejected(s Step) {
 	if s == StepPrefill && !a.lastPromptCounted {
-		a.counted++
+		a.arrivalCount++
 	}
 }
 
@@ -61,10 +61,10 @@
 // call or plain-service call and, if prompt is set, sends its prompt first. Permits that
 // earlier attempts took and did not use are deducted.
 func (a *arrivals) permitsNeeded(prompt bool) int {
-	const first = 1
-	next := 1
+	const arrivalsWithoutPermit = 1 // the first arrival of a request
+	arrivalsOfAttempt := 1
 	if prompt && a.promptAccepted {
-		next++
+		arrivalsOfAttempt++
 	}
-	return max(0, a.counted+next-first-a.permits)
+	return max(0, a.arrivalCount+arrivalsOfAttempt-arrivalsWithoutPermit-a.permitsTaken)
 }
--- a/request/arrivals_internal_test.go
+++ b/request/arrivals_internal_test.go
@@ -8,37 +8,37 @@
 // follows.
 func TestPermitsCoverArrivalsForAllPromptOutcomes(t *testing.T) {
 	const attempts = 4
-	var try func(a arrivals, left, prompts, decodes int, read bool, history string)
-	try = func(a arrivals, left, prompts, decodes int, read bool, history string) {
+	var try func(a arrivals, attemptsLeft, prompts, decodes int, promptAccepted bool, history string)
+	try = func(a arrivals, attemptsLeft, prompts, decodes int, promptAccepted bool, history string) {
 		arrived := prompts + decodes
-		if read {
+		if promptAccepted {
 			arrived-- // the first prompt that an engine accepts is free
 		}
-		if a.permits < arrived-1 {
-			t.Errorf("%d permits taken for %d arrivals:%s", a.permits, arrived, history)
+		if a.permitsTaken < arrived-1 {
+			t.Errorf("%d permits taken for %d arrivals:%s", a.permitsTaken, arrived, history)
 		}
-		if left == 0 {
+		if attemptsLeft == 0 {
 			return
 		}
-		skip := a
-		skip.permits += skip.permitsNeeded(false)
-		skip.sent(StepDecode)
-		try(skip, left-1, prompts, decodes+1, read, history+" run")
+		withoutPrompt := a
+		withoutPrompt.permitsTaken += withoutPrompt.permitsNeeded(false)
+		withoutPrompt.sent(StepDecode)
+		try(withoutPrompt, attemptsLeft-1, prompts, decodes+1, promptAccepted, history+" run")
 		for _, outcome := range []string{"accepted", "rejected", "unknown"} {
-			next, history := a, history+" prompt-"+outcome
-			next.permits += next.permitsNeeded(true)
-			next.sent(StepPrefill)
+			withPrompt, history := a, history+" prompt-"+outcome
+			withPrompt.permitsTaken += withPrompt.permitsNeeded(true)
+			withPrompt.sent(StepPrefill)
 			switch outcome {
 			case "accepted":
-				next.accepted(StepPrefill)
-				next.sent(StepDecode)
-				try(next, left-1, prompts+1, decodes+1, true, history+" run")
+				withPrompt.accepted(StepPrefill)
+				withPrompt.sent(StepDecode)
+				try(withPrompt, attemptsLeft-1, prompts+1, decodes+1, true, history+" run")
 			case "rejected":
-				next.rejected(StepPrefill)
-				try(next, left-1, prompts+1, decodes, read, history)
+				withPrompt.rejected(StepPrefill)
+				try(withPrompt, attemptsLeft-1, prompts+1, decodes, promptAccepted, history)
 			case "unknown":
-				next.uncertain(StepPrefill)
-				try(next, left-1, prompts+1, decodes, read, history)
+				withPrompt.uncertain(StepPrefill)
+				try(withPrompt, attemptsLeft-1, prompts+1, decodes, promptAccepted, history)
 			}
 		}
 	}
--- a/request/attempt.go
+++ b/request/attempt.go
@@ -38,8 +38,8 @@
 	case StepPrefill:
 		m.state, timeout = StatePrefilling, m.limits.Prefill+m.plan.FirstToken
 	case StepDecode:
-		arrival := m.plan.TransferAt.Add(m.plan.Transfer).Sub(now)
-		m.state, timeout = StateImporting, m.limits.Import+max(0, arrival)
+		untilTransferred := m.plan.TransferAt.Add(m.plan.Transfer).Sub(now)
+		m.state, timeout = StateImporting, m.limits.Import+max(0, untilTransferred)
 	default:
 		m.state, timeout = StateStreaming, m.limits.Stall
 	}
@@ -139,21 +139,21 @@
 		m.stepDeadline = time.Time{}
 		return
 	}
-	if needs := m.permitsForTimeOut(); needs > 0 {
+	if permits := m.permitsBeforeTimeout(); permits > 0 {
 		m.stepDeadline = now.Add(m.limits.Stall) // when to request the permits again
-		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Permits: needs})
+		m.addAction(Action{Kind: ActionPermit, Call: m.call, Attempt: m.attempt, Permits: permits})
 		return
 	}
 	m.timeOutCall(now)
 }
 
-// permitsForTimeOut returns how many retry permits must be granted before the call in flight
+// permitsBeforeTimeout returns how many retry permits must be granted before the call in flight
 // may be given up because its stream is silent. It returns 0 if the call may be given up at
 // once and the permits are requested with the next attempt's plan.
 //
 // Without this check, the stream of a busy engine would be cut off, the retry would then be
 // denied, and an answer that would have continued would end as a broken stream.
-func (m *Machine) permitsForTimeOut() int {
+func (m *Machine) permitsBeforeTimeout() int {
 	if !m.limits.KeepSilentStreams || !m.limits.CountArrivals || m.lastStep != StepDecode {
 		return 0
 	}
@@ -163,7 +163,7 @@
 // handlePermitted gives up a call whose stream is silent if the retry budget has granted the
 // permits for another attempt.
 func (m *Machine) handlePermitted(now time.Time, ev Event) {
-	m.arrivals.permits += ev.Permits
+	m.arrivals.permitsTaken += ev.Permits
 	awaitsChunks := m.state == StateImporting || m.state == StateStreaming
 	if ev.Permits > 0 && ev.Call == m.call && awaitsChunks {
 		m.timeOutCall(now)
@@ -187,7 +187,7 @@
 
 // cancelOnEngines cancels the attempt on every engine that may hold memory for it.
 func (m *Machine) cancelOnEngines() {
-	for r := range roles {
+	for r := range roleCount {
 		if m.mayHoldMemory[r] {
 			m.addAction(m.release(r))
 			m.mayHoldMemory[r] = false
--- a/request/call.go
+++ b/request/call.go
@@ -36,10 +36,10 @@
 	// is the time that the latest dispatch got.
 	usualTimeout, givenTimeout time.Duration
 	firstByteTarget            time.Duration // the class's target for the first byte; 0 if it has none
-	// returnLimit puts the units taken from the replica's rate limit back; it is cleared once
-	// the call is sent. limitedCount is the number of replicas that the last plan excluded
+	// returnUnits returns the units taken from the replica's rate limit; it is cleared once the
+	// call is sent. limitedCount is the number of replicas that the last plan excluded
 	// because of their rate limits.
-	returnLimit  func()
+	returnUnits  func()
 	limitedCount int
 	// teamDone ends the request's entry in the team's in-flight count; nil before the first
 	// plan.
@@ -55,7 +55,7 @@
 	defer leave()
 	k := &serviceCall{r: r, c: c, caller: ctx, entry: entry, rng: r.newRand(c.ID), digest: sync.OnceValue(c.contentDigest)}
 	defer func() {
-		callOnce(&k.returnLimit)
+		callOnce(&k.returnUnits)
 		callOnce(&k.teamDone)
 	}()
 	var answer *CallAnswer
@@ -72,7 +72,8 @@
 	return *answer, nil
 }
 
-// runOnce runs the call after claiming its idempotency key at the gate.
+// runOnce runs a non-idempotent call after claiming its idempotency key. If the key was claimed
+// before, it returns the stored answer of the earlier run, or an error.
 func (k *serviceCall) runOnce(ctx context.Context) (*CallAnswer, *errkind.Error) {
 	grant, err := k.r.claim(ctx, callKey(k.c))
 	if err != nil {
@@ -176,7 +177,7 @@
 	if !k.r.requestPermits(permitRequest{request: k.c.ID, class: k.c.Class, attempt: k.attempt, target: k.c.Service, needs: needs}) {
 		return false
 	}
-	k.arrivals.permits += needs
+	k.arrivals.permitsTaken += needs
 	k.r.o.Metrics.Retried(k.c.Class)
 	return true
 }
@@ -192,7 +193,7 @@
 // not stopped in the meantime, and the replica takes new work.
 func (k *serviceCall) chooseReplica() (policy.ServicePlan, time.Duration, *errkind.Error) {
 	k.attempt++
-	callOnce(&k.returnLimit)
+	callOnce(&k.returnUnits)
 	if k.r.quarantined(k.c.ID, k.digest) {
 		return policy.ServicePlan{}, 0, k.logFailure(errQuarantined())
 	}
@@ -273,7 +274,7 @@
 	done := k.r.o.Inflight.Begin(rep.Name, 0)
 	defer done()
 	k.run.begin(StepCall)
-	k.returnLimit = nil
+	k.returnUnits = nil
 	k.arrivals.sent(StepCall)
 	answer, err := k.r.o.Services.Call(ctx, rep.Address, upstream.ServiceCall{
 		RequestID: k.c.ID, Method: k.c.Method, Path: k.c.Path,
--- a/request/canceller.go
+++ b/request/canceller.go
@@ -38,20 +38,19 @@
 	}
 }
 
-// cancelTask is a call to repeat until one upstream acknowledges it: the cancel of an attempt,
-// or the resume of a paused attempt.
+// cancelTask is a call that is repeated until an upstream acknowledges it: a cancel of an
+// attempt, or an unpause call (engineapi.PathResume), which lets a paused attempt continue.
 type cancelTask struct {
-	work   engineapi.CancelRequest
-	resume bool
-	since  time.Time
-	tries  int
+	work    engineapi.CancelRequest
+	unpause bool
+	since   time.Time
+	tries   int
 }
 
-// sendFunc makes one cancel or resume call.
+// sendFunc makes one cancel or unpause call.
 type sendFunc func(ctx context.Context, addr string, r engineapi.CancelRequest) error
 
-// canceller repeats cancel calls, and resume calls after a pause, until engines acknowledge
-// them.
+// canceller repeats cancel and unpause calls until engines acknowledge them.
 //
 // If a cancel were sent only once and lost, a slot and its KV cache would stay allocated on
 // the engine, visible in its list of held memory, until the steward's sweep frees them.
@@ -62,7 +61,7 @@
 	limits       CancelLimits
 	now          func() time.Time
 	cancel       sendFunc
-	resume       sendFunc
+	unpause      sendFunc
 	recordMetric func(tries int, took time.Duration, acknowledged bool)
 
 	ctx  context.Context
@@ -80,7 +79,7 @@
 		limits:       o.Cancel,
 		now:          o.Now,
 		cancel:       o.Engines.Release,
-		resume:       o.Engines.Unpause,
+		unpause:      o.Engines.Unpause,
 		recordMetric: o.Metrics.Cancelled,
 		ctx:          ctx,
 		stop:         stop,
@@ -176,8 +175,8 @@
 	defer cancel()
 	task.tries++
 	send := c.cancel
-	if task.resume {
-		send = c.resume
+	if task.unpause {
+		send = c.unpause
 	}
 	if err := send(ctx, addr, task.work); err != nil {
 		return false
@@ -186,9 +185,9 @@
 	return true
 }
 
-// recordEnd reports the end of a cancel to the metrics; resumes are not counted.
+// recordEnd reports the end of a cancel to the metrics; unpause calls are not counted.
 func (c *canceller) recordEnd(task cancelTask, acknowledged bool) {
-	if !task.resume {
+	if !task.unpause {
 		c.recordMetric(task.tries, c.now().Sub(task.since), acknowledged)
 	}
 }
--- a/request/canceller_test.go
+++ b/request/canceller_test.go
@@ -12,7 +12,7 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// Guards against one call that is never acknowledged, such as the resume of a draft that has
+// Guards against one call that is never acknowledged, such as the unpause of a draft that has
 // already ended, delaying the cancels queued after it for the same engine. The engine would
 // then hold the memory of cancelled requests for ten seconds although it is healthy.
 func TestUnacknowledgedCancelDoesNotDelayOthers(t *testing.T) {
--- a/request/chunks.go
+++ b/request/chunks.go
@@ -65,9 +65,9 @@
 }
 
 // handlePause handles EventPaused, which stops the stall timeout, and EventUnpaused, which
-// restarts it with twice the time because a resumed stream may have to wait for a slot. If the
-// timeout continued during a pause, a paused draft would be treated as stalled and started
-// again on another engine.
+// restarts it with twice the time because an attempt that continues may have to wait for a
+// slot. If the timeout continued during a pause, a paused draft would be treated as stalled and
+// started again on another engine.
 func (m *Machine) handlePause(now time.Time, ev Event) {
 	if ev.Attempt != m.attempt || m.state != StateStreaming {
 		return
--- a/request/complete.go
+++ b/request/complete.go
@@ -70,9 +70,9 @@
 	callDone    func()
 	attemptDone func()
 	teamDone    func()
-	// heldLimits returns the units that the attempt took from its engines' rate limits and has
-	// not used. limitedCount is the number of engines that the last plan excluded because of their
-	// rate limits.
+	// heldLimits holds the functions that return the units which the attempt took from its
+	// engines' rate limits and has not used. limitedCount is the number of engines that the last
+	// plan excluded because of their rate limits.
 	heldLimits   engineLimits
 	limitedCount int
 	// undeliveredPrefill is the number of prompt tokens that the attempt's prefill computed;
@@ -82,7 +82,7 @@
 	lastTokenAt        time.Time
 	firstTokenAt       time.Time // when the first token was delivered, by attempt firstTokenAttempt
 	firstTokenAttempt  int
-	verdict            Verdict // of the latest plan
+	verdict            Verdict // holds the predictions of the latest plan
 	shownState         State   // the state shown on the administration listener
 	result             result
 }
@@ -176,9 +176,9 @@
 	return Event{Kind: EventCallerGone}
 }
 
-// resetTimer makes the timer fire no later than the machine's next wake time. A wake time that
-// moved to later leaves the timer as it is: the machine ignores an early tick, and a reset per
-// token would cost more than an occasional extra tick.
+// resetTimer makes the timer fire no later than the machine's next wake time. If the wake
+// time has moved to a later time, the timer is not reset: the machine ignores an early tick, and
+// a reset per token would cost more than an occasional extra tick.
 func (d *driver) resetTimer() {
 	wake := d.m.Wake()
 	if d.timerAt.IsZero() || wake.Before(d.timerAt) {
@@ -335,8 +335,8 @@
 }
 
 // endAttempt cancels the call in flight and releases what the attempt occupies: rate limit
-// units, the draft that it paused and its decode slot. It also counts prompt tokens that were
-// prefilled in vain.
+// units, the draft that it paused and its decode slot. It also reports the prompt tokens
+// that were prefilled although the attempt delivered no token.
 func (d *driver) endAttempt() {
 	d.endCall()
 	d.heldLimits.returnAll()
--- a/request/dispatch.go
+++ b/request/dispatch.go
@@ -9,8 +9,8 @@
 	"github.com/corianderturn/corianderturn/upstream/engineapi"
 )
 
-// dispatch starts one call. If the call must not be sent or needs a draft to pause and finds
-// none, the machine gets an event instead.
+// dispatch starts one call. If the call must not be sent, or if the plan requires pausing a
+// draft and none can be paused, the machine gets an event instead.
 func (d *driver) dispatch(a Action) {
 	d.endCall()
 	if ev, ok := d.blocked(a); ok {
@@ -50,8 +50,8 @@
 // blocked checks whether a call must not be sent and, if so, returns the event that the machine
 // gets in its place. A process that was stopped (SIGSTOP, a paused virtual machine) continues
 // with its next call as if no time had passed, with stale data: upstreams may have left, and
-// the steward's sweep may have freed the engine memory of its requests. Frozen detects this by
-// a gap between heartbeats.
+// the steward's sweep may have freed the engine memory of its requests. Options.Frozen
+// detects this by a gap between heartbeats.
 func (d *driver) blocked(a Action) (Event, bool) {
 	now := d.r.o.Now()
 	if d.r.o.Frozen(now) || grantExpired(d.notAfter, now) {
@@ -119,8 +119,8 @@
 	}
 }
 
-// maxReservationTime returns the longest reservation time that the engine's pool accepts; 0 means no
-// limit.
+// maxReservationTime returns the longest reservation time that the engine's pool accepts; 0
+// means no limit.
 func (d *driver) maxReservationTime(a Action) time.Duration {
 	s := d.r.o.Snapshot()
 	if s == nil || s.Bundle == nil {
--- a/request/events.go
+++ b/request/events.go
@@ -55,7 +55,7 @@
 	EventUnpaused
 	// EventSlotAvailable tells a queued request to ask for a slot again.
 	EventSlotAvailable
-	// EventTick reports that the time returned by Wake has come.
+	// EventTick reports that the time returned by Machine.Wake has come.
 	EventTick
 )
 
@@ -84,9 +84,10 @@
 	Chunk   engineapi.Chunk
 }
 
-// deniesCall reports whether the event says that its call was never sent, or that it failed
-// without an answer from the engine.
-func (ev Event) deniesCall() bool {
+// contradictsAcceptance reports whether the event says that its call was never sent, or that
+// the call failed without an answer from the engine. If the engine is known to have accepted the
+// call, such an event is wrong.
+func (ev Event) contradictsAcceptance() bool {
 	switch ev.Kind {
 	case EventUpstreamLeaving, EventStaleView, EventQuarantined:
 		return true
@@ -151,7 +152,7 @@
 	// Tries is the number of Attempt, not counting attempts that ended with a refused
 	// reservation.
 	Tries int
-	// RefusalStreak is the number of reservations refused since the request last waited.
+	// RefusalStreak is the number of reservations refused since the request last waited for a slot.
 	RefusalStreak int
 	Target        Target
 	Plan          *policy.Plan
--- a/request/failure.go
+++ b/request/failure.go
@@ -71,8 +71,8 @@
 // costs the upstream nothing, it counts as a failed attempt only after MaxRefusals unsent calls
 // and refused reservations.
 func (m *Machine) handleUnsentCall() {
-	uncharged := m.refusals < m.limits.MaxRefusals
-	if !uncharged {
+	withoutPermit := m.refusals < m.limits.MaxRefusals
+	if !withoutPermit {
 		m.retry(m.callFailedError(), true)
 		return
 	}
--- a/request/gate.go
+++ b/request/gate.go
@@ -48,7 +48,8 @@
 	Finish(out Outcome)
 }
 
-// Gate ensures that the request of each idempotency key runs at most once across all daemons.
+// Gate ensures that the request of each idempotency key runs at most once across all daemons. A
+// claimed key is stored for a limited time and then forgotten.
 // Package claims implements it.
 type Gate interface {
 	// Claim returns a grant, or the error for the caller. Until a key is forgotten, at most
--- a/request/lattice.go
+++ b/request/lattice.go
@@ -13,8 +13,8 @@
 	StepReserve Step = iota
 	StepPrefill
 	StepDecode
-	StepResume
-	StepCall // a call to a plain service
+	StepResume // continues to read the stream of a running attempt
+	StepCall   // a call to a plain service
 )
 
 // String returns the name used in logs.
--- a/request/learned.go
+++ b/request/learned.go
@@ -76,8 +76,8 @@
 
 func newSizesByModel() *sizesByModel { return &sizesByModel{byModel: map[string]*sizes{}} }
 
-// add records a request with the given numbers of prompt tokens and likely answer tokens.
-func (s *sizesByModel) add(now time.Time, model string, prompt, likely int) {
+// add records a request with the given numbers of prompt tokens and predicted answer tokens.
+func (s *sizesByModel) add(now time.Time, model string, prompt, answer int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	got := s.byModel[model]
@@ -86,7 +86,7 @@
 		s.byModel[model] = got
 	}
 	got.promptTokens.Add(now, float64(prompt))
-	got.answerTokens.Add(now, float64(likely))
+	got.answerTokens.Add(now, float64(answer))
 }
 
 // mean returns the mean request size of a model; zero while nothing is known.
@@ -98,9 +98,9 @@
 		return policy.MeanRequest{}
 	}
 	prompt, known := got.promptTokens.Value(now)
-	likely, _ := got.answerTokens.Value(now)
+	answer, _ := got.answerTokens.Value(now)
 	if !known {
 		return policy.MeanRequest{}
 	}
-	return policy.MeanRequest{PromptTokens: prompt, AnswerTokens: likely}
+	return policy.MeanRequest{PromptTokens: prompt, AnswerTokens: answer}
 }
--- a/request/limits.go
+++ b/request/limits.go
@@ -50,8 +50,8 @@
 )
 
 // limitRank returns the rank by which requests compete for the remaining units of a rate
-// limit; a lower rank goes first. It is the request's own priority if it has one, and
-// otherwise that of its class.
+// limit; a lower rank goes first. The rank is the request's own priority if it has one, and
+// otherwise the rank or priority of its class.
 func limitRank(b *bundle.Bundle, class bundle.Class, priority *int) int {
 	switch {
 	case priority != nil:
@@ -106,27 +106,27 @@
 		q.Exclude = slices.Concat(k.exclude, out)
 		return p.PickService(s, k.r.o.Inflight, k.c.Service, q, k.rng)
 	}
-	plan, spent, err := pickWithinLimits(limits.Exhausted(q.Now, limitReq), pick, func(plan policy.ServicePlan) (string, bool) {
+	plan, exhausted, err := pickWithinLimits(limits.Exhausted(q.Now, limitReq), pick, func(plan policy.ServicePlan) (string, bool) {
 		var ok bool
-		k.returnLimit, ok = limits.Take(q.Now, plan.Replica.Name, limitReq)
+		k.returnUnits, ok = limits.Take(q.Now, plan.Replica.Name, limitReq)
 		return plan.Replica.Name, ok
 	})
-	k.limitedCount = len(spent)
-	if err == nil || len(spent) == 0 {
+	k.limitedCount = len(exhausted)
+	if err == nil || len(exhausted) == 0 {
 		return plan, err
 	}
-	plan, spent, borrowErr := pickWithinLimits(nil, pick, func(plan policy.ServicePlan) (string, bool) {
+	plan, exhausted, borrowErr := pickWithinLimits(nil, pick, func(plan policy.ServicePlan) (string, bool) {
 		var ok bool
-		k.returnLimit, ok = limits.Borrow(k.caller, plan.Replica.Name, limitReq)
+		k.returnUnits, ok = limits.Borrow(k.caller, plan.Replica.Name, limitReq)
 		return plan.Replica.Name, ok
 	})
-	if borrowErr == nil || len(spent) == 0 {
+	if borrowErr == nil || len(exhausted) == 0 {
 		return plan, borrowErr
 	}
-	return plan, limitError(err, limits.RetryAfter(k.r.o.Now(), k.c.ID, limitReq, spent))
+	return plan, limitError(err, limits.RetryAfter(k.r.o.Now(), k.c.ID, limitReq, exhausted))
 }
 
-// engineLimits holds the functions that put back the units which an attempt took from its
+// engineLimits holds the functions that return the units which an attempt took from its
 // engines' rate limits. Each function is nil if no units are held, and is cleared when the call
 // that uses the units is sent.
 type engineLimits struct{ decode, prefill func() }
@@ -173,18 +173,18 @@
 	takeLocal := func(plan policy.Plan) (string, bool) {
 		return d.takeLimits(plan, func(name string, s ratelimit.Request) (func(), bool) { return limits.Take(now, name, s) }, decode, prefill)
 	}
-	spent := slices.Concat(limits.Exhausted(now, decode), limits.Exhausted(now, prefill))
-	plan, spent, err := pickWithinLimits(spent, pick, takeLocal)
-	d.limitedCount = len(spent)
-	if err == nil || len(spent) == 0 {
+	exhausted := slices.Concat(limits.Exhausted(now, decode), limits.Exhausted(now, prefill))
+	plan, exhausted, err := pickWithinLimits(exhausted, pick, takeLocal)
+	d.limitedCount = len(exhausted)
+	if err == nil || len(exhausted) == 0 {
 		return plan, err
 	}
 	borrow := func(plan policy.Plan) (string, bool) {
 		return d.takeLimits(plan, func(name string, s ratelimit.Request) (func(), bool) { return limits.Borrow(d.baseCtx, name, s) }, decode, prefill)
 	}
-	plan, spent, borrowErr := pickWithinLimits(nil, pick, borrow)
-	if borrowErr == nil || len(spent) == 0 {
+	plan, exhausted, borrowErr := pickWithinLimits(nil, pick, borrow)
+	if borrowErr == nil || len(exhausted) == 0 {
 		return plan, borrowErr
 	}
-	return plan, limitError(err, limits.RetryAfter(d.r.o.Now(), d.c.ID, decode, spent))
+	return plan, limitError(err, limits.RetryAfter(d.r.o.Now(), d.c.ID, decode, exhausted))
 }
--- a/request/machine.go
+++ b/request/machine.go
@@ -61,7 +61,7 @@
 const (
 	roleDecode role = iota
 	rolePrefill
-	roles
+	roleCount // number of roles
 )
 
 // Drops counts chunks that did not become part of the answer.
@@ -92,7 +92,7 @@
 	// request itself.
 	refusals, sends int
 	arrivals        arrivals
-	// refusalStreak counts refused reservations since the request last waited.
+	// refusalStreak counts refused reservations since the request last waited for a slot.
 	refusalStreak int
 	// reservation is the decode engine's id of the reserved slot, and handle the prefill
 	// engine's id of the prefill result; both are empty once the decode engine has used them.
@@ -108,7 +108,7 @@
 	paused bool
 	// mayHoldMemory marks the engines that may hold memory for this attempt; heldBeforeCall is
 	// the mark that the engine of the latest call had before that call.
-	mayHoldMemory  [roles]bool
+	mayHoldMemory  [roleCount]bool
 	heldBeforeCall bool
 
 	run     runState
@@ -217,7 +217,7 @@
 	}
 	switch ev.Kind {
 	case EventPlanned:
-		m.arrivals.permits += ev.Permits
+		m.arrivals.permitsTaken += ev.Permits
 		if ev.Plan.Wait > 0 {
 			m.state, m.stepDeadline = StateQueued, now.Add(ev.Plan.Wait)
 			return
@@ -270,7 +270,7 @@
 		m.countLate(ev)
 		return
 	}
-	if m.lastStep == StepDecode && m.decodeAccepted && ev.deniesCall() {
+	if m.lastStep == StepDecode && m.decodeAccepted && ev.contradictsAcceptance() {
 		m.handleBrokenStream(now) // the engine has accepted the call, so it cannot have been refused or unsent
 		return
 	}
--- a/request/observe.go
+++ b/request/observe.go
@@ -7,8 +7,9 @@
 
 // reportLoad passes the load that an answer carried to the observer; a zero load means that the
 // answer carried none. A leaving notice is passed on as part of the load, together with the
-// upstream's incarnation: an answer that is read late may come from a process that has been
-// replaced, and the notice without its incarnation would stop new work to the new process.
+// upstream's incarnation, a number that changes when its process restarts. An answer that is
+// read late may come from a process that has been replaced, and the notice without its
+// incarnation would stop new work to the new process.
 func (r *Runner) reportLoad(name string, l *engineapi.Load) {
 	if *l == (engineapi.Load{}) {
 		return
@@ -24,7 +25,7 @@
 	}
 	load := refusal.Load
 	if load == (engineapi.Load{}) && refusal.Leaving {
-		r.o.Observer.Leaving(r.o.Now(), name) // without an incarnation
+		r.o.Observer.Leaving(r.o.Now(), name) // a refusal without a load names no incarnation
 		return
 	}
 	load.Leaving = load.Leaving || refusal.Leaving
--- a/request/once.go
+++ b/request/once.go
@@ -19,8 +19,8 @@
 	Usage  Usage    `json:"usage"`
 }
 
-// completeOnce runs a non-idempotent completion after claiming its idempotency key at the
-// gate.
+// completeOnce runs a non-idempotent completion after claiming its idempotency key. If the key
+// was claimed before, it sends the stored answer of the earlier run, or an error.
 func (r *Runner) completeOnce(ctx context.Context, c Completion, sink Sink, entry *Active) {
 	grant, err := r.claim(ctx, completionKey(c))
 	if err != nil {
@@ -65,8 +65,9 @@
 //
 // After the deadline the key may have been forgotten and claimed again by a repeat of the same
 // request, which may have run on another daemon. The run state that the caller gets describes
-// the request and not only this attempt: if the caller were told "not run" although the repeat
-// placed the order, it would place the order a second time. It is therefore told "unknown".
+// the request and not only this attempt: a caller that is told "not run" although the repeat ran
+// would submit the request again, and it would run a second time. The caller is therefore told
+// "unknown".
 func reportedRun(run errkind.RunState, deadline, now time.Time) errkind.RunState {
 	if run == errkind.NotRun && grantExpired(deadline, now) {
 		return errkind.Unknown
@@ -74,7 +75,8 @@
 	return run
 }
 
-// claim claims the key at the gate. Every request that must not run twice goes through it.
+// claim asks Options.Gate for the right to run the request with key k. Every
+// non-idempotent request needs such a grant before its first dispatch.
 func (r *Runner) claim(ctx context.Context, k ClaimKey) (Grant, *errkind.Error) {
 	if k.Key == "" {
 		return nil, errkind.New(errkind.KeyRequired, "send an Idempotency-Key")
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -185,9 +185,8 @@
 }
 
 // TestCallOnce injects a fault into the first replica at each step of a non-idempotent call
-// while a second replica is healthy. It guards against an order that is confirmed twice, that
-// is reported as "not run" although it was placed, or whose key is released although it may
-// have run.
+// while a second replica is healthy. It guards against a call that runs twice, that is
+// reported as "not run" although it ran, or whose key is released although it may have run.
 func TestCallOnce(t *testing.T) {
 	const n, u, ran = errkind.NotRun, errkind.Unknown, errkind.Ran
 	refused := func(k errkind.Kind) func(*serviceFixture) {
--- a/request/pause.go
+++ b/request/pause.go
@@ -109,13 +109,13 @@
 	return true
 }
 
-// unpauseDraft lets the paused draft continue. The resume call is repeated until the engine
+// unpauseDraft lets the paused draft continue. The unpause call is repeated until the engine
 // acknowledges it: if it were lost, the draft would stay paused until its deadline.
 func (d *driver) unpauseDraft() {
 	if d.pausedDraft == nil {
 		return
 	}
-	d.r.canceller.add(d.pausedDraft.target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.pausedDraft.work}, resume: true})
+	d.r.canceller.add(d.pausedDraft.target.Address, cancelTask{work: engineapi.CancelRequest{WorkID: d.pausedDraft.work}, unpause: true})
 	d.pausedDraft.signal(EventUnpaused)
 	d.pausedDraft = nil
 }
--- a/request/pause_test.go
+++ b/request/pause_test.go
@@ -17,7 +17,7 @@
 
 // TestPauseDraft checks that an urgent request gets the only slot of a decode engine while a
 // draft occupies it, and that the paused draft continues afterwards and is not started again.
-// In the fault cases, the pause call or the first three resume calls are lost.
+// In the fault cases, the pause call or the first three unpause calls are lost.
 func TestPauseDraft(t *testing.T) {
 	const draftTokens = 2000
 	for name, tc := range map[string]struct {
--- a/request/planning.go
+++ b/request/planning.go
@@ -76,8 +76,8 @@
 	return needs, true
 }
 
-// permitTimeOut requests the retry permits for the attempt that would follow a call with a
-// silent stream, and passes the result to the machine.
+// permitTimeOut requests the retry permits for the attempt that would follow if the call
+// with a silent stream were given up, and passes the result to the machine.
 func (d *driver) permitTimeOut(a Action) {
 	ev := Event{Kind: EventPermitted, Call: a.Call}
 	if d.r.requestPermits(permitRequest{request: d.c.ID, class: d.c.Class, attempt: a.Attempt + 1, target: d.c.Model, needs: a.Permits}) {
@@ -146,14 +146,14 @@
 	return d.tryStartedAt
 }
 
-// rank returns the request's rank in the queue: urgent requests first, then requests that were
-// refused before or are retried.
+// rank returns the request's rank in the queue: urgent requests first, then requests whose
+// caller tries again after a refusal or whose earlier attempt failed.
 func (d *driver) rank() rank {
 	switch {
 	case d.c.Class == bundle.Urgent:
 		return rankUrgent
 	case d.c.PreviousWait > 0, d.currentTry > 1:
-		return rankReturned
+		return rankRetried
 	}
 	return rankOther
 }
--- a/request/queue.go
+++ b/request/queue.go
@@ -10,11 +10,12 @@
 // rank orders waiting requests; a lower rank goes first.
 type rank uint8
 
-// The ranks. Requests that were refused before precede other requests, because their callers
-// have waited longest and most callers that are refused a second time get no answer at all.
+// The ranks. Retried requests are those that were refused before or whose earlier attempt
+// failed. They precede the other requests that are not urgent, because their callers have
+// waited longest and most requests that are refused a second time are never answered.
 const (
 	rankUrgent rank = iota
-	rankReturned
+	rankRetried
 	rankOther
 )
 
--- a/request/runner.go
+++ b/request/runner.go
@@ -68,7 +68,7 @@
 	if err := o.applyDefaults(); err != nil {
 		panic(err)
 	}
-	limitCtx, endFlight := context.WithCancel(context.Background())
+	shutdownCtx, endInFlight := context.WithCancel(context.Background())
 	return &Runner{
 		o:              o,
 		canceller:      newCanceller(&o),
@@ -77,8 +77,8 @@
 		answers:        newAnswersByModel(),
 		sizes:          newSizesByModel(),
 		throttles:      newThrottlesByModel(),
-		shutdownCtx:    limitCtx,
-		endInFlight:    endFlight,
+		shutdownCtx:    shutdownCtx,
+		endInFlight:    endInFlight,
 		active:         map[string]*Active{},
 	}
 }
--- a/request/verdict.go
+++ b/request/verdict.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// recordPrediction stores a plan's predictions, of the time to the first token (first) and
-// between two tokens (step), for the verdict.
+// recordPrediction stores the predictions of a plan for the verdict: first is the predicted
+// time to the first token, and step the predicted time between two tokens.
 func (d *driver) recordPrediction(now time.Time, first, step time.Duration) {
 	samples, at := d.r.answers.forModel(d.c.Model).Samples()
 	d.verdict = Verdict{
