--- a/relay/accrual.go
+++ b/relay/accrual.go
@@ -7,18 +7,17 @@
 	"github.com/corianderturn/corianderturn/quota"
 )
 
-// AccrualSender sends a follower's unaccrued time to the reader of its data centre.
+// AccrualSender hands over a follower's time to the reader of its data centre.
 //
-// Each daemon has a share of every rate limit, and the units of that share accrue in a
-// ledger as time passes (see package quota). Unaccrued time is the span of time for which a
-// daemon's share has not been added to any ledger yet. A follower does not add its share to
-// its own ledger. It sends its unaccrued time along with the calls that it makes anyway, the
-// reader adds the follower's share for that time to its own ledger, and followers borrow
-// units from the reader. Package quota calls this handing time over.
+// Each daemon has a share of every rate limit. As time passes, the units of that share are
+// added to a ledger (see package quota). A follower does not add them to its own ledger, but
+// hands over time to the reader: with each call that it makes anyway, it sends the span of time for which
+// no daemon has added the follower's units yet. The reader adds them to its own ledger, and
+// followers borrow units from the reader.
 //
 // Each daemon's ledger has its own clock. A stamp (quota.Stamp) is the time on that clock at
-// which the daemon sent a response. A follower states its unaccrued time relative to the last
-// stamp that it received from the recipient, so it can send none before the first stamp.
+// which the daemon sent a response. A follower states the span relative to the last stamp
+// that it received from the recipient, so it can hand over no time before the first stamp.
 //
 // An AccrualSender is safe for concurrent use.
 type AccrualSender struct {
@@ -27,7 +26,7 @@
 
 	mu     sync.Mutex
 	stamps map[string]receivedStamp // the last stamp of each daemon, by its address
-	// recipient is the daemon that unaccrued time was last sent to.
+	// recipient is the daemon to which time was last handed over.
 	recipient Peer
 }
 
@@ -46,11 +45,12 @@
 	return &AccrualSender{quota: l, roster: r, stamps: map[string]receivedStamp{}}
 }
 
-// takeUnaccrued returns the unaccrued time to send with a call to a daemon and removes it
-// from this daemon's ledger. The returned span is empty if this daemon is a reader itself, if
-// the recipient is in another data centre, where the daemons' shares differ, or if the
-// recipient has not sent a stamp yet.
-func (a *AccrualSender) takeUnaccrued(now time.Time, to Peer) quota.Span {
+// handOver returns the span of time for which the called daemon, not this one, is to add
+// this daemon's units to its ledger. The same span is not returned again, even if the call
+// fails, so that no units are added twice. The span is empty if this daemon is a reader
+// itself, if the recipient is in another data centre, where the daemons' shares differ, or
+// if the recipient has not sent a stamp yet.
+func (a *AccrualSender) handOver(now time.Time, to Peer) quota.Span {
 	if a == nil || to.DataCentre != a.roster.Self().DataCentre || a.roster.IsReader() {
 		return quota.Span{}
 	}
@@ -64,9 +64,9 @@
 	return a.quota.HandOver(now, s.stamp, s.receivedAt, a.roster.LocalDaemons(now))
 }
 
-// lastRecipient returns the daemon to which this one last sent unaccrued time.
+// lastRecipient returns the daemon to which this one last handed over time.
 //
-// Followers ask that daemon for loans first. After a failover they send their unaccrued time
+// Followers ask that daemon for loans first. After a failover they hand over their time
 // to a successor. If they went on asking the previous reader for loans, it would have
 // nothing to lend, and all requests of the data centre would be refused for seconds although
 // the limits are not used up.
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -26,9 +26,9 @@
 //
 // The daemons also use these calls to share samples of completions (Samples), the rate limits
 // of upstreams (Limits), records of requests during which upstreams ended (Quarantine) and
-// the time for which a daemon has not added its share of the rate limits to any ledger yet
-// (AccrualSender). Borrower and Loans ask other daemons for retries and for units of rate
-// limits.
+// the span of time for which the reader, not a follower, adds the follower's units of rate
+// limits to its ledger (AccrualSender). Borrower and Loans ask other daemons for retries and
+// for units of rate limits.
 //
 // Without the relay every daemon asks the store for every change, and retries while the store
 // is unavailable. With 295 daemons, an outage of 16 seconds caused 41,000 calls, most of
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -49,8 +49,8 @@
 	// Limits supplies the upstreams' rate limits that each call sends, and receives those in
 	// its response. With nil, none are sent or stored.
 	Limits Limits
-	// Time supplies the unaccrued time that is sent to the reader (see AccrualSender); with
-	// nil none is sent.
+	// Time supplies the span of time for which the reader, not this daemon, adds this daemon's
+	// units to its ledger (see AccrualSender); with nil none is sent.
 	Time   *AccrualSender
 	Dial   Dialer
 	Logger log.Interface
@@ -101,7 +101,7 @@
 		if peer.Address == e.o.Self.Address {
 			continue
 		}
-		reply, err := e.call(ctx, peer.Address, discoverRequest{Self: e.o.Self, Unaccrued: e.o.Time.takeUnaccrued(e.o.Now(), peer)})
+		reply, err := e.call(ctx, peer.Address, discoverRequest{Self: e.o.Self, HandedOver: e.o.Time.handOver(e.o.Now(), peer)})
 		if err == nil {
 			e.o.Time.recordStamp(e.o.Now(), peer.Address, reply.Stamp)
 			e.closeAllExcept(map[string]bool{peer.Address: true})
--- a/relay/feedcache_test.go
+++ b/relay/feedcache_test.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// A reading in the names of the cases is a batch added by one call of Add. isAll is set if Get
-// must return a snapshot.
+// In the names of the cases, a reading is a batch added by one call of Add, and what is kept
+// are the cached batches. isAll is set if Get must return a snapshot.
 func TestFeedCacheGet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from  uint64
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against running upstreams that are dropped by followers only. Leases expire while
-// the store is unavailable, and the reader's first batch after the outage contains the
+// Guards against running upstreams that are dropped by followers only. Registrations expire
+// while the store is unavailable, and the reader's first batch after the outage contains the
 // removals. Followers must receive the Away mark with it, and with a snapshot for the
 // length of recoveryWindow.
 func TestFeedCacheKeepsAwayMark(t *testing.T) {
--- a/relay/loans.go
+++ b/relay/loans.go
@@ -40,11 +40,11 @@
 	Wants float64 `msgpack:"w"`
 	// PartialOK reports that fewer units than Needs are useful too.
 	PartialOK bool `msgpack:"p,omitempty"`
-	// From is the borrower. Unaccrued is the time for which the borrower has not added its
-	// share of the rate limits to any ledger. The lender adds that share to its own (see
+	// From is the borrower. HandedOver is the span of time for which the lender, not the
+	// borrower, adds the borrower's units of the rate limits to its ledger (see
 	// AccrualSender).
-	From      Peer       `msgpack:"f"`
-	Unaccrued quota.Span `msgpack:"a"`
+	From       Peer       `msgpack:"f"`
+	HandedOver quota.Span `msgpack:"a"`
 	// Terms are the rate of the account and the lifetime of its units. They are not sent,
 	// because the lender knows the terms itself.
 	Terms quota.Terms `msgpack:"-"`
@@ -63,7 +63,7 @@
 // Loans borrows units of accounts from other daemons. It is safe for concurrent use.
 //
 // Load pattern: the requests of a team reach only a few of many daemons, each of which
-// accrues a small share of the team's limit. One call borrows the units that the requests
+// has a small share of the team's limit. One call borrows the units that the requests
 // of half a second need.
 type Loans struct {
 	o LoansOptions
@@ -99,7 +99,7 @@
 	// account that the asked lenders still have together.
 	Lent bool
 	Left float64
-	// Wait is the shortest time after which one of the lenders will have accrued the
+	// Wait is the shortest time after which the ledger of one of the lenders will have the
 	// missing units; 0 if no lender answered.
 	Wait time.Duration
 }
@@ -149,7 +149,7 @@
 		conn.client.close()
 	}
 	conn.lastUsed = asked
-	call.From, call.Unaccrued = l.o.Roster.Self(), l.o.Time.takeUnaccrued(asked, peer)
+	call.From, call.HandedOver = l.o.Roster.Self(), l.o.Time.handOver(asked, peer)
 	err := conn.client.call(ctx, peer.Address, wire.TypeLoan, loanTimeout, &call, &loan)
 	fields := l.o.Logger.WithFields(log.Fields{
 		"team": call.Team, "upstream": call.Upstream, "needs": call.Needs, "lender": peer.Instance, "lent": loan.Units, "age_ms": loan.Age.Milliseconds(), "left": loan.Remaining,
--- a/relay/loans_test.go
+++ b/relay/loans_test.go
@@ -11,7 +11,7 @@
 
 var loanTerms = quota.Bounds{Window: 8 * time.Second, Slack: 1000}.Terms(quota.Limit{Rate: 1000, Burst: 1000})
 
-// newTestLedger returns a ledger that has accrued the given share of the rate for a second.
+// newTestLedger returns a ledger with the units of one second, at the given share of the rate.
 func newTestLedger(share float64) *quota.Ledger {
 	now := time.Now()
 	l := quota.NewLedger(now.Add(-time.Second), true)
@@ -114,9 +114,9 @@
 	}
 }
 
-// Guards against limits that remain unused because followers do not send their unaccrued
-// time to the reader, or do not ask the reader for loans.
-func TestFollowersSendUnaccruedTime(t *testing.T) {
+// Guards against limits that remain unused because followers do not hand over their time
+// to the reader, or do not ask the reader for loans.
+func TestFollowersHandOverTime(t *testing.T) {
 	ledger := newTestLedger(0.1)
 	reader := serveLoans(t, ledger, "a")
 	d := newTestDaemon(&fakeFeedStore{}, reader, testSelf)
@@ -136,18 +136,18 @@
 		t.Errorf("the reader has %v, %v before", after, before)
 	}
 	if got := d.o.Time.lastRecipient(); got.Address != reader.Address {
-		t.Errorf("unaccrued time was sent to %v", got)
+		t.Errorf("time was handed over to %v", got)
 	}
 	if candidates := d.o.Roster.LoanCandidates(d.now, d.o.Time.lastRecipient()); len(candidates) == 0 || candidates[0].Address != reader.Address {
 		t.Errorf("the lenders are %v", candidates)
 	}
-	if span := d.o.Time.takeUnaccrued(d.now, peer("other", "b", 1)); span.Length != 0 {
-		t.Error("unaccrued time is sent to another data centre")
+	if span := d.o.Time.handOver(d.now, peer("other", "b", 1)); span.Length != 0 {
+		t.Error("time is handed over to another data centre")
 	}
 }
 
-// Guards against a restarted reader that knows few of its followers and therefore accrues
-// too large a share for each of them.
+// Guards against a restarted reader that knows few of its followers and therefore adds
+// too many units to its ledger for each of them.
 func TestShareUsesLargerCountOfFollower(t *testing.T) {
 	r := NewRoster(peer("r", "a", 1), []string{"a", "b", "c"})
 	if got := r.Share(t0); got != 0 {
--- a/relay/message.go
+++ b/relay/message.go
@@ -72,9 +72,9 @@
 	// QuarantineUpTo is the sequence number up to which the caller has received quarantine
 	// records.
 	QuarantineUpTo uint64 `msgpack:"t,omitempty"`
-	// Unaccrued is the time for which the caller has not added its share of the rate limits
-	// to any ledger. The answering daemon adds that share to its own (see AccrualSender).
-	Unaccrued quota.Span `msgpack:"a"`
+	// HandedOver is the span of time for which the answering daemon, not the caller, adds the
+	// caller's units of the rate limits to its ledger (see AccrualSender).
+	HandedOver quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
@@ -95,8 +95,8 @@
 	// number QuarantineUpTo.
 	Quarantine     []quarantine.Record `msgpack:"q,omitempty"`
 	QuarantineUpTo uint64              `msgpack:"t,omitempty"`
-	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
-	// its Unaccrued time to that daemon in later calls (see AccrualSender).
+	// Stamp is the current time of the answering daemon's ledger. The caller needs it to
+	// state the span HandedOver in later calls to that daemon (see AccrualSender).
 	Stamp quota.Stamp `msgpack:"y"`
 	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
@@ -163,9 +163,9 @@
 	Unreachable []string `msgpack:"q,omitempty"`
 	// Samples are sent by readers and come from the daemons of their data centre.
 	Samples []sample `msgpack:"e,omitempty"`
-	// Unaccrued is the time for which the caller has not added its share of the rate limits
-	// to any ledger. The answering daemon adds that share to its own (see AccrualSender).
-	Unaccrued quota.Span `msgpack:"a"`
+	// HandedOver is the span of time for which the answering daemon, not the caller, adds the
+	// caller's units of the rate limits to its ledger (see AccrualSender).
+	HandedOver quota.Span `msgpack:"a"`
 	// Limits are the upstreams' rate limits known to the caller.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
 }
@@ -175,8 +175,8 @@
 type discoverResponse struct {
 	Succession Succession `msgpack:"c"`
 	Claims     []claim    `msgpack:"r,omitempty"`
-	// Stamp is the current time of the answering daemon's ledger. The caller needs it to send
-	// its Unaccrued time to that daemon in later calls (see AccrualSender).
+	// Stamp is the current time of the answering daemon's ledger. The caller needs it to
+	// state the span HandedOver in later calls to that daemon (see AccrualSender).
 	Stamp quota.Stamp `msgpack:"y"`
 	// Limits are the upstreams' rate limits known to the answering daemon.
 	Limits []ratelimit.Record `msgpack:"l,omitempty"`
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -171,8 +171,8 @@
 
 // Guards against thousands of calls a second between a follower and two daemons that name
 // each other as the reader. This happens while the store is unavailable: the follower asks
-// the two daemons by turns. If it sent to one daemon the sequence number that it got from the
-// other, that daemon would not recognize the number and would answer at once with all
+// the two daemons alternately. If it sent to one daemon the sequence number that it got from
+// the other, that daemon would not recognize the number and would answer at once with all
 // records.
 func TestFollowerOfTwoByTurns(t *testing.T) {
 	const length = 20 * time.Second
--- a/relay/roster.go
+++ b/relay/roster.go
@@ -305,7 +305,8 @@
 func (r *Roster) electOrder(now time.Time, dataCentre string, unreachable []string) []Peer {
 	var readers, all []Peer
 	var eligible []Peer
-	// claims reports that p is a reader, known that p has been known for takeoverDelay.
+	// The parameter claims reports that p is a reader, and known that p has been known for
+	// takeoverDelay.
 	add := func(p Peer, claims, known bool) {
 		if p.DataCentre != dataCentre || slices.Contains(unreachable, p.Address) || r.isUnreachable(now, p.Address) {
 			return
--- a/relay/server.go
+++ b/relay/server.go
@@ -55,8 +55,8 @@
 	// Lend deducts n retries for a target from this daemon's budget, or returns false if
 	// the budget has fewer. With nil, nothing is lent.
 	Lend func(target string, n int) bool
-	// Quota is the ledger that accrues the followers' shares for the unaccrued time that they
-	// send (see AccrualSender); with nil their shares for that time are lost. LendUnits lends
+	// Quota is the ledger to which the followers' units are added for the time that they hand
+	// over (see AccrualSender); with nil these units are lost. LendUnits lends
 	// units of an account; with nil nothing is lent.
 	Quota     *quota.Ledger
 	LendUnits func(ask LoanRequest) quota.Loan
@@ -226,7 +226,7 @@
 		if s.o.LendUnits == nil {
 			return &quota.Loan{}, nil
 		}
-		s.acceptUnaccrued(call.From, call.Unaccrued)
+		s.addUnitsFor(call.From, call.HandedOver)
 		s.o.Limits.Update(call.Limits)
 		loan := s.o.LendUnits(call)
 		return &loan, nil
@@ -249,7 +249,7 @@
 		s.o.Samples.AddFromReader(s.o.Now(), samples)
 		s.o.OnSamples(samples)
 	}
-	s.acceptUnaccrued(call.Self, call.Unaccrued)
+	s.addUnitsFor(call.Self, call.HandedOver)
 	s.o.Limits.Update(call.Limits)
 	s.awaitStartup(ctx)
 	now := s.o.Now()
@@ -261,9 +261,9 @@
 	}
 }
 
-// acceptUnaccrued adds the share of a daemon of this data centre to the ledger, for the
-// unaccrued time that the daemon sent.
-func (s *Server) acceptUnaccrued(from Peer, span quota.Span) {
+// addUnitsFor adds another daemon's units for the given span to this daemon's ledger. A
+// daemon of another data centre is ignored, because it has a different share.
+func (s *Server) addUnitsFor(from Peer, span quota.Span) {
 	if span.Length > 0 && from.DataCentre == s.o.Roster.Self().DataCentre {
 		now := s.o.Now()
 		s.o.Roster.RaiseLocalDaemons(span.KnownDaemons)
@@ -292,7 +292,7 @@
 func (s *Server) handleRead(ctx context.Context, call readRequest) (*readResponse, error) {
 	s.o.Roster.RecordCall(s.o.Now(), call.Self)
 	s.o.Followers.RecordCall(s.o.Now())
-	s.acceptUnaccrued(call.Self, call.Unaccrued)
+	s.addUnitsFor(call.Self, call.HandedOver)
 	s.o.Limits.Update(call.Limits)
 	if samples := fromWireSamples(call.Samples); len(samples) > 0 {
 		s.o.Samples.AddFromFollower(s.o.Now(), call.Self.Address, samples)
--- a/relay/share.go
+++ b/relay/share.go
@@ -32,18 +32,18 @@
 // RaiseLocalDaemons raises the number of daemons known in this data centre to n, the number
 // that another daemon knows, if n is larger.
 //
-// If the number were not raised, a restarted reader, which knows few daemons, would accrue
-// too large a share for the unaccrued time that its followers send.
+// If the number were not raised, a restarted reader, which knows few daemons, would add
+// too many units to its ledger for the time that its followers hand over.
 func (r *Roster) RaiseLocalDaemons(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.maxLocalDaemons = max(r.maxLocalDaemons, n)
 }
 
-// LoanCandidates returns the daemons that may have accrued units, in the order in which to
-// ask them: lastRecipient, which is the daemon to which this one last sent unaccrued time, the
+// LoanCandidates returns the daemons that may have units to lend, in the order in which to
+// ask them: lastRecipient, which is the daemon to which this one last handed over time, the
 // reader of this data centre, and the readers of the others. In a small fleet, where each
-// daemon accrues its own share, it returns all lenders.
+// daemon adds the units of its share to its own ledger, it returns all lenders.
 func (r *Roster) LoanCandidates(now time.Time, lastRecipient Peer) []Peer {
 	lenders := r.Lenders(now)
 	r.mu.Lock()
--- a/relay/store.go
+++ b/relay/store.go
@@ -37,8 +37,9 @@
 	Limits Limits
 	// OnSamples receives samples that other daemons have taken of completions on engines.
 	OnSamples func(list []estimate.Sample)
-	// Time supplies the unaccrued time that is sent to the reader with each read (see
-	// AccrualSender); with nil none is sent.
+	// Time supplies the span of time for which the reader, not this daemon, adds this daemon's
+	// units to its ledger (see AccrualSender). It is sent with each read; with nil none is
+	// sent.
 	Time *AccrualSender
 	// Self describes this daemon. Seeds are the addresses of the daemons that are asked for
 	// a reader first.
@@ -101,8 +102,8 @@
 //
 // Each reader has its own sequence numbers. Suppose that a follower had one cursor for all
 // readers, and that two daemons name each other as the reader while the store is
-// unavailable. The follower asks the two by turns and would send each of them the cursor of
-// the other. Each daemon would not recognize the number, treat the caller as a new follower
+// unavailable. The follower asks the two alternately and would send each of them the cursor
+// of the other. Each daemon would not recognize the number, treat the caller as a new follower
 // and answer at once, thousands of times a second.
 type newsCursors struct{ samples, quarantine uint64 }
 
@@ -310,7 +311,7 @@
 	defer s.mu.Unlock()
 	call := readRequest{
 		Feed: q.feed, From: q.from, Whole: q.whole, Wait: s.o.Timing.AnswerWithin, Patient: step.Patient, Self: s.o.Self,
-		KnownVersion: s.successionVersion, Unaccrued: s.o.Time.takeUnaccrued(s.o.Now(), step.Peer),
+		KnownVersion: s.successionVersion, HandedOver: s.o.Time.handOver(s.o.Now(), step.Peer),
 	}
 	if q.feed == fleet.FeedUpstreams {
 		cursors := s.cursors[step.Peer.Address]
--- a/relay/store_test.go
+++ b/relay/store_test.go
@@ -37,8 +37,8 @@
 	s.down = down
 }
 
-// calls returns the waits of the calls so far.
-func (s *fakeFeedStore) calls() []time.Duration {
+// callWaits returns the wait parameter of each call so far.
+func (s *fakeFeedStore) callWaits() []time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Duration{}, s.waits...)
@@ -155,7 +155,7 @@
 	if err != nil || !all.Whole || all.Next != 3 {
 		t.Errorf("snapshot: %+v, %v", all, err)
 	}
-	if calls := d.source.calls(); len(calls) != 0 {
+	if calls := d.source.callWaits(); len(calls) != 0 {
 		t.Errorf("calls to the store: %v", calls)
 	}
 }
@@ -211,7 +211,7 @@
 			if err != nil || b.Next != 2 {
 				t.Fatalf("%+v, %v", b, err)
 			}
-			if calls := d.source.calls(); len(calls) != 1 {
+			if calls := d.source.callWaits(); len(calls) != 1 {
 				t.Errorf("calls to the store: %v", calls)
 			}
 		})
@@ -258,7 +258,7 @@
 		}
 		from = b.Next
 	}
-	if calls := d.source.calls(); len(calls) != 0 {
+	if calls := d.source.callWaits(); len(calls) != 0 {
 		t.Errorf("calls to the store: %v", calls)
 	}
 }
@@ -271,7 +271,7 @@
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if diff := cmp.Diff([]time.Duration{testTiming.Hold}, d.source.calls()); diff != "" {
+	if diff := cmp.Diff([]time.Duration{testTiming.Hold}, d.source.callWaits()); diff != "" {
 		t.Error(diff)
 	}
 	d.now = d.now.Add(followerTimeout)
@@ -301,7 +301,7 @@
 }
 
 // Guards against running upstreams that are dropped after an outage of the store. The first
-// batch after the outage contains removals of expired leases. It must be marked with Away,
+// batch after the outage removes expired registrations. It must be marked with Away,
 // also for followers that made no reads during the outage.
 func TestFirstBatchAfterOutageIsMarkedAway(t *testing.T) {
 	s := &fakeFeedStore{records: []string{"a"}}
@@ -320,7 +320,7 @@
 	if err != nil || !first.Away {
 		t.Errorf("first read: away %t, %v", first.Away, err)
 	}
-	if diff := cmp.Diff([]time.Duration{2 * time.Second, 0}, s.calls()); diff != "" {
+	if diff := cmp.Diff([]time.Duration{2 * time.Second, 0}, s.callWaits()); diff != "" {
 		t.Errorf("the first read after a failure waits: %s", diff)
 	}
 	if l := d.cache.Get(d.now, fleet.FeedUpstreams, 0, false); !l.Batch.Away || l.StoreDown {
@@ -392,7 +392,7 @@
 	if b, err := d.readFrom(t, 1); err != nil || b.Next != 2 {
 		t.Errorf("%+v, %v", b, err)
 	}
-	if calls := d.source.calls(); len(calls) != 1 {
+	if calls := d.source.callWaits(); len(calls) != 1 {
 		t.Errorf("calls to the store: %v", calls)
 	}
 }
