--- a/request/attached_test.go
+++ b/request/attached_test.go
@@ -17,8 +17,8 @@
 	m   *Machine
 	now time.Time
 	// call is the number of the last dispatch, which events belong to by default.
-	call int
-	last []Action
+	call        int
+	lastActions []Action
 }
 
 func newMachineScript(t *testing.T, c Completion) *machineScript {
@@ -33,8 +33,8 @@
 	if ev.Call == 0 {
 		ev.Call = s.call
 	}
-	s.last = append([]Action(nil), s.m.Step(s.now, ev)...)
-	for _, a := range s.last {
+	s.lastActions = append([]Action(nil), s.m.Step(s.now, ev)...)
+	for _, a := range s.lastActions {
 		if a.Kind == ActionDispatch {
 			s.call = a.Call
 		}
@@ -59,10 +59,10 @@
 	return s.step(Event{Kind: EventPrefilled, Prefill: &engineapi.PrefillReply{Handle: "handle", PromptTokens: 3}})
 }
 
-func (s *machineScript) find(kind ActionKind) *Action {
-	for i := range s.last {
-		if s.last[i].Kind == kind {
-			return &s.last[i]
+func (s *machineScript) findAction(kind ActionKind) *Action {
+	for i := range s.lastActions {
+		if s.lastActions[i].Kind == kind {
+			return &s.lastActions[i]
 		}
 	}
 	return nil
@@ -70,9 +70,9 @@
 
 func (s *machineScript) wantAction(kind ActionKind, what string) Action {
 	s.t.Helper()
-	a := s.find(kind)
+	a := s.findAction(kind)
 	if a == nil {
-		s.t.Fatalf("%s: got %+v", what, s.last)
+		s.t.Fatalf("%s: got %+v", what, s.lastActions)
 	}
 	return *a
 }
@@ -88,7 +88,7 @@
 		if a.Retry || len(a.Exclude) > 0 || a.Tries != 1 {
 			t.Fatalf("plan %+v", a)
 		}
-		if s.find(ActionReportFull) == nil {
+		if s.findAction(ActionReportFull) == nil {
 			t.Fatal("the full engine was not reported")
 		}
 	}
@@ -138,7 +138,7 @@
 		t.Errorf("excluded %q", a.Exclude)
 	}
 	released := map[string]bool{}
-	for _, a := range s.last {
+	for _, a := range s.lastActions {
 		if a.Kind == ActionCancel {
 			released[a.Reservation+a.Handle] = true
 		}
@@ -164,8 +164,8 @@
 	s := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
 	s.planOn("d0", "p0").toDecode()
 	s.now = s.now.Add(10 * time.Second)
-	if s.step(Event{Kind: EventTick}); len(s.last) > 0 {
-		t.Fatalf("silence led to %+v", s.last)
+	if s.step(Event{Kind: EventTick}); len(s.lastActions) > 0 {
+		t.Fatalf("silence led to %+v", s.lastActions)
 	}
 	s.step(Event{Kind: EventChunk, Chunk: engineapi.Chunk{WorkID: engineapi.WorkID{RequestID: "r", Attempt: 1}, Text: "late"}})
 	s.wantAction(ActionEmit, "the late token")
@@ -190,16 +190,16 @@
 
 // An engine's own error answer is passed on unchanged if no other engine may be tried.
 func TestEngineErrorAnswerIsForwarded(t *testing.T) {
-	own := &CallAnswer{Status: 500, Body: []byte("out of luck")}
-	failed := Event{Kind: EventCallFailed, Delivery: upstream.Maybe, Answer: own}
-	once := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
-	once.planOn("d0", "p0").toDecode().step(failed)
-	if a := once.wantAction(ActionAnswer, "the answer"); a.Answer != own {
+	engineAnswer := &CallAnswer{Status: 500, Body: []byte("out of luck")}
+	engineFailed := Event{Kind: EventCallFailed, Delivery: upstream.Maybe, Answer: engineAnswer}
+	singleSend := newMachineScript(t, Completion{SendOnce: true, MaxSends: 1})
+	singleSend.planOn("d0", "p0").toDecode().step(engineFailed)
+	if a := singleSend.wantAction(ActionAnswer, "the answer"); a.Answer != engineAnswer {
 		t.Errorf("answered %+v", a.Answer)
 	}
-	again := newMachineScript(t, Completion{MaxSends: 2})
-	again.planOn("d0", "p0").toDecode().step(failed)
-	again.wantAction(ActionPlan, "another engine")
+	twoSends := newMachineScript(t, Completion{MaxSends: 2})
+	twoSends.planOn("d0", "p0").toDecode().step(engineFailed)
+	twoSends.wantAction(ActionPlan, "another engine")
 }
 
 // Guards against cutting off a stream that its engine would have continued: a busy engine is
@@ -218,8 +218,8 @@
 	if a := s.wantAction(ActionPermit, "a request to the retry budget"); a.Permits != 2 {
 		t.Errorf("requested %d permits, want 2: a prompt and a decode call", a.Permits)
 	}
-	if s.step(Event{Kind: EventPermitted}); len(s.last) > 0 {
-		t.Fatalf("a denial led to %+v", s.last)
+	if s.step(Event{Kind: EventPermitted}); len(s.lastActions) > 0 {
+		t.Fatalf("a denial led to %+v", s.lastActions)
 	}
 	s.step(chunk(1))
 	s.wantAction(ActionEmit, "the late token")
--- a/request/call.go
+++ b/request/call.go
@@ -92,7 +92,7 @@
 	out := Outcome{Run: errkind.Unknown} // recorded if a panic ends the run
 	defer func() { grant.Finish(out) }()
 	answer, err := k.tryReplicas(context.WithoutCancel(ctx))
-	out = Outcome{Run: k.run.level().run(), Answer: answer}
+	out = Outcome{Run: k.run.level().asRunState(), Answer: answer}
 	return answer, err
 }
 
@@ -345,7 +345,7 @@
 // logFailure logs an error and adds the run state over all attempts to it.
 func (k *serviceCall) logFailure(err *errkind.Error) *errkind.Error {
 	k.logDecision("fail", policy.ServicePlan{}, string(err.Kind))
-	run := callerRun(err.Kind, k.run.level().run())
+	run := callerRun(err.Kind, k.run.level().asRunState())
 	return err.WithRun(reportedRun(run, k.notAfter, k.r.o.Now()))
 }
 
@@ -362,7 +362,7 @@
 	if err != nil {
 		kind = err.Kind
 	}
-	k.r.o.Metrics.Ended(k.c.Class, kind, k.run.level().run(), k.r.o.Now().Sub(k.c.Accepted))
+	k.r.o.Metrics.Ended(k.c.Class, kind, k.run.level().asRunState(), k.r.o.Now().Sub(k.c.Accepted))
 }
 
 // withTimeout returns a context that ends after d, or at the shutdown limit if that is
--- a/request/canceller_test.go
+++ b/request/canceller_test.go
@@ -30,16 +30,16 @@
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 	})
-	leave := func(id string) {
+	completeAndLeave := func(id string) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c := newCompletion(id)
 		c.MaxTokens = 1 << 20
 		f.complete(ctx, c, &sink{onToken: func(int) error { cancel(); return nil }})
 	}
-	leave("stuck")
+	completeAndLeave("stuck")
 	<-refused
-	leave("r1")
-	leave("r2")
+	completeAndLeave("r1")
+	completeAndLeave("r2")
 	waitUntil(t, "the other cancels", func() bool { return d.Stats().Held == 1 })
 }
--- a/request/complete.go
+++ b/request/complete.go
@@ -43,12 +43,12 @@
 	calls         conc.WaitGroup
 	events        chan Event
 	pendingEvents []Event // events that actions produced synchronously
-	// pauseEvents delivers EventPaused and EventUnpaused. listedDraft is this request's entry
-	// in the list of drafts that may be paused; pausedDraft is the draft that was paused to
-	// make room for this attempt. Both are nil when there is none.
-	pauseEvents chan Event
-	listedDraft *pausableDraft
-	pausedDraft *pausableDraft
+	// pauseEvents delivers EventPaused and EventUnpaused. pausableEntry is the attempt's entry
+	// in Runner.pausableDrafts, which a pause removes from there; pausedDraft is the other
+	// request that was paused to make room for this attempt. Both are nil when there is none.
+	pauseEvents   chan Event
+	pausableEntry *pausableDraft
+	pausedDraft   *pausableDraft
 	// waiter is the request's entry in the queue for a decode slot; nil when it does not wait.
 	// slotPool is the pool of the decode slot that the attempt occupies.
 	waiter   *waiter
@@ -260,7 +260,7 @@
 	d.entry.delivered.Store(int64(a.Index + 1))
 	now := d.r.o.Now()
 	d.undeliveredPrefill = 0
-	d.listDraft(a)
+	d.addToPausable(a)
 	if a.Index == 0 {
 		d.firstTokenAt, d.firstTokenAttempt = now, a.Attempt
 		d.r.o.Metrics.FirstToken(d.c.Class, now.Sub(d.c.Accepted))
@@ -340,7 +340,7 @@
 func (d *driver) endAttempt() {
 	d.endCall()
 	d.heldLimits.returnAll()
-	d.unlistDraft()
+	d.removeFromPausable()
 	d.unpauseDraft()
 	if d.attemptDone != nil {
 		callOnce(&d.attemptDone)
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -36,15 +36,15 @@
 	}
 }
 
-// longAnswer makes the answer so long that only a cancel ends it and frees its memory.
-func (c *faultCase) longAnswer() { c.c.MaxTokens = 1 << 20 }
+// requestLongAnswer makes the answer so long that only a cancel ends it and frees its memory.
+func (c *faultCase) requestLongAnswer() { c.c.MaxTokens = 1 << 20 }
 
-// neverEnds slows down d0's decoding so much that only a cancel frees its memory.
-func (c *faultCase) neverEnds() { c.faults(0, engine.Faults{SlowStep: 1e6}) }
+// slowDownDecoding slows down d0's decoding so much that only a cancel frees its memory.
+func (c *faultCase) slowDownDecoding() { c.setFaults(0, engine.Faults{SlowStep: 1e6}) }
 
-// chunksDropped returns a check that the runner has dropped chunks of the kind that count
-// returns.
-func (c *faultCase) chunksDropped(count func(request.Drops) int) func() {
+// checkChunksDropped returns a function that checks that the runner has dropped at least one
+// chunk of the kind that count selects.
+func (c *faultCase) checkChunksDropped(count func(request.Drops) int) func() {
 	return func() {
 		if d := locked(c.fleet, func() request.Drops { return c.drops }); count(d) == 0 {
 			c.t.Errorf("dropped %+v: the fault did not occur or was not detected", d)
@@ -52,8 +52,8 @@
 	}
 }
 
-// faults sets stand-in faults on d0 for its next calls; 0 times means all calls.
-func (c *faultCase) faults(times int, f engine.Faults) { c.engines["d0"].SetFaults(f, times) }
+// setFaults sets stand-in faults on d0 for its next calls; 0 times means all calls.
+func (c *faultCase) setFaults(times int, f engine.Faults) { c.engines["d0"].SetFaults(f, times) }
 
 // want is the expected outcome of a request.
 type want struct {
@@ -121,27 +121,27 @@
 func faultCases() map[string]faultCaseSpec {
 	out := map[string]faultCaseSpec{}
 	for step, s := range callOfStep {
-		hookStep := func(hook func(c *faultCase, n *engineNode) http.HandlerFunc) func(*faultCase) {
+		onStepCall := func(hook func(c *faultCase, n *engineNode) http.HandlerFunc) func(*faultCase) {
 			return func(c *faultCase) { n := c.engines[s.engine]; n.onCall(s.path, hook(c, n)) }
 		}
-		out[step+"/upstream-killed"] = faultCaseSpec{hookStep(func(_ *faultCase, n *engineNode) http.HandlerFunc {
-			return func(w http.ResponseWriter, r *http.Request) { n.kill(); cut(w, r) }
+		out[step+"/upstream-killed"] = faultCaseSpec{onStepCall(func(_ *faultCase, n *engineNode) http.HandlerFunc {
+			return func(w http.ResponseWriter, r *http.Request) { n.kill(); cutConnection(w, r) }
 		}), completeAnswer}
-		out[step+"/upstream-frozen"] = faultCaseSpec{hookStep(func(_ *faultCase, n *engineNode) http.HandlerFunc {
+		out[step+"/upstream-frozen"] = faultCaseSpec{onStepCall(func(_ *faultCase, n *engineNode) http.HandlerFunc {
 			return func(http.ResponseWriter, *http.Request) { n.freeze() }
 		}), completeAnswer}
-		out[step+"/connection-cut"] = faultCaseSpec{hookStep(func(*faultCase, *engineNode) http.HandlerFunc { return cut }), completeAnswer}
-		out[step+"/connection-stalled"] = faultCaseSpec{hookStep(func(*faultCase, *engineNode) http.HandlerFunc { return stall }), completeAnswer}
-		gone := callerGoneUnknown
+		out[step+"/connection-cut"] = faultCaseSpec{onStepCall(func(*faultCase, *engineNode) http.HandlerFunc { return cutConnection }), completeAnswer}
+		out[step+"/connection-stalled"] = faultCaseSpec{onStepCall(func(*faultCase, *engineNode) http.HandlerFunc { return holdUntilCancelled }), completeAnswer}
+		wantCallerGone := callerGoneUnknown
 		if step == "reserve" {
-			gone = callerGoneNotRun
+			wantCallerGone = callerGoneNotRun
 		}
-		out[step+"/caller-gone"] = faultCaseSpec{hookStep(func(c *faultCase, _ *engineNode) http.HandlerFunc {
+		out[step+"/caller-gone"] = faultCaseSpec{onStepCall(func(c *faultCase, _ *engineNode) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				c.cancel()
-				stall(w, r) // without it, the call's answer could be handled before the caller's departure
+				holdUntilCancelled(w, r) // without it, the call's answer could be handled before the caller's departure
 			}
-		}), gone}
+		}), wantCallerGone}
 	}
 	for _, more := range []map[string]faultCaseSpec{acceptFaults(), dispatchFaults(), streamFaults(), endFaults(), cancelFaults(), transferFaults()} {
 		for name, r := range more {
@@ -151,8 +151,8 @@
 	return out
 }
 
-// noNewWork returns a check that no call has started work on the engine.
-func (c *faultCase) noNewWork(name string) func() {
+// checkNoNewWork returns a function that checks that no call has started work on the engine.
+func (c *faultCase) checkNoNewWork(name string) func() {
 	return func() {
 		if s := c.engines[name].Stats(); s.Reserves+s.Prefills+s.Decodes > 0 {
 			c.t.Errorf("%s got new work: %+v", name, s)
@@ -163,12 +163,12 @@
 // acceptFaults are faults between the acceptance of the request and its first call.
 func acceptFaults() map[string]faultCaseSpec {
 	return map[string]faultCaseSpec{
-		"accept/caller-gone": {func(c *faultCase) { c.cancel(); c.check = c.noNewWork("d0") }, callerGoneNotRun},
+		"accept/caller-gone": {func(c *faultCase) { c.cancel(); c.check = c.checkNoNewWork("d0") }, callerGoneNotRun},
 		"accept/daemon-frozen": {func(c *faultCase) {
 			c.stale = true
-			c.check = c.noNewWork("d0")
+			c.check = c.checkNoNewWork("d0")
 		}, staleNotRun},
-		"accept/leaving": {func(c *faultCase) { c.leave("d0"); c.check = c.noNewWork("d0") }, completeAnswer},
+		"accept/leaving": {func(c *faultCase) { c.leave("d0"); c.check = c.checkNoNewWork("d0") }, completeAnswer},
 	}
 }
 
@@ -189,11 +189,11 @@
 	return map[string]faultCaseSpec{
 		"reserve/leaving": {func(c *faultCase) {
 			c.onPlan = func(int) { c.leave("d0") }
-			c.check = c.noNewWork("d0")
+			c.check = c.checkNoNewWork("d0")
 		}, completeAnswer},
 		"prefill/leaving": {func(c *faultCase) {
 			leaveAt("reserve", "p0")(c)
-			c.check = c.noNewWork("p0")
+			c.check = c.checkNoNewWork("p0")
 		}, completeAnswer},
 		"import/leaving": {func(c *faultCase) {
 			leaveAt("prefill", "d0")(c)
@@ -209,10 +209,10 @@
 		"export/daemon-frozen":  {staleAt("export"), completeAnswer},
 		"export/leaving": {func(c *faultCase) { // the transfer in flight finishes
 			leaveAt("export", "p0")(c)
-			c.check = c.noNewWork("p1")
+			c.check = c.checkNoNewWork("p1")
 		}, completeAnswer},
 		"own-word/reserve/leaving": {func(c *faultCase) {
-			c.faults(0, engine.Faults{Leaving: true})
+			c.setFaults(0, engine.Faults{Leaving: true})
 			c.check = func() {
 				if !locked(c.fleet, func() bool { return len(c.announcedLeaving) > 0 && c.announcedLeaving[0] == "d0" }) {
 					c.t.Error("the observer got no leaving notice")
@@ -224,22 +224,22 @@
 
 // streamFaults are faults while the answer streams.
 func streamFaults() map[string]faultCaseSpec {
-	first, last := 1, 1+tokens // chunks before the fault: the import notice, then tokens
+	chunksBeforeFirstToken, chunksBeforeEnd := 1, 1+tokens // chunks before the fault: the import notice, then tokens
 	out := map[string]faultCaseSpec{}
-	for step, after := range map[string]int{"decode-first-token": first, "mid-stream": midStreamChunks, "last-chunk": last} {
+	for step, after := range map[string]int{"decode-first-token": chunksBeforeFirstToken, "mid-stream": midStreamChunks, "last-chunk": chunksBeforeEnd} {
 		token := max(after-2, 0)
-		fault := func(f engine.Faults) func(*faultCase) { return func(c *faultCase) { c.faults(1, f) } }
+		fault := func(f engine.Faults) func(*faultCase) { return func(c *faultCase) { c.setFaults(1, f) } }
 		out[step+"/connection-cut"] = faultCaseSpec{fault(engine.Faults{CutAfter: after}), completeAnswer}
 		out[step+"/connection-stalled"] = faultCaseSpec{fault(engine.Faults{StallAfter: after}), completeAnswer}
 		out[step+"/connection-cut+leaving"] = faultCaseSpec{func(c *faultCase) { // a resume starts no new work
 			c.onTokenAt(token, func() { c.leave("d0") })
-			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
-			c.check = c.noNewWork("d1")
+			c.setFaults(1, engine.Faults{CutAfter: max(after, 3)})
+			c.check = c.checkNoNewWork("d1")
 		}, completeAnswer}
 		misrouted := func(g engine.Corruption) func(*faultCase) {
 			return func(c *faultCase) {
-				c.faults(1, engine.Faults{Garble: g, GarbleAfter: after})
-				c.check = c.chunksDropped(func(d request.Drops) int { return d.Misrouted })
+				c.setFaults(1, engine.Faults{Garble: g, GarbleAfter: after})
+				c.check = c.checkChunksDropped(func(d request.Drops) int { return d.Misrouted })
 			}
 		}
 		out[step+"/crossed-answer"] = faultCaseSpec{misrouted(engine.CorruptOtherRequest), completeAnswer}
@@ -247,23 +247,23 @@
 		out[step+"/duplicated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptRepeated, GarbleAfter: after}), completeAnswer}
 		out[step+"/truncated-answer"] = faultCaseSpec{fault(engine.Faults{Garble: engine.CorruptTruncated, GarbleAfter: after}), completeAnswer}
 		out[step+"/upstream-killed"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, c.engines["d0"].kill) }, completeAnswer}
-		out[step+"/upstream-frozen"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, func() { c.engines["d0"].freeze(); c.neverEnds() }) }, completeAnswer}
-		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.longAnswer(); c.onTokenAt(token, c.cancel) }, callerGoneRan}
+		out[step+"/upstream-frozen"] = faultCaseSpec{func(c *faultCase) { c.onTokenAt(token, func() { c.engines["d0"].freeze(); c.slowDownDecoding() }) }, completeAnswer}
+		out[step+"/caller-gone"] = faultCaseSpec{func(c *faultCase) { c.requestLongAnswer(); c.onTokenAt(token, c.cancel) }, callerGoneRan}
 		out[step+"/leaving"] = faultCaseSpec{func(c *faultCase) {
 			c.onTokenAt(token, func() { c.leave("d0") })
-			c.check = c.noNewWork("d1")
+			c.check = c.checkNoNewWork("d1")
 		}, completeAnswer}
 		out[step+"/daemon-frozen"] = faultCaseSpec{func(c *faultCase) { // the stream is cut while the daemon is stopped
 			c.onTokenAt(token, func() { c.set(func() { c.stale = true }) })
-			c.faults(1, engine.Faults{CutAfter: max(after, 3)})
+			c.setFaults(1, engine.Faults{CutAfter: max(after, 3)})
 		}, staleRan}
 	}
-	for step, after := range map[string]int{"mid-stream": midStreamChunks, "last-chunk": last - 1} {
+	for step, after := range map[string]int{"mid-stream": midStreamChunks, "last-chunk": chunksBeforeEnd - 1} {
 		out["skipped/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
-			c.faults(1, engine.Faults{Garble: engine.CorruptSkipped, GarbleAfter: after})
+			c.setFaults(1, engine.Faults{Garble: engine.CorruptSkipped, GarbleAfter: after})
 		}, completeAnswer}
 		out["garbled/"+step+"/truncated-answer"] = faultCaseSpec{func(c *faultCase) {
-			c.faults(1, engine.Faults{Garble: engine.CorruptBytes, GarbleAfter: after})
+			c.setFaults(1, engine.Faults{Garble: engine.CorruptBytes, GarbleAfter: after})
 		}, completeAnswer}
 	}
 	return out
@@ -289,7 +289,7 @@
 		}, want{errkind.DeadlineExceeded, errkind.NotRun}},
 		"answer/upstream-killed": {func(c *faultCase) { // no upstream is left
 			for _, n := range c.engines {
-				n.onCall(engineapi.PathPrefill, cut)
+				n.onCall(engineapi.PathPrefill, cutConnection)
 			}
 		}, want{errkind.NoUpstream, errkind.Unknown}},
 	}
@@ -298,9 +298,9 @@
 // cancelFaults are faults that lose the cancel itself. The engine continues until a cancel
 // takes effect, so a cancel that is lost for good shows as memory that is never freed.
 func cancelFaults() map[string]faultCaseSpec {
-	failFirst := func(times int, hook http.HandlerFunc) func(*faultCase) {
+	failFirstCancels := func(times int, hook http.HandlerFunc) func(*faultCase) {
 		return func(c *faultCase) {
-			c.longAnswer()
+			c.requestLongAnswer()
 			c.onTokenAt(5, c.cancel)
 			var n atomic.Int32
 			c.engines["d0"].onCall(engineapi.PathCancel, func(w http.ResponseWriter, r *http.Request) {
@@ -311,23 +311,23 @@
 		}
 	}
 	return map[string]faultCaseSpec{
-		"cancel/connection-cut":     {failFirst(3, cut), callerGoneRan},
-		"cancel/connection-stalled": {failFirst(2, stall), callerGoneRan},
+		"cancel/connection-cut":     {failFirstCancels(3, cutConnection), callerGoneRan},
+		"cancel/connection-stalled": {failFirstCancels(2, holdUntilCancelled), callerGoneRan},
 		"cancel/truncated-answer": {func(c *faultCase) { // the cancel takes effect, but its answer is lost
-			c.longAnswer()
+			c.requestLongAnswer()
 			c.onTokenAt(5, c.cancel)
-			c.faults(2, engine.Faults{LoseCancel: true})
+			c.setFaults(2, engine.Faults{LoseCancel: true})
 		}, callerGoneRan},
 		"cancel/upstream-frozen": {func(c *faultCase) {
-			c.longAnswer()
+			c.requestLongAnswer()
 			c.onTokenAt(5, func() { c.engines["d0"].freeze(); c.cancel() })
 		}, callerGoneRan},
 		"cancel/upstream-killed": {func(c *faultCase) {
-			c.longAnswer()
+			c.requestLongAnswer()
 			c.onTokenAt(5, func() { c.engines["d0"].kill(); c.cancel() })
 		}, callerGoneRan},
 		"cancel/daemon-frozen": {func(c *faultCase) { // a daemon with stale data still frees what it holds
-			c.longAnswer()
+			c.requestLongAnswer()
 			c.onTokenAt(5, func() { c.set(func() { c.stale = true }); c.cancel() })
 		}, callerGoneRan},
 	}
@@ -335,18 +335,18 @@
 
 // transferFaults are faults during the KV cache transfer.
 func transferFaults() map[string]faultCaseSpec {
-	broken := func(f engine.Faults) func(*faultCase) {
+	setExportFault := func(f engine.Faults) func(*faultCase) {
 		return func(c *faultCase) { c.engines["p0"].SetFaults(f, 1) }
 	}
 	return map[string]faultCaseSpec{
-		"transfer/connection-cut":     {broken(engine.Faults{CutExport: true}), completeAnswer},
-		"transfer/connection-stalled": {broken(engine.Faults{StallExport: true}), completeAnswer},
+		"transfer/connection-cut":     {setExportFault(engine.Faults{CutExport: true}), completeAnswer},
+		"transfer/connection-stalled": {setExportFault(engine.Faults{StallExport: true}), completeAnswer},
 		"transfer/upstream-killed": {func(c *faultCase) { // the engine is killed while the transfer is stalled
-			broken(engine.Faults{StallExport: true})(c)
+			setExportFault(engine.Faults{StallExport: true})(c)
 			c.engines["d0"].onCall(engineapi.PathStream, func(http.ResponseWriter, *http.Request) { c.engines["p0"].kill() })
 		}, completeAnswer},
 		"transfer/caller-gone": {func(c *faultCase) {
-			broken(engine.Faults{StallExport: true})(c)
+			setExportFault(engine.Faults{StallExport: true})(c)
 			c.engines["p0"].onCall(engineapi.PathExport, func(http.ResponseWriter, *http.Request) { c.cancel() })
 		}, callerGoneUnknown},
 	}
--- a/request/helper_test.go
+++ b/request/helper_test.go
@@ -102,8 +102,8 @@
 // hundred times faster than real ones, and a runner that uses them.
 func newFleet(t testing.TB, change func(*request.Options)) *fleet {
 	f := &fleet{t: t, engines: map[string]*engineNode{}}
-	hc := upstream.NewHTTPClient()
-	t.Cleanup(hc.CloseIdleConnections)
+	httpClient := upstream.NewHTTPClient()
+	t.Cleanup(httpClient.CloseIdleConnections)
 	for _, name := range []string{"p0", "p1", "d0", "d1"} {
 		f.addEngine(name)
 	}
@@ -112,8 +112,8 @@
 		Snapshot:    f.snapshot,
 		Policy:      func(string) (policy.Policy, bool) { return inOrder{f}, true },
 		Inflight:    board.NewInflight(),
-		Engines:     upstream.NewEngines(hc),
-		Services:    upstream.NewServices(hc, upstream.NoRateLimitObserver{}),
+		Engines:     upstream.NewEngines(httpClient),
+		Services:    upstream.NewServices(httpClient, upstream.NoRateLimitObserver{}),
 		Observer:    observer{f},
 		Metrics:     metrics{f},
 		RetryBudget: func(string) request.RetryBudget { return switchableBudget{&f.budgetEmpty} },
@@ -278,11 +278,11 @@
 func (w *freezableWriter) Write(p []byte) (int, error) { w.n.wait(); return w.ResponseWriter.Write(p) }
 func (w *freezableWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// cut closes the connection of a call.
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// cutConnection closes the connection of a call.
+func cutConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// stall holds a call until its caller cancels it.
-func stall(_ http.ResponseWriter, r *http.Request) {
+// holdUntilCancelled holds a call until its caller cancels it.
+func holdUntilCancelled(_ http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
--- a/request/lattice.go
+++ b/request/lattice.go
@@ -50,8 +50,8 @@
 // join returns the higher of two levels.
 func (l level) join(o level) level { return max(l, o) }
 
-// run returns the level as the run state that callers get.
-func (l level) run() errkind.RunState {
+// asRunState returns the level as the run state that callers get.
+func (l level) asRunState() errkind.RunState {
 	switch l {
 	case notRun:
 		return errkind.NotRun
--- a/request/lattice_test.go
+++ b/request/lattice_test.go
@@ -31,11 +31,11 @@
 		} {
 			var s runState
 			s.begin(tc.step)
-			if got := s.level().run(); got != tc.inFlight {
+			if got := s.level().asRunState(); got != tc.inFlight {
 				t.Errorf("%s in flight: %s, want %s", tc.step, got, tc.inFlight)
 			}
 			s.settle(tc.step, d)
-			if got := s.level().run(); got != want {
+			if got := s.level().asRunState(); got != want {
 				t.Errorf("%s %s: %s, want %s", tc.step, d, got, want)
 			}
 		}
--- a/request/limits.go
+++ b/request/limits.go
@@ -16,7 +16,8 @@
 // not sent are returned.
 // Implementations are safe for concurrent use.
 type UpstreamLimits interface {
-	// Exhausted returns the upstreams of a pool that must not get another request now.
+	// Exhausted returns the upstreams of a pool whose rate limits allow no further request
+	// now.
 	Exhausted(now time.Time, s ratelimit.Request) []string
 	// Take takes the units that one request to an upstream needs; ok is false if they are not
 	// left. release returns them; it is nil if the upstream has no limit.
--- a/request/limits_test.go
+++ b/request/limits_test.go
@@ -20,9 +20,9 @@
 	mu   sync.Mutex
 	left map[string]int
 	// lent holds the units of other daemons that can be borrowed.
-	lent  map[string]int
-	asked []string // upstreams for which other daemons were asked
-	ranks []int
+	lent        map[string]int
+	askedToLend []string // upstreams whose units were requested from other daemons
+	ranks       []int
 }
 
 func (a *fakeLimits) Exhausted(_ time.Time, s ratelimit.Request) (out []string) {
@@ -62,7 +62,7 @@
 func (a *fakeLimits) Borrow(_ context.Context, name string, _ ratelimit.Request) (func(), bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked = append(a.asked, name)
+	a.askedToLend = append(a.askedToLend, name)
 	return a.take(a.lent, name)
 }
 
@@ -105,8 +105,8 @@
 		} else if err == nil || err.Kind != errkind.UpstreamLimit || err.RetryAfter != 700*time.Millisecond || errkind.Answer(err).Run != errkind.NotRun {
 			t.Errorf("%s: %v", name, err)
 		}
-		if len(a.asked) > 0 && c.lent == nil && c.want != "" {
-			t.Errorf("%s: other daemons were asked for units of %v", name, a.asked)
+		if len(a.askedToLend) > 0 && c.lent == nil && c.want != "" {
+			t.Errorf("%s: other daemons were asked for units of %v", name, a.askedToLend)
 		}
 		if a.ranks[0] != rank {
 			t.Errorf("%s: rank %d", name, a.ranks[0])
@@ -133,15 +133,15 @@
 		var mu sync.Mutex
 		var prompts, runs []string
 		for name, n := range f.engines {
-			note := func(list *[]string) http.HandlerFunc {
+			recordEngine := func(list *[]string) http.HandlerFunc {
 				return func(http.ResponseWriter, *http.Request) {
 					mu.Lock()
 					defer mu.Unlock()
 					*list = append(*list, name)
 				}
 			}
-			n.onCall("/v1/prefill", note(&prompts))
-			n.onCall("/v1/decode", note(&runs))
+			n.onCall("/v1/prefill", recordEngine(&prompts))
+			n.onCall("/v1/decode", recordEngine(&runs))
 		}
 		got := f.complete(context.Background(), newCompletion("r"), nil)
 		mu.Lock()
@@ -171,7 +171,7 @@
 	f, a := limitedFleet(t, map[string]int{"p0": 1, "p1": 1, "d0": 1, "d1": 1}, nil)
 	f.budgetEmpty.Store(true)
 	for _, name := range []string{"d0", "d1"} {
-		f.engines[name].onCall("/v1/reserve", cut)
+		f.engines[name].onCall("/v1/reserve", cutConnection)
 	}
 	if got := f.complete(context.Background(), newCompletion("r"), nil); got.err == nil {
 		t.Fatal("the request ran without a slot")
--- a/request/machine.go
+++ b/request/machine.go
@@ -130,7 +130,7 @@
 func (m *Machine) Attempt() int { return m.attempt }
 
 // Run returns the run state over all attempts.
-func (m *Machine) Run() errkind.RunState { return m.run.level().run() }
+func (m *Machine) Run() errkind.RunState { return m.run.level().asRunState() }
 
 // Tokens returns the delivered tokens. Callers must not change the slice.
 func (m *Machine) Tokens() []string { return m.tokens }
--- a/request/machine_test.go
+++ b/request/machine_test.go
@@ -26,12 +26,13 @@
 	// held contains the engines that may hold memory, as "attempt engine".
 	held      map[string]bool
 	delivered bool // the request may have reached an engine
-	pending   bool // the call in flight sends the request to an engine
+	pending   bool // the latest call sends the request to an engine and may have been delivered
 	plans     int
 	// sent contains the engines that may have received the request itself.
 	sent map[string]bool
-	// answers lets engines fail with error answers of their own; failed is set once one did.
-	answers, failed bool
+	// mayAnswerWithError allows event to draw failed calls that carry an error answer of the
+	// engine; errorAnswerSeen is set once a decode call failed with one.
+	mayAnswerWithError, errorAnswerSeen bool
 	// acceptedCall is the last decode call that its engine accepted.
 	acceptedCall int
 }
@@ -66,7 +67,7 @@
 		k.delivered, k.acceptedCall = true, ev.Call
 	}
 	if ev.Kind == EventCallFailed && ev.Answer != nil && a.Step == StepDecode {
-		k.delivered, k.failed = true, true
+		k.delivered, k.errorAnswerSeen = true, true
 	}
 	if k.acceptedCall == ev.Call {
 		return
@@ -150,7 +151,7 @@
 	}
 	want := errkind.NotRun
 	switch {
-	case k.emitted > 0, k.failed:
+	case k.emitted > 0, k.errorAnswerSeen:
 		want = errkind.Ran
 	case k.delivered || k.pending:
 		want = errkind.Unknown
@@ -201,7 +202,7 @@
 	ev.Prefill = &engineapi.PrefillReply{PromptTokens: 3}
 	ev.Err = errkind.New(errkind.Overloaded, "")
 	ev.Delivery = rapid.SampledFrom([]upstream.Delivery{upstream.Maybe, upstream.NotSent, upstream.Refused}).Draw(t, "delivery")
-	if k.answers && ev.Delivery == upstream.Maybe && rapid.Bool().Draw(t, "answer") {
+	if k.mayAnswerWithError && ev.Delivery == upstream.Maybe && rapid.Bool().Draw(t, "answer") {
 		ev.Answer = &CallAnswer{Status: 500}
 	}
 	ev.Chunk = k.chunkEvent()
@@ -262,7 +263,7 @@
 		at := time.Unix(1000, 0)
 		c := Completion{ID: "r", Accepted: at, Deadline: at.Add(time.Minute), SendOnce: rapid.Bool().Draw(t, "once"), MaxSends: rapid.IntRange(1, 2).Draw(t, "sends")}
 		k := newChecker(t, c, attachedLimits())
-		k.answers = true
+		k.mayAnswerWithError = true
 		k.run(at)
 	})
 }
--- a/request/once_test.go
+++ b/request/once_test.go
@@ -180,7 +180,7 @@
 	r.call.Deadline = r.call.Accepted.Add(300 * time.Millisecond)
 }
 
-func firstCallFaults(f service.Faults) func(*serviceFixture) {
+func setFirstCallFaults(f service.Faults) func(*serviceFixture) {
 	return func(r *serviceFixture) { r.first.SetFaults(f, 1) }
 }
 
@@ -207,22 +207,22 @@
 		"claim/daemon-frozen":        {func(r *serviceFixture) { r.gate.onClaim = func() { r.stale = true } }, errkind.StaleView, n, 0, n},
 		"lapsed/claim/daemon-frozen": {func(r *serviceFixture) { r.gate.deadline = time.Now() }, errkind.StaleView, u, 0, n},
 		"late/claim/daemon-frozen":   {func(r *serviceFixture) { r.gate.onClaim = func() { r.skew = 2 * maxWait } }, errkind.DeadlineExceeded, n, 0, n},
-		"accept/leaving":             {firstCallFaults(service.Faults{Leaving: true}), "", "", 1, ran},
-		"refused/accept/leaving":     {firstCallFaults(service.Faults{Refuse: true}), "", "", 1, ran},
+		"accept/leaving":             {setFirstCallFaults(service.Faults{Leaving: true}), "", "", 1, ran},
+		"refused/accept/leaving":     {setFirstCallFaults(service.Faults{Refuse: true}), "", "", 1, ran},
 		"planned/accept/leaving": {func(r *serviceFixture) { // takes no retry permit
 			r.budgetEmpty.Store(true)
 			r.onPlan = func(int) { r.leave("s0") }
 			r.onCall = func() { r.t.Error("a leaving replica got new work") }
 		}, "", "", 1, ran},
 		"accept/upstream-killed":        {func(r *serviceFixture) { r.kill() }, "", "", 1, ran},
-		"before/answer/connection-cut":  {firstCallFaults(service.Faults{CutBefore: true}), errkind.UpstreamFailed, u, 0, u},
-		"answer/connection-cut":         {firstCallFaults(service.Faults{CutAfter: true}), errkind.UpstreamFailed, u, 1, u},
-		"before/answer/upstream-frozen": {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallBefore: true})(r) }, errkind.DeadlineExceeded, u, 0, u},
-		"answer/connection-stalled":     {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u, 1, u},
-		"answer/crossed-answer":         {firstCallFaults(service.Faults{Crossed: true}), errkind.UpstreamFailed, u, 1, u},
+		"before/answer/connection-cut":  {setFirstCallFaults(service.Faults{CutBefore: true}), errkind.UpstreamFailed, u, 0, u},
+		"answer/connection-cut":         {setFirstCallFaults(service.Faults{CutAfter: true}), errkind.UpstreamFailed, u, 1, u},
+		"before/answer/upstream-frozen": {func(r *serviceFixture) { r.shortDeadline(); setFirstCallFaults(service.Faults{StallBefore: true})(r) }, errkind.DeadlineExceeded, u, 0, u},
+		"answer/connection-stalled":     {func(r *serviceFixture) { r.shortDeadline(); setFirstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u, 1, u},
+		"answer/crossed-answer":         {setFirstCallFaults(service.Faults{Crossed: true}), errkind.UpstreamFailed, u, 1, u},
 		"answer/caller-gone":            {func(r *serviceFixture) { r.onCall = r.cancel }, "", "", 1, ran}, // the call continues so that a repeat gets its answer
 		"accept/caller-gone":            {func(r *serviceFixture) { r.cancel() }, errkind.ClientGone, n, 0, n},
-		"own-status/answer/late-answer": {firstCallFaults(service.Faults{Fail: true}), "", "", 1, ran},
+		"own-status/answer/late-answer": {setFirstCallFaults(service.Faults{Fail: true}), "", "", 1, ran},
 		"answer/leaving":                {func(r *serviceFixture) { r.leave("s0") }, "", "", 1, ran},
 		"no-upstream/accept/leaving":    {func(r *serviceFixture) { r.leave("s0"); r.leave("s1") }, errkind.NoUpstream, n, 0, n},
 	} {
@@ -265,18 +265,18 @@
 		run     errkind.RunState
 	}{
 		"accept/upstream-killed":    {func(r *serviceFixture) { r.kill() }, "", ""},
-		"accept/leaving":            {firstCallFaults(service.Faults{Leaving: true}), "", ""},
+		"accept/leaving":            {setFirstCallFaults(service.Faults{Leaving: true}), "", ""},
 		"accept/daemon-frozen":      {func(r *serviceFixture) { r.stale = true }, errkind.StaleView, errkind.NotRun},
-		"answer/connection-cut":     {firstCallFaults(service.Faults{CutAfter: true}), "", ""},
-		"answer/crossed-answer":     {firstCallFaults(service.Faults{Crossed: true}), "", ""},
-		"answer/connection-stalled": {func(r *serviceFixture) { r.shortDeadline(); firstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u},
+		"answer/connection-cut":     {setFirstCallFaults(service.Faults{CutAfter: true}), "", ""},
+		"answer/crossed-answer":     {setFirstCallFaults(service.Faults{Crossed: true}), "", ""},
+		"answer/connection-stalled": {func(r *serviceFixture) { r.shortDeadline(); setFirstCallFaults(service.Faults{StallAfter: true})(r) }, errkind.DeadlineExceeded, u},
 		"answer/caller-gone": {func(r *serviceFixture) {
 			r.first.SetFaults(service.Faults{StallAfter: true}, 1)
 			r.onCall = r.cancel
 		}, errkind.ClientGone, u},
 		"no-budget/answer/connection-cut": {func(r *serviceFixture) {
 			r.budgetEmpty.Store(true)
-			firstCallFaults(service.Faults{CutAfter: true})(r)
+			setFirstCallFaults(service.Faults{CutAfter: true})(r)
 		}, errkind.UpstreamFailed, u},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/request/options.go
+++ b/request/options.go
@@ -123,7 +123,8 @@
 	// Pause suspends a running attempt, and Unpause continues it.
 	Pause(ctx context.Context, addr string, w engineapi.WorkID) (engineapi.CancelReply, error)
 	Unpause(ctx context.Context, addr string, r engineapi.CancelRequest) error
-	// Release frees what an attempt holds; a nil error means that it was acknowledged.
+	// Release frees the slot and memory that an attempt holds on an engine; a nil error means
+	// that the engine acknowledged it.
 	Release(ctx context.Context, addr string, r engineapi.CancelRequest) error
 }
 
--- a/request/pause.go
+++ b/request/pause.go
@@ -11,7 +11,8 @@
 // it is paused, so it gets no second pause.
 const pauseEventBuffer = 2
 
-// pausableDraft is a streaming draft that an urgent request may pause.
+// pausableDraft is a request of class bundle.Draft whose answer is streaming and that an urgent
+// request may pause.
 type pausableDraft struct {
 	target Target
 	work   engineapi.WorkID
@@ -82,19 +83,21 @@
 	l.count(name, -1)
 }
 
-// listDraft lists a draft as pausable when the attempt delivers its first token.
-func (d *driver) listDraft(a Action) {
-	if d.listedDraft != nil || d.c.Class != bundle.Draft {
+// addToPausable adds this request to the drafts that may be paused, if it is a draft and
+// its attempt has not been added before. It is called for each token that the attempt delivers.
+func (d *driver) addToPausable(a Action) {
+	if d.pausableEntry != nil || d.c.Class != bundle.Draft {
 		return
 	}
-	d.listedDraft = &pausableDraft{target: d.decodeTarget, work: d.workID(a), events: d.pauseEvents}
-	d.r.pausableDrafts.add(d.listedDraft)
+	d.pausableEntry = &pausableDraft{target: d.decodeTarget, work: d.workID(a), events: d.pauseEvents}
+	d.r.pausableDrafts.add(d.pausableEntry)
 }
 
-func (d *driver) unlistDraft() {
-	if d.listedDraft != nil {
-		d.r.pausableDrafts.remove(d.listedDraft)
-		d.listedDraft = nil
+// removeFromPausable removes this request from the drafts that may be paused.
+func (d *driver) removeFromPausable() {
+	if d.pausableEntry != nil {
+		d.r.pausableDrafts.remove(d.pausableEntry)
+		d.pausableEntry = nil
 	}
 }
 
--- a/request/pause_test.go
+++ b/request/pause_test.go
@@ -21,19 +21,19 @@
 func TestPauseDraft(t *testing.T) {
 	const draftTokens = 2000
 	for name, tc := range map[string]struct {
-		arrange func(d1 *engineNode)
+		arrange func(node *engineNode)
 		urgent  errkind.Kind
 	}{
 		"healthy": {func(*engineNode) {}, ""},
-		"resume/connection-cut": {func(d1 *engineNode) {
+		"resume/connection-cut": {func(node *engineNode) {
 			var n atomic.Int32
-			d1.onCall(engineapi.PathResume, func(w http.ResponseWriter, r *http.Request) {
+			node.onCall(engineapi.PathResume, func(w http.ResponseWriter, r *http.Request) {
 				if n.Add(1) <= 3 {
-					cut(w, r)
+					cutConnection(w, r)
 				}
 			})
 		}, ""},
-		"pause/connection-cut": {func(d1 *engineNode) { d1.onCall(engineapi.PathPause, cut) }, errkind.NoUpstream},
+		"pause/connection-cut": {func(node *engineNode) { node.onCall(engineapi.PathPause, cutConnection) }, errkind.NoUpstream},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/request/queue_test.go
+++ b/request/queue_test.go
@@ -18,12 +18,12 @@
 // on d0 or others are queued ahead. The waiting time exceeds the duration of the test.
 type oneAtATime struct {
 	inOrder
-	waits chan string
+	waitingIDs chan string
 }
 
 func (o oneAtATime) Plan(s *policy.Snapshot, in policy.Inflight, q policy.Query, rng *rand.Rand) (policy.Plan, *errkind.Error) {
 	if n, _ := in.Upstream("d0", time.Time{}); n > 0 || q.QueuedAhead > 0 {
-		o.waits <- q.RequestID
+		o.waitingIDs <- q.RequestID
 		return policy.Plan{Wait: maxWait, Reason: "queue"}, nil
 	}
 	return o.inOrder.Plan(s, in, q, rng)
@@ -41,19 +41,19 @@
 	f = newFleet(t, func(o *request.Options) {
 		o.Policy = func(string) (policy.Policy, bool) { return oneAtATime{inOrder{f}, waits}, true }
 	})
-	var order []string // serialized by the single slot
-	note := func(id string, s *sink) *sink {
+	var firstTokenOrder []string // serialized by the single slot
+	recordFirstToken := func(id string, s *sink) *sink {
 		s.onToken = func(i int) error {
 			if i == 0 {
-				order = append(order, id)
+				firstTokenOrder = append(firstTokenOrder, id)
 			}
 			return nil
 		}
 		return s
 	}
-	draft, gone, urgent := note("draft", &sink{}), &sink{}, note("urgent", &sink{})
+	draft, leavingCaller, urgent := recordFirstToken("draft", &sink{}), &sink{}, recordFirstToken("urgent", &sink{})
 	var ended []<-chan struct{}
-	queue := func(ctx context.Context, id string, class bundle.Class, s *sink) {
+	startQueued := func(ctx context.Context, id string, class bundle.Class, s *sink) {
 		c := newCompletion(id)
 		c.Class = class
 		done := make(chan struct{})
@@ -66,9 +66,9 @@
 	first := &sink{onToken: func(i int) error {
 		if i == 3 {
 			ctx, leave := context.WithCancel(context.Background())
-			queue(ctx, "gone", bundle.Draft, gone)
-			queue(context.Background(), "draft", bundle.Draft, draft)
-			queue(context.Background(), "urgent", bundle.Urgent, urgent)
+			startQueued(ctx, "gone", bundle.Draft, leavingCaller)
+			startQueued(context.Background(), "draft", bundle.Draft, draft)
+			startQueued(context.Background(), "urgent", bundle.Urgent, urgent)
 			leave()
 			<-ended[0]
 		}
@@ -81,8 +81,8 @@
 	first.wantComplete()
 	draft.wantComplete()
 	urgent.wantComplete()
-	gone.wantFailed(errkind.ClientGone, errkind.NotRun)
-	if d := cmp.Diff([]string{"urgent", "draft"}, order); d != "" {
+	leavingCaller.wantFailed(errkind.ClientGone, errkind.NotRun)
+	if d := cmp.Diff([]string{"urgent", "draft"}, firstTokenOrder); d != "" {
 		t.Error(d)
 	}
 	if st := f.engines["d0"].Stats(); st.MaxActive != 1 {
--- a/request/runner_test.go
+++ b/request/runner_test.go
@@ -70,7 +70,7 @@
 func TestDrainLimit(t *testing.T) {
 	for name, arrange := range map[string]func(*fleet){
 		"mid-stream/daemon-killed": func(*fleet) {},
-		"prefill/daemon-killed":    func(f *fleet) { f.engines["p0"].onCall(engineapi.PathPrefill, stall) },
+		"prefill/daemon-killed":    func(f *fleet) { f.engines["p0"].onCall(engineapi.PathPrefill, holdUntilCancelled) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, nil)
@@ -145,35 +145,35 @@
 	f.waitUntilNothingHeld()
 }
 
-// cancelled counts the cancels that have ended, by whether they were acknowledged.
-type cancelled struct {
+// cancelCounter counts the cancels that have ended, by whether they were acknowledged.
+type cancelCounter struct {
 	metrics
-	mu   *sync.Mutex
-	ends map[bool]int
+	mu                 *sync.Mutex
+	endsByAcknowledged map[bool]int
 }
 
-func (c cancelled) Cancelled(_ int, _ time.Duration, acknowledged bool) {
+func (c cancelCounter) Cancelled(_ int, _ time.Duration, acknowledged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ends[acknowledged]++
+	c.endsByAcknowledged[acknowledged]++
 }
 
 // TestCancelStopsAtAgeLimit guards against an unbounded backlog of cancels for an engine that
 // has died while it held a request. After CancelLimits.Age the cancel is given up.
 func TestCancelStopsAtAgeLimit(t *testing.T) {
-	m := cancelled{mu: &sync.Mutex{}, ends: map[bool]int{}}
+	m := cancelCounter{mu: &sync.Mutex{}, endsByAcknowledged: map[bool]int{}}
 	f := newFleet(t, func(o *request.Options) {
 		m.metrics = o.Metrics.(metrics)
 		o.Metrics = m
 		o.Cancel = request.DefaultCancelLimits()
 		o.Cancel.Age = 50 * time.Millisecond
 	})
-	f.engines["d0"].onCall(engineapi.PathReserve, func(w http.ResponseWriter, r *http.Request) { f.engines["d0"].kill(); cut(w, r) })
+	f.engines["d0"].onCall(engineapi.PathReserve, func(w http.ResponseWriter, r *http.Request) { f.engines["d0"].kill(); cutConnection(w, r) })
 	f.complete(context.Background(), newCompletion("r1"), nil).wantComplete()
 	waitUntil(t, "the cancel to be given up", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return m.ends[false] == 1
+		return m.endsByAcknowledged[false] == 1
 	})
 }
 
@@ -184,9 +184,9 @@
 func (d *countingSink) Finish(string, request.Usage) { d.ends++ }
 func (d *countingSink) Fail(*errkind.Error)          {}
 
-// fastDecode answers decode calls with n tokens at once, and all other calls with an empty
+// decodeHandler answers decode calls with n tokens at once, and all other calls with an empty
 // object.
-func fastDecode(n int) http.HandlerFunc {
+func decodeHandler(n int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engineapi.PathDecode {
 			_, _ = w.Write([]byte("{}"))
@@ -207,7 +207,7 @@
 // the machine to the sink. The engine runs in the same process and writes as fast as it can.
 func BenchmarkRelay(b *testing.B) {
 	f := newFleet(b, nil)
-	s := httptest.NewServer(fastDecode(b.N))
+	s := httptest.NewServer(decodeHandler(b.N))
 	defer s.Close()
 	f.leave("d0")
 	f.leave("d1")
--- a/request/types.go
+++ b/request/types.go
@@ -10,11 +10,11 @@
 // stale until it is refreshed.
 //
 // A bundle is the configuration of all daemons; a snapshot is one bundle and the state of the
-// upstreams. Urgent and draft are the two built-in classes of requests: a draft may be paused so
-// that an urgent request gets its slot. A caller may send an idempotency key with a request. A
-// daemon claims the key from the Gate before it runs a non-idempotent request, and the resulting
-// Grant allows the request to run, contains the answer of its earlier run, or names the daemon
-// that alone may run it.
+// upstreams. Urgent and draft are the two built-in classes of requests: urgent requests precede
+// drafts in the queue for decode slots, and a draft may be paused so that an urgent request gets
+// its slot. A caller may send an idempotency key with a request. A daemon claims the key from the
+// Gate before it runs a non-idempotent request, and the resulting Grant allows the request to run,
+// contains the answer of its earlier run, or names the daemon that alone may run it.
 package request
 
 import (
